--- /dev/null
+++ b/tests/golden/samples.py
@@ -0,0 +1,151 @@
+"""One sample of each message between the system's processes; the golden files hold their bytes."""
+
+from __future__ import annotations
+
+from madderwind.messages.distribution import (
+    ClockRequested,
+    ClockTold,
+    ConfigurationApplied,
+    ConfigurationDelta,
+    ConfigurationSnapshot,
+    ControlPlanes,
+    Farewell,
+    FetchConfiguration,
+    Freshness,
+    LoadOfOthers,
+    LoadReport,
+    OrderRecord,
+    PeerSample,
+    RegistryDelta,
+    RegistrySnapshot,
+    SendReport,
+    SendsOfOthers,
+    SentPrompt,
+    Subscribe,
+    ToControlPlane,
+    ToDataPlane,
+    UpstreamRecord,
+    UsageOfOthers,
+    UsageReport,
+)
+from madderwind.messages.peering import (
+    FinalStateNoted,
+    FinalStateNotice,
+    ForwardOrder,
+    ForwardRead,
+    Hello,
+    Liveness,
+    LivenessReport,
+    OrderReply,
+    PeerFrame,
+    ReadReply,
+    RegistryGossip,
+    RegistryRequested,
+)
+from madderwind.messages.replication import (
+    Accept,
+    Accepted,
+    AcceptedNotice,
+    Announce,
+    Append,
+    Appended,
+    AppendRefused,
+    Ballot,
+    HandOver,
+    Heartbeat,
+    HeartbeatAnswer,
+    InstallSnapshot,
+    LogEntry,
+    Member,
+    PeerStatus,
+    Prepare,
+    Promise,
+    Refused,
+    SnapshotReceived,
+    View,
+    ViewNotice,
+)
+from madderwind.messages.status import ControlPlaneStatus, DataPlaneStatus, UpstreamStatus
+
+ONE = Member("incarnation-1", "10.0.0.1:7500", "10.0.0.1:7000", "zone-a")
+TWO = Member("incarnation-2", "10.0.0.2:7500", "10.0.0.2:7000", "zone-b")
+VIEW = View(7, ONE.incarnation, (ONE.incarnation, TWO.incarnation), (ONE, TWO))
+NEXT_VIEW = View(8, TWO.incarnation, (TWO.incarnation,), (ONE, TWO))
+LOWER = Ballot(3, ONE.incarnation, "process-1")
+HIGHER = Ballot(4, TWO.incarnation, "process-2")
+PEERS = (PeerStatus(TWO, 12.5, True, False),)
+ENTRY = LogEntry(41, 7, "update", 17, b'{"version":18}')
+UPSTREAM = UpstreamRecord("i-1", "chat", "10.0.1.1:8000", "zone-a", "v3", 16, "draining", 9, 250.0, 1500.0)
+PROMPT = SentPrompt("i-1", ("part-1", "part-2"), (128, 64))
+
+REPLICATION_SAMPLES: tuple[PeerFrame, ...] = (
+    Announce(ONE.incarnation, "", ONE, 7, True),
+    ViewNotice(ONE.incarnation, TWO.incarnation, VIEW),
+    Prepare(ONE.incarnation, TWO.incarnation, VIEW, LOWER, True),
+    Promise(TWO.incarnation, ONE.incarnation, 8, HIGHER, LOWER, NEXT_VIEW, PEERS),
+    Accept(ONE.incarnation, TWO.incarnation, VIEW, LOWER, NEXT_VIEW),
+    Accepted(TWO.incarnation, ONE.incarnation, 8, LOWER),
+    AcceptedNotice(TWO.incarnation, ONE.incarnation, LOWER, NEXT_VIEW),
+    Refused(TWO.incarnation, ONE.incarnation, 8, LOWER, HIGHER, True),
+    Heartbeat(ONE.incarnation, TWO.incarnation, 7, 99, 41, 3.5, 98, PEERS),
+    HeartbeatAnswer(TWO.incarnation, ONE.incarnation, 7, 99, 8, 40, True, False),
+    Append(ONE.incarnation, TWO.incarnation, 7, 40, 6, (ENTRY,), 39),
+    Appended(TWO.incarnation, ONE.incarnation, 7, 41),
+    AppendRefused(TWO.incarnation, ONE.incarnation, 7, 40, 38),
+    InstallSnapshot(ONE.incarnation, TWO.incarnation, 7, 6, 40, 6, 128, 256, b"state"),
+    SnapshotReceived(TWO.incarnation, ONE.incarnation, 7, 40, 133),
+    HandOver(ONE.incarnation, TWO.incarnation, 7),
+)
+
+PEERING_SAMPLES: tuple[PeerFrame, ...] = (
+    Hello("10.0.0.1:7500"),
+    RegistryGossip((UPSTREAM,)),
+    FinalStateNotice(UPSTREAM),
+    FinalStateNoted("i-1", "gone"),
+    RegistryRequested(),
+    LivenessReport((Liveness("i-1", 9, 15.0),)),
+    ForwardOrder(5, "replace", 17, b'{"version":18}'),
+    OrderReply(5, "stale base", 18, "version", "18 is not above 18"),
+    ForwardRead(6),
+    ReadReply(6, True, 18, b'{"version":18}'),
+)
+
+TO_CONTROL_PLANE_SAMPLES: tuple[ToControlPlane, ...] = (
+    Subscribe("front-1", "process-1", "10.0.2.1:7501", "zone-a", 17),
+    FetchConfiguration(17),
+    ConfigurationApplied(18),
+    UsageReport(3, {"tenant-1": 12.5}, {"tenant-1": 2.5}),
+    LoadReport({"i-1": (100.0, 3.0, 900.0)}),
+    SendReport((PROMPT,)),
+    ClockRequested(1234.5),
+    Farewell(),
+)
+
+TO_DATA_PLANE_SAMPLES: tuple[ToDataPlane, ...] = (
+    Freshness(18, 7, 3.5, True, 89, 5678.5),
+    ClockTold(1234.5, 5678.5),
+    ConfigurationSnapshot(18, b'{"version":18}'),
+    ConfigurationDelta(17, 18, (OrderRecord(18, 17, "update", b'{"version":18}'),)),
+    RegistrySnapshot((UPSTREAM,)),
+    RegistryDelta((UPSTREAM,)),
+    ControlPlanes(("10.0.0.1:7500", "10.0.0.2:7500"), "10.0.0.1:7500"),
+    PeerSample(("10.0.2.2:7501",)),
+    UsageOfOthers({"tenant-1": 100.0}, {"tenant-1": 20.0}),
+    LoadOfOthers({"i-1": (50.0, 2.0, 450.0)}),
+    SendsOfOthers((PROMPT,)),
+)
+
+STATUS = ControlPlaneStatus(
+    node="core-1",
+    address="10.0.0.1:7500",
+    zone="zone-a",
+    is_primary=True,
+    primary="10.0.0.1:7500",
+    epoch=7,
+    committed_version=18,
+    members=("10.0.0.1:7500", "10.0.0.2:7500"),
+    in_sync=("10.0.0.1:7500",),
+    fresh_age_ms=3.5,
+    data_planes=(DataPlaneStatus("front-1", "10.0.2.1:7501", "zone-a", 17, "following", 1),),
+    upstreams=(UpstreamStatus("i-1", "chat", "10.0.1.1:8000", "zone-a", "ready", 15.0),),
+)
