--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -12,8 +12,8 @@
 from madderwind.messages.codec import Codec
 
 
-class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The base of all messages of this module; the tag is the class's name."""
+class Message(msgspec.Struct, frozen=True, array_like=True):
+    """The base of all messages of this module; each names its tag on the wire."""
 
 
 class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -43,7 +43,7 @@
 # --- data plane to control plane ---
 
 
-class Subscribe(Message, frozen=True):
+class Subscribe(Message, frozen=True, tag="Subscribe"):
     """First message of a connection. `life` is drawn anew at each start of the process."""
 
     node: str
@@ -53,19 +53,19 @@
     version: int
 
 
-class FetchConfiguration(Message, frozen=True):
+class FetchConfiguration(Message, frozen=True, tag="FetchConfiguration"):
     """Ask for what leads from `have` to the newest committed version."""
 
     have: int
 
 
-class ConfigurationApplied(Message, frozen=True):
+class ConfigurationApplied(Message, frozen=True, tag="ConfigurationApplied"):
     """The acknowledgement: this version is in force at the data plane."""
 
     version: int
 
 
-class UsageReport(Message, frozen=True):
+class UsageReport(Message, frozen=True, tag="UsageReport"):
     """Tokens (or requests) that this data plane admitted, by tenant, since its last report, and its rate of
     demand by tenant. Sent to the primary alone."""
 
@@ -74,7 +74,7 @@
     asked: dict[str, float]
 
 
-class LoadReport(Message, frozen=True):
+class LoadReport(Message, frozen=True, tag="LoadReport"):
     """What this data plane has at upstreams now, by instance: prompt tokens waiting, sequences, tokens."""
 
     load: dict[str, tuple[float, float, float]]
@@ -88,26 +88,26 @@
     part_tokens: tuple[int, ...]
 
 
-class SendReport(Message, frozen=True):
+class SendReport(Message, frozen=True, tag="SendReport"):
     """Prompts that this data plane sent to upstreams since its last report. To the primary alone."""
 
     prompts: tuple[SentPrompt, ...]
 
 
-class ClockRequested(Message, frozen=True):
+class ClockRequested(Message, frozen=True, tag="ClockRequested"):
     """Ask for the control plane's steady clock. `asked_ms`: the data plane's own, which comes back."""
 
     asked_ms: float
 
 
-class Farewell(Message, frozen=True):
+class Farewell(Message, frozen=True, tag="Farewell"):
     """The data plane ends: it takes no more requests."""
 
 
 # --- control plane to data plane ---
 
 
-class Freshness(Message, frozen=True):
+class Freshness(Message, frozen=True, tag="Freshness"):
     """What is committed. `age_ms`: since the primary of `epoch` was last known to hold its lease; None where
     that is unknown. `data_planes`: how many there are, as far as is known. `clock_ms`: the sender's steady
     clock when this was said."""
@@ -120,21 +120,21 @@
     clock_ms: float
 
 
-class ClockTold(Message, frozen=True):
+class ClockTold(Message, frozen=True, tag="ClockTold"):
     """The control plane's steady clock when it read the question that was asked at `asked_ms`."""
 
     asked_ms: float
     clock_ms: float
 
 
-class ConfigurationSnapshot(Message, frozen=True):
+class ConfigurationSnapshot(Message, frozen=True, tag="ConfigurationSnapshot"):
     """A whole configuration document (JSON) and its version."""
 
     version: int
     document: bytes
 
 
-class ConfigurationDelta(Message, frozen=True):
+class ConfigurationDelta(Message, frozen=True, tag="ConfigurationDelta"):
     """The orders that lead from `base_version` to `version`, in order."""
 
     base_version: int
@@ -142,32 +142,32 @@
     orders: tuple[OrderRecord, ...]
 
 
-class RegistrySnapshot(Message, frozen=True):
+class RegistrySnapshot(Message, frozen=True, tag="RegistrySnapshot"):
     """All upstreams that this control plane knows. What is absent here is not gone for that."""
 
     upstreams: tuple[UpstreamRecord, ...]
 
 
-class RegistryDelta(Message, frozen=True):
+class RegistryDelta(Message, frozen=True, tag="RegistryDelta"):
     """Upstreams whose state changed."""
 
     upstreams: tuple[UpstreamRecord, ...]
 
 
-class ControlPlanes(Message, frozen=True):
+class ControlPlanes(Message, frozen=True, tag="ControlPlanes"):
     """Internal addresses of the control planes, the primary's first where it is known."""
 
     addresses: tuple[str, ...]
     primary: str
 
 
-class PeerSample(Message, frozen=True):
+class PeerSample(Message, frozen=True, tag="PeerSample"):
     """Internal addresses of some other data planes."""
 
     addresses: tuple[str, ...]
 
 
-class UsageOfOthers(Message, frozen=True):
+class UsageOfOthers(Message, frozen=True, tag="UsageOfOthers"):
     """What all other data planes used, by tenant, since the last message of this kind on this connection, and
     what they ask for a second. From the primary alone."""
 
@@ -175,13 +175,13 @@
     asked: dict[str, float]
 
 
-class LoadOfOthers(Message, frozen=True):
+class LoadOfOthers(Message, frozen=True, tag="LoadOfOthers"):
     """The sum of the other data planes' load reports, by instance."""
 
     load: dict[str, tuple[float, float, float]]
 
 
-class SendsOfOthers(Message, frozen=True):
+class SendsOfOthers(Message, frozen=True, tag="SendsOfOthers"):
     """Prompts that other data planes sent since the last message of this kind; it comes without any too."""
 
     prompts: tuple[SentPrompt, ...]
--- a/madderwind/messages/peering.py
+++ b/madderwind/messages/peering.py
@@ -15,8 +15,8 @@
 from madderwind.messages.replication import ReplicationMessage
 
 
-class PeeringBase(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The base of all messages of this module; the tag is the class's name."""
+class PeeringBase(msgspec.Struct, frozen=True, array_like=True):
+    """The base of all messages of this module; each names its tag on the wire."""
 
 
 class Liveness(msgspec.Struct, frozen=True, array_like=True):
@@ -27,43 +27,43 @@
     silent_ms: float
 
 
-class Hello(PeeringBase, frozen=True):
+class Hello(PeeringBase, frozen=True, tag="Hello"):
     """First message of a connection: the internal address of who dialled it, where answers go."""
 
     sender: str
 
 
-class RegistryGossip(PeeringBase, frozen=True):
+class RegistryGossip(PeeringBase, frozen=True, tag="RegistryGossip"):
     """Upstreams of which something changed; on a new connection all that are known."""
 
     upstreams: tuple[UpstreamRecord, ...]
 
 
-class FinalStateNotice(PeeringBase, frozen=True):
+class FinalStateNotice(PeeringBase, frozen=True, tag="FinalStateNotice"):
     """An upstream drains or is gone. Its acknowledgement waits until the receiver has told its data planes
     and has the state on disk."""
 
     upstream: UpstreamRecord
 
 
-class FinalStateNoted(PeeringBase, frozen=True):
+class FinalStateNoted(PeeringBase, frozen=True, tag="FinalStateNoted"):
     """The sender's data planes were told that the instance has this state, and its disk holds it."""
 
     instance: str
     state: Literal["draining", "gone"]
 
 
-class RegistryRequested(PeeringBase, frozen=True):
+class RegistryRequested(PeeringBase, frozen=True, tag="RegistryRequested"):
     """The sender lacks some upstream: all are to be told again."""
 
 
-class LivenessReport(PeeringBase, frozen=True):
+class LivenessReport(PeeringBase, frozen=True, tag="LivenessReport"):
     """Upstreams that the sender heard since its last report; sent also when there are none."""
 
     heard: tuple[Liveness, ...]
 
 
-class ForwardOrder(PeeringBase, frozen=True):
+class ForwardOrder(PeeringBase, frozen=True, tag="ForwardOrder"):
     """An operator's order that reached a control plane which is not the primary. `token` is unique over the
     sender's lives."""
 
@@ -73,7 +73,7 @@
     body: bytes
 
 
-class OrderReply(PeeringBase, frozen=True):
+class OrderReply(PeeringBase, frozen=True, tag="OrderReply"):
     """How a forwarded order ended; the fields are those of `OrderResult`."""
 
     token: int
@@ -83,13 +83,13 @@
     reason: str
 
 
-class ForwardRead(PeeringBase, frozen=True):
+class ForwardRead(PeeringBase, frozen=True, tag="ForwardRead"):
     """The operator asks for the newest configuration."""
 
     token: int
 
 
-class ReadReply(PeeringBase, frozen=True):
+class ReadReply(PeeringBase, frozen=True, tag="ReadReply"):
     """The newest configuration where `is_newest`; else the sender could not prove that it is."""
 
     token: int
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -73,7 +73,7 @@
     body: bytes
 
 
-class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
+class Message(msgspec.Struct, frozen=True, array_like=True):
     """The base of all messages: incarnations of sender and receiver; `target` is empty if unknown."""
 
     sender: str
@@ -83,7 +83,7 @@
 # --- finding each other ---
 
 
-class Announce(Message, frozen=True):
+class Announce(Message, frozen=True, tag="Announce"):
     """Told to known addresses by a replica that follows no primary. `epoch` is the newest it knows (0: none);
     `bootstrap`: its file was founded at the very first start of the system."""
 
@@ -92,7 +92,7 @@
     bootstrap: bool
 
 
-class ViewNotice(Message, frozen=True):
+class ViewNotice(Message, frozen=True, tag="ViewNotice"):
     """A view that was chosen."""
 
     view: View
@@ -101,7 +101,7 @@
 # --- the register of views ---
 
 
-class Prepare(Message, frozen=True):
+class Prepare(Message, frozen=True, tag="Prepare"):
     """Asks the members of `base`, the newest chosen view, for a promise about the epoch that follows it.
     `handed_over`: the primary of `base` gave its role up."""
 
@@ -110,7 +110,7 @@
     handed_over: bool
 
 
-class Promise(Message, frozen=True):
+class Promise(Message, frozen=True, tag="Promise"):
     """No lower ballot will be accepted for this epoch; with what was accepted for it so far. `peers`: what
     this witness knows of the others, of no matter to the choice."""
 
@@ -121,7 +121,7 @@
     peers: tuple[PeerStatus, ...] = ()
 
 
-class Accept(Message, frozen=True):
+class Accept(Message, frozen=True, tag="Accept"):
     """Asks the members of `base` to accept `view` as what follows it."""
 
     base: View
@@ -129,14 +129,14 @@
     view: View
 
 
-class Accepted(Message, frozen=True):
+class Accepted(Message, frozen=True, tag="Accepted"):
     """The view proposed under this ballot is on this witness's disk."""
 
     epoch: int
     ballot: Ballot
 
 
-class AcceptedNotice(Message, frozen=True):
+class AcceptedNotice(Message, frozen=True, tag="AcceptedNotice"):
     """`view` is on the sender's disk under this ballot. Told to all members of the base and of `view` but the
     proposer, so that a choice is known without it: with a majority of the base under one ballot."""
 
@@ -144,7 +144,7 @@
     view: View
 
 
-class Refused(Message, frozen=True):
+class Refused(Message, frozen=True, tag="Refused"):
     """This witness does not go along. `promised` is the highest ballot it knows; `hears_primary`: the primary
     is at work, as far as it can tell."""
 
@@ -157,7 +157,7 @@
 # --- the primary and the others ---
 
 
-class Heartbeat(Message, frozen=True):
+class Heartbeat(Message, frozen=True, tag="Heartbeat"):
     """The primary is at work. `committed`: index of the newest committed entry; `fresh_age_ms`: since the
     start of its last round of heartbeats that a majority answered, None while it can't call that newest;
     `answered_round`: the newest round of this epoch that the receiver answered, 0 where it answered none;
@@ -171,7 +171,7 @@
     peers: tuple[PeerStatus, ...]
 
 
-class HeartbeatAnswer(Message, frozen=True):
+class HeartbeatAnswer(Message, frozen=True, tag="HeartbeatAnswer"):
     """Given by those that know the epoch. `accepted_epoch`: of the newest view that this witness accepted;
     `matched`: up to where its synced log is the primary's. `round` is 0 where nothing was asked."""
 
@@ -183,7 +183,7 @@
     leaving: bool
 
 
-class Append(Message, frozen=True):
+class Append(Message, frozen=True, tag="Append"):
     """Entries that follow the entry named by `previous_index` and `previous_epoch`."""
 
     epoch: int
@@ -193,14 +193,14 @@
     committed: int
 
 
-class Appended(Message, frozen=True):
+class Appended(Message, frozen=True, tag="Appended"):
     """Up to `matched`, this replica's synced log is the primary's of `epoch`."""
 
     epoch: int
     matched: int
 
 
-class AppendRefused(Message, frozen=True):
+class AppendRefused(Message, frozen=True, tag="AppendRefused"):
     """The entry before these is not in this replica's log, which is sure up to `committed`."""
 
     epoch: int
@@ -208,7 +208,7 @@
     committed: int
 
 
-class InstallSnapshot(Message, frozen=True):
+class InstallSnapshot(Message, frozen=True, tag="InstallSnapshot"):
     """A part of the state as it is after the committed entry `index`, which has `entry_epoch`: bytes from
     `offset` on, of `size` in all. `begun_epoch`: the sender's when it began with this snapshot."""
 
@@ -221,7 +221,7 @@
     data: bytes
 
 
-class SnapshotReceived(Message, frozen=True):
+class SnapshotReceived(Message, frozen=True, tag="SnapshotReceived"):
     """So many bytes of the state after the entry `index` are here, and more are expected."""
 
     epoch: int
@@ -229,7 +229,7 @@
     received: int
 
 
-class HandOver(Message, frozen=True):
+class HandOver(Message, frozen=True, tag="HandOver"):
     """The primary of `epoch` gives its role up: the receiver is to take it at once."""
 
     epoch: int
--- a/madderwind/replication/records.py
+++ b/madderwind/replication/records.py
@@ -10,24 +10,24 @@
 from madderwind.replication.log import ReplicatedLog
 
 
-class Record(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """The base of all records; the tag is the class's name."""
+class Record(msgspec.Struct, frozen=True, array_like=True):
+    """The base of all records; each names its tag in the file."""
 
 
-class IdentityRecord(Record, frozen=True):
+class IdentityRecord(Record, frozen=True, tag="IdentityRecord"):
     """Who the file belongs to. `bootstrap`: founded at the very first start of the system."""
 
     incarnation: str
     bootstrap: bool
 
 
-class ViewRecord(Record, frozen=True):
+class ViewRecord(Record, frozen=True, tag="ViewRecord"):
     """A view that was chosen. What was promised about its epoch no longer matters."""
 
     view: View
 
 
-class WitnessRecord(Record, frozen=True):
+class WitnessRecord(Record, frozen=True, tag="WitnessRecord"):
     """What this witness promised and accepted about the epoch that follows the newest view."""
 
     promised: Ballot
@@ -35,20 +35,20 @@
     accepted_view: View | None
 
 
-class EntryRecord(Record, frozen=True):
+class EntryRecord(Record, frozen=True, tag="EntryRecord"):
     """The next entry of the log. `committed`: how far the log was known to be committed then."""
 
     entry: LogEntry
     committed: int
 
 
-class TruncateRecord(Record, frozen=True):
+class TruncateRecord(Record, frozen=True, tag="TruncateRecord"):
     """The entries after `last_index` were another primary's, and never committed."""
 
     last_index: int
 
 
-class SnapshotRecord(Record, frozen=True):
+class SnapshotRecord(Record, frozen=True, tag="SnapshotRecord"):
     """The state after the committed entry `index`; the log goes on from here."""
 
     index: int
