--- a/madderwind/__main__.py
+++ b/madderwind/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from madderwind.program.cli import main
+from madderwind.standalone.program.cli import main
 
 sys.exit(main())
--- a/madderwind/cli/status_commands.py
+++ b/madderwind/cli/status_commands.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from madderwind.errors import OperatorCallFailed
-from madderwind.local.status_client import NodeStatus, read_status
 from madderwind.messages.status import ControlPlaneStatus
+from madderwind.testing.local.status_client import NodeStatus, read_status
 
 
 def status(addresses: Sequence[str], as_json: bool) -> int:
--- a/madderwind/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from madderwind.admin.commands import BadCall, Call, no, read_call, yes
-from madderwind.admin.figures import Areas, Fleet, figures
-from madderwind.routing.copy import Copy
-from madderwind.routing.gossip_peers import GossipPeers
+from madderwind.standalone.admin.commands import BadCall, Call, no, read_call, yes
+from madderwind.standalone.admin.figures import Areas, Fleet, figures
+from madderwind.standalone.routing.copy import Copy
+from madderwind.standalone.routing.gossip_peers import GossipPeers
 
 
 class Desk:
--- a/madderwind/admin/figures.py
+++ b/madderwind/standalone/admin/figures.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.routing.tally import Tally
+from madderwind.standalone.routing.tally import Tally
 
 PREFIX, END = "svc_", "--"
 PEERS = "fellows_"
--- a/madderwind/admin/listener.py
+++ b/madderwind/standalone/admin/listener.py
@@ -7,8 +7,8 @@
 import socket
 from collections.abc import Callable
 
-from madderwind.admin.commands import LONGEST_CALL
 from madderwind.eventlog import EventLog, Sparing
+from madderwind.standalone.admin.commands import LONGEST_CALL
 from madderwind.transport.accepting import Acceptor
 from madderwind.transport.limits import OWN_LIMITS
 
--- a/madderwind/agreement/table.py
+++ b/madderwind/standalone/agreement/table.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from madderwind.policy.api import Effect, Group, RequestClass, Tenant
-from madderwind.settings import HostSettings
+from madderwind.standalone.policy.api import Effect, Group, RequestClass, Tenant
+from madderwind.standalone.settings import HostSettings
 
 T = TypeVar("T")
 
--- a/madderwind/evacuation/actions.py
+++ b/madderwind/standalone/evacuation/actions.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.evacuation.observations import Key
+from madderwind.standalone.evacuation.observations import Key
 
 
 class Withhold(msgspec.Struct, frozen=True):
--- a/madderwind/evacuation/decision.py
+++ b/madderwind/standalone/evacuation/decision.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from madderwind.evacuation.areas import Area, area_of_zone, zone_mark
-from madderwind.evacuation.messages import EVERYWHERE, MOST_WITNESSES, View, ZoneReport
-from madderwind.evacuation.observations import ZoneObservation
+from madderwind.standalone.evacuation.areas import Area, area_of_zone, zone_mark
+from madderwind.standalone.evacuation.messages import EVERYWHERE, MOST_WITNESSES, View, ZoneReport
+from madderwind.standalone.evacuation.observations import ZoneObservation
 
 # Copies that have to say so: a part of the living, and so many at least and at most; in small fleets, where
 # that least is many, and where some of it answers, a larger part.
--- a/madderwind/evacuation/evacuation.py
+++ b/madderwind/standalone/evacuation/evacuation.py
@@ -10,20 +10,20 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from madderwind.evacuation import decision, messages
-from madderwind.evacuation.actions import Action
-from madderwind.evacuation.areas import EvacuationSettings, Place, zone_mark
-from madderwind.evacuation.initiation import Initiation
-from madderwind.evacuation.messages import EVERYWHERE, Evacuation, MalformedMessage
-from madderwind.evacuation.observations import Observations, ZoneObservation
-from madderwind.evacuation.recovery import Recovery
-from madderwind.evacuation.register import Register
-from madderwind.evacuation.reporting import Reporting
-from madderwind.evacuation.roles import Roles
-from madderwind.evacuation.roster import Roster
-from madderwind.evacuation.topology import Topology
-from madderwind.evacuation.views import Views
-from madderwind.evacuation.withholding import Withholding
+from madderwind.standalone.evacuation import decision, messages
+from madderwind.standalone.evacuation.actions import Action
+from madderwind.standalone.evacuation.areas import EvacuationSettings, Place, zone_mark
+from madderwind.standalone.evacuation.initiation import Initiation
+from madderwind.standalone.evacuation.messages import EVERYWHERE, Evacuation, MalformedMessage
+from madderwind.standalone.evacuation.observations import Observations, ZoneObservation
+from madderwind.standalone.evacuation.recovery import Recovery
+from madderwind.standalone.evacuation.register import Register
+from madderwind.standalone.evacuation.reporting import Reporting
+from madderwind.standalone.evacuation.roles import Roles
+from madderwind.standalone.evacuation.roster import Roster
+from madderwind.standalone.evacuation.topology import Topology
+from madderwind.standalone.evacuation.views import Views
+from madderwind.standalone.evacuation.withholding import Withholding
 
 TICK_MS = 100.0
 LATE_MS = 1000.0  # a tick so late says that this process was stopped
--- a/madderwind/evacuation/initiation.py
+++ b/madderwind/standalone/evacuation/initiation.py
@@ -5,16 +5,16 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from madderwind.evacuation import decision
-from madderwind.evacuation.actions import Action, LogEvent
-from madderwind.evacuation.areas import Area, zone_mark
-from madderwind.evacuation.messages import EVERYWHERE, MOST_LEVEL
-from madderwind.evacuation.observations import NOTHING, ZoneObservation
-from madderwind.evacuation.register import Register
-from madderwind.evacuation.roster import Roster
-from madderwind.evacuation.state import SELF, Slot
-from madderwind.evacuation.topology import Topology
-from madderwind.evacuation.views import Views
+from madderwind.standalone.evacuation import decision
+from madderwind.standalone.evacuation.actions import Action, LogEvent
+from madderwind.standalone.evacuation.areas import Area, zone_mark
+from madderwind.standalone.evacuation.messages import EVERYWHERE, MOST_LEVEL
+from madderwind.standalone.evacuation.observations import NOTHING, ZoneObservation
+from madderwind.standalone.evacuation.register import Register
+from madderwind.standalone.evacuation.roster import Roster
+from madderwind.standalone.evacuation.state import SELF, Slot
+from madderwind.standalone.evacuation.topology import Topology
+from madderwind.standalone.evacuation.views import Views
 
 OBJECT_MS = 250.0  # from the second accuser on, those who reach the zone have so long to say so
 DOUBT_MS = 1500.0  # as long as some answers of it are good: it may be slow as all else is
--- a/madderwind/evacuation/messages.py
+++ b/madderwind/standalone/evacuation/messages.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from madderwind.evacuation.areas import zone_mark
-from madderwind.evacuation.observations import ZoneObservation
+from madderwind.standalone.evacuation.areas import zone_mark
+from madderwind.standalone.evacuation.observations import ZoneObservation
 
 STEPS = (0.0, 0.25, 0.5, 1.0)  # parts of an area's usual load
 FULL = len(STEPS) - 1
--- a/madderwind/evacuation/observations.py
+++ b/madderwind/standalone/evacuation/observations.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from madderwind.evacuation.areas import Area, Place
-from madderwind.policy.api import Outcome
+from madderwind.standalone.evacuation.areas import Area, Place
+from madderwind.standalone.policy.api import Outcome
 
 WINDOW_MS = 1500.0  # what was seen longer ago says nothing of now
 # A good answer is told of while it is so fresh, and for as long as others accuse its zone.
--- a/madderwind/evacuation/recovery.py
+++ b/madderwind/standalone/evacuation/recovery.py
@@ -6,15 +6,15 @@
 from collections import Counter
 from collections.abc import Mapping
 
-from madderwind.evacuation import decision
-from madderwind.evacuation.actions import Action, Probe
-from madderwind.evacuation.areas import Area, fraction
-from madderwind.evacuation.messages import MOST_LEVEL
-from madderwind.evacuation.observations import NOTHING, Observations, ZoneObservation
-from madderwind.evacuation.register import Register
-from madderwind.evacuation.roles import Roles
-from madderwind.evacuation.state import NO_TRIAL, SELF, TRY_AGAIN_MS, TRY_MS, EvacuationState, Slot
-from madderwind.evacuation.topology import Topology
+from madderwind.standalone.evacuation import decision
+from madderwind.standalone.evacuation.actions import Action, Probe
+from madderwind.standalone.evacuation.areas import Area, fraction
+from madderwind.standalone.evacuation.messages import MOST_LEVEL
+from madderwind.standalone.evacuation.observations import NOTHING, Observations, ZoneObservation
+from madderwind.standalone.evacuation.register import Register
+from madderwind.standalone.evacuation.roles import Roles
+from madderwind.standalone.evacuation.state import NO_TRIAL, SELF, TRY_AGAIN_MS, TRY_MS, EvacuationState, Slot
+from madderwind.standalone.evacuation.topology import Topology
 
 TRY_ON_MS = 300.0  # before the next trial after a good one
 MOST_DOUBLINGS = 4  # of the wait after bad trials, of a balancer that left on its own observation
--- a/madderwind/evacuation/register.py
+++ b/madderwind/standalone/evacuation/register.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from madderwind.evacuation import messages
-from madderwind.evacuation.actions import Action, LogEvent, TellEvacuation
-from madderwind.evacuation.areas import Area, zone_mark
-from madderwind.evacuation.messages import EVERYWHERE, FULL, STEPS, Evacuation, View
-from madderwind.evacuation.observations import Observations
-from madderwind.evacuation.state import SELF, EvacuationState, Slot
-from madderwind.evacuation.topology import Topology
+from madderwind.standalone.evacuation import messages
+from madderwind.standalone.evacuation.actions import Action, LogEvent, TellEvacuation
+from madderwind.standalone.evacuation.areas import Area, zone_mark
+from madderwind.standalone.evacuation.messages import EVERYWHERE, FULL, STEPS, Evacuation, View
+from madderwind.standalone.evacuation.observations import Observations
+from madderwind.standalone.evacuation.state import SELF, EvacuationState, Slot
+from madderwind.standalone.evacuation.topology import Topology
 
 
 class Register:
--- a/madderwind/evacuation/reporting.py
+++ b/madderwind/standalone/evacuation/reporting.py
@@ -6,16 +6,16 @@
 import math
 from collections.abc import Mapping
 
-from madderwind.evacuation import decision, messages
-from madderwind.evacuation.actions import Action, TellView
-from madderwind.evacuation.messages import View
-from madderwind.evacuation.observations import NOTHING, Observations, ZoneObservation
-from madderwind.evacuation.register import Register
-from madderwind.evacuation.roles import Roles
-from madderwind.evacuation.roster import Roster
-from madderwind.evacuation.state import SELF, TRY_MS
-from madderwind.evacuation.topology import Topology
-from madderwind.evacuation.views import Views
+from madderwind.standalone.evacuation import decision, messages
+from madderwind.standalone.evacuation.actions import Action, TellView
+from madderwind.standalone.evacuation.messages import View
+from madderwind.standalone.evacuation.observations import NOTHING, Observations, ZoneObservation
+from madderwind.standalone.evacuation.register import Register
+from madderwind.standalone.evacuation.roles import Roles
+from madderwind.standalone.evacuation.roster import Roster
+from madderwind.standalone.evacuation.state import SELF, TRY_MS
+from madderwind.standalone.evacuation.topology import Topology
+from madderwind.standalone.evacuation.views import Views
 
 BAD_EACH_MS, GOOD_EACH_MS, AGAIN_MS = 150.0, 400.0, 700.0  # views are told no sooner, and so often
 
--- a/madderwind/evacuation/roles.py
+++ b/madderwind/standalone/evacuation/roles.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from madderwind.evacuation.areas import Area, fraction, zone_mark
-from madderwind.evacuation.roster import Roster
-from madderwind.evacuation.state import SELF, EvacuationState
-from madderwind.evacuation.views import Views
+from madderwind.standalone.evacuation.areas import Area, fraction, zone_mark
+from madderwind.standalone.evacuation.roster import Roster
+from madderwind.standalone.evacuation.state import SELF, EvacuationState
+from madderwind.standalone.evacuation.views import Views
 
 SCOUTS, REPORTERS = 2, 8  # balancers that tell what holds; and that try what is left, once one answered
 SCOUT_SILENT_MS, SCOUT_RANK_MS = 1200.0, 60.0  # then the next in rank steps in, and so much later each other
--- a/madderwind/evacuation/roster.py
+++ b/madderwind/standalone/evacuation/roster.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from madderwind.evacuation.messages import EVERYWHERE
+from madderwind.standalone.evacuation.messages import EVERYWHERE
 
 
 class Roster(msgspec.Struct, frozen=True):
--- a/madderwind/evacuation/state.py
+++ b/madderwind/standalone/evacuation/state.py
@@ -4,7 +4,7 @@
 
 import math
 
-from madderwind.evacuation.messages import FULL, Evacuation
+from madderwind.standalone.evacuation.messages import FULL, Evacuation
 
 TRY_MS = 4000.0  # a trial's most
 TRY_AGAIN_MS, SELF_TRY_MS = 1200.0, 2000.0  # before the first trial; of who left on its own observation
--- a/madderwind/evacuation/topology.py
+++ b/madderwind/standalone/evacuation/topology.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Container, Mapping
 
-from madderwind.evacuation.areas import Area, EvacuationSettings, Place, area_of_zone, regions_of
+from madderwind.standalone.evacuation.areas import Area, EvacuationSettings, Place, area_of_zone, regions_of
 
 
 class Topology:
--- a/madderwind/evacuation/views.py
+++ b/madderwind/standalone/evacuation/views.py
@@ -5,9 +5,9 @@
 import math
 from collections.abc import Iterable
 
-from madderwind.evacuation.areas import zone_mark
-from madderwind.evacuation.decision import Said
-from madderwind.evacuation.messages import View
+from madderwind.standalone.evacuation.areas import zone_mark
+from madderwind.standalone.evacuation.decision import Said
+from madderwind.standalone.evacuation.messages import View
 
 VIEW_KEPT_MS = 1500.0
 
--- a/madderwind/evacuation/withholding.py
+++ b/madderwind/standalone/evacuation/withholding.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Iterable
 
-from madderwind.evacuation.actions import Action, Reopen, TakeBack, Withhold
-from madderwind.evacuation.areas import Area, EvacuationSettings, fraction
-from madderwind.evacuation.messages import FULL, STEPS
-from madderwind.evacuation.observations import Observations
-from madderwind.evacuation.register import Register
-from madderwind.evacuation.state import EvacuationState
-from madderwind.evacuation.topology import Topology
+from madderwind.standalone.evacuation.actions import Action, Reopen, TakeBack, Withhold
+from madderwind.standalone.evacuation.areas import Area, EvacuationSettings, fraction
+from madderwind.standalone.evacuation.messages import FULL, STEPS
+from madderwind.standalone.evacuation.observations import Observations
+from madderwind.standalone.evacuation.register import Register
+from madderwind.standalone.evacuation.state import EvacuationState
+from madderwind.standalone.evacuation.topology import Topology
 
 OWED_MS = 4500.0  # what counts as started so long ago and called back is owed an attempt at once
 
--- a/madderwind/gossip/membership.py
+++ b/madderwind/standalone/gossip/membership.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from madderwind.gossip import wire
-from madderwind.gossip.members import (
+from madderwind.standalone.gossip import wire
+from madderwind.standalone.gossip.members import (
     ANSWER_MS,
     HELPERS,
     LATE_MS,
@@ -24,8 +24,8 @@
     Probe,
     State,
 )
-from madderwind.gossip.news import News
-from madderwind.gossip.wire import NOBODY, ROOM, BadMessage, Datagram, Item, Kind, Purpose, Seen
+from madderwind.standalone.gossip.news import News
+from madderwind.standalone.gossip.wire import NOBODY, ROOM, BadMessage, Datagram, Item, Kind, Purpose, Seen
 
 DATAGRAMS_PER_S = 25.0  # of a copy, to all others together
 ROUND_MS = 200.0  # news that is not urgent goes out so often
--- a/madderwind/gossip/news.py
+++ b/madderwind/standalone/gossip/news.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Hashable
 
-from madderwind.gossip.wire import Item
+from madderwind.standalone.gossip.wire import Item
 
 MOST_SENDS = 40
 KEPT = 0.35  # of a datagram, for what is not urgent
--- a/madderwind/handover/handover.py
+++ b/madderwind/standalone/handover/handover.py
@@ -8,11 +8,17 @@
 from pathlib import Path
 
 from madderwind.eventlog import EventLog
-from madderwind.handover.bans import Bans, read_bans, write_bans
-from madderwind.handover.link import Link, LinkMessage, Offer, take_over
-from madderwind.handover.message import Message, MessageError, read_message, shape_of, write_message
-from madderwind.routing.copy import Copy
-from madderwind.routing.directory import Memory
+from madderwind.standalone.handover.bans import Bans, read_bans, write_bans
+from madderwind.standalone.handover.link import Link, LinkMessage, Offer, take_over
+from madderwind.standalone.handover.message import (
+    Message,
+    MessageError,
+    read_message,
+    shape_of,
+    write_message,
+)
+from madderwind.standalone.routing.copy import Copy
+from madderwind.standalone.routing.directory import Memory
 
 
 class Handover:
--- a/madderwind/handover/link.py
+++ b/madderwind/standalone/handover/link.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from madderwind.handover.message import LONGEST_MESSAGE
+from madderwind.standalone.handover.message import LONGEST_MESSAGE
 
 HEAD = struct.Struct("!I")
 # A process that is alive answers at once. Whoever waits longer starts by itself.
--- a/madderwind/handover/message.py
+++ b/madderwind/standalone/handover/message.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from madderwind.policy.api import Known, Settings
-from madderwind.protocol.listing import Listing
-from madderwind.routing.directory import Memory
+from madderwind.standalone.policy.api import Known, Settings
+from madderwind.standalone.protocol.listing import Listing
+from madderwind.standalone.routing.directory import Memory
 
 VERSION = 1
 # A list of five thousand upstreams takes about a megabyte.
--- a/madderwind/policy/admission.py
+++ b/madderwind/standalone/policy/admission.py
@@ -6,8 +6,8 @@
 import math
 
 from madderwind.balancing.estimates import GAIN, Mean
-from madderwind.policy import api
-from madderwind.policy.traffic import Traffic
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.traffic import Traffic
 
 ROOM_SHRINK, ROOM_GROWTH, SHORT_CREDIT = 0.9, 0.04, 0.5  # on a sign of queues; in a usual time, when short
 MOST_PRESSURE = 2.0  # of one answer, where 1 is the mark: a few slow upstreams don't shrink the room of all
--- a/madderwind/policy/balancer.py
+++ b/madderwind/standalone/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Ties events to decisions. Types, events and actions are in madderwind/policy/api.py: read that first.
+"""Ties events to decisions. Read first the types in madderwind/standalone/policy/api.py.
 
 One `Balancer` is one instance; time is `handle`'s `now` alone, chance its seed alone. A request goes:
 admission, pick, attempt, (quota, wait, pick again,) one final answer. docs/design.md tells the departures."""
@@ -6,10 +6,10 @@
 import random
 
 from madderwind.balancing import estimates, retry_quota
-from madderwind.policy import admission, api, fleet, picker, repetition, subscription, traffic
-from madderwind.policy.api import Effect, Outcome
-from madderwind.policy.records import Attempt, Request, Timer, TimerKind, Timers
-from madderwind.policy.upstreams import DEAD, Upstream
+from madderwind.standalone.policy import admission, api, fleet, picker, repetition, subscription, traffic
+from madderwind.standalone.policy.api import Effect, Outcome
+from madderwind.standalone.policy.records import Attempt, Request, Timer, TimerKind, Timers
+from madderwind.standalone.policy.upstreams import DEAD, Upstream
 
 OVERDUE_DEVIATIONS = 8.0  # over its class's mean; TCP's four call one sound attempt in forty late
 ALARM_MS, HEARD_MS = 50.0, 500.0  # failures are told after; passed over if the upstream was heard so lately
--- a/madderwind/policy/fleet.py
+++ b/madderwind/standalone/policy/fleet.py
@@ -3,11 +3,11 @@
 import math
 import random
 
-from madderwind.policy import api
-from madderwind.policy.api import ListKind, UpstreamState
-from madderwind.policy.ring import GOLDEN, Ring
-from madderwind.policy.traffic import Traffic
-from madderwind.policy.upstreams import Upstream
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import ListKind, UpstreamState
+from madderwind.standalone.policy.ring import GOLDEN, Ring
+from madderwind.standalone.policy.traffic import Traffic
+from madderwind.standalone.policy.upstreams import Upstream
 
 NEAR, COPIES_EACH = (
     3,
--- a/madderwind/policy/picker.py
+++ b/madderwind/standalone/policy/picker.py
@@ -5,11 +5,11 @@
 
 from madderwind.balancing.candidates import idle_first
 from madderwind.balancing.estimates import GAIN, SLOW_GAIN, Mean
-from madderwind.policy import api, repetition
-from madderwind.policy.fleet import NEAR, STEEPNESS, Fleet
-from madderwind.policy.records import Request
-from madderwind.policy.traffic import Traffic
-from madderwind.policy.upstreams import DEAD, Upstream
+from madderwind.standalone.policy import api, repetition
+from madderwind.standalone.policy.fleet import NEAR, STEEPNESS, Fleet
+from madderwind.standalone.policy.records import Request
+from madderwind.standalone.policy.traffic import Traffic
+from madderwind.standalone.policy.upstreams import DEAD, Upstream
 
 SOUND_PART = 0.5  # fewer sound ones than this part: all have one cause, and those set aside are used again
 CROSS_ZONE_PART = 0.2  # of the weight in the tie-break for another zone, if that is priced
--- a/madderwind/policy/records.py
+++ b/madderwind/standalone/policy/records.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from madderwind.policy import api
-from madderwind.policy.api import Outcome, UpstreamState
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Outcome, UpstreamState
 
 
 class Attempt(msgspec.Struct, eq=False):
--- a/madderwind/policy/repetition.py
+++ b/madderwind/standalone/policy/repetition.py
@@ -1,8 +1,8 @@
 """Whether a request may be sent again, or its client told to ask again, without a second effect."""
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Group
-from madderwind.policy.records import Request
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Group
+from madderwind.standalone.policy.records import Request
 
 
 def may_be_resent(request: Request, entry: api.UpstreamEntry, now: float, settings: api.Settings) -> bool:
--- a/madderwind/policy/ring.py
+++ b/madderwind/standalone/policy/ring.py
@@ -1,7 +1,7 @@
 """Places of upstreams on a circle, by which every balancer has its own order of preference. Guards against
 changes of the list that give every balancer new neighbours."""
 
-from madderwind.policy.upstreams import Upstream
+from madderwind.standalone.policy.upstreams import Upstream
 
 GOLDEN = 0.618034  # steps of this part of a circle keep all points well apart, however many there are
 
--- a/madderwind/policy/subscription.py
+++ b/madderwind/standalone/policy/subscription.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 from madderwind.balancing.retry_quota import FULL_BASE_MS, RetryQuota
-from madderwind.policy import api
-from madderwind.policy.api import ListKind
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import ListKind
 
 
 class Subscription:
--- a/madderwind/policy/traffic.py
+++ b/madderwind/standalone/policy/traffic.py
@@ -7,7 +7,7 @@
 import math
 
 from madderwind.balancing.estimates import ArrivalRate
-from madderwind.policy import api, peer_messages
+from madderwind.standalone.policy import api, peer_messages
 
 TELL_MS, FIRST_TELL_MS = 1000.0, 200.0  # rates are told at most so often; at first
 # Who carries little tells less often: a message to a balancer costs so many requests.
--- a/madderwind/policy/upstreams.py
+++ b/madderwind/standalone/policy/upstreams.py
@@ -1,6 +1,6 @@
 """What a balancer makes of what it knows of one upstream."""
 
-from madderwind.policy import api, records
+from madderwind.standalone.policy import api, records
 
 DEAD = 3  # failed connects in a row that are a death: fewer, or a reset, may be those connections alone
 
--- a/madderwind/program/cli.py
+++ b/madderwind/standalone/program/cli.py
@@ -41,15 +41,15 @@
 from docopt import docopt
 
 from madderwind import __version__
-from madderwind.admin.calling import call
-from madderwind.agreement.table import changes
-from madderwind.program.configuration import (
+from madderwind.standalone.admin.calling import call
+from madderwind.standalone.agreement.table import changes
+from madderwind.standalone.program.configuration import (
     Configuration,
     ConfigurationError,
     read_configuration,
     why_no_successor,
 )
-from madderwind.protocol.listing import read_address
+from madderwind.standalone.protocol.listing import read_address
 
 
 def main(words: list[str] | None = None) -> int:
@@ -87,8 +87,8 @@
 
 def _laboratory(said: dict[str, Any]) -> int:
     try:
-        from madderwind.drill.command import drill
-        from madderwind.lab.command import lab
+        from madderwind.testing.drill.command import drill
+        from madderwind.testing.lab.command import lab
     except ModuleNotFoundError as error:
         print(f"madderwind: needs {error.name}: pip install -r requirements-lab.txt", file=sys.stderr)
         return 1
@@ -124,8 +124,8 @@
 
 def _serve(configuration: Configuration) -> int:
     # Only here: the other commands need no server, and start in a third of the time without it.
-    from madderwind.program.log import JsonLog
-    from madderwind.program.service import Service
+    from madderwind.standalone.program.log import JsonLog
+    from madderwind.standalone.program.service import Service
 
     async def run() -> None:
         await Service(configuration, log, os.environ.get("TMPDIR")).run()
--- a/madderwind/program/configuration.py
+++ b/madderwind/standalone/program/configuration.py
@@ -7,11 +7,17 @@
 
 import msgspec
 
-from madderwind.agreement.versions import Stamp, digest_of, why_not
-from madderwind.evacuation.areas import AreaError, EvacuationSettings, check_regions
-from madderwind.gossip.membership import FleetSettings
-from madderwind.protocol.listing import UNREADABLE, Listing, ListingError, read_address, read_listing
-from madderwind.settings import HostSettings, SettingsError, read_host_settings
+from madderwind.standalone.agreement.versions import Stamp, digest_of, why_not
+from madderwind.standalone.evacuation.areas import AreaError, EvacuationSettings, check_regions
+from madderwind.standalone.gossip.membership import FleetSettings
+from madderwind.standalone.protocol.listing import (
+    UNREADABLE,
+    Listing,
+    ListingError,
+    read_address,
+    read_listing,
+)
+from madderwind.standalone.settings import HostSettings, SettingsError, read_host_settings
 
 
 class ConfigurationError(ValueError):
--- a/madderwind/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -13,19 +13,19 @@
 import msgspec
 from aiohttp import web
 
-from madderwind.admin.desk import Desk
-from madderwind.admin.listener import MOST_CALLS, SPARES, AdminListener
-from madderwind.clock import Clock
-from madderwind.handover.handover import Handover
-from madderwind.program.configuration import Configuration, ConfigurationError, read_successor
-from madderwind.program.log import JsonLog, LibraryLog
-from madderwind.routing.copy import Copy, LastWord
-from madderwind.routing.discovery import Follower
-from madderwind.routing.exchange import serve
-from madderwind.routing.gossip_peers import GossipPeers
-from madderwind.routing.peers import Peers
-from madderwind.routing.withdrawal import Withdrawal
-from madderwind.settings import HostSettings, moved, retuned
+from madderwind.standalone.admin.desk import Desk
+from madderwind.standalone.admin.listener import MOST_CALLS, SPARES, AdminListener
+from madderwind.standalone.clock import Clock
+from madderwind.standalone.handover.handover import Handover
+from madderwind.standalone.program.configuration import Configuration, ConfigurationError, read_successor
+from madderwind.standalone.program.log import JsonLog, LibraryLog
+from madderwind.standalone.routing.copy import Copy, LastWord
+from madderwind.standalone.routing.discovery import Follower
+from madderwind.standalone.routing.exchange import serve
+from madderwind.standalone.routing.gossip_peers import GossipPeers
+from madderwind.standalone.routing.peers import Peers
+from madderwind.standalone.routing.withdrawal import Withdrawal
+from madderwind.standalone.settings import HostSettings, moved, retuned
 from madderwind.transport.budget import Budgets
 from madderwind.transport.listening import Listener
 from madderwind.transport.upstreams import Upstreams
--- a/madderwind/protocol/answers.py
+++ b/madderwind/standalone/protocol/answers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from madderwind.policy.api import Outcome
+from madderwind.standalone.policy.api import Outcome
 
 NEVER_RAN, REPORT, RETRY_AFTER = "X-Never-Ran", "Endpoint-Load-Metrics", "Retry-After"
 REFUSED, FAILED, TIMED_OUT, BROKEN, BAD = 503, 502, 504, 500, 400
--- a/madderwind/protocol/framing.py
+++ b/madderwind/standalone/protocol/framing.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Literal
 
-from madderwind.protocol.listing import Listing, ListingError, read_listing
+from madderwind.standalone.protocol.listing import Listing, ListingError, read_listing
 
 # A list of thousands of upstreams is one value; this bounds what a broken agent can make the program hold.
 LONGEST_VALUE = 8 * 1024 * 1024
--- a/madderwind/protocol/listing.py
+++ b/madderwind/standalone/protocol/listing.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.policy.api import UpstreamState
+from madderwind.standalone.policy.api import UpstreamState
 
 STATES = {
     "Ready": UpstreamState.READY,
--- a/madderwind/protocol/requests.py
+++ b/madderwind/standalone/protocol/requests.py
@@ -7,8 +7,8 @@
 import msgspec
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from madderwind.policy.api import Effect
-from madderwind.settings import HostSettings
+from madderwind.standalone.policy.api import Effect
+from madderwind.standalone.settings import HostSettings
 
 TRACE_ID, TENANT, EXPIRES = "X-Trace-Id", "X-Customer", "X-Expires-In-Ms"
 KEY, REPEAT, PROPS = "Idempotency-Key", "X-Second-Try", "X-Props"
--- a/madderwind/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -9,20 +9,20 @@
 import msgspec
 from multidict import CIMultiDict
 
-from madderwind.clock import Clock
 from madderwind.eventlog import EventLog, Invariants, Sparing
-from madderwind.policy import api
-from madderwind.policy.api import UpstreamState
-from madderwind.policy.balancer import Balancer
-from madderwind.protocol.answers import read_report
-from madderwind.protocol.listing import Listing
-from madderwind.protocol.requests import RequestReader
-from madderwind.routing.directory import Directory
-from madderwind.routing.gossip_peers import GossipPeers
-from madderwind.routing.peers import Peers
-from madderwind.routing.tally import Tally
-from madderwind.routing.withdrawal import Withdrawal
-from madderwind.settings import HostSettings
+from madderwind.standalone.clock import Clock
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import UpstreamState
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.standalone.protocol.answers import read_report
+from madderwind.standalone.protocol.listing import Listing
+from madderwind.standalone.protocol.requests import RequestReader
+from madderwind.standalone.routing.directory import Directory
+from madderwind.standalone.routing.gossip_peers import GossipPeers
+from madderwind.standalone.routing.peers import Peers
+from madderwind.standalone.routing.tally import Tally
+from madderwind.standalone.routing.withdrawal import Withdrawal
+from madderwind.standalone.settings import HostSettings
 from madderwind.transport.budget import Budgets
 from madderwind.transport.upstreams import Answer, EncodedRequest, Upstreams
 
--- a/madderwind/routing/directory.py
+++ b/madderwind/standalone/routing/directory.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from madderwind.evacuation.areas import Place
-from madderwind.policy.api import FleetListed, ListKind, UpstreamEntry, UpstreamState
-from madderwind.protocol.listing import STATES, Listing, Member
+from madderwind.standalone.evacuation.areas import Place
+from madderwind.standalone.policy.api import FleetListed, ListKind, UpstreamEntry, UpstreamState
+from madderwind.standalone.protocol.listing import STATES, Listing, Member
 
 # So many ends (drains and goings) are remembered, the latest: a list that comes late is not older than that.
 ENDS_KEPT = 1024
--- a/madderwind/routing/discovery.py
+++ b/madderwind/standalone/routing/discovery.py
@@ -6,10 +6,10 @@
 import random
 from contextlib import aclosing, suppress
 
-from madderwind.policy import api
-from madderwind.protocol.framing import ListFraming
-from madderwind.protocol.listing import Listing, ListingError
-from madderwind.routing.copy import Copy
+from madderwind.standalone.policy import api
+from madderwind.standalone.protocol.framing import ListFraming
+from madderwind.standalone.protocol.listing import Listing, ListingError
+from madderwind.standalone.routing.copy import Copy
 from madderwind.transport.stream import StreamEnded, parts
 
 # Whatever became of a call, a change counts as told so long after discovery had it and could be reached; and
--- a/madderwind/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -10,9 +10,9 @@
 from aiohttp import HttpVersion11, web
 from multidict import CIMultiDictProxy
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Group, Outcome
-from madderwind.protocol.answers import (
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Group, Outcome
+from madderwind.standalone.protocol.answers import (
     BAD,
     BROKEN,
     FAILED,
@@ -22,8 +22,8 @@
     outcome_of,
     refusal_headers,
 )
-from madderwind.protocol.requests import TRACE_ID, Asked, BadRequest, headers_onward, origin_form
-from madderwind.routing.copy import Copy, LastWord
+from madderwind.standalone.protocol.requests import TRACE_ID, Asked, BadRequest, headers_onward, origin_form
+from madderwind.standalone.routing.copy import Copy, LastWord
 from madderwind.transport.bodies import PASSING, READ_S, BadBody, Body
 from madderwind.transport.listening import CallersRequest
 from madderwind.transport.unread import has_left
--- a/madderwind/routing/gossip_peers.py
+++ b/madderwind/standalone/routing/gossip_peers.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from madderwind.clock import Clock
 from madderwind.eventlog import EventLog, Sparing
-from madderwind.gossip.members import Changed, State
-from madderwind.gossip.membership import Action, FleetSettings, Heard, Membership, Send
-from madderwind.gossip.wire import Kind
-from madderwind.policy.peer_messages import MARK_BYTES, RATE_BYTES, RATE_UNITS
+from madderwind.standalone.clock import Clock
+from madderwind.standalone.gossip.members import Changed, State
+from madderwind.standalone.gossip.membership import Action, FleetSettings, Heard, Membership, Send
+from madderwind.standalone.gossip.wire import Kind
+from madderwind.standalone.policy.peer_messages import MARK_BYTES, RATE_BYTES, RATE_UNITS
 
 Address = tuple[str, int]
 # A life is the time of a process's start, in eighths of a second from here on: it fits for 17 years, and a
--- a/madderwind/routing/tally.py
+++ b/madderwind/standalone/routing/tally.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable, Iterator
 
-from madderwind.protocol.answers import REFUSED
+from madderwind.standalone.protocol.answers import REFUSED
 
 PASSED, DROPPED, BAD_GATEWAY = "passed", "dropped", "bad_gateway"
 OUTCOMES = (PASSED, DROPPED, BAD_GATEWAY)
--- a/madderwind/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -10,8 +10,9 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from madderwind.clock import Clock
-from madderwind.evacuation.actions import (
+from madderwind.eventlog import EventLog, Sparing
+from madderwind.standalone.clock import Clock
+from madderwind.standalone.evacuation.actions import (
     Action,
     LogEvent,
     Probe,
@@ -21,11 +22,10 @@
     TellView,
     Withhold,
 )
-from madderwind.evacuation.areas import EvacuationSettings, Place
-from madderwind.evacuation.evacuation import TICK_MS, ZoneEvacuation
-from madderwind.eventlog import EventLog, Sparing
-from madderwind.policy.api import Outcome, Settings
-from madderwind.routing.gossip_peers import GossipPeers
+from madderwind.standalone.evacuation.areas import EvacuationSettings, Place
+from madderwind.standalone.evacuation.evacuation import TICK_MS, ZoneEvacuation
+from madderwind.standalone.policy.api import Outcome, Settings
+from madderwind.standalone.routing.gossip_peers import GossipPeers
 
 
 class Hands(Protocol):
--- a/madderwind/settings.py
+++ b/madderwind/standalone/settings.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from madderwind.policy.api import Effect, Group, RequestClass, Settings, Tenant
+from madderwind.standalone.policy.api import Effect, Group, RequestClass, Settings, Tenant
 
 T = TypeVar("T")
 
--- a/madderwind/drill/command.py
+++ b/madderwind/testing/drill/command.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-from madderwind.drill import report
-from madderwind.drill.fleet import DrillError, Program
-from madderwind.drill.records import run_all
-from madderwind.drill.report import compare, read_drills
-from madderwind.drill.scenario import read_scenario
-from madderwind.lab.command import show
-from madderwind.lab.experiment import ExperimentError
+from madderwind.testing.drill import report
+from madderwind.testing.drill.fleet import DrillError, Program
+from madderwind.testing.drill.records import run_all
+from madderwind.testing.drill.report import compare, read_drills
+from madderwind.testing.drill.scenario import read_scenario
+from madderwind.testing.lab.command import show
+from madderwind.testing.lab.experiment import ExperimentError
 
 
 def drill(said: dict[str, Any]) -> int:
--- a/madderwind/drill/conduct.py
+++ b/madderwind/testing/drill/conduct.py
@@ -13,19 +13,19 @@
 
 import msgspec
 
-from madderwind.drill import agents, clients, links, message_relay, traces, upstreams
-from madderwind.drill.fleet import Copy, DrillError, Fleet, Program, dies_with_parent
-from madderwind.drill.part import Clock, Go, Part
-from madderwind.drill.plan import Plan, take_net
-from madderwind.drill.scenario import CopyFault, Scenario
-from madderwind.drill.schedule import Turn, draw
-from madderwind.drill.traces import Traces
+from madderwind.testing.drill import agents, clients, links, message_relay, traces, upstreams
+from madderwind.testing.drill.fleet import Copy, DrillError, Fleet, Program, dies_with_parent
+from madderwind.testing.drill.part import Clock, Go, Part
+from madderwind.testing.drill.plan import Plan, take_net
+from madderwind.testing.drill.scenario import CopyFault, Scenario
+from madderwind.testing.drill.schedule import Turn, draw
+from madderwind.testing.drill.traces import Traces
 
 START_S = 30.0  # for a process of the rig
 COPIES_A_SHARD = 30
 HEAD_START_S = 0.3  # between the word to begin and the warm-up
 SETTLE_S = 0.5  # after the last answer, for what would come after it
-HERE = Path(__file__).parents[2]
+HERE = Path(__file__).parents[3]
 
 
 class _Process:
@@ -39,7 +39,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            f"madderwind.drill.{self._name}",
+            f"madderwind.testing.drill.{self._name}",
             str(Path(self._plan.folder) / "plan.json"),
             str(self._shard),
             stdin=asyncio.subprocess.PIPE,
--- a/madderwind/drill/figures.py
+++ b/madderwind/testing/drill/figures.py
@@ -8,13 +8,13 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from madderwind.drill.judge import REFUSED, lost
-from madderwind.drill.plan import Plan
-from madderwind.drill.scenario import Figure, LinkFault, UpstreamFault
-from madderwind.drill.schedule import Turn
-from madderwind.drill.traces import Asked, Sample, Sent, Traces
-from madderwind.lab.rules import Window
-from madderwind.lab.upstream import warmth
+from madderwind.testing.drill.judge import REFUSED, lost
+from madderwind.testing.drill.plan import Plan
+from madderwind.testing.drill.scenario import Figure, LinkFault, UpstreamFault
+from madderwind.testing.drill.schedule import Turn
+from madderwind.testing.drill.traces import Asked, Sample, Sent, Traces
+from madderwind.testing.lab.rules import Window
+from madderwind.testing.lab.upstream import warmth
 
 STEP_MS = 50.0  # what could be done is summed in such steps
 LONGEST_US = 3_600_000_000
--- a/madderwind/drill/fleet.py
+++ b/madderwind/testing/drill/fleet.py
@@ -14,9 +14,9 @@
 import msgspec
 import psutil
 
-from madderwind.drill.plan import Plan, file_of
-from madderwind.drill.traces import Life, Sample
-from madderwind.drill.wire import read_message
+from madderwind.testing.drill.plan import Plan, file_of
+from madderwind.testing.drill.traces import Life, Sample
+from madderwind.testing.drill.wire import read_message
 
 READY_S = 60.0  # for a copy to serve; a busy machine starts many at once
 END_S = 8.0  # for a copy to end after SIGTERM
@@ -41,7 +41,7 @@
 
     name: str = "now"
     words: tuple[str, ...] = (sys.executable, "-O", "-B", "-m", "madderwind")
-    folder: str = str(Path(__file__).parents[2])
+    folder: str = str(Path(__file__).parents[3])
 
 
 class Copy:
--- a/madderwind/drill/judge.py
+++ b/madderwind/testing/drill/judge.py
@@ -9,11 +9,11 @@
 from collections import defaultdict
 from collections.abc import Callable
 
-from madderwind.drill.plan import Plan
-from madderwind.drill.scenario import LinkFault
-from madderwind.drill.traces import ENDLESS_MS, Asked, Traces
-from madderwind.lab.rules import Break, RuleChecker
-from madderwind.policy.api import Outcome
+from madderwind.standalone.policy.api import Outcome
+from madderwind.testing.drill.plan import Plan
+from madderwind.testing.drill.scenario import LinkFault
+from madderwind.testing.drill.traces import ENDLESS_MS, Asked, Traces
+from madderwind.testing.lab.rules import Break, RuleChecker
 
 # Processes note what they see so much after it was, at most: two that note one thing may differ by it.
 TOLERANCE_MS = 50.0
--- a/madderwind/drill/links.py
+++ b/madderwind/testing/drill/links.py
@@ -5,11 +5,11 @@
 import asyncio
 import re
 
-from madderwind.drill.part import Part, play
-from madderwind.drill.plan import DISCOVERY, Address
-from madderwind.drill.relay import Relay, RelayedConnection
-from madderwind.drill.scenario import LinkFault
-from madderwind.drill.traces import ENDLESS_MS, Sent
+from madderwind.testing.drill.part import Part, play
+from madderwind.testing.drill.plan import DISCOVERY, Address
+from madderwind.testing.drill.relay import Relay, RelayedConnection
+from madderwind.testing.drill.scenario import LinkFault
+from madderwind.testing.drill.traces import ENDLESS_MS, Sent
 
 TRACE_ID = re.compile(rb"\r\nx-trace-id: ([0-9a-f]+)\r\n", re.IGNORECASE)
 NEVER_RAN = re.compile(rb"\r\nx-never-ran: 1\r\n", re.IGNORECASE)
--- a/madderwind/drill/message_relay.py
+++ b/madderwind/testing/drill/message_relay.py
@@ -6,12 +6,12 @@
 import random
 import socket
 
-from madderwind.drill.part import Part, play
-from madderwind.drill.plan import OWN, PKTINFO, ip
-from madderwind.drill.scenario import MessageFault
-from madderwind.drill.schedule import Turn
-from madderwind.drill.traces import MessageCounts, News
-from madderwind.gossip.wire import BadMessage, Kind, read, seed_of
+from madderwind.standalone.gossip.wire import BadMessage, Kind, read, seed_of
+from madderwind.testing.drill.part import Part, play
+from madderwind.testing.drill.plan import OWN, PKTINFO, ip
+from madderwind.testing.drill.scenario import MessageFault
+from madderwind.testing.drill.schedule import Turn
+from madderwind.testing.drill.traces import MessageCounts, News
 
 BUFFER_BYTES = 8 << 20
 MOST_AT_ONCE = 64
--- a/madderwind/drill/records.py
+++ b/madderwind/testing/drill/records.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-from madderwind.drill.conduct import play
-from madderwind.drill.figures import Measured, Missed, Second
-from madderwind.drill.fleet import Program
-from madderwind.drill.judge import judge
-from madderwind.drill.plan import Plan
-from madderwind.drill.scenario import Scenario
-from madderwind.drill.traces import Traces
-from madderwind.lab.experiment import variant_of, variants
-from madderwind.lab.records import write_record
-from madderwind.lab.rules import Break
+from madderwind.testing.drill.conduct import play
+from madderwind.testing.drill.figures import Measured, Missed, Second
+from madderwind.testing.drill.fleet import Program
+from madderwind.testing.drill.judge import judge
+from madderwind.testing.drill.plan import Plan
+from madderwind.testing.drill.scenario import Scenario
+from madderwind.testing.drill.traces import Traces
+from madderwind.testing.lab.experiment import variant_of, variants
+from madderwind.testing.lab.records import write_record
+from madderwind.testing.lab.rules import Break
 
 
 class Mark(msgspec.Struct, frozen=True):
--- a/madderwind/drill/report.py
+++ b/madderwind/testing/drill/report.py
@@ -8,11 +8,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from madderwind.drill.figures import LONGEST_US
-from madderwind.drill.records import DrillRecord
-from madderwind.lab.experiment import ExperimentError
-from madderwind.lab.records import read_all
-from madderwind.lab.report import compare_pairs, grouped, interval
+from madderwind.testing.drill.figures import LONGEST_US
+from madderwind.testing.drill.records import DrillRecord
+from madderwind.testing.lab.experiment import ExperimentError
+from madderwind.testing.lab.records import read_all
+from madderwind.testing.lab.report import compare_pairs, grouped, interval
 
 
 def read_drills(folder: Path) -> list[DrillRecord]:
--- a/madderwind/drill/scenario.py
+++ b/madderwind/testing/drill/scenario.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from madderwind.lab.experiment import (
+from madderwind.testing.lab.experiment import (
     Class,
     Count,
     ExperimentError,
--- a/madderwind/drill/schedule.py
+++ b/madderwind/testing/drill/schedule.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from madderwind.drill.scenario import (
+from madderwind.testing.drill.scenario import (
     AnyFault,
     CopyFault,
     LoadFault,
--- a/madderwind/lab/command.py
+++ b/madderwind/testing/lab/command.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from madderwind.lab import messages, outages, report
-from madderwind.lab.experiment import ExperimentError, plays, read_experiment
-from madderwind.lab.records import play_all, read_records
-from madderwind.lab.report import FIGURES, compare
+from madderwind.testing.lab import messages, outages, report
+from madderwind.testing.lab.experiment import ExperimentError, plays, read_experiment
+from madderwind.testing.lab.records import play_all, read_records
+from madderwind.testing.lab.report import FIGURES, compare
 
 
 def lab(said: dict[str, Any]) -> int:
--- a/madderwind/lab/messages.py
+++ b/madderwind/testing/lab/messages.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from madderwind.gossip.members import Changed, State
-from madderwind.gossip.membership import DATAGRAMS_PER_S, Action, Heard, Membership, Send
-from madderwind.lab.experiment import (
+from madderwind.standalone.gossip.members import Changed, State
+from madderwind.standalone.gossip.membership import DATAGRAMS_PER_S, Action, Heard, Membership, Send
+from madderwind.testing.lab.experiment import (
     NotNegative,
     Part,
     Positive,
@@ -23,7 +23,7 @@
     read_varied,
     variant_of,
 )
-from madderwind.lab.timeline import Due, Timeline
+from madderwind.testing.lab.timeline import Due, Timeline
 
 STATE_BYTES, EVENT_BYTES = 3, 7  # as the policy module's rates, and a rate with one mark
 HEAD_BYTES = 8  # of the plainest way's datagrams
--- a/madderwind/lab/outages.py
+++ b/madderwind/testing/lab/outages.py
@@ -15,12 +15,13 @@
 
 import msgspec
 
-from madderwind.evacuation import actions, evacuation
-from madderwind.evacuation.areas import EvacuationSettings, Place
-from madderwind.evacuation.observations import Key
-from madderwind.gossip import membership as gossip
-from madderwind.gossip.wire import Kind
-from madderwind.lab.experiment import (
+from madderwind.standalone.evacuation import actions, evacuation
+from madderwind.standalone.evacuation.areas import EvacuationSettings, Place
+from madderwind.standalone.evacuation.observations import Key
+from madderwind.standalone.gossip import membership as gossip
+from madderwind.standalone.gossip.wire import Kind
+from madderwind.standalone.policy.api import Outcome
+from madderwind.testing.lab.experiment import (
     Count,
     ExperimentError,
     NotNegative,
@@ -30,8 +31,7 @@
     read_varied,
     variant_of,
 )
-from madderwind.lab.timeline import Due, Timeline
-from madderwind.policy.api import Outcome
+from madderwind.testing.lab.timeline import Due, Timeline
 
 DEADLINE_MS, ASIDE_MS = 3000.0, 2000.0
 
--- a/madderwind/lab/policies.py
+++ b/madderwind/testing/lab/policies.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, ListKind, UpstreamState
-from madderwind.policy.balancer import Balancer
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, ListKind, UpstreamState
+from madderwind.standalone.policy.balancer import Balancer
 
 
 class Policy(Protocol):
--- a/madderwind/lab/rules.py
+++ b/madderwind/testing/lab/rules.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.policy.api import Outcome
+from madderwind.standalone.policy.api import Outcome
 
 
 class Break(msgspec.Struct, frozen=True):
--- a/madderwind/lab/upstream.py
+++ b/madderwind/testing/lab/upstream.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from madderwind.lab.experiment import Experiment, Tier
-from madderwind.lab.rules import Window
-from madderwind.policy import api
-from madderwind.policy.api import Outcome, UpstreamState
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Outcome, UpstreamState
+from madderwind.testing.lab.experiment import Experiment, Tier
+from madderwind.testing.lab.rules import Window
 
 Reply = Callable[[Outcome], None]
 LONG_AGO_MS = 0.0
--- a/madderwind/local/fleet_file.py
+++ b/madderwind/testing/local/fleet_file.py
@@ -10,12 +10,12 @@
 
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration, InvalidFile
-from madderwind.local.fault_file import Fault, Operator
-from madderwind.local.field_checks import between, not_empty
-from madderwind.local.traffic_file import Traffic
-from madderwind.local.yaml_files import field_name, line_of, read_yaml, steps_of
-from madderwind.standin.engine import EngineSettings
-from madderwind.standin.upstream_settings import Mishaps, PlainWork
+from madderwind.testing.local.fault_file import Fault, Operator
+from madderwind.testing.local.field_checks import between, not_empty
+from madderwind.testing.local.traffic_file import Traffic
+from madderwind.testing.local.yaml_files import field_name, line_of, read_yaml, steps_of
+from madderwind.testing.standin.engine import EngineSettings
+from madderwind.testing.standin.upstream_settings import Mishaps, PlainWork
 
 MOST_PROCESSES_OF_A_KIND = 90
 
--- a/madderwind/local/layout.py
+++ b/madderwind/testing/local/layout.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from madderwind.local.fleet_file import FleetFile, UpstreamGroup
 from madderwind.node_settings import CONTROL_PLANE_PORT
-from madderwind.standin.upstream_settings import UpstreamSettings
+from madderwind.testing.local.fleet_file import FleetFile, UpstreamGroup
+from madderwind.testing.standin.upstream_settings import UpstreamSettings
 
 CONTROL_PORT, FRONT_PORT, READY_PORT, UPSTREAM_PORT, SUPERVISOR_PORT = 8367, 8360, 8365, 8080, 8500
 METRICS_PORT = 9464
@@ -242,7 +242,7 @@
             name=name,
             kind=NodeKind.UPSTREAM,
             zone=zone,
-            module="madderwind.standin.upstream_process",
+            module="madderwind.testing.standin.upstream_process",
             folder=str(folder),
             settings=msgspec.to_builtins(settings),
             records=records,
--- a/madderwind/local/load.py
+++ b/madderwind/testing/local/load.py
@@ -10,13 +10,13 @@
 import aiohttp
 
 from madderwind.errors import LocalFleetError
-from madderwind.local.fleet_file import FleetFile
-from madderwind.local.ingress import Front, Ingress
-from madderwind.local.layout import FleetLayout, NodeKind, NodeLayout
-from madderwind.local.load_client import MS_PER_S, LoadClient, now_ms
-from madderwind.local.outcomes import OUTCOMES_FILE, Outcome, write_outcomes
-from madderwind.local.traffic import PlannedRequest, draw_requests
-from madderwind.local.traffic_file import Traffic
+from madderwind.testing.local.fleet_file import FleetFile
+from madderwind.testing.local.ingress import Front, Ingress
+from madderwind.testing.local.layout import FleetLayout, NodeKind, NodeLayout
+from madderwind.testing.local.load_client import MS_PER_S, LoadClient, now_ms
+from madderwind.testing.local.outcomes import OUTCOMES_FILE, Outcome, write_outcomes
+from madderwind.testing.local.traffic import PlannedRequest, draw_requests
+from madderwind.testing.local.traffic_file import Traffic
 
 QUERY_INTERVAL_S, QUERY_TIMEOUT_S = 0.5, 0.5
 HEAD_START_S = 0.3
--- a/madderwind/local/node_process.py
+++ b/madderwind/testing/local/node_process.py
@@ -15,15 +15,15 @@
 import msgspec
 import psutil
 
-from madderwind.drill.fleet import dies_with_parent
 from madderwind.errors import LocalFleetError
-from madderwind.local.layout import NodeKind, NodeLayout
 from madderwind.node_settings import SETTINGS_VARIABLE
+from madderwind.testing.drill.fleet import dies_with_parent
+from madderwind.testing.local.layout import NodeKind, NodeLayout
 
 # The platform starts a process that ended again after so long.
 RESTART_DELAY_S = 0.3
 MS_PER_S = 1000.0
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 NO_LIMIT = -1
 
 
--- a/madderwind/local/run.py
+++ b/madderwind/testing/local/run.py
@@ -9,22 +9,22 @@
 import msgspec
 
 from madderwind.errors import LocalFleetError
-from madderwind.local.baselines import simulate_baselines
-from madderwind.local.cache_figures import cache_figures
-from madderwind.local.checker import ConfigurationRead, Evidence, OrderSent, Violation, check
-from madderwind.local.fault_player import FaultPlayer, PlayedFault
-from madderwind.local.fleet_file import FleetFile, read_fleet_file
-from madderwind.local.layout import FleetLayout, read_layout
-from madderwind.local.load import traffic_of
-from madderwind.local.load_figures import all_figures, own_lateness
-from madderwind.local.load_process import LoadProcess
-from madderwind.local.node_process import LifeEvent
-from madderwind.local.operator_client import OperatorClient
-from madderwind.local.operator_load import OperatorAtWork, acknowledged
-from madderwind.local.outcomes import Outcome
-from madderwind.local.report import RunReport, draw_picture, render_report
-from madderwind.local.supervisor import LIVES_FILE, Supervisor
-from madderwind.standin.records import AnyRecord, read_records
+from madderwind.testing.local.baselines import simulate_baselines
+from madderwind.testing.local.cache_figures import cache_figures
+from madderwind.testing.local.checker import ConfigurationRead, Evidence, OrderSent, Violation, check
+from madderwind.testing.local.fault_player import FaultPlayer, PlayedFault
+from madderwind.testing.local.fleet_file import FleetFile, read_fleet_file
+from madderwind.testing.local.layout import FleetLayout, read_layout
+from madderwind.testing.local.load import traffic_of
+from madderwind.testing.local.load_figures import all_figures, own_lateness
+from madderwind.testing.local.load_process import LoadProcess
+from madderwind.testing.local.node_process import LifeEvent
+from madderwind.testing.local.operator_client import OperatorClient
+from madderwind.testing.local.operator_load import OperatorAtWork, acknowledged
+from madderwind.testing.local.outcomes import Outcome
+from madderwind.testing.local.report import RunReport, draw_picture, render_report
+from madderwind.testing.local.supervisor import LIVES_FILE, Supervisor
+from madderwind.testing.standin.records import AnyRecord, read_records
 
 PICTURE_FILE, REPORT_FILE = "report.png", "report.txt"
 # After the last request, upstreams note what has ended.
--- a/madderwind/local/traffic.py
+++ b/madderwind/testing/local/traffic.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from madderwind.local.traffic_file import RequestKind, Traffic
 from madderwind.placement.prompts import PromptPart
-from madderwind.standin.workload import Arrival, Kind, Tokens, Workload
+from madderwind.testing.local.traffic_file import RequestKind, Traffic
+from madderwind.testing.standin.workload import Arrival, Kind, Tokens, Workload
 
 PART_ID_BYTES = 6
 # What a kind without generations is drawn with.
--- a/madderwind/simhost/host.py
+++ b/madderwind/testing/simhost/host.py
@@ -4,9 +4,9 @@
 
 from typing import BinaryIO, TextIO
 
-from madderwind.policy.balancer import Balancer
-from madderwind.settings import SettingsError, read_settings
-from madderwind.simhost.wire import (
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.standalone.settings import SettingsError, read_settings
+from madderwind.testing.simhost.wire import (
     BatchReader,
     InstanceKilled,
     InstanceStarted,
@@ -55,6 +55,6 @@
             sink.write(host.answer(*batch))
             sink.flush()
     except (WireError, SettingsError) as error:
-        print(f"madderwind.simhost: {error}", file=complaints)
+        print(f"madderwind.testing.simhost: {error}", file=complaints)
         return 1
     return 0
--- a/madderwind/simhost/wire.py
+++ b/madderwind/testing/simhost/wire.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-from madderwind.policy.api import (
+from madderwind.standalone.policy.api import (
     Action,
     AnswerBegan,
     AttemptEnded,
--- a/madderwind/standin/experiment.py
+++ b/madderwind/testing/standin/experiment.py
@@ -10,8 +10,8 @@
 import msgspec
 import yaml
 
-from madderwind.standin.engine import EngineSettings
-from madderwind.standin.workload import Burst, Kind
+from madderwind.testing.standin.engine import EngineSettings
+from madderwind.testing.standin.workload import Burst, Kind
 
 
 @attrs.frozen
--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -23,7 +23,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 from yarl import URL
 
-from madderwind.policy.api import Outcome
+from madderwind.balancing.outcomes import Outcome
 from madderwind.transport.answering import LONGEST_ANSWER, PASSING_STALL_S, Addresses, OneAnswer
 from madderwind.transport.limits import OWN_LIMITS
 
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -14,8 +14,8 @@
 import attrs
 import msgspec
 
-from madderwind.drill.wire import chunk
 from madderwind.messages.distribution import ConfigurationApplied, Farewell, Subscribe, UsageReport
+from madderwind.testing.drill.wire import chunk
 from tests.dataplane.fleet import (
     ControlPlane,
     Fleet,
--- a/tests/parallel.py
+++ b/tests/parallel.py
@@ -12,10 +12,10 @@
 from xdist.scheduler import LoadScopeScheduling
 
 LANES = {
-    "tests/drill": "drills",
-    "tests/local": "drills",
-    "tests/program": "programs",
-    "tests/lab": "programs",
+    "tests/testing/drill": "drills",
+    "tests/testing/local": "drills",
+    "tests/standalone/program": "programs",
+    "tests/testing/lab": "programs",
 }
 """The lane of each folder whose tests depend on real time."""
 
--- a/tests/admin/test_commands.py
+++ b/tests/standalone/admin/test_commands.py
@@ -6,7 +6,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.admin.commands import ALONE, LONGEST_CALL, WITH_ID, BadCall, Call, no, read_call, yes
+from madderwind.standalone.admin.commands import (
+    ALONE,
+    LONGEST_CALL,
+    WITH_ID,
+    BadCall,
+    Call,
+    no,
+    read_call,
+    yes,
+)
 
 
 @pytest.mark.parametrize(
--- a/tests/admin/test_figures.py
+++ b/tests/standalone/admin/test_figures.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.admin.figures import Fleet, figures
-from madderwind.routing.tally import Tally
+from madderwind.standalone.admin.figures import Fleet, figures
+from madderwind.standalone.routing.tally import Tally
 
 
 def test_the_form_that_operators_asked_for() -> None:
--- a/tests/agreement/test_table.py
+++ b/tests/standalone/agreement/test_table.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.agreement import table, versions
-from madderwind.agreement.table import contradict, looser, meet, rules_of
-from madderwind.policy.api import Effect, Group, RequestClass, Settings, Tenant
-from madderwind.settings import HostSettings
+from madderwind.standalone.agreement import table, versions
+from madderwind.standalone.agreement.table import contradict, looser, meet, rules_of
+from madderwind.standalone.policy.api import Effect, Group, RequestClass, Settings, Tenant
+from madderwind.standalone.settings import HostSettings
 
 FEW = st.sampled_from([0.0, 1.0, 2.5, 900.0])
 CLASSES = st.builds(
--- a/tests/evacuation/test_evacuation.py
+++ b/tests/standalone/evacuation/test_evacuation.py
@@ -10,8 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.evacuation import actions, decision, evacuation, messages, state
-from madderwind.evacuation.areas import (
+from madderwind.standalone.evacuation import actions, decision, evacuation, messages, state
+from madderwind.standalone.evacuation.areas import (
     Area,
     AreaError,
     EvacuationSettings,
@@ -20,11 +20,11 @@
     check_regions,
     zone_mark,
 )
-from madderwind.evacuation.observations import Observations, ZoneObservation
-from madderwind.lab import outages
-from madderwind.policy.api import Outcome
+from madderwind.standalone.evacuation.observations import Observations, ZoneObservation
+from madderwind.standalone.policy.api import Outcome
+from madderwind.testing.lab import outages
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 READY = {"a": 4, "b": 4}
 MARKS = st.frozensets(st.integers(1, 2**32 - 1), max_size=9)
 
--- a/tests/gossip/test_membership.py
+++ b/tests/standalone/gossip/test_membership.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from madderwind.gossip import wire
-from madderwind.gossip.members import State
-from madderwind.gossip.membership import Membership, Send
-from madderwind.gossip.wire import LONGEST, BadMessage, Datagram, Item, Kind, Purpose, Seen
-from madderwind.lab.experiment import ExperimentError, plays
-from madderwind.lab.messages import Spread, World, play, table
-from madderwind.lab.messages import read as read_spread
+from madderwind.standalone.gossip import wire
+from madderwind.standalone.gossip.members import State
+from madderwind.standalone.gossip.membership import Membership, Send
+from madderwind.standalone.gossip.wire import LONGEST, BadMessage, Datagram, Item, Kind, Purpose, Seen
+from madderwind.testing.lab.experiment import ExperimentError, plays
+from madderwind.testing.lab.messages import Spread, World, play, table
+from madderwind.testing.lab.messages import read as read_spread
 
 SEED = wire.seed_of("f")
 ITEMS = st.builds(
--- a/tests/handover/test_bans.py
+++ b/tests/standalone/handover/test_bans.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from madderwind.handover.bans import VERSION, Bans, read_bans, write_bans
+from madderwind.standalone.handover.bans import VERSION, Bans, read_bans, write_bans
 
 BANS = Bans(["s-1"], {"s-2": 7.0})
 
--- a/tests/handover/test_message.py
+++ b/tests/standalone/handover/test_message.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.handover.message import VERSION, Message, MessageError, read_message, write_message
-from madderwind.policy.api import Known, UpstreamState
-from madderwind.protocol.listing import read_listing
-from madderwind.routing.directory import Directory, End, Memory
+from madderwind.standalone.handover.message import VERSION, Message, MessageError, read_message, write_message
+from madderwind.standalone.policy.api import Known, UpstreamState
+from madderwind.standalone.protocol.listing import read_listing
+from madderwind.standalone.routing.directory import Directory, End, Memory
 from tests import examples
 
 LISTING = read_listing(json.dumps(examples.listing(examples.member("s-1", 5000))).encode())
--- a/tests/policy/scripts.py
+++ b/tests/standalone/policy/scripts.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Group, ListKind, Outcome, UpstreamState
-from madderwind.policy.balancer import Balancer
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Group, ListKind, Outcome, UpstreamState
+from madderwind.standalone.policy.balancer import Balancer
 
 
 def a_class(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **more: Any) -> api.RequestClass:
--- a/tests/policy/test_bad_input.py
+++ b/tests/standalone/policy/test_bad_input.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.api import ListKind, Outcome, UpstreamState
-from tests.policy.scripts import Script, answers, entry, sends
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
+from tests.standalone.policy.scripts import Script, answers, entry, sends
 
 ODD_NUMBERS = (math.nan, math.inf, -math.inf, -5.0, 0.0, 1e300)
 
--- a/tests/policy/test_fleet.py
+++ b/tests/standalone/policy/test_fleet.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from madderwind.policy import api, repetition
-from madderwind.policy.api import ListKind, Outcome, UpstreamState
-from tests.policy.scripts import Script, entry, sends
+from madderwind.standalone.policy import api, repetition
+from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
+from tests.standalone.policy.scripts import Script, entry, sends
 
 COPIES = 40
 FALL_MS = 1500.0
--- a/tests/policy/test_module.py
+++ b/tests/standalone/policy/test_module.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 LISTED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
 # Which upstream, whether again, what is turned away: what decides that is in the list, and these decide none
 # of it. The users allow types and wire code in other files, and other decisions in their own modules.
 NOT_LISTED = {
-    "madderwind/policy/api.py": "types of the interface",
-    "madderwind/policy/records.py": "types of what is remembered, with their changes of state",
-    "madderwind/policy/peer_messages.py": "wire code",
-    "madderwind/policy/traffic.py": "what balancers tell one another of their rates, and when",
-    "madderwind/policy/subscription.py": "when discovery is asked",
+    "madderwind/standalone/policy/api.py": "types of the interface",
+    "madderwind/standalone/policy/records.py": "types of what is remembered, with their changes of state",
+    "madderwind/standalone/policy/peer_messages.py": "wire code",
+    "madderwind/standalone/policy/traffic.py": "what balancers tell one another of their rates, and when",
+    "madderwind/standalone/policy/subscription.py": "when discovery is asked",
     "madderwind/balancing/outcomes.py": "types of how attempts end",
     "madderwind/balancing/estimates.py": "statistics: means and rates",
-    "madderwind/policy/__init__.py": "a docstring",
+    "madderwind/standalone/policy/__init__.py": "a docstring",
     "madderwind/balancing/__init__.py": "a docstring",
 }
 FREE_OF_SURROUNDINGS = {
@@ -54,7 +54,7 @@
 def reached() -> set[str]:
     """The files of all modules of the project that the decisions take in."""
     found: set[str] = set()
-    waiting = ["madderwind/policy/balancer.py"]
+    waiting = ["madderwind/standalone/policy/balancer.py"]
     while waiting:
         path = waiting.pop()
         if path not in found:
@@ -72,7 +72,9 @@
 def test_all_that_decides_is_listed() -> None:
     """Guards against decisions in files that nobody counts: each that is taken in is listed or named here."""
     assert reached() == {*LISTED, *NOT_LISTED} - {path for path in NOT_LISTED if path.endswith("__init__.py")}
-    in_the_package = {str(path.relative_to(ROOT)) for path in (ROOT / "madderwind/policy").glob("*.py")}
+    in_the_package = {
+        str(path.relative_to(ROOT)) for path in (ROOT / "madderwind/standalone/policy").glob("*.py")
+    }
     assert in_the_package <= {*LISTED, *NOT_LISTED}
     assert not {*LISTED} & {*NOT_LISTED}
 
@@ -80,9 +82,10 @@
 @pytest.mark.parametrize("path", sorted(reached()))
 def test_the_modules_take_nothing_from_their_surroundings(path: str) -> None:
     assert {name for name in imported(path) if file_of(name) is None} <= FREE_OF_SURROUNDINGS
-    assert all(name.split(".")[1] in ("policy", "balancing") for name in imported(path) if file_of(name))
+    allowed = ("madderwind.standalone.policy.", "madderwind.balancing.")
+    assert all(name.startswith(allowed) for name in imported(path) if file_of(name))
 
 
 def test_the_first_module_names_its_interface_first() -> None:
     first = (ROOT / LISTED[0]).read_text().split("\n", 1)[0]
-    assert "madderwind/policy/api.py" in first
+    assert "madderwind/standalone/policy/api.py" in first
--- a/tests/policy/test_pick.py
+++ b/tests/standalone/policy/test_pick.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.api import ListKind, Outcome, UpstreamState
-from tests.policy.scripts import SAFE, Script, answers, entry, sends
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
+from tests.standalone.policy.scripts import SAFE, Script, answers, entry, sends
 
 
 def test_idle_servers_are_picked_first() -> None:
--- a/tests/policy/test_quota.py
+++ b/tests/standalone/policy/test_quota.py
@@ -5,9 +5,9 @@
 import pytest
 
 from madderwind.balancing.retry_quota import RetryQuota
-from madderwind.policy import api
-from madderwind.policy.api import Outcome
-from tests.policy.scripts import SAFE, UNSAFE, Script, a_class, answers, entry, sends, settings
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Outcome
+from tests.standalone.policy.scripts import SAFE, UNSAFE, Script, a_class, answers, entry, sends, settings
 
 
 def tokens(script: Script) -> float:
--- a/tests/policy/test_retuned.py
+++ b/tests/standalone/policy/test_retuned.py
@@ -2,9 +2,19 @@
 
 from __future__ import annotations
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Outcome
-from tests.policy.scripts import CLASSES, SAFE, UNSAFE, Script, a_class, answers, entry, sends, settings
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Outcome
+from tests.standalone.policy.scripts import (
+    CLASSES,
+    SAFE,
+    UNSAFE,
+    Script,
+    a_class,
+    answers,
+    entry,
+    sends,
+    settings,
+)
 
 
 def retuned(**more: object) -> api.Retuned:
--- a/tests/policy/test_room.py
+++ b/tests/standalone/policy/test_room.py
@@ -3,9 +3,9 @@
 import random
 from typing import Any
 
-from madderwind.policy import api
-from madderwind.policy.api import Outcome, UpstreamState
-from tests.policy.scripts import SAFE, UNSAFE, Script, answers, entry, sends
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Outcome, UpstreamState
+from tests.standalone.policy.scripts import SAFE, UNSAFE, Script, answers, entry, sends
 
 
 def admitted(script: Script, arrivals: int, tenant: int = 0) -> int:
--- a/tests/policy/test_rules.py
+++ b/tests/standalone/policy/test_rules.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from madderwind.policy import api
-from madderwind.policy.api import ListKind, Outcome, UpstreamState
-from tests.policy.scripts import (
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
+from tests.standalone.policy.scripts import (
     CLASSES,
     KEYED_ALL,
     KEYED_CELL,
--- a/tests/policy/test_trace.py
+++ b/tests/standalone/policy/test_trace.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Group, ListKind, Outcome, UpstreamState
-from madderwind.policy.balancer import Balancer
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Group, ListKind, Outcome, UpstreamState
+from madderwind.standalone.policy.balancer import Balancer
 
 CLASSES = tuple(
     api.RequestClass(effect, Group.ALL, 2000.0, 800.0, 2000.0, worth, 0.0, False)
--- a/tests/policy/test_traffic.py
+++ b/tests/standalone/policy/test_traffic.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Outcome
-from tests.policy.scripts import Script, a_class, answers, entry, sends
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Outcome
+from tests.standalone.policy.scripts import Script, a_class, answers, entry, sends
 
 COPIES = 10
 
--- a/tests/policy/test_uneven.py
+++ b/tests/standalone/policy/test_uneven.py
@@ -9,12 +9,12 @@
 import msgspec
 import pytest
 
-from madderwind.lab.timeline import Timeline
-from madderwind.policy import api
-from madderwind.policy.api import Effect, Group, Outcome
-from madderwind.policy.balancer import Balancer
-from tests.policy.scripts import Script, a_class, entry, sends, settings
-from tests.policy.test_traffic import words
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Effect, Group, Outcome
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.testing.lab.timeline import Timeline
+from tests.standalone.policy.scripts import Script, a_class, entry, sends, settings
+from tests.standalone.policy.test_traffic import words
 
 COPIES, UPSTREAMS, ANSWER_MS = 100, 60, 100.0
 
--- a/tests/program/harness.py
+++ b/tests/standalone/program/harness.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from typing import Any
 
-from madderwind.program.configuration import read_configuration
-from madderwind.program.log import JsonLog
-from madderwind.program.service import Service
+from madderwind.standalone.program.configuration import read_configuration
+from madderwind.standalone.program.log import JsonLog
+from madderwind.standalone.program.service import Service
 from tests import examples
 from tests.standins import Agent, Upstream, within
 
--- a/tests/program/test_admin.py
+++ b/tests/standalone/program/test_admin.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from madderwind.admin.listener import MOST_CALLS
-from madderwind.program.cli import main
-from madderwind.routing.exchange import Exchange
+from madderwind.standalone.admin.listener import MOST_CALLS
+from madderwind.standalone.program.cli import main
+from madderwind.standalone.routing.exchange import Exchange
 from tests import examples
-from tests.program.harness import Running, call
+from tests.standalone.program.harness import Running, call
 from tests.standins import (
     Caller,
     Message,
--- a/tests/program/test_crossing.py
+++ b/tests/standalone/program/test_crossing.py
@@ -17,7 +17,7 @@
 from madderwind.transport import lingering_close, listening
 from madderwind.transport.unread import has_unread
 from tests import examples
-from tests.program.harness import Running
+from tests.standalone.program.harness import Running
 from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, reset, run, says, within
 
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
--- a/tests/program/test_discovery.py
+++ b/tests/standalone/program/test_discovery.py
@@ -14,14 +14,14 @@
 
 import pytest
 
-from madderwind.policy.api import UpstreamState
-from madderwind.policy.balancer import Balancer
-from madderwind.program.configuration import read_configuration
-from madderwind.program.service import Service
-from madderwind.routing import discovery
+from madderwind.standalone.policy.api import UpstreamState
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.standalone.program.configuration import read_configuration
+from madderwind.standalone.program.service import Service
+from madderwind.standalone.routing import discovery
 from madderwind.transport.stream import StreamEnded
 from tests import examples
-from tests.program.harness import Running
+from tests.standalone.program.harness import Running
 from tests.standins import (
     Agent,
     Caller,
@@ -386,7 +386,7 @@
 def test_it_serves_from_what_it_knew_while_discovery_is_down(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("madderwind.program.service.FIRST_WORD_S", 0.02)
+    monkeypatch.setattr("madderwind.standalone.program.service.FIRST_WORD_S", 0.02)
 
     async def mute(_: Message, __: Writer) -> None:
         pass
--- a/tests/program/test_end.py
+++ b/tests/standalone/program/test_end.py
@@ -13,9 +13,9 @@
 import pytest
 
 from madderwind import __version__
-from madderwind.program import service
+from madderwind.standalone.program import service
 from tests import examples
-from tests.program.harness import Running
+from tests.standalone.program.harness import Running
 from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, run, says, silent, within
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/program/test_fleet.py
+++ b/tests/standalone/program/test_fleet.py
@@ -8,17 +8,17 @@
 
 import pytest
 
-from madderwind.gossip.membership import FleetSettings
-from madderwind.policy import api
-from madderwind.program.configuration import ConfigurationError, read_configuration
-from madderwind.program.service import Service
-from madderwind.routing.gossip_peers import GossipPeers
-from madderwind.routing.peers import HEAD, MARK, Peers
+from madderwind.standalone.gossip.membership import FleetSettings
+from madderwind.standalone.policy import api
+from madderwind.standalone.program.configuration import ConfigurationError, read_configuration
+from madderwind.standalone.program.service import Service
+from madderwind.standalone.routing.gossip_peers import GossipPeers
+from madderwind.standalone.routing.peers import HEAD, MARK, Peers
 from tests import examples
-from tests.program.harness import KeptLog, Running
+from tests.standalone.program.harness import KeptLog, Running
 from tests.standins import Caller, Upstream, answer, run, says, within
 
-BESIDE = Path(__file__).parents[2] / "deploy" / "example-beside-a-client.json"
+BESIDE = Path(__file__).parents[3] / "deploy" / "example-beside-a-client.json"
 
 
 def written(folder: Path, **changes: Any) -> str:
--- a/tests/program/test_log.py
+++ b/tests/standalone/program/test_log.py
@@ -10,11 +10,11 @@
 import pytest
 
 from madderwind.eventlog import Invariants, Sparing
-from madderwind.policy.api import Outcome
-from madderwind.program import log as program_log
-from madderwind.program.log import JsonLog
+from madderwind.standalone.policy.api import Outcome
+from madderwind.standalone.program import log as program_log
+from madderwind.standalone.program.log import JsonLog
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 
 
 def read_all(descriptor: int) -> list[dict[str, object]]:
--- a/tests/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from madderwind.policy.api import Outcome
-from madderwind.routing import exchange as routing
+from madderwind.standalone.policy.api import Outcome
+from madderwind.standalone.routing import exchange as routing
 from madderwind.transport import bodies
 from madderwind.transport.bodies import HELD_BODY, PASSING
-from tests.program.harness import Running
+from tests.standalone.program.harness import Running
 from tests.standins import Caller, Message, Upstream, Writer, answer, resets, run, says, within
 
 LONG = bytes(range(250)) * 20_000  # 5 MB
@@ -337,9 +337,9 @@
 
 
 def test_sigterm_does_not_cut_off_a_long_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("madderwind.program.service.TAKE_ON_S", 0.0)
-    monkeypatch.setattr("madderwind.program.service.MOST_DEADLINE_S", 0.0)
-    monkeypatch.setattr("madderwind.program.service.LAST_WORD_S", 0.05)
+    monkeypatch.setattr("madderwind.standalone.program.service.TAKE_ON_S", 0.0)
+    monkeypatch.setattr("madderwind.standalone.program.service.MOST_DEADLINE_S", 0.0)
+    monkeypatch.setattr("madderwind.standalone.program.service.LAST_WORD_S", 0.05)
 
     async def test() -> None:
         go = asyncio.Event()
--- a/tests/program/test_move.py
+++ b/tests/standalone/program/test_move.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.program.configuration import ConfigurationError, read_configuration
-from madderwind.routing.peers import HEAD, MARK
+from madderwind.standalone.policy import api
+from madderwind.standalone.program.configuration import ConfigurationError, read_configuration
+from madderwind.standalone.routing.peers import HEAD, MARK
 from tests import examples
-from tests.program.harness import Running
-from tests.program.test_reload import rewrite
-from tests.routing.test_peers import free_ports
+from tests.standalone.program.harness import Running
+from tests.standalone.program.test_reload import rewrite
+from tests.standalone.routing.test_peers import free_ports
 from tests.standins import Caller, Upstream, answer, run, says, tell, within
 
 YES = answer(200, b"yes")
@@ -200,8 +200,8 @@
 
 
 def test_marks_are_alike_at_copies_that_hear_of_upstreams_in_another_order() -> None:
-    from madderwind.protocol.listing import read_listing
-    from madderwind.routing.directory import Directory
+    from madderwind.standalone.protocol.listing import read_listing
+    from madderwind.standalone.routing.directory import Directory
 
     lines = [examples.member(f"s-{n}", 5000 + n) for n in range(4)]
     seen = []
--- a/tests/program/test_reload.py
+++ b/tests/standalone/program/test_reload.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from madderwind.policy.api import Effect, RequestArrived
-from madderwind.program.configuration import ConfigurationError, read_configuration, read_successor
-from madderwind.routing.exchange import Exchange
+from madderwind.standalone.policy.api import Effect, RequestArrived
+from madderwind.standalone.program.configuration import ConfigurationError, read_configuration, read_successor
+from madderwind.standalone.routing.exchange import Exchange
 from tests import examples
-from tests.program.harness import Running
+from tests.standalone.program.harness import Running
 from tests.standins import Caller, Message, Upstream, Writer, answer, run, says, within
 
 
--- a/tests/program/test_requests.py
+++ b/tests/standalone/program/test_requests.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.balancer import Balancer
-from madderwind.routing import exchange as routing
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.standalone.routing import exchange as routing
 from madderwind.transport.bodies import LONGEST_BODY
-from tests.program.harness import Running
+from tests.standalone.program.harness import Running
 from tests.standins import (
     Behaviour,
     Caller,
--- a/tests/program/test_sites.py
+++ b/tests/standalone/program/test_sites.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-SITES = Path(__file__).parents[2] / "deploy" / "sites"
+SITES = Path(__file__).parents[3] / "deploy" / "sites"
 WANTED = ["real.json", "unlock.txt", "wire.json"]
 
 
--- a/tests/program/test_upgrade.py
+++ b/tests/standalone/program/test_upgrade.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from madderwind.handover.link import HEAD, Offer
-from madderwind.program import service
+from madderwind.standalone.handover.link import HEAD, Offer
+from madderwind.standalone.program import service
 from tests import examples
-from tests.program.harness import Running, call
+from tests.standalone.program.harness import Running, call
 from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, run, says, tell, within
 
 YES = answer(200, b"yes")
@@ -141,7 +141,7 @@
 
 
 def test_a_leftover_path_and_one_that_says_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("madderwind.handover.link.ANSWER_S", 0.1)
+    monkeypatch.setattr("madderwind.standalone.handover.link.ANSWER_S", 0.1)
 
     async def test() -> None:
         for waits in (False, True):
--- a/tests/protocol/test_answers.py
+++ b/tests/standalone/protocol/test_answers.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from madderwind.policy.api import Outcome
-from madderwind.protocol.answers import outcome_of, read_report, refusal_headers
+from madderwind.standalone.policy.api import Outcome
+from madderwind.standalone.protocol.answers import outcome_of, read_report, refusal_headers
 
 MARKED = {"X-Never-Ran": "1"}
 
--- a/tests/protocol/test_any_input.py
+++ b/tests/standalone/protocol/test_any_input.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from madderwind.protocol.answers import read_report
-from madderwind.protocol.listing import ListingError, read_listing
-from madderwind.protocol.requests import BadRequest, RequestReader, read_props
-from madderwind.settings import SettingsError, read_host_settings
+from madderwind.standalone.protocol.answers import read_report
+from madderwind.standalone.protocol.listing import ListingError, read_listing
+from madderwind.standalone.protocol.requests import BadRequest, RequestReader, read_props
+from madderwind.standalone.settings import SettingsError, read_host_settings
 from tests import examples
 
 JSON = st.recursive(
--- a/tests/protocol/test_framing.py
+++ b/tests/standalone/protocol/test_framing.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.protocol.framing import ALIVE, LONGEST_VALUE, ListFraming
-from madderwind.protocol.listing import Listing, ListingError
+from madderwind.standalone.protocol.framing import ALIVE, LONGEST_VALUE, ListFraming
+from madderwind.standalone.protocol.listing import Listing, ListingError
 from tests import examples
 
 LAYOUTS: list[dict[str, Any]] = [
--- a/tests/protocol/test_listing.py
+++ b/tests/standalone/protocol/test_listing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from madderwind.protocol.listing import ListingError, read_listing
+from madderwind.standalone.protocol.listing import ListingError, read_listing
 from tests import examples
 
 WHOLE = b"""{"revision":41,"complete":true,"members":[
--- a/tests/protocol/test_requests.py
+++ b/tests/standalone/protocol/test_requests.py
@@ -5,7 +5,7 @@
 import pytest
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from madderwind.protocol.requests import (
+from madderwind.standalone.protocol.requests import (
     Asked,
     BadRequest,
     RequestReader,
@@ -13,7 +13,7 @@
     origin_form,
     read_props,
 )
-from madderwind.settings import read_host_settings
+from madderwind.standalone.settings import read_host_settings
 from tests import examples
 
 EXAMPLE = {
--- a/tests/routing/test_actions.py
+++ b/tests/standalone/routing/test_actions.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.api import Outcome
-from madderwind.policy.balancer import Balancer
-from madderwind.routing import copy as routing
-from tests.program.harness import Running
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import Outcome
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.standalone.routing import copy as routing
+from tests.standalone.program.harness import Running
 from tests.standins import Behaviour, Caller, Upstream, answer, run, says, silent, within
 
 ASK = api.TimerFired(0)  # the module of these tests answers this with the actions in question
--- a/tests/routing/test_directory.py
+++ b/tests/standalone/routing/test_directory.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from madderwind.policy.api import UpstreamState
-from madderwind.protocol.listing import read_listing
-from madderwind.routing.directory import ENDS_KEPT, NAMES_KEPT, Directory
+from madderwind.standalone.policy.api import UpstreamState
+from madderwind.standalone.protocol.listing import read_listing
+from madderwind.standalone.routing.directory import ENDS_KEPT, NAMES_KEPT, Directory
 from tests import examples
 
 
--- a/tests/routing/test_peers.py
+++ b/tests/standalone/routing/test_peers.py
@@ -8,9 +8,9 @@
 import pytest
 
 from madderwind.eventlog import Sparing
-from madderwind.routing.peers import HEAD, LONGEST_WORDS, MARK, Peers
+from madderwind.standalone.routing.peers import HEAD, LONGEST_WORDS, MARK, Peers
 from tests.examples import HOST
-from tests.program.harness import KeptLog
+from tests.standalone.program.harness import KeptLog
 from tests.standins import run, within
 
 Heard = asyncio.Queue[tuple[int, bytes]]
--- a/tests/test_settings.py
+++ b/tests/standalone/test_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from madderwind.settings import SettingsError, read_host_settings, read_settings
+from madderwind.standalone.settings import SettingsError, read_host_settings, read_settings
 from tests import examples
 
 LINES = b"""Ceilings.MaxAttempts=4
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Each layer imports only from layers below it."""
+"""Each package imports only from layers below it: the table says from which."""
 
 from __future__ import annotations
 
@@ -8,45 +8,9 @@
 import pytest
 
 ROOT = Path(__file__).parents[1] / "madderwind"
-BELOW: dict[str, set[str]] = {
-    "balancing": set(),
-    "policy": {"balancing"},
-    "settings": {"policy"},
-    "clock": set(),
-    "eventlog": set(),
-    "structured_log": set(),
-    "simhost": {"policy", "settings"},
-    "gossip": set(),
-    "agreement": {"policy", "settings"},
-    "evacuation": {"policy"},
-    "lab": {"policy", "gossip", "evacuation"},
-    "drill": {"policy", "lab", "gossip"},
-    "transport": {"policy", "settings", "clock", "eventlog"},
-    "protocol": {"policy", "settings", "clock", "eventlog", "transport"},
-    "routing": {"policy", "settings", "clock", "eventlog", "gossip", "evacuation", "transport", "protocol"},
-    "admin": {"policy", "settings", "clock", "eventlog", "transport", "protocol", "routing"},
-    "handover": {"policy", "settings", "clock", "eventlog", "transport", "protocol", "routing"},
-    "program": {
-        "policy",
-        "settings",
-        "clock",
-        "eventlog",
-        "transport",
-        "protocol",
-        "routing",
-        "admin",
-        "handover",
-        "gossip",
-        "agreement",
-        "evacuation",
-        "lab",
-        "drill",
-    },
-}
 
-# The system's packages, from the ground up: each imports only from those before it. The present program's
-# decisions rest on `balancing`, which therefore stays free of all others.
-SYSTEM = (
+# The router fleet's packages from the ground up: each may import all those before it.
+FLEET_LAYERS = (
     "errors",
     "node_settings",
     "messages",
@@ -59,27 +23,59 @@
     "placement",
     "distribution",
 )
-BELOW |= {part: set(SYSTEM[:place]) for place, part in enumerate(SYSTEM) if part != "balancing"}
-# The two hosts know nothing of each other, and the control plane nothing of requests.
-SHARED_WITH_HOSTS = {
-    "clock",
-    "early_signals",
-    "eventlog",
-    "settings_watch",
-    "structured_log",
-    "transport",
-    "protocol",
-    "metrics",
+_FLEET = " ".join(FLEET_LAYERS)
+
+# What both hosts of the fleet may import beside the layers above.
+_HOST_PARTS = "early_signals eventlog settings_watch structured_log transport metrics"
+
+# What each part may import, itself aside; parts of `standalone` and `testing` are named with their package.
+ALLOWED_IMPORTS = {
+    # Free of all others.
+    "early_signals": "",
+    "eventlog": "",
+    "structured_log": "",
+    # Shared by both programs.
+    "metrics": "errors",
+    "settings_watch": "errors eventlog node_settings",
+    "transport": "balancing eventlog",
+    # The router fleet.
+    **{name: " ".join(FLEET_LAYERS[:index]) for index, name in enumerate(FLEET_LAYERS)},
+    "balancing": "",
+    "controlplane": " ".join(name for name in FLEET_LAYERS if name not in ("limits", "placement"))
+    + f" {_HOST_PARTS}",
+    "dataplane": f"{_FLEET} {_HOST_PARTS}",
+    "cli": f"{_FLEET} testing.local",
+    # The standalone balancer.
+    "standalone.clock": "",
+    "standalone.gossip": "",
+    "standalone.policy": "balancing",
+    "standalone.settings": "standalone.policy",
+    "standalone.evacuation": "standalone.policy",
+    "standalone.agreement": "standalone.policy standalone.settings",
+    "standalone.protocol": "standalone.policy standalone.settings",
+    "standalone.routing": "eventlog transport standalone.clock standalone.evacuation standalone.gossip"
+    " standalone.policy standalone.protocol standalone.settings",
+    "standalone.admin": "eventlog transport standalone.routing",
+    "standalone.handover": "eventlog standalone.policy standalone.protocol standalone.routing",
+    "standalone.program": "eventlog transport standalone.admin standalone.agreement standalone.clock"
+    " standalone.evacuation standalone.gossip standalone.handover standalone.protocol standalone.routing"
+    " standalone.settings testing.drill testing.lab",
+    # What tests and measures.
+    "testing.simhost": "standalone.policy standalone.settings",
+    "testing.lab": "standalone.evacuation standalone.gossip standalone.policy",
+    "testing.drill": "standalone.gossip standalone.policy testing.lab",
+    "testing.standin": "errors messages placement",
+    "testing.local": f"{_FLEET} structured_log testing.drill testing.standin",
 }
-BELOW["dataplane"] = {*SYSTEM, *SHARED_WITH_HOSTS}
-BELOW["settings_watch"] = {"errors", "eventlog", "node_settings"}
-BELOW["structured_log"] = BELOW["early_signals"] = set()
-BELOW["metrics"] = {"errors"}
-# Beside the programs: stand-ins of upstreams, and whole fleets as processes of one machine.
-BELOW["standin"] = {"errors", "messages", "placement"}
-BELOW["local"] = {*SYSTEM, "structured_log", "drill", "standin"}
-BELOW["cli"] = {*SYSTEM, "local"}
-BELOW["controlplane"] = {*SYSTEM, *SHARED_WITH_HOSTS} - {"limits", "placement"}
+NESTING_PACKAGES = ("standalone", "testing")
+ENTRY_POINTS = ("__init__", "__main__")
+
+
+def part_of(module: list[str]) -> str:
+    """The part that a module belongs to, from its name below madderwind."""
+    if module[0] in NESTING_PACKAGES and len(module) > 1:
+        return ".".join(module[:2])
+    return module[0]
 
 
 def imported_parts(path: Path) -> set[str]:
@@ -91,16 +87,22 @@
         elif isinstance(node, ast.ImportFrom):
             assert node.level == 0, f"{path}: relative import"
             modules |= {f"{node.module}.{alias.name}" for alias in node.names}
-    named = (module.split(".") for module in modules if module.startswith("madderwind."))
-    return {parts[1] for parts in named} - {"__version__"}
+    below = (module.split(".")[1:] for module in modules if module.startswith("madderwind."))
+    return {part_of(module) for module in below} - {"__version__"}
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.rglob("*.py")), ids=lambda path: str(path.relative_to(ROOT)))
 def test_imports_go_downwards(path: Path) -> None:
-    part = path.relative_to(ROOT).parts[0].removesuffix(".py")
-    if part in ("__init__", "__main__"):
+    part = part_of(list(path.relative_to(ROOT).with_suffix("").parts))
+    if part.rpartition(".")[2] in ENTRY_POINTS:
         return
-    assert imported_parts(path) <= BELOW[part] | {part}
+    assert imported_parts(path) <= {*ALLOWED_IMPORTS[part].split(), part}
+
+
+def test_every_part_stands_in_the_table() -> None:
+    parts = {part_of(list(path.relative_to(ROOT).with_suffix("").parts)) for path in ROOT.rglob("*.py")}
+    named = {part for part in parts if part.rpartition(".")[2] not in ENTRY_POINTS}
+    assert named == set(ALLOWED_IMPORTS)
 
 
 def imported_modules(path: Path, known: set[str]) -> set[str]:
@@ -129,7 +131,7 @@
 
 
 def test_protocol_does_no_input_or_output() -> None:
-    for path in (ROOT / "protocol").glob("*.py"):
+    for path in (ROOT / "standalone" / "protocol").glob("*.py"):
         text = path.read_text()
         assert not any(
             word in text for word in ("asyncio", "import socket", "aiohttp", "open(", "import time")
--- a/tests/test_parallel.py
+++ b/tests/test_parallel.py
@@ -12,7 +12,10 @@
 
 
 def test_a_file_of_no_lane_is_a_piece_of_its_own() -> None:
-    assert piece_of("tests/policy/test_pick.py::test_a[b::c/d]") == "tests/policy/test_pick.py"
+    assert (
+        piece_of("tests/standalone/policy/test_pick.py::test_a[b::c/d]")
+        == "tests/standalone/policy/test_pick.py"
+    )
     assert piece_of("tests/test_parallel.py::Some::test_a") == "tests/test_parallel.py"
 
 
@@ -24,8 +27,8 @@
 
 
 def test_lanes_are_what_needs_real_time() -> None:
-    assert needs_real_time("tests/drill/test_drills.py::test_a[x]")
-    assert not needs_real_time("tests/policy/test_pick.py::test_a")
+    assert needs_real_time("tests/testing/drill/test_drills.py::test_a[x]")
+    assert not needs_real_time("tests/standalone/policy/test_pick.py::test_a")
 
 
 def test_what_needs_real_time_comes_last(request: pytest.FixtureRequest) -> None:
--- a/tests/drill/broken.py
+++ b/tests/testing/drill/broken.py
@@ -12,22 +12,22 @@
 from pathlib import Path
 from typing import Any
 
-sys.path.insert(0, str(Path(__file__).parents[2]))
+sys.path.insert(0, str(Path(__file__).parents[3]))
 
 from aiohttp import web  # noqa: E402
 
-from madderwind.evacuation.observations import ZoneObservation  # noqa: E402
-from madderwind.evacuation.reporting import Reporting  # noqa: E402
-from madderwind.policy import repetition  # noqa: E402
-from madderwind.policy.admission import Admission  # noqa: E402
-from madderwind.policy.api import UpstreamState  # noqa: E402
-from madderwind.policy.picker import Picker  # noqa: E402
-from madderwind.policy.records import Request  # noqa: E402
-from madderwind.policy.upstreams import Upstream  # noqa: E402
-from madderwind.program import cli, service  # noqa: E402
-from madderwind.protocol import listing  # noqa: E402
-from madderwind.routing import exchange  # noqa: E402
-from madderwind.routing.peers import Peers  # noqa: E402
+from madderwind.standalone.evacuation.observations import ZoneObservation  # noqa: E402
+from madderwind.standalone.evacuation.reporting import Reporting  # noqa: E402
+from madderwind.standalone.policy import repetition  # noqa: E402
+from madderwind.standalone.policy.admission import Admission  # noqa: E402
+from madderwind.standalone.policy.api import UpstreamState  # noqa: E402
+from madderwind.standalone.policy.picker import Picker  # noqa: E402
+from madderwind.standalone.policy.records import Request  # noqa: E402
+from madderwind.standalone.policy.upstreams import Upstream  # noqa: E402
+from madderwind.standalone.program import cli, service  # noqa: E402
+from madderwind.standalone.protocol import listing  # noqa: E402
+from madderwind.standalone.routing import exchange  # noqa: E402
+from madderwind.standalone.routing.peers import Peers  # noqa: E402
 
 _calls = itertools.count(1)
 Answer = web.StreamResponse
--- a/tests/drill/test_drills.py
+++ b/tests/testing/drill/test_drills.py
@@ -16,13 +16,13 @@
 import msgspec
 import pytest
 
-from madderwind.drill import report, traces
-from madderwind.drill.fleet import Program
-from madderwind.drill.records import DrillRecord, run_all
-from madderwind.drill.scenario import read_scenario
-from madderwind.lab.experiment import ExperimentError
+from madderwind.testing.drill import report, traces
+from madderwind.testing.drill.fleet import Program
+from madderwind.testing.drill.records import DrillRecord, run_all
+from madderwind.testing.drill.scenario import read_scenario
+from madderwind.testing.lab.experiment import ExperimentError
 
-DRILLS = Path(__file__).parents[2] / "drills"
+DRILLS = Path(__file__).parents[3] / "drills"
 NAMES = (
     "short-processes", "short-links", "short-words", "short-fleet", "short-leave", "short-hand", "short-odd",
     "short-versions",
--- a/tests/drill/test_rig.py
+++ b/tests/testing/drill/test_rig.py
@@ -10,12 +10,20 @@
 
 import pytest
 
-from madderwind.drill.conduct import plan_of
-from madderwind.drill.links import Link, Links
-from madderwind.drill.plan import take_net
-from madderwind.drill.scenario import LinkFault, Load, LoadFault, MessageFault, Scenario, Which, read_scenario
-from madderwind.drill.schedule import arrivals, draw
-from madderwind.lab.experiment import ExperimentError
+from madderwind.testing.drill.conduct import plan_of
+from madderwind.testing.drill.links import Link, Links
+from madderwind.testing.drill.plan import take_net
+from madderwind.testing.drill.scenario import (
+    LinkFault,
+    Load,
+    LoadFault,
+    MessageFault,
+    Scenario,
+    Which,
+    read_scenario,
+)
+from madderwind.testing.drill.schedule import arrivals, draw
+from madderwind.testing.lab.experiment import ExperimentError
 from tests.standins import Upstream, answer, read_message, run, says, within
 
 LOST = LinkFault(kind="silent", at_s=(1.0, 5.0), for_s=(1.0, 2.0), times=3, every_s=(1.0, 2.0))
--- a/tests/drill/test_system_days.py
+++ b/tests/testing/drill/test_system_days.py
@@ -14,7 +14,7 @@
 from typing import Any
 from unittest import TestCase
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 LEAST_DAYS = 24
 
 ON_THE_CORE = {"leader", "reader", "seed", "meet", "race", "hard", "drain"}
--- a/tests/lab/test_models.py
+++ b/tests/testing/lab/test_models.py
@@ -8,10 +8,10 @@
 import msgspec
 import pytest
 
-from madderwind.lab.experiment import Experiment
-from madderwind.lab.timeline import Timeline
-from madderwind.lab.world import DAWN_MS, World
-from madderwind.policy import api
+from madderwind.standalone.policy import api
+from madderwind.testing.lab.experiment import Experiment
+from madderwind.testing.lab.timeline import Timeline
+from madderwind.testing.lab.world import DAWN_MS, World
 
 # Without trips, handshakes and second thoughts, one upstream is a queue by the book.
 BARE: dict[str, Any] = {
--- a/tests/lab/test_rules.py
+++ b/tests/testing/lab/test_rules.py
@@ -7,15 +7,15 @@
 import msgspec
 import pytest
 
-from madderwind.lab.experiment import Experiment
-from madderwind.lab.policies import POLICIES
-from madderwind.lab.world import Copy, World
-from madderwind.policy import api, records, repetition
-from madderwind.policy.admission import Admission
-from madderwind.policy.balancer import Balancer
-from madderwind.policy.fleet import Fleet
-from madderwind.policy.picker import Picker
-from madderwind.policy.upstreams import Upstream
+from madderwind.standalone.policy import api, records, repetition
+from madderwind.standalone.policy.admission import Admission
+from madderwind.standalone.policy.balancer import Balancer
+from madderwind.standalone.policy.fleet import Fleet
+from madderwind.standalone.policy.picker import Picker
+from madderwind.standalone.policy.upstreams import Upstream
+from madderwind.testing.lab.experiment import Experiment
+from madderwind.testing.lab.policies import POLICIES
+from madderwind.testing.lab.world import Copy, World
 
 TREE: dict[str, Any] = {
     "name": "broken",
--- a/tests/local/test_client_side.py
+++ b/tests/testing/local/test_client_side.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from madderwind.local.event_check import EventCheck
-from madderwind.local.ingress import Front, Ingress
-from madderwind.local.traffic import draw_requests
-from madderwind.local.traffic_file import Generations, RequestKind, Sessions, Traffic
-from madderwind.standin.workload import Burst, SharedPart, Tokens
+from madderwind.testing.local.event_check import EventCheck
+from madderwind.testing.local.ingress import Front, Ingress
+from madderwind.testing.local.traffic import draw_requests
+from madderwind.testing.local.traffic_file import Generations, RequestKind, Sessions, Traffic
+from madderwind.testing.standin.workload import Burst, SharedPart, Tokens
 
 CHAT = RequestKind(
     name="chat",
--- a/tests/simhost/test_wire.py
+++ b/tests/testing/simhost/test_wire.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from madderwind.policy import api
-from madderwind.policy.api import ListKind, Outcome, UpstreamState
-from madderwind.simhost.wire import (
+from madderwind.standalone.policy import api
+from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
+from madderwind.testing.simhost.wire import (
     BatchReader,
     InstanceKilled,
     InstanceStarted,
--- a/tests/standin/test_server.py
+++ b/tests/testing/standin/test_server.py
@@ -13,10 +13,10 @@
 import aiohttp
 import msgspec
 
-from madderwind.standin.engine import EngineSettings
-from madderwind.standin.records import AnyRecord, Ended, Ran, RecordWriter, TurnedAway, read_records
-from madderwind.standin.server import UpstreamServer
-from madderwind.standin.upstream_settings import Mishaps, PlainWork, UpstreamSettings
+from madderwind.testing.standin.engine import EngineSettings
+from madderwind.testing.standin.records import AnyRecord, Ended, Ran, RecordWriter, TurnedAway, read_records
+from madderwind.testing.standin.server import UpstreamServer
+from madderwind.testing.standin.upstream_settings import Mishaps, PlainWork, UpstreamSettings
 
 DEADLINE_S = 10.0
 ENGINE = EngineSettings(slots=4, queue=2, kv_tokens=16_000, stride=2, step_ms=2.0, first_ms=0.0)
--- a/tests/transport/test_upstreams.py
+++ b/tests/transport/test_upstreams.py
@@ -13,7 +13,7 @@
 import pytest
 from multidict import CIMultiDict
 
-from madderwind.policy.api import Outcome
+from madderwind.standalone.policy.api import Outcome
 from madderwind.transport import answering
 from madderwind.transport import upstreams as transport
 from madderwind.transport.answering import LONGEST_ANSWER, OneAnswer
