--- a/madderwind/cli/config_commands.py
+++ b/madderwind/cli/config_commands.py
@@ -14,9 +14,9 @@
 from madderwind.configuration.documents import Configuration
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration, InvalidFile, OperatorCallFailed
-from madderwind.testing.local.operator_client import Answer, OperatorClient
-from madderwind.testing.local.status_client import NodeStatus, read_status
-from madderwind.testing.local.yaml_files import line_of, steps_of
+from madderwind.testing.local_fleet.operator_client import Answer, OperatorClient
+from madderwind.testing.local_fleet.status_client import NodeStatus, read_status
+from madderwind.testing.local_fleet.yaml_files import line_of, steps_of
 
 LOOK_S = 0.2
 
--- a/madderwind/cli/local_commands.py
+++ b/madderwind/cli/local_commands.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.local.checker import Violation
-from madderwind.testing.local.fault_player import read_faults
-from madderwind.testing.local.fleet_file import FleetFile, read_fleet_file
-from madderwind.testing.local.layout import STATE_FILE, FleetLayout, NodeKind
-from madderwind.testing.local.load import run_load, traffic_of
-from madderwind.testing.local.outcomes import OUTCOMES_FILE, read_outcomes
-from madderwind.testing.local.run import (
+from madderwind.testing.local_fleet.checker import Violation
+from madderwind.testing.local_fleet.fault_player import read_faults
+from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
+from madderwind.testing.local_fleet.layout import STATE_FILE, FleetLayout, NodeKind
+from madderwind.testing.local_fleet.load import run_load, traffic_of
+from madderwind.testing.local_fleet.outcomes import OUTCOMES_FILE, read_outcomes
+from madderwind.testing.local_fleet.run import (
     PICTURE_FILE,
     REPORT_FILE,
     check_run,
@@ -28,7 +28,7 @@
     running_fleet,
     start_fleet,
 )
-from madderwind.testing.local.supervisor import Supervisor
+from madderwind.testing.local_fleet.supervisor import Supervisor
 
 INTERRUPTED = 130
 
--- a/madderwind/cli/status_commands.py
+++ b/madderwind/cli/status_commands.py
@@ -9,7 +9,7 @@
 
 from madderwind.errors import OperatorCallFailed
 from madderwind.messages.status import ControlPlaneStatus
-from madderwind.testing.local.status_client import NodeStatus, read_status
+from madderwind.testing.local_fleet.status_client import NodeStatus, read_status
 
 
 def status(addresses: Sequence[str], as_json: bool) -> int:
--- a/madderwind/standalone/program/cli.py
+++ b/madderwind/standalone/program/cli.py
@@ -87,8 +87,8 @@
 
 def _laboratory(said: dict[str, Any]) -> int:
     try:
-        from madderwind.testing.drill.command import drill
-        from madderwind.testing.lab.command import lab
+        from madderwind.testing.fault_tests.command import drill
+        from madderwind.testing.simulation.command import lab
     except ModuleNotFoundError as error:
         print(f"madderwind: needs {error.name}: pip install -r requirements-lab.txt", file=sys.stderr)
         return 1
--- a/madderwind/testing/simhost/host.py
+++ b/madderwind/testing/bench_adapter/host.py
@@ -6,7 +6,7 @@
 
 from madderwind.standalone.policy.balancer import Balancer
 from madderwind.standalone.settings import SettingsError, read_settings
-from madderwind.testing.simhost.wire import (
+from madderwind.testing.bench_adapter.wire import (
     BatchReader,
     InstanceKilled,
     InstanceStarted,
@@ -55,6 +55,6 @@
             sink.write(host.answer(*batch))
             sink.flush()
     except (WireError, SettingsError) as error:
-        print(f"madderwind.testing.simhost: {error}", file=complaints)
+        print(f"madderwind.testing.bench_adapter: {error}", file=complaints)
         return 1
     return 0
--- a/madderwind/testing/standin/__main__.py
+++ b/madderwind/testing/engine_emulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m madderwind.testing.standin FILE...`: play experiments of placement and print their figures."""
+"""`python -m madderwind.testing.engine_emulator FILE...`: plays experiments of placement, prints figures."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 import fire
 
-from madderwind.testing.standin.experiment import Experiment, read_experiment
-from madderwind.testing.standin.fleet import Fleet, Served
-from madderwind.testing.standin.report import Figures, figures, table
+from madderwind.testing.engine_emulator.experiment import Experiment, read_experiment
+from madderwind.testing.engine_emulator.fleet import Fleet, Served
+from madderwind.testing.engine_emulator.report import Figures, figures, table
 
 
 def play(*files: str, cores: int = 4, seeds: int = 0, policies: str = "") -> None:
--- a/madderwind/testing/standin/engine.py
+++ b/madderwind/testing/engine_emulator/engine.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from madderwind.placement.prompts import PromptPart
-from madderwind.testing.standin.memory import EngineMemory
+from madderwind.testing.engine_emulator.memory import EngineMemory
 
 MILLION = 1_000_000.0
 THOUSAND = 1_000.0
--- a/madderwind/testing/standin/engine_host.py
+++ b/madderwind/testing/engine_emulator/engine_host.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from madderwind.testing.standin.engine import Admission, Engine, EngineEvent, EngineRequest, PartRead
+from madderwind.testing.engine_emulator.engine import Admission, Engine, EngineEvent, EngineRequest, PartRead
 
 MS_PER_S = 1000.0
 # A step that ends later than this was held up by a pause of the whole process: its time does not count.
--- a/madderwind/testing/standin/experiment.py
+++ b/madderwind/testing/engine_emulator/experiment.py
@@ -10,8 +10,8 @@
 import msgspec
 import yaml
 
-from madderwind.testing.standin.engine import EngineSettings
-from madderwind.testing.standin.workload import Burst, Kind
+from madderwind.testing.engine_emulator.engine import EngineSettings
+from madderwind.testing.engine_emulator.workload import Burst, Kind
 
 
 @attrs.frozen
--- a/madderwind/testing/standin/fleet.py
+++ b/madderwind/testing/engine_emulator/fleet.py
@@ -12,10 +12,10 @@
 from madderwind.messages.distribution import SentPrompt
 from madderwind.placement.placement import Placement
 from madderwind.placement.prompts import PromptPart
-from madderwind.testing.standin.engine import Admission, Engine, EngineEvent, EngineRequest
-from madderwind.testing.standin.experiment import Crash, Experiment, Release
-from madderwind.testing.standin.policies import POLICIES, Policy
-from madderwind.testing.standin.workload import MS_PER_S, Arrival, Workload
+from madderwind.testing.engine_emulator.engine import Admission, Engine, EngineEvent, EngineRequest
+from madderwind.testing.engine_emulator.experiment import Crash, Experiment, Release
+from madderwind.testing.engine_emulator.policies import POLICIES, Policy
+from madderwind.testing.engine_emulator.workload import MS_PER_S, Arrival, Workload
 
 SERVICE = "model"
 # Data planes learn of a crash, a start or a drain this much later.
--- a/madderwind/testing/standin/report.py
+++ b/madderwind/testing/engine_emulator/report.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from madderwind.testing.standin.experiment import Experiment
-from madderwind.testing.standin.fleet import Served
+from madderwind.testing.engine_emulator.experiment import Experiment
+from madderwind.testing.engine_emulator.fleet import Served
 
 
 class Figures(msgspec.Struct, frozen=True):
--- a/madderwind/testing/standin/server.py
+++ b/madderwind/testing/engine_emulator/server.py
@@ -15,10 +15,10 @@
 
 from madderwind.errors import MessageError
 from madderwind.placement.prompts import PromptPart, parse_prefix
-from madderwind.testing.standin.engine import Engine, EngineEvent, EngineRequest, PartRead
-from madderwind.testing.standin.engine_host import MS_PER_S, EngineHost
-from madderwind.testing.standin.records import Ended, PrefilledPart, Ran, RecordWriter, TurnedAway
-from madderwind.testing.standin.upstream_settings import UpstreamSettings
+from madderwind.testing.engine_emulator.engine import Engine, EngineEvent, EngineRequest, PartRead
+from madderwind.testing.engine_emulator.engine_host import MS_PER_S, EngineHost
+from madderwind.testing.engine_emulator.records import Ended, PrefilledPart, Ran, RecordWriter, TurnedAway
+from madderwind.testing.engine_emulator.upstream_settings import UpstreamSettings
 
 REPORT_PATH = "/report"
 # What is open at the end is broken off after so long.
--- a/madderwind/testing/standin/upstream_process.py
+++ b/madderwind/testing/engine_emulator/upstream_process.py
@@ -1,4 +1,4 @@
-"""`python -m madderwind.testing.standin.upstream_process SETTINGS`: a stand-in upstream's process."""
+"""`python -m madderwind.testing.engine_emulator.upstream_process SETTINGS`: a stand-in upstream's process."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 import aiohttp
 import msgspec
 
-from madderwind.testing.standin.records import RecordWriter, Started
-from madderwind.testing.standin.server import UpstreamServer
-from madderwind.testing.standin.upstream_settings import UpstreamSettings, read_upstream_settings
+from madderwind.testing.engine_emulator.records import RecordWriter, Started
+from madderwind.testing.engine_emulator.server import UpstreamServer
+from madderwind.testing.engine_emulator.upstream_settings import UpstreamSettings, read_upstream_settings
 
 MS_PER_S = 1000.0
 # A call that is not acknowledged within this goes to the next control plane.
--- a/madderwind/testing/standin/upstream_settings.py
+++ b/madderwind/testing/engine_emulator/upstream_settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.testing.standin.engine import EngineSettings
+from madderwind.testing.engine_emulator.engine import EngineSettings
 
 
 class PlainWork(msgspec.Struct, frozen=True):
--- a/madderwind/testing/drill/agents.py
+++ b/madderwind/testing/fault_tests/agents.py
@@ -6,11 +6,11 @@
 import json
 from urllib.parse import parse_qs, urlsplit
 
-from madderwind.testing.drill.part import Part, play
-from madderwind.testing.drill.plan import FIRST_REVISION, copy_of, member
-from madderwind.testing.drill.scenario import ListFault, UpstreamFault
-from madderwind.testing.drill.traces import Told
-from madderwind.testing.drill.wire import chunk, read_message
+from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.plan import FIRST_REVISION, copy_of, member
+from madderwind.testing.fault_tests.scenario import ListFault, UpstreamFault
+from madderwind.testing.fault_tests.traces import Told
+from madderwind.testing.fault_tests.wire import chunk, read_message
 
 KEEPALIVE_S = 2.0
 
--- a/madderwind/testing/drill/clients.py
+++ b/madderwind/testing/fault_tests/clients.py
@@ -5,10 +5,10 @@
 import asyncio
 import re
 
-from madderwind.testing.drill.part import Part, play
-from madderwind.testing.drill.schedule import Arrival, arrivals
-from madderwind.testing.drill.traces import ENDLESS_MS, Asked
-from madderwind.testing.drill.wire import read_message
+from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.schedule import Arrival, arrivals
+from madderwind.testing.fault_tests.traces import ENDLESS_MS, Asked
+from madderwind.testing.fault_tests.wire import read_message
 
 WAITS_ON_MS = 1000.0  # beyond a request's time, so that a late answer is seen as late
 CONNECT_S = 1.0
--- a/madderwind/testing/drill/command.py
+++ b/madderwind/testing/fault_tests/command.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-from madderwind.testing.drill import report
-from madderwind.testing.drill.fleet import DrillError, Program
-from madderwind.testing.drill.records import run_all
-from madderwind.testing.drill.report import compare, read_drills
-from madderwind.testing.drill.scenario import read_scenario
-from madderwind.testing.lab.command import show
-from madderwind.testing.lab.experiment import ExperimentError
+from madderwind.testing.fault_tests import report
+from madderwind.testing.fault_tests.fleet import DrillError, Program
+from madderwind.testing.fault_tests.records import run_all
+from madderwind.testing.fault_tests.report import compare, read_drills
+from madderwind.testing.fault_tests.scenario import read_scenario
+from madderwind.testing.simulation.command import show
+from madderwind.testing.simulation.experiment import ExperimentError
 
 
 def drill(said: dict[str, Any]) -> int:
--- a/madderwind/testing/drill/conduct.py
+++ b/madderwind/testing/fault_tests/conduct.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from madderwind.testing.drill import agents, clients, links, message_relay, traces, upstreams
-from madderwind.testing.drill.fleet import Copy, DrillError, Fleet, Program, dies_with_parent
-from madderwind.testing.drill.part import Clock, Go, Part
-from madderwind.testing.drill.plan import Plan, take_net
-from madderwind.testing.drill.scenario import CopyFault, Scenario
-from madderwind.testing.drill.schedule import Turn, draw
-from madderwind.testing.drill.traces import Traces
+from madderwind.testing.fault_tests import agents, clients, links, message_relay, traces, upstreams
+from madderwind.testing.fault_tests.fleet import Copy, DrillError, Fleet, Program, dies_with_parent
+from madderwind.testing.fault_tests.part import Clock, Go, Part
+from madderwind.testing.fault_tests.plan import Plan, take_net
+from madderwind.testing.fault_tests.scenario import CopyFault, Scenario
+from madderwind.testing.fault_tests.schedule import Turn, draw
+from madderwind.testing.fault_tests.traces import Traces
 
 START_S = 30.0  # for a process of the rig
 COPIES_A_SHARD = 30
@@ -39,7 +39,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            f"madderwind.testing.drill.{self._name}",
+            f"madderwind.testing.fault_tests.{self._name}",
             str(Path(self._plan.folder) / "plan.json"),
             str(self._shard),
             stdin=asyncio.subprocess.PIPE,
--- a/madderwind/testing/drill/figures.py
+++ b/madderwind/testing/fault_tests/figures.py
@@ -8,13 +8,13 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from madderwind.testing.drill.judge import REFUSED, lost
-from madderwind.testing.drill.plan import Plan
-from madderwind.testing.drill.scenario import Figure, LinkFault, UpstreamFault
-from madderwind.testing.drill.schedule import Turn
-from madderwind.testing.drill.traces import Asked, Sample, Sent, Traces
-from madderwind.testing.lab.rules import Window
-from madderwind.testing.lab.upstream import warmth
+from madderwind.testing.fault_tests.judge import REFUSED, lost
+from madderwind.testing.fault_tests.plan import Plan
+from madderwind.testing.fault_tests.scenario import Figure, LinkFault, UpstreamFault
+from madderwind.testing.fault_tests.schedule import Turn
+from madderwind.testing.fault_tests.traces import Asked, Sample, Sent, Traces
+from madderwind.testing.simulation.rules import Window
+from madderwind.testing.simulation.upstream import warmth
 
 STEP_MS = 50.0  # what could be done is summed in such steps
 LONGEST_US = 3_600_000_000
--- a/madderwind/testing/drill/fleet.py
+++ b/madderwind/testing/fault_tests/fleet.py
@@ -14,9 +14,9 @@
 import msgspec
 import psutil
 
-from madderwind.testing.drill.plan import Plan, file_of
-from madderwind.testing.drill.traces import Life, Sample
-from madderwind.testing.drill.wire import read_message
+from madderwind.testing.fault_tests.plan import Plan, file_of
+from madderwind.testing.fault_tests.traces import Life, Sample
+from madderwind.testing.fault_tests.wire import read_message
 
 READY_S = 60.0  # for a copy to serve; a busy machine starts many at once
 END_S = 8.0  # for a copy to end after SIGTERM
--- a/madderwind/testing/drill/judge.py
+++ b/madderwind/testing/fault_tests/judge.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 
 from madderwind.standalone.policy.api import Outcome
-from madderwind.testing.drill.plan import Plan
-from madderwind.testing.drill.scenario import LinkFault
-from madderwind.testing.drill.traces import ENDLESS_MS, Asked, Traces
-from madderwind.testing.lab.rules import Break, RuleChecker
+from madderwind.testing.fault_tests.plan import Plan
+from madderwind.testing.fault_tests.scenario import LinkFault
+from madderwind.testing.fault_tests.traces import ENDLESS_MS, Asked, Traces
+from madderwind.testing.simulation.rules import Break, RuleChecker
 
 # Processes note what they see so much after it was, at most: two that note one thing may differ by it.
 TOLERANCE_MS = 50.0
--- a/madderwind/testing/drill/links.py
+++ b/madderwind/testing/fault_tests/links.py
@@ -5,11 +5,11 @@
 import asyncio
 import re
 
-from madderwind.testing.drill.part import Part, play
-from madderwind.testing.drill.plan import DISCOVERY, Address
-from madderwind.testing.drill.relay import Relay, RelayedConnection
-from madderwind.testing.drill.scenario import LinkFault
-from madderwind.testing.drill.traces import ENDLESS_MS, Sent
+from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.plan import DISCOVERY, Address
+from madderwind.testing.fault_tests.relay import Relay, RelayedConnection
+from madderwind.testing.fault_tests.scenario import LinkFault
+from madderwind.testing.fault_tests.traces import ENDLESS_MS, Sent
 
 TRACE_ID = re.compile(rb"\r\nx-trace-id: ([0-9a-f]+)\r\n", re.IGNORECASE)
 NEVER_RAN = re.compile(rb"\r\nx-never-ran: 1\r\n", re.IGNORECASE)
--- a/madderwind/testing/drill/message_relay.py
+++ b/madderwind/testing/fault_tests/message_relay.py
@@ -7,11 +7,11 @@
 import socket
 
 from madderwind.standalone.gossip.wire import BadMessage, Kind, read, seed_of
-from madderwind.testing.drill.part import Part, play
-from madderwind.testing.drill.plan import OWN, PKTINFO, ip
-from madderwind.testing.drill.scenario import MessageFault
-from madderwind.testing.drill.schedule import Turn
-from madderwind.testing.drill.traces import MessageCounts, News
+from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.plan import OWN, PKTINFO, ip
+from madderwind.testing.fault_tests.scenario import MessageFault
+from madderwind.testing.fault_tests.schedule import Turn
+from madderwind.testing.fault_tests.traces import MessageCounts, News
 
 BUFFER_BYTES = 8 << 20
 MOST_AT_ONCE = 64
--- a/madderwind/testing/drill/part.py
+++ b/madderwind/testing/fault_tests/part.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from madderwind.testing.drill import traces
-from madderwind.testing.drill.plan import Plan
-from madderwind.testing.drill.schedule import Turn
+from madderwind.testing.fault_tests import traces
+from madderwind.testing.fault_tests.plan import Plan
+from madderwind.testing.fault_tests.schedule import Turn
 
 
 class Go(msgspec.Struct):
@@ -73,7 +73,7 @@
 
 
 def play(kind: type[Part]) -> None:
-    """The main of such a process: `python -m madderwind.testing.drill.KIND PLAN SHARD`."""
+    """The main of such a process: `python -m madderwind.testing.fault_tests.KIND PLAN SHARD`."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
     asyncio.run(_play(kind(plan, int(sys.argv[2])), Path(sys.argv[1]).parent))
 
--- a/madderwind/testing/drill/plan.py
+++ b/madderwind/testing/fault_tests/plan.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from madderwind.testing.drill.scenario import Scenario, UpstreamFault
-from madderwind.testing.drill.schedule import Schedule, upstream_count, zone_of
+from madderwind.testing.fault_tests.scenario import Scenario, UpstreamFault
+from madderwind.testing.fault_tests.schedule import Schedule, upstream_count, zone_of
 
 Address = tuple[str, int]
 # The last byte of a copy's own addresses; lower ones are its relays, by upstream or by copy.
--- a/madderwind/testing/drill/records.py
+++ b/madderwind/testing/fault_tests/records.py
@@ -11,16 +11,16 @@
 
 import msgspec
 
-from madderwind.testing.drill.conduct import play
-from madderwind.testing.drill.figures import Measured, Missed, Second
-from madderwind.testing.drill.fleet import Program
-from madderwind.testing.drill.judge import judge
-from madderwind.testing.drill.plan import Plan
-from madderwind.testing.drill.scenario import Scenario
-from madderwind.testing.drill.traces import Traces
-from madderwind.testing.lab.experiment import variant_of, variants
-from madderwind.testing.lab.records import write_record
-from madderwind.testing.lab.rules import Break
+from madderwind.testing.fault_tests.conduct import play
+from madderwind.testing.fault_tests.figures import Measured, Missed, Second
+from madderwind.testing.fault_tests.fleet import Program
+from madderwind.testing.fault_tests.judge import judge
+from madderwind.testing.fault_tests.plan import Plan
+from madderwind.testing.fault_tests.scenario import Scenario
+from madderwind.testing.fault_tests.traces import Traces
+from madderwind.testing.simulation.experiment import variant_of, variants
+from madderwind.testing.simulation.records import write_record
+from madderwind.testing.simulation.rules import Break
 
 
 class Mark(msgspec.Struct, frozen=True):
--- a/madderwind/testing/drill/report.py
+++ b/madderwind/testing/fault_tests/report.py
@@ -8,11 +8,11 @@
 
 from hdrh.histogram import HdrHistogram
 
-from madderwind.testing.drill.figures import LONGEST_US
-from madderwind.testing.drill.records import DrillRecord
-from madderwind.testing.lab.experiment import ExperimentError
-from madderwind.testing.lab.records import read_all
-from madderwind.testing.lab.report import compare_pairs, grouped, interval
+from madderwind.testing.fault_tests.figures import LONGEST_US
+from madderwind.testing.fault_tests.records import DrillRecord
+from madderwind.testing.simulation.experiment import ExperimentError
+from madderwind.testing.simulation.records import read_all
+from madderwind.testing.simulation.report import compare_pairs, grouped, interval
 
 
 def read_drills(folder: Path) -> list[DrillRecord]:
--- a/madderwind/testing/drill/scenario.py
+++ b/madderwind/testing/fault_tests/scenario.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from madderwind.testing.lab.experiment import (
+from madderwind.testing.simulation.experiment import (
     Class,
     Count,
     ExperimentError,
--- a/madderwind/testing/drill/schedule.py
+++ b/madderwind/testing/fault_tests/schedule.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from madderwind.testing.drill.scenario import (
+from madderwind.testing.fault_tests.scenario import (
     AnyFault,
     CopyFault,
     LoadFault,
--- a/madderwind/testing/drill/upstreams.py
+++ b/madderwind/testing/fault_tests/upstreams.py
@@ -5,14 +5,14 @@
 import asyncio
 
 from madderwind.standalone.policy.api import Outcome
-from madderwind.testing.drill.part import Part, play
-from madderwind.testing.drill.plan import Plan, copy_of
-from madderwind.testing.drill.scenario import UpstreamFault
-from madderwind.testing.drill.schedule import Turn, zone_of
-from madderwind.testing.drill.traces import Fell, Ran
-from madderwind.testing.drill.wire import Message, answer, read_message
-from madderwind.testing.lab import experiment as lab
-from madderwind.testing.lab.upstream import LONG_AGO_MS, Job, Upstream
+from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.plan import Plan, copy_of
+from madderwind.testing.fault_tests.scenario import UpstreamFault
+from madderwind.testing.fault_tests.schedule import Turn, zone_of
+from madderwind.testing.fault_tests.traces import Fell, Ran
+from madderwind.testing.fault_tests.wire import Message, answer, read_message
+from madderwind.testing.simulation import experiment as lab
+from madderwind.testing.simulation.upstream import LONG_AGO_MS, Job, Upstream
 
 AGAIN_S = 1.0  # one that was pushed over starts again so soon
 STATUS = {Outcome.OK: 200, Outcome.ERROR: 500, Outcome.FULL: 503}
--- a/madderwind/testing/local/baselines.py
+++ b/madderwind/testing/local_fleet/baselines.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from madderwind.testing.local.fleet_file import FleetFile, UpstreamGroup
-from madderwind.testing.local.load import traffic_of
-from madderwind.testing.local.traffic import workload_kind
-from madderwind.testing.standin.experiment import Experiment
-from madderwind.testing.standin.fleet import Fleet
-from madderwind.testing.standin.report import Figures, figures
+from madderwind.testing.engine_emulator.experiment import Experiment
+from madderwind.testing.engine_emulator.fleet import Fleet
+from madderwind.testing.engine_emulator.report import Figures, figures
+from madderwind.testing.local_fleet.fleet_file import FleetFile, UpstreamGroup
+from madderwind.testing.local_fleet.load import traffic_of
+from madderwind.testing.local_fleet.traffic import workload_kind
 
 # The name of each policy in the table. `idle-first` is this project's own choice without placement.
 POLICIES = {
--- a/madderwind/testing/local/cache_figures.py
+++ b/madderwind/testing/local_fleet/cache_figures.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.testing.standin.records import AnyRecord, PrefilledPart
+from madderwind.testing.engine_emulator.records import AnyRecord, PrefilledPart
 
 MS_PER_S = 1000.0
 
--- a/madderwind/testing/local/checker.py
+++ b/madderwind/testing/local_fleet/checker.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from madderwind.testing.local.outcomes import Outcome
-from madderwind.testing.standin.records import AnyRecord, Ran
+from madderwind.testing.engine_emulator.records import AnyRecord, Ran
+from madderwind.testing.local_fleet.outcomes import Outcome
 
 PROMISES = frozenset((408, 421, 429, 503))
 
--- a/madderwind/testing/local/fault_file.py
+++ b/madderwind/testing/local_fleet/fault_file.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from madderwind.testing.local.field_checks import between, not_empty, one_of
+from madderwind.testing.local_fleet.field_checks import between, not_empty, one_of
 
 FAULT_KINDS = ("kill", "term", "pause", "cut", "slow", "wipe", "disk_full")
 
--- a/madderwind/testing/local/fault_player.py
+++ b/madderwind/testing/local_fleet/fault_player.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.local.fault_file import Fault
-from madderwind.testing.local.fault_schedule import PRIMARY, Action, PlannedFault, plan_fault
-from madderwind.testing.local.layout import FleetLayout, NodeKind
-from madderwind.testing.local.relays import LinkCondition
-from madderwind.testing.local.status_client import primary_of, read_status
+from madderwind.testing.local_fleet.fault_file import Fault
+from madderwind.testing.local_fleet.fault_schedule import PRIMARY, Action, PlannedFault, plan_fault
+from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind
+from madderwind.testing.local_fleet.relays import LinkCondition
+from madderwind.testing.local_fleet.status_client import primary_of, read_status
 
 FAULTS_FILE = "faults.jsonl"
 MS_PER_S = 1000.0
--- a/madderwind/testing/local/fault_schedule.py
+++ b/madderwind/testing/local_fleet/fault_schedule.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.local.fault_file import Fault
-from madderwind.testing.local.relays import LinkCondition
+from madderwind.testing.local_fleet.fault_file import Fault
+from madderwind.testing.local_fleet.relays import LinkCondition
 
 PRIMARY = "primary"
 
--- a/madderwind/testing/local/fleet_file.py
+++ b/madderwind/testing/local_fleet/fleet_file.py
@@ -10,12 +10,12 @@
 
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration, InvalidFile
-from madderwind.testing.local.fault_file import Fault, Operator
-from madderwind.testing.local.field_checks import between, not_empty
-from madderwind.testing.local.traffic_file import Traffic
-from madderwind.testing.local.yaml_files import field_name, line_of, read_yaml, steps_of
-from madderwind.testing.standin.engine import EngineSettings
-from madderwind.testing.standin.upstream_settings import Mishaps, PlainWork
+from madderwind.testing.engine_emulator.engine import EngineSettings
+from madderwind.testing.engine_emulator.upstream_settings import Mishaps, PlainWork
+from madderwind.testing.local_fleet.fault_file import Fault, Operator
+from madderwind.testing.local_fleet.field_checks import between, not_empty
+from madderwind.testing.local_fleet.traffic_file import Traffic
+from madderwind.testing.local_fleet.yaml_files import field_name, line_of, read_yaml, steps_of
 
 MOST_PROCESSES_OF_A_KIND = 90
 
--- a/madderwind/testing/local/layout.py
+++ b/madderwind/testing/local_fleet/layout.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from madderwind.node_settings import CONTROL_PLANE_PORT
-from madderwind.testing.local.fleet_file import FleetFile, UpstreamGroup
-from madderwind.testing.standin.upstream_settings import UpstreamSettings
+from madderwind.testing.engine_emulator.upstream_settings import UpstreamSettings
+from madderwind.testing.local_fleet.fleet_file import FleetFile, UpstreamGroup
 
 CONTROL_PORT, FRONT_PORT, READY_PORT, UPSTREAM_PORT, SUPERVISOR_PORT = 8367, 8360, 8365, 8080, 8500
 METRICS_PORT = 9464
@@ -242,7 +242,7 @@
             name=name,
             kind=NodeKind.UPSTREAM,
             zone=zone,
-            module="madderwind.testing.standin.upstream_process",
+            module="madderwind.testing.engine_emulator.upstream_process",
             folder=str(folder),
             settings=msgspec.to_builtins(settings),
             records=records,
--- a/madderwind/testing/local/load.py
+++ b/madderwind/testing/local_fleet/load.py
@@ -10,13 +10,13 @@
 import aiohttp
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.local.fleet_file import FleetFile
-from madderwind.testing.local.ingress import Front, Ingress
-from madderwind.testing.local.layout import FleetLayout, NodeKind, NodeLayout
-from madderwind.testing.local.load_client import MS_PER_S, LoadClient, now_ms
-from madderwind.testing.local.outcomes import OUTCOMES_FILE, Outcome, write_outcomes
-from madderwind.testing.local.traffic import PlannedRequest, draw_requests
-from madderwind.testing.local.traffic_file import Traffic
+from madderwind.testing.local_fleet.fleet_file import FleetFile
+from madderwind.testing.local_fleet.ingress import Front, Ingress
+from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind, NodeLayout
+from madderwind.testing.local_fleet.load_client import MS_PER_S, LoadClient, now_ms
+from madderwind.testing.local_fleet.outcomes import OUTCOMES_FILE, Outcome, write_outcomes
+from madderwind.testing.local_fleet.traffic import PlannedRequest, draw_requests
+from madderwind.testing.local_fleet.traffic_file import Traffic
 
 QUERY_INTERVAL_S, QUERY_TIMEOUT_S = 0.5, 0.5
 HEAD_START_S = 0.3
--- a/madderwind/testing/local/load_client.py
+++ b/madderwind/testing/local_fleet/load_client.py
@@ -10,11 +10,11 @@
 import aiohttp
 
 from madderwind.configuration.documents import Route
-from madderwind.testing.local.event_check import EventCheck
-from madderwind.testing.local.ingress import Ingress
-from madderwind.testing.local.outcomes import Fate, Outcome, TryOutcome
-from madderwind.testing.local.traffic import PlannedRequest
-from madderwind.testing.local.traffic_file import RequestKind
+from madderwind.testing.local_fleet.event_check import EventCheck
+from madderwind.testing.local_fleet.ingress import Ingress
+from madderwind.testing.local_fleet.outcomes import Fate, Outcome, TryOutcome
+from madderwind.testing.local_fleet.traffic import PlannedRequest
+from madderwind.testing.local_fleet.traffic_file import RequestKind
 
 MS_PER_S = 1000.0
 CONNECT_TIMEOUT_S = 1.0
--- a/madderwind/testing/local/load_figures.py
+++ b/madderwind/testing/local_fleet/load_figures.py
@@ -8,7 +8,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from madderwind.testing.local.outcomes import Fate, Outcome
+from madderwind.testing.local_fleet.outcomes import Fate, Outcome
 
 LONGEST_US, DIGITS, US_PER_MS = 120_000_000, 3, 1000.0
 
--- a/madderwind/testing/local/load_process.py
+++ b/madderwind/testing/local_fleet/load_process.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.drill.fleet import dies_with_parent
-from madderwind.testing.local.fleet_file import read_fleet_file
-from madderwind.testing.local.layout import FleetLayout, read_layout
-from madderwind.testing.local.load import run_load
-from madderwind.testing.local.node_process import ROOT
-from madderwind.testing.local.outcomes import OUTCOMES_FILE, Outcome, read_outcomes
+from madderwind.testing.fault_tests.fleet import dies_with_parent
+from madderwind.testing.local_fleet.fleet_file import read_fleet_file
+from madderwind.testing.local_fleet.layout import FleetLayout, read_layout
+from madderwind.testing.local_fleet.load import run_load
+from madderwind.testing.local_fleet.node_process import ROOT
+from madderwind.testing.local_fleet.outcomes import OUTCOMES_FILE, Outcome, read_outcomes
 
 SENDING = b"sending\n"
 START_TIMEOUT_S = 30.0
@@ -28,7 +28,7 @@
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "madderwind.testing.local.load_process",
+            "madderwind.testing.local_fleet.load_process",
             self._layout.folder,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
--- a/madderwind/testing/local/node_process.py
+++ b/madderwind/testing/local_fleet/node_process.py
@@ -17,8 +17,8 @@
 
 from madderwind.errors import LocalFleetError
 from madderwind.node_settings import SETTINGS_VARIABLE
-from madderwind.testing.drill.fleet import dies_with_parent
-from madderwind.testing.local.layout import NodeKind, NodeLayout
+from madderwind.testing.fault_tests.fleet import dies_with_parent
+from madderwind.testing.local_fleet.layout import NodeKind, NodeLayout
 
 # The platform starts a process that ended again after so long.
 RESTART_DELAY_S = 0.3
--- a/madderwind/testing/local/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -9,9 +9,9 @@
 
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration, OperatorCallFailed
-from madderwind.testing.local.checker import ConfigurationRead, OrderSent
-from madderwind.testing.local.layout import FleetLayout, NodeKind
-from madderwind.testing.local.operator_client import OperatorClient
+from madderwind.testing.local_fleet.checker import ConfigurationRead, OrderSent
+from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind
+from madderwind.testing.local_fleet.operator_client import OperatorClient
 
 # Versions rise by uneven steps.
 VERSION_STEP = 2
--- a/madderwind/testing/local/relays.py
+++ b/madderwind/testing/local_fleet/relays.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from madderwind.testing.drill.relay import MS_PER_S, Address, Relay, RelayedConnection
-from madderwind.testing.local.layout import RelayLayout
+from madderwind.testing.fault_tests.relay import MS_PER_S, Address, Relay, RelayedConnection
+from madderwind.testing.local_fleet.layout import RelayLayout
 
 # Who has which connection is looked up at most so often while a cut is in force.
 OWNERS_KEPT_S = 0.1
--- a/madderwind/testing/local/report.py
+++ b/madderwind/testing/local_fleet/report.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from madderwind.testing.local.baselines import Baseline
-from madderwind.testing.local.cache_figures import CacheFigures
-from madderwind.testing.local.checker import Promise, Violation
-from madderwind.testing.local.fault_player import PlayedFault
-from madderwind.testing.local.load_figures import KindFigures, Times
-from madderwind.testing.local.outcomes import Fate, Outcome
+from madderwind.testing.local_fleet.baselines import Baseline
+from madderwind.testing.local_fleet.cache_figures import CacheFigures
+from madderwind.testing.local_fleet.checker import Promise, Violation
+from madderwind.testing.local_fleet.fault_player import PlayedFault
+from madderwind.testing.local_fleet.load_figures import KindFigures, Times
+from madderwind.testing.local_fleet.outcomes import Fate, Outcome
 
 MS_PER_S = 1000.0
 MOST_VIOLATIONS_SHOWN = 10
--- a/madderwind/testing/local/run.py
+++ b/madderwind/testing/local_fleet/run.py
@@ -9,22 +9,22 @@
 import msgspec
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.local.baselines import simulate_baselines
-from madderwind.testing.local.cache_figures import cache_figures
-from madderwind.testing.local.checker import ConfigurationRead, Evidence, OrderSent, Violation, check
-from madderwind.testing.local.fault_player import FaultPlayer, PlayedFault
-from madderwind.testing.local.fleet_file import FleetFile, read_fleet_file
-from madderwind.testing.local.layout import FleetLayout, read_layout
-from madderwind.testing.local.load import traffic_of
-from madderwind.testing.local.load_figures import all_figures, own_lateness
-from madderwind.testing.local.load_process import LoadProcess
-from madderwind.testing.local.node_process import LifeEvent
-from madderwind.testing.local.operator_client import OperatorClient
-from madderwind.testing.local.operator_load import OperatorAtWork, acknowledged
-from madderwind.testing.local.outcomes import Outcome
-from madderwind.testing.local.report import RunReport, draw_picture, render_report
-from madderwind.testing.local.supervisor import LIVES_FILE, Supervisor
-from madderwind.testing.standin.records import AnyRecord, read_records
+from madderwind.testing.engine_emulator.records import AnyRecord, read_records
+from madderwind.testing.local_fleet.baselines import simulate_baselines
+from madderwind.testing.local_fleet.cache_figures import cache_figures
+from madderwind.testing.local_fleet.checker import ConfigurationRead, Evidence, OrderSent, Violation, check
+from madderwind.testing.local_fleet.fault_player import FaultPlayer, PlayedFault
+from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
+from madderwind.testing.local_fleet.layout import FleetLayout, read_layout
+from madderwind.testing.local_fleet.load import traffic_of
+from madderwind.testing.local_fleet.load_figures import all_figures, own_lateness
+from madderwind.testing.local_fleet.load_process import LoadProcess
+from madderwind.testing.local_fleet.node_process import LifeEvent
+from madderwind.testing.local_fleet.operator_client import OperatorClient
+from madderwind.testing.local_fleet.operator_load import OperatorAtWork, acknowledged
+from madderwind.testing.local_fleet.outcomes import Outcome
+from madderwind.testing.local_fleet.report import RunReport, draw_picture, render_report
+from madderwind.testing.local_fleet.supervisor import LIVES_FILE, Supervisor
 
 PICTURE_FILE, REPORT_FILE = "report.png", "report.txt"
 # After the last request, upstreams note what has ended.
--- a/madderwind/testing/local/supervisor.py
+++ b/madderwind/testing/local_fleet/supervisor.py
@@ -14,11 +14,11 @@
 from aiohttp import web
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.drill.plan import take_net
-from madderwind.testing.local.fleet_file import FleetFile
-from madderwind.testing.local.layout import STATE_FILE, FleetLayout, NodeKind, lay_out
-from madderwind.testing.local.node_process import LifeEvent, NodeProcess
-from madderwind.testing.local.relays import FleetRelays, LinkCondition
+from madderwind.testing.fault_tests.plan import take_net
+from madderwind.testing.local_fleet.fleet_file import FleetFile
+from madderwind.testing.local_fleet.layout import STATE_FILE, FleetLayout, NodeKind, lay_out
+from madderwind.testing.local_fleet.node_process import LifeEvent, NodeProcess
+from madderwind.testing.local_fleet.relays import FleetRelays, LinkCondition
 
 LIVES_FILE = "lives.jsonl"
 # All processes start within this, and a data plane is ready; a busy machine starts many at once.
--- a/madderwind/testing/local/traffic.py
+++ b/madderwind/testing/local_fleet/traffic.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from madderwind.placement.prompts import PromptPart
-from madderwind.testing.local.traffic_file import RequestKind, Traffic
-from madderwind.testing.standin.workload import Arrival, Kind, Tokens, Workload
+from madderwind.testing.engine_emulator.workload import Arrival, Kind, Tokens, Workload
+from madderwind.testing.local_fleet.traffic_file import RequestKind, Traffic
 
 PART_ID_BYTES = 6
 # What a kind without generations is drawn with.
--- a/madderwind/testing/local/traffic_file.py
+++ b/madderwind/testing/local_fleet/traffic_file.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from madderwind.testing.local.field_checks import above_zero, not_empty
-from madderwind.testing.standin.workload import Burst, SharedPart, Tokens
+from madderwind.testing.engine_emulator.workload import Burst, SharedPart, Tokens
+from madderwind.testing.local_fleet.field_checks import above_zero, not_empty
 
 
 @attrs.frozen
--- a/madderwind/testing/lab/command.py
+++ b/madderwind/testing/simulation/command.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from madderwind.testing.lab import messages, outages, report
-from madderwind.testing.lab.experiment import ExperimentError, plays, read_experiment
-from madderwind.testing.lab.records import play_all, read_records
-from madderwind.testing.lab.report import FIGURES, compare
+from madderwind.testing.simulation import messages, outages, report
+from madderwind.testing.simulation.experiment import ExperimentError, plays, read_experiment
+from madderwind.testing.simulation.records import play_all, read_records
+from madderwind.testing.simulation.report import FIGURES, compare
 
 
 def lab(said: dict[str, Any]) -> int:
--- a/madderwind/testing/lab/experiment.py
+++ b/madderwind/testing/simulation/experiment.py
@@ -163,7 +163,7 @@
 
 
 def _check(path: Path, experiment: Experiment) -> None:
-    from madderwind.testing.lab.policies import POLICIES
+    from madderwind.testing.simulation.policies import POLICIES
 
     for number, trouble in enumerate(experiment.troubles):
         at = f"{path}: troubles[{number}]"
--- a/madderwind/testing/lab/messages.py
+++ b/madderwind/testing/simulation/messages.py
@@ -15,7 +15,7 @@
 
 from madderwind.standalone.gossip.members import Changed, State
 from madderwind.standalone.gossip.membership import DATAGRAMS_PER_S, Action, Heard, Membership, Send
-from madderwind.testing.lab.experiment import (
+from madderwind.testing.simulation.experiment import (
     NotNegative,
     Part,
     Positive,
@@ -23,7 +23,7 @@
     read_varied,
     variant_of,
 )
-from madderwind.testing.lab.timeline import Due, Timeline
+from madderwind.testing.simulation.timeline import Due, Timeline
 
 STATE_BYTES, EVENT_BYTES = 3, 7  # as the policy module's rates, and a rate with one mark
 HEAD_BYTES = 8  # of the plainest way's datagrams
--- a/madderwind/testing/lab/outages.py
+++ b/madderwind/testing/simulation/outages.py
@@ -21,7 +21,7 @@
 from madderwind.standalone.gossip import membership as gossip
 from madderwind.standalone.gossip.wire import Kind
 from madderwind.standalone.policy.api import Outcome
-from madderwind.testing.lab.experiment import (
+from madderwind.testing.simulation.experiment import (
     Count,
     ExperimentError,
     NotNegative,
@@ -31,7 +31,7 @@
     read_varied,
     variant_of,
 )
-from madderwind.testing.lab.timeline import Due, Timeline
+from madderwind.testing.simulation.timeline import Due, Timeline
 
 DEADLINE_MS, ASIDE_MS = 3000.0, 2000.0
 
--- a/madderwind/testing/lab/records.py
+++ b/madderwind/testing/simulation/records.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from madderwind.testing.lab.experiment import Experiment, ExperimentError, variant_of, variants
-from madderwind.testing.lab.rules import Break
-from madderwind.testing.lab.world import Second, World
+from madderwind.testing.simulation.experiment import Experiment, ExperimentError, variant_of, variants
+from madderwind.testing.simulation.rules import Break
+from madderwind.testing.simulation.world import Second, World
 
 R = TypeVar("R", bound=msgspec.Struct)
 
--- a/madderwind/testing/lab/report.py
+++ b/madderwind/testing/simulation/report.py
@@ -9,8 +9,8 @@
 from statistics import fmean
 from typing import Any, TypeVar
 
-from madderwind.testing.lab.experiment import ExperimentError
-from madderwind.testing.lab.records import Record
+from madderwind.testing.simulation.experiment import ExperimentError
+from madderwind.testing.simulation.records import Record
 
 K = TypeVar("K")
 R = TypeVar("R")
--- a/madderwind/testing/lab/upstream.py
+++ b/madderwind/testing/simulation/upstream.py
@@ -13,8 +13,8 @@
 
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import Outcome, UpstreamState
-from madderwind.testing.lab.experiment import Experiment, Tier
-from madderwind.testing.lab.rules import Window
+from madderwind.testing.simulation.experiment import Experiment, Tier
+from madderwind.testing.simulation.rules import Window
 
 Reply = Callable[[Outcome], None]
 LONG_AGO_MS = 0.0
--- a/madderwind/testing/lab/world.py
+++ b/madderwind/testing/simulation/world.py
@@ -14,11 +14,11 @@
 
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import Effect, Group, ListKind, Outcome, UpstreamState
-from madderwind.testing.lab.experiment import Experiment, Trouble
-from madderwind.testing.lab.policies import POLICIES, Policy
-from madderwind.testing.lab.rules import RuleChecker
-from madderwind.testing.lab.timeline import Timeline
-from madderwind.testing.lab.upstream import LONG_AGO_MS, Job, Upstream
+from madderwind.testing.simulation.experiment import Experiment, Trouble
+from madderwind.testing.simulation.policies import POLICIES, Policy
+from madderwind.testing.simulation.rules import RuleChecker
+from madderwind.testing.simulation.timeline import Timeline
+from madderwind.testing.simulation.upstream import LONG_AGO_MS, Job, Upstream
 
 # The lab's day begins here, so that a start at 0 is long ago.
 DAWN_MS = 1_000_000.0
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -13,7 +13,7 @@
 from madderwind.cli.commands import main
 from madderwind.cli.status_commands import render_status
 from madderwind.messages.status import ControlPlaneStatus, DataPlaneStatus, UpstreamStatus
-from madderwind.testing.local.status_client import NodeStatus, primary_of
+from madderwind.testing.local_fleet.status_client import NodeStatus, primary_of
 
 CONFIGURATION: dict[str, Any] = {
     "version": 3,
--- a/tests/dataplane/answer_player.py
+++ b/tests/dataplane/answer_player.py
@@ -9,7 +9,7 @@
 from unittest.mock import patch
 
 from madderwind.dataplane import upstream_pool
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.answer_oracle import Broken, Oracle, Request, is_stream, reply_body, said
 from tests.dataplane.answer_scripts import (
     Ask,
--- a/tests/dataplane/chaos.py
+++ b/tests/dataplane/chaos.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from madderwind.testing.drill.wire import Message, answer, chunk
+from madderwind.testing.fault_tests.wire import Message, answer, chunk
 from tests.dataplane.fleet import SIGNATURE, Client, Fleet, Writer, document, event, record, stream_head
 
 MS_PER_S = 1000.0
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -11,7 +11,7 @@
 from madderwind.dataplane.forwarding import Forwarder
 from madderwind.dataplane.retrying import Retries
 from madderwind.dataplane.upstream_pool import UpstreamPool
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     Client,
     Fleet,
--- a/tests/dataplane/test_hazards.py
+++ b/tests/dataplane/test_hazards.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     SIGNATURE,
     Fleet,
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -12,7 +12,7 @@
 from madderwind.dataplane.service import STILL_ACCEPTING_S, DataPlane, Phase
 from madderwind.dataplane.upstream_pool import UpstreamPool
 from madderwind.messages.distribution import ConfigurationApplied
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     SIGNATURE,
     Client,
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from madderwind.messages.distribution import ConfigurationApplied, Farewell, Subscribe, UsageReport
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     ControlPlane,
     Fleet,
--- a/tests/dataplane/test_sends.py
+++ b/tests/dataplane/test_sends.py
@@ -10,7 +10,7 @@
 
 from madderwind.dataplane import retrying
 from madderwind.dataplane.retrying import Retries
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     Fleet,
     Message,
--- a/tests/dataplane/test_serving.py
+++ b/tests/dataplane/test_serving.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     CLIENT_HOST,
     SIGNATURE,
--- a/tests/dataplane/test_silent_upstreams.py
+++ b/tests/dataplane/test_silent_upstreams.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from madderwind.dataplane import stream_silence, upstream_pool
-from madderwind.testing.drill.wire import chunk
+from madderwind.testing.fault_tests.wire import chunk
 from madderwind.transport.upstreams import ConnectionOptions
 from tests.dataplane.fleet import SIGNATURE, Client, Fleet, Message, Writer, document, event, stream_head
 from tests.standins import Behaviour, run, within
--- a/tests/parallel.py
+++ b/tests/parallel.py
@@ -12,10 +12,10 @@
 from xdist.scheduler import LoadScopeScheduling
 
 LANES = {
-    "tests/testing/drill": "drills",
-    "tests/testing/local": "drills",
+    "tests/testing/fault_tests": "drills",
+    "tests/testing/local_fleet": "drills",
     "tests/standalone/program": "programs",
-    "tests/testing/lab": "programs",
+    "tests/testing/simulation": "programs",
 }
 """The lane of each folder whose tests depend on real time."""
 
--- a/tests/standalone/evacuation/test_evacuation.py
+++ b/tests/standalone/evacuation/test_evacuation.py
@@ -22,7 +22,7 @@
 )
 from madderwind.standalone.evacuation.observations import Observations, ZoneObservation
 from madderwind.standalone.policy.api import Outcome
-from madderwind.testing.lab import outages
+from madderwind.testing.simulation import outages
 
 ROOT = Path(__file__).parents[3]
 READY = {"a": 4, "b": 4}
--- a/tests/standalone/gossip/test_membership.py
+++ b/tests/standalone/gossip/test_membership.py
@@ -13,9 +13,9 @@
 from madderwind.standalone.gossip.members import State
 from madderwind.standalone.gossip.membership import Membership, Send
 from madderwind.standalone.gossip.wire import LONGEST, BadMessage, Datagram, Item, Kind, Purpose, Seen
-from madderwind.testing.lab.experiment import ExperimentError, plays
-from madderwind.testing.lab.messages import Spread, World, play, table
-from madderwind.testing.lab.messages import read as read_spread
+from madderwind.testing.simulation.experiment import ExperimentError, plays
+from madderwind.testing.simulation.messages import Spread, World, play, table
+from madderwind.testing.simulation.messages import read as read_spread
 
 SEED = wire.seed_of("f")
 ITEMS = st.builds(
--- a/tests/standalone/policy/test_uneven.py
+++ b/tests/standalone/policy/test_uneven.py
@@ -12,7 +12,7 @@
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import Effect, Group, Outcome
 from madderwind.standalone.policy.balancer import Balancer
-from madderwind.testing.lab.timeline import Timeline
+from madderwind.testing.simulation.timeline import Timeline
 from tests.standalone.policy.scripts import Script, a_class, entry, sends, settings
 from tests.standalone.policy.test_traffic import words
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,8 +8,8 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from madderwind.testing.drill.relay import reset
-from madderwind.testing.drill.wire import Message, answer, chunk, read_message
+from madderwind.testing.fault_tests.relay import reset
+from madderwind.testing.fault_tests.wire import Message, answer, chunk, read_message
 from tests.examples import HOST
 
 __all__ = ["Message", "answer", "read_message", "reset"]  # for the tests, from one place with the stand-ins
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -44,7 +44,7 @@
     "controlplane": " ".join(name for name in FLEET_LAYERS if name not in ("limits", "placement"))
     + f" {_HOST_PARTS}",
     "dataplane": f"{_FLEET} {_HOST_PARTS}",
-    "cli": f"{_FLEET} testing.local",
+    "cli": f"{_FLEET} testing.local_fleet",
     # The standalone balancer.
     "standalone.clock": "",
     "standalone.gossip": "",
@@ -59,13 +59,13 @@
     "standalone.handover": "eventlog standalone.policy standalone.protocol standalone.routing",
     "standalone.program": "eventlog transport standalone.admin standalone.agreement standalone.clock"
     " standalone.evacuation standalone.gossip standalone.handover standalone.protocol standalone.routing"
-    " standalone.settings testing.drill testing.lab",
+    " standalone.settings testing.fault_tests testing.simulation",
     # What tests and measures.
-    "testing.simhost": "standalone.policy standalone.settings",
-    "testing.lab": "standalone.evacuation standalone.gossip standalone.policy",
-    "testing.drill": "standalone.gossip standalone.policy testing.lab",
-    "testing.standin": "errors messages placement",
-    "testing.local": f"{_FLEET} structured_log testing.drill testing.standin",
+    "testing.bench_adapter": "standalone.policy standalone.settings",
+    "testing.simulation": "standalone.evacuation standalone.gossip standalone.policy",
+    "testing.fault_tests": "standalone.gossip standalone.policy testing.simulation",
+    "testing.engine_emulator": "errors messages placement",
+    "testing.local_fleet": f"{_FLEET} structured_log testing.fault_tests testing.engine_emulator",
 }
 NESTING_PACKAGES = ("standalone", "testing")
 ENTRY_POINTS = ("__init__", "__main__")
--- a/tests/test_parallel.py
+++ b/tests/test_parallel.py
@@ -27,7 +27,7 @@
 
 
 def test_lanes_are_what_needs_real_time() -> None:
-    assert needs_real_time("tests/testing/drill/test_drills.py::test_a[x]")
+    assert needs_real_time("tests/testing/fault_tests/test_drills.py::test_a[x]")
     assert not needs_real_time("tests/standalone/policy/test_pick.py::test_a")
 
 
--- a/tests/testing/simhost/test_host.py
+++ b/tests/testing/bench_adapter/test_host.py
@@ -12,7 +12,7 @@
 from madderwind.standalone.policy.api import Effect, Group
 from madderwind.standalone.policy.balancer import Balancer
 from madderwind.standalone.settings import SettingsError, read_settings
-from madderwind.testing.simhost.host import Host, main
+from madderwind.testing.bench_adapter.host import Host, main
 
 SETUP = """Ceilings.Cancel=true
 Ceilings.MaxAttempts=4
@@ -156,7 +156,7 @@
 )
 def test_the_program_ends_with_a_plain_line_and_never_a_traceback(data: bytes, code: int, says: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "madderwind.testing.simhost"], input=data, capture_output=True
+        [sys.executable, "-m", "madderwind.testing.bench_adapter"], input=data, capture_output=True
     )
     assert done.returncode == code
     assert says in done.stderr.decode() and "Traceback" not in done.stderr.decode()
--- a/tests/testing/simhost/test_wire.py
+++ b/tests/testing/bench_adapter/test_wire.py
@@ -9,7 +9,7 @@
 
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
-from madderwind.testing.simhost.wire import (
+from madderwind.testing.bench_adapter.wire import (
     BatchReader,
     InstanceKilled,
     InstanceStarted,
--- a/tests/testing/standin/test_engine.py
+++ b/tests/testing/engine_emulator/test_engine.py
@@ -7,7 +7,13 @@
 import msgspec
 
 from madderwind.placement.prompts import PromptPart
-from madderwind.testing.standin.engine import Admission, Engine, EngineEvent, EngineRequest, EngineSettings
+from madderwind.testing.engine_emulator.engine import (
+    Admission,
+    Engine,
+    EngineEvent,
+    EngineRequest,
+    EngineSettings,
+)
 
 SMALL = EngineSettings(
     slots=4, queue=4, kv_tokens=16_000, block_tokens=16, stride=2, chunk_tokens=1000, first_ms=0.0
--- a/tests/testing/standin/test_fleet.py
+++ b/tests/testing/engine_emulator/test_fleet.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from madderwind.testing.standin.experiment import Crash, Experiment, Release
-from madderwind.testing.standin.fleet import Fleet
-from madderwind.testing.standin.report import Figures, figures, table
-from madderwind.testing.standin.workload import Burst, Kind, SharedPart, Tokens
+from madderwind.testing.engine_emulator.experiment import Crash, Experiment, Release
+from madderwind.testing.engine_emulator.fleet import Fleet
+from madderwind.testing.engine_emulator.report import Figures, figures, table
+from madderwind.testing.engine_emulator.workload import Burst, Kind, SharedPart, Tokens
 
 LONG = Kind(
     "long", 6.0, [SharedPart(Tokens(12_000, 0.5), 60, 0.3)], Tokens(2_500, 0.8), Tokens(40), 800, 250, 2, 0.6
--- a/tests/testing/standin/test_server.py
+++ b/tests/testing/engine_emulator/test_server.py
@@ -13,10 +13,17 @@
 import aiohttp
 import msgspec
 
-from madderwind.testing.standin.engine import EngineSettings
-from madderwind.testing.standin.records import AnyRecord, Ended, Ran, RecordWriter, TurnedAway, read_records
-from madderwind.testing.standin.server import UpstreamServer
-from madderwind.testing.standin.upstream_settings import Mishaps, PlainWork, UpstreamSettings
+from madderwind.testing.engine_emulator.engine import EngineSettings
+from madderwind.testing.engine_emulator.records import (
+    AnyRecord,
+    Ended,
+    Ran,
+    RecordWriter,
+    TurnedAway,
+    read_records,
+)
+from madderwind.testing.engine_emulator.server import UpstreamServer
+from madderwind.testing.engine_emulator.upstream_settings import Mishaps, PlainWork, UpstreamSettings
 
 DEADLINE_S = 10.0
 ENGINE = EngineSettings(slots=4, queue=2, kv_tokens=16_000, stride=2, step_ms=2.0, first_ms=0.0)
--- a/tests/testing/drill/test_drills.py
+++ b/tests/testing/fault_tests/test_drills.py
@@ -16,11 +16,11 @@
 import msgspec
 import pytest
 
-from madderwind.testing.drill import report, traces
-from madderwind.testing.drill.fleet import Program
-from madderwind.testing.drill.records import DrillRecord, run_all
-from madderwind.testing.drill.scenario import read_scenario
-from madderwind.testing.lab.experiment import ExperimentError
+from madderwind.testing.fault_tests import report, traces
+from madderwind.testing.fault_tests.fleet import Program
+from madderwind.testing.fault_tests.records import DrillRecord, run_all
+from madderwind.testing.fault_tests.scenario import read_scenario
+from madderwind.testing.simulation.experiment import ExperimentError
 
 DRILLS = Path(__file__).parents[3] / "drills"
 NAMES = (
--- a/tests/testing/drill/test_proof.py
+++ b/tests/testing/fault_tests/test_proof.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from madderwind.testing.drill.fleet import Program
-from madderwind.testing.drill.records import DrillRecord, run
-from madderwind.testing.drill.scenario import read_scenario
+from madderwind.testing.fault_tests.fleet import Program
+from madderwind.testing.fault_tests.records import DrillRecord, run
+from madderwind.testing.fault_tests.scenario import read_scenario
 
 ROOT = Path(__file__).parents[3]
 SCENARIO = read_scenario(ROOT / "drills" / "short-proof.yaml")
@@ -43,7 +43,7 @@
     folder = tmp_path_factory.mktemp("proof")
 
     def play(way: str) -> DrillRecord:
-        words = (sys.executable, "-B", str(ROOT / "tests" / "testing" / "drill" / "broken.py"), way)
+        words = (sys.executable, "-B", str(ROOT / "tests" / "testing" / "fault_tests" / "broken.py"), way)
         return run(SCENARIO, 1, Program(way, words, str(ROOT)), folder / way)
 
     with ThreadPoolExecutor(max_workers=3) as pool:
--- a/tests/testing/drill/test_rig.py
+++ b/tests/testing/fault_tests/test_rig.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from madderwind.testing.drill.conduct import plan_of
-from madderwind.testing.drill.links import Link, Links
-from madderwind.testing.drill.plan import take_net
-from madderwind.testing.drill.scenario import (
+from madderwind.testing.fault_tests.conduct import plan_of
+from madderwind.testing.fault_tests.links import Link, Links
+from madderwind.testing.fault_tests.plan import take_net
+from madderwind.testing.fault_tests.scenario import (
     LinkFault,
     Load,
     LoadFault,
@@ -22,8 +22,8 @@
     Which,
     read_scenario,
 )
-from madderwind.testing.drill.schedule import arrivals, draw
-from madderwind.testing.lab.experiment import ExperimentError
+from madderwind.testing.fault_tests.schedule import arrivals, draw
+from madderwind.testing.simulation.experiment import ExperimentError
 from tests.standins import Upstream, answer, read_message, run, says, within
 
 LOST = LinkFault(kind="silent", at_s=(1.0, 5.0), for_s=(1.0, 2.0), times=3, every_s=(1.0, 2.0))
--- a/tests/testing/local/test_checking.py
+++ b/tests/testing/local_fleet/test_checking.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from madderwind.errors import LocalFleetError
-from madderwind.testing.local.cache_figures import cache_figures
-from madderwind.testing.local.checker import ConfigurationRead, Evidence, OrderSent, Promise, check
-from madderwind.testing.local.fault_file import Fault
-from madderwind.testing.local.fault_schedule import Action, plan_fault
-from madderwind.testing.local.outcomes import Fate, Outcome, TryOutcome
-from madderwind.testing.local.relays import LinkCondition
-from madderwind.testing.standin.records import PrefilledPart, Ran
+from madderwind.testing.engine_emulator.records import PrefilledPart, Ran
+from madderwind.testing.local_fleet.cache_figures import cache_figures
+from madderwind.testing.local_fleet.checker import ConfigurationRead, Evidence, OrderSent, Promise, check
+from madderwind.testing.local_fleet.fault_file import Fault
+from madderwind.testing.local_fleet.fault_schedule import Action, plan_fault
+from madderwind.testing.local_fleet.outcomes import Fate, Outcome, TryOutcome
+from madderwind.testing.local_fleet.relays import LinkCondition
 
 NODES = ("control-1", "control-2", "data-1", "model-1", "model-2")
 
--- a/tests/testing/local/test_client_side.py
+++ b/tests/testing/local_fleet/test_client_side.py
@@ -6,11 +6,11 @@
 
 import attrs
 
-from madderwind.testing.local.event_check import EventCheck
-from madderwind.testing.local.ingress import Front, Ingress
-from madderwind.testing.local.traffic import draw_requests
-from madderwind.testing.local.traffic_file import Generations, RequestKind, Sessions, Traffic
-from madderwind.testing.standin.workload import Burst, SharedPart, Tokens
+from madderwind.testing.engine_emulator.workload import Burst, SharedPart, Tokens
+from madderwind.testing.local_fleet.event_check import EventCheck
+from madderwind.testing.local_fleet.ingress import Front, Ingress
+from madderwind.testing.local_fleet.traffic import draw_requests
+from madderwind.testing.local_fleet.traffic_file import Generations, RequestKind, Sessions, Traffic
 
 CHAT = RequestKind(
     name="chat",
--- a/tests/testing/local/test_files.py
+++ b/tests/testing/local_fleet/test_files.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 from madderwind.errors import InvalidFile
-from madderwind.testing.local.fleet_file import FleetFile, read_fleet_file
-from madderwind.testing.local.yaml_files import line_of, parse_yaml, steps_of
+from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
+from madderwind.testing.local_fleet.yaml_files import line_of, parse_yaml, steps_of
 
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "local" / "workshop.yaml"
 
--- a/tests/testing/local/test_relays.py
+++ b/tests/testing/local_fleet/test_relays.py
@@ -8,9 +8,9 @@
 import unittest
 from collections.abc import Sequence
 
-from madderwind.testing.drill.plan import take_net
-from madderwind.testing.local.layout import RelayLayout
-from madderwind.testing.local.relays import FleetRelays, LinkCondition
+from madderwind.testing.fault_tests.plan import take_net
+from madderwind.testing.local_fleet.layout import RelayLayout
+from madderwind.testing.local_fleet.relays import FleetRelays, LinkCondition
 
 DEADLINE_S = 10.0
 # Long enough that what passes at once would have come.
--- a/tests/testing/local/test_whole_fleet.py
+++ b/tests/testing/local_fleet/test_whole_fleet.py
@@ -7,15 +7,21 @@
 from pathlib import Path
 
 from madderwind.cli.status_commands import render_status
-from madderwind.testing.local.fleet_file import read_fleet_file
-from madderwind.testing.local.layout import NodeKind
-from madderwind.testing.local.load import Load, traffic_of
-from madderwind.testing.local.operator_load import OperatorAtWork
-from madderwind.testing.local.outcomes import Fate
-from madderwind.testing.local.run import check_run, play_faults, read_back, start_fleet, upstream_records
-from madderwind.testing.local.status_client import primary_of, read_status
-from madderwind.testing.local.supervisor import Supervisor
-from madderwind.testing.standin.records import Started
+from madderwind.testing.engine_emulator.records import Started
+from madderwind.testing.local_fleet.fleet_file import read_fleet_file
+from madderwind.testing.local_fleet.layout import NodeKind
+from madderwind.testing.local_fleet.load import Load, traffic_of
+from madderwind.testing.local_fleet.operator_load import OperatorAtWork
+from madderwind.testing.local_fleet.outcomes import Fate
+from madderwind.testing.local_fleet.run import (
+    check_run,
+    play_faults,
+    read_back,
+    start_fleet,
+    upstream_records,
+)
+from madderwind.testing.local_fleet.status_client import primary_of, read_status
+from madderwind.testing.local_fleet.supervisor import Supervisor
 
 FLEET = """
 name: small
--- a/tests/testing/lab/test_experiments.py
+++ b/tests/testing/simulation/test_experiments.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.testing.lab import records
-from madderwind.testing.lab.experiment import ExperimentError, read_experiment, variants
-from madderwind.testing.lab.records import Record, play, play_all, read_records, runs, write_record
-from madderwind.testing.lab.report import FIGURES, breaks, chance_of, compare, interval, plot, table
+from madderwind.testing.simulation import records
+from madderwind.testing.simulation.experiment import ExperimentError, read_experiment, variants
+from madderwind.testing.simulation.records import Record, play, play_all, read_records, runs, write_record
+from madderwind.testing.simulation.report import FIGURES, breaks, chance_of, compare, interval, plot, table
 
 ROOT = Path(__file__).parents[3]
 GOOD = """
--- a/tests/testing/lab/test_models.py
+++ b/tests/testing/simulation/test_models.py
@@ -9,9 +9,9 @@
 import pytest
 
 from madderwind.standalone.policy import api
-from madderwind.testing.lab.experiment import Experiment
-from madderwind.testing.lab.timeline import Timeline
-from madderwind.testing.lab.world import DAWN_MS, World
+from madderwind.testing.simulation.experiment import Experiment
+from madderwind.testing.simulation.timeline import Timeline
+from madderwind.testing.simulation.world import DAWN_MS, World
 
 # Without trips, handshakes and second thoughts, one upstream is a queue by the book.
 BARE: dict[str, Any] = {
--- a/tests/testing/lab/test_rules.py
+++ b/tests/testing/simulation/test_rules.py
@@ -13,9 +13,9 @@
 from madderwind.standalone.policy.fleet import Fleet
 from madderwind.standalone.policy.picker import Picker
 from madderwind.standalone.policy.upstreams import Upstream
-from madderwind.testing.lab.experiment import Experiment
-from madderwind.testing.lab.policies import POLICIES
-from madderwind.testing.lab.world import Copy, World
+from madderwind.testing.simulation.experiment import Experiment
+from madderwind.testing.simulation.policies import POLICIES
+from madderwind.testing.simulation.world import Copy, World
 
 TREE: dict[str, Any] = {
     "name": "broken",
