--- a/madderwind/cli/local_commands.py
+++ b/madderwind/cli/local_commands.py
@@ -102,7 +102,7 @@
         outcomes, played, operator = await load_and_break(fleet, layout)
         say("all requests are over; reading the configuration back")
         reads = await read_back(operator)
-    violations = check_run(fleet, layout, outcomes, operator.orders, reads)
+    violations = check_run(fleet, layout, outcomes, operator.commands, reads)
     say("making the report" + (", other policies are simulated" if with_baselines else ""))
     text = make_report(fleet, layout, outcomes, played, operator, violations, with_baselines)
     print(f"\n{text}")
@@ -143,7 +143,7 @@
     reads = await read_back(operator)
     path = folder / OUTCOMES_FILE
     outcomes = read_outcomes(path) if path.exists() else []
-    violations = check_run(fleet, layout, outcomes, operator.orders, reads)
+    violations = check_run(fleet, layout, outcomes, operator.commands, reads)
     _print_violations(violations)
     return int(bool(violations))
 
--- a/madderwind/configuration/persistent_map.py
+++ b/madderwind/configuration/persistent_map.py
@@ -15,7 +15,7 @@
 
 class PersistentMap(Generic[KeyType, ValueType]):
     """A map of hashable keys. A change costs by what it changes and by the square root of the map's length at
-    most; the map before it stays as it was. Iteration follows no order that means anything."""
+    most; the map before it stays as it was. Iteration follows no command that means anything."""
 
     __slots__ = ("_buckets", "_length", "_mask")
 
@@ -38,7 +38,7 @@
         return self._length
 
     def items(self) -> Iterator[tuple[KeyType, ValueType]]:
-        """All entries, in no particular order."""
+        """All entries, in no particular command."""
         for bucket in self._buckets:
             yield from bucket.items()
 
--- a/madderwind/configuration/sections.py
+++ b/madderwind/configuration/sections.py
@@ -151,10 +151,10 @@
     ) -> dict[str, SectionItem[ItemType]]:
         """The items by name; what is the same as before is taken from there."""
         read: dict[str, SectionItem[ItemType]] = {}
-        in_order = iter(before.values())
+        in_command = iter(before.values())
         for index, raw in enumerate(items):
             place = f"{path}[{index}]"
-            likely = next(in_order, None)  # the same one, where nothing came or went before it
+            likely = next(in_command, None)  # the same one, where nothing came or went before it
             if likely is not None and likely.raw == raw:
                 item = SectionItem(likely.name, raw, likely.typed)
             else:
--- a/madderwind/controlplane/calls.py
+++ b/madderwind/controlplane/calls.py
@@ -1,7 +1,7 @@
 """The operator's calls that are under way at this control plane.
 
 A call goes to the own replica where that is the primary, else to the primary's machine; where no primary is
-known it waits for one, within its deadline. An order may be submitted more than once: what was taken is
+known it waits for one, within its deadline. A command may be submitted more than once: what was taken is
 recognized.
 """
 
@@ -14,14 +14,14 @@
 import attrs
 import msgspec
 
-from madderwind.controlplane.effects import Effect, LogLine, OrderEnded, ReadEnded, SendToPeer
-from madderwind.messages.peering import ForwardOrder, ForwardRead, OrderReply, ReadReply
+from madderwind.controlplane.effects import CommandEnded, Effect, LogLine, ReadEnded, SendToPeer
+from madderwind.messages.peering import CommandReply, ForwardCommand, ForwardRead, ReadReply
 from madderwind.replication.api import (
-    Order,
-    OrderKind,
-    OrderOutcome,
-    OrderResult,
-    OrderSubmitted,
+    Command,
+    CommandKind,
+    CommandOutcome,
+    CommandResult,
+    CommandSubmitted,
     ReadSubmitted,
     Standing,
 )
@@ -31,13 +31,13 @@
 DEADLINE_BYTES_PER_MS = 2048
 # After an unclear end the same call is tried again at the earliest after so long.
 RESUBMIT_AFTER_MS = 50.0
-# An order that was taken waits for the connected data planes no longer than this.
+# A command that was taken waits for the connected data planes no longer than this.
 APPLY_WAIT_MS = 400.0
 # Where no primary was known for so long, this machine is likely cut off: calls wait for one just a little.
 CUT_OFF_AFTER_MS, WAIT_WHEN_CUT_OFF_MS = 1_500.0, 150.0
 MOST_CALLS = 64
 
-_UNCLEAR = OrderResult(OrderOutcome.UNCLEAR)
+_UNCLEAR = CommandResult(CommandOutcome.UNCLEAR)
 
 
 class CallState(Enum):
@@ -95,18 +95,18 @@
 
 @attrs.define
 class _Call:
-    """`order` is None for a read."""
+    """`command` is None for a read."""
 
     token: int
     caller: LocalCaller | PeerCaller
-    order: Order | None
+    command: Command | None
     submitted_ms: float
     deadline_ms: float
     state: CallState = CallState.WAITING_FOR_PRIMARY
     submit_at_ms: float = 0.0
     wait_until_ms: float = 0.0
     destination: _Destination | None = None
-    result: OrderResult = _UNCLEAR
+    result: CommandResult = _UNCLEAR
     document: NewestDocument | None = None
 
     def enter(self, state: CallState) -> None:
@@ -125,7 +125,7 @@
         """Wait no more for those that lack it; how many they are."""
 
 
-Output = Effect | OrderSubmitted | ReadSubmitted
+Output = Effect | CommandSubmitted | ReadSubmitted
 
 
 class OperatorCalls:
@@ -156,13 +156,15 @@
 
     # --- calls begin ---
 
-    def submit(self, now_ms: float, caller: LocalCaller | PeerCaller, order: Order | None) -> list[Output]:
-        """Take in a call; a read where `order` is None."""
+    def submit(
+        self, now_ms: float, caller: LocalCaller | PeerCaller, command: Command | None
+    ) -> list[Output]:
+        """Take in a call; a read where `command` is None."""
         if any(call.caller == caller for call in self._calls.values()):
             return []  # forwarded again while it is under way
-        allowed_ms = CALL_DEADLINE_MS + (len(order.body) / DEADLINE_BYTES_PER_MS if order else 0.0)
+        allowed_ms = CALL_DEADLINE_MS + (len(command.body) / DEADLINE_BYTES_PER_MS if command else 0.0)
         self._last_token += 1
-        call = _Call(self._last_token, caller, order, now_ms, now_ms + allowed_ms)
+        call = _Call(self._last_token, caller, command, now_ms, now_ms + allowed_ms)
         self._calls[call.token] = call
         if len(self._calls) > MOST_CALLS:
             return self._end(call)
@@ -170,15 +172,15 @@
 
     # --- calls go on ---
 
-    def order_resolved(self, now_ms: float, token: int, result: OrderResult) -> list[Output]:
-        """The own replica ended an order."""
+    def command_resolved(self, now_ms: float, token: int, result: CommandResult) -> list[Output]:
+        """The own replica ended a command."""
         call = self._calls.get(token)
         if call is None or call.state is not CallState.AT_REPLICA:
             return []
-        if result.outcome is OrderOutcome.UNCLEAR:
+        if result.outcome is CommandOutcome.UNCLEAR:
             return self._wait_for_primary(now_ms, call)
         call.result = result
-        if result.outcome is not OrderOutcome.TAKEN:
+        if result.outcome is not CommandOutcome.TAKEN:
             return self._end(call)
         call.wait_until_ms = min(now_ms + APPLY_WAIT_MS, call.deadline_ms)
         call.enter(CallState.WAITING_FOR_DATA_PLANES)
@@ -194,21 +196,21 @@
         call.document = self._newest()
         return self._end(call)
 
-    def order_replied(self, now_ms: float, reply: OrderReply) -> list[Output]:
-        """The primary's machine ended an order that was forwarded to it."""
+    def command_replied(self, now_ms: float, reply: CommandReply) -> list[Output]:
+        """The primary's machine ended a command that was forwarded to it."""
         call = self._calls.get(reply.token)
-        if call is None or call.order is None or call.state is not CallState.FORWARDED:
+        if call is None or call.command is None or call.state is not CallState.FORWARDED:
             return []
-        outcome = OrderOutcome(reply.outcome)
-        if outcome is OrderOutcome.UNCLEAR:
+        outcome = CommandOutcome(reply.outcome)
+        if outcome is CommandOutcome.UNCLEAR:
             return self._wait_for_primary(now_ms, call)
-        call.result = OrderResult(outcome, reply.version, reply.field, reply.reason)
+        call.result = CommandResult(outcome, reply.version, reply.field, reply.reason)
         return self._end(call)
 
     def read_replied(self, now_ms: float, reply: ReadReply) -> list[Output]:
         """The primary's machine ended a read that was forwarded to it."""
         call = self._calls.get(reply.token)
-        if call is None or call.order is not None or call.state is not CallState.FORWARDED:
+        if call is None or call.command is not None or call.state is not CallState.FORWARDED:
             return []
         if not reply.is_newest:
             return self._wait_for_primary(now_ms, call)
@@ -247,7 +249,7 @@
         call.submit_at_ms = now_ms + RESUBMIT_AFTER_MS
         if self._standing().is_primary:
             call.enter(CallState.AT_REPLICA)
-            return [OrderSubmitted(call.token, call.order) if call.order else ReadSubmitted(call.token)]
+            return [CommandSubmitted(call.token, call.command) if call.command else ReadSubmitted(call.token)]
         if isinstance(call.caller, PeerCaller):
             return self._end(call)
         destination = self._destination()
@@ -282,29 +284,29 @@
         return [_end_of(call)]
 
 
-def _forwarded(call: _Call) -> ForwardOrder | ForwardRead:
-    if call.order is None:
+def _forwarded(call: _Call) -> ForwardCommand | ForwardRead:
+    if call.command is None:
         return ForwardRead(call.token)
-    return ForwardOrder(call.token, call.order.kind.value, call.order.base_version, call.order.body)
+    return ForwardCommand(call.token, call.command.kind.value, call.command.base_version, call.command.body)
 
 
 def _end_of(call: _Call) -> Effect:
     document = call.document or NewestDocument(0, b"")
     is_newest = call.document is not None
     if isinstance(call.caller, LocalCaller):
-        if call.order is not None:
-            return OrderEnded(call.caller.call, call.result)
+        if call.command is not None:
+            return CommandEnded(call.caller.call, call.result)
         return ReadEnded(call.caller.call, document.version, document.raw if is_newest else None)
-    if call.order is not None:
+    if call.command is not None:
         result = call.result
-        order_reply = OrderReply(
+        command_reply = CommandReply(
             call.caller.token, result.outcome.value, result.version, result.field, result.reason
         )
-        return SendToPeer(call.caller.address, order_reply)
+        return SendToPeer(call.caller.address, command_reply)
     read_reply = ReadReply(call.caller.token, is_newest, document.version, document.raw)
     return SendToPeer(call.caller.address, read_reply)
 
 
-def forwarded_order(message: ForwardOrder) -> Order:
-    """The order in a peer's message."""
-    return Order(OrderKind(message.kind), message.base_version, message.body)
+def forwarded_command(message: ForwardCommand) -> Command:
+    """The command in a peer's message."""
+    return Command(CommandKind(message.kind), message.base_version, message.body)
--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -16,7 +16,7 @@
     OperatorCalls,
     Output,
     PeerCaller,
-    forwarded_order,
+    forwarded_command,
 )
 from madderwind.controlplane.effects import Effect, LogLine, SendToPeer
 from madderwind.controlplane.peers import Peers
@@ -24,9 +24,9 @@
 from madderwind.distribution.publisher import PublishedConfiguration, PublishedStanding, Publisher
 from madderwind.messages.distribution import Subscribe, ToControlPlane, UpstreamRecord
 from madderwind.messages.peering import (
-    ForwardOrder,
+    CommandReply,
+    ForwardCommand,
     ForwardRead,
-    OrderReply,
     PeerFrame,
     PeeringBase,
     PeeringMessage,
@@ -35,13 +35,13 @@
 from madderwind.messages.status import ControlPlaneStatus, UpstreamStatus
 from madderwind.replication.api import (
     Action,
+    Command,
+    CommandResolved,
+    CommandSubmitted,
     Committed,
     Event,
     LeaveRequested,
     MessageReceived,
-    Order,
-    OrderResolved,
-    OrderSubmitted,
     ReadResolved,
     ReadSubmitted,
     Report,
@@ -213,10 +213,10 @@
             upstreams=tuple(_upstream_status(record) for record in self._upstreams.snapshot(now_ms)),
         )
 
-    def submit(self, now_ms: float, call: int, order: Order | None) -> list[Effect]:
-        """An order, or a read where it is None; the host draws `call` and answers when the call ends."""
+    def submit(self, now_ms: float, call: int, command: Command | None) -> list[Effect]:
+        """A command, or a read where it is None; the host draws `call` and answers when the call ends."""
         outputs = self._refresh_standing(now_ms)
-        return self._run(now_ms, outputs + self._calls.submit(now_ms, LocalCaller(call), order))
+        return self._run(now_ms, outputs + self._calls.submit(now_ms, LocalCaller(call), command))
 
     # --- parts ---
 
@@ -231,12 +231,12 @@
         return NewestDocument(committed.version, committed.document.raw if committed.document else b"")
 
     def _peering(self, now_ms: float, sender: str, message: PeeringMessage) -> list[Output]:
-        if isinstance(message, ForwardOrder):
-            return self._calls.submit(now_ms, PeerCaller(sender, message.token), forwarded_order(message))
+        if isinstance(message, ForwardCommand):
+            return self._calls.submit(now_ms, PeerCaller(sender, message.token), forwarded_command(message))
         if isinstance(message, ForwardRead):
             return self._calls.submit(now_ms, PeerCaller(sender, message.token), None)
-        if isinstance(message, OrderReply):
-            return self._calls.order_replied(now_ms, message)
+        if isinstance(message, CommandReply):
+            return self._calls.command_replied(now_ms, message)
         if isinstance(message, ReadReply):
             return self._calls.read_replied(now_ms, message)
         return [*self._upstreams.peer_message(now_ms, sender, message)]
@@ -253,10 +253,10 @@
             return [SendToPeer(action.address, action.message)]
         if isinstance(action, (Write, Rewrite)):
             return [action]
-        if isinstance(action, OrderResolved):
+        if isinstance(action, CommandResolved):
             # The data planes are told of the version before anybody waits for their acknowledgement.
             told: list[Output] = self._refresh_standing(now_ms)
-            return told + self._calls.order_resolved(now_ms, action.token, action.result)
+            return told + self._calls.command_resolved(now_ms, action.token, action.result)
         if isinstance(action, ReadResolved):
             return self._calls.read_resolved(now_ms, action.token, action.is_newest)
         if isinstance(action, Committed):
@@ -299,7 +299,7 @@
             pending.extend(self._calls.advance(now_ms))
         while pending:
             output = pending.popleft()
-            if isinstance(output, (OrderSubmitted, ReadSubmitted)):
+            if isinstance(output, (CommandSubmitted, ReadSubmitted)):
                 pending.extend(self._handle(now_ms, output))
             else:
                 effects.append(output)
--- a/madderwind/controlplane/effects.py
+++ b/madderwind/controlplane/effects.py
@@ -6,7 +6,7 @@
 
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
 from madderwind.messages.peering import PeerFrame
-from madderwind.replication.api import OrderResult, Rewrite, Write
+from madderwind.replication.api import CommandResult, Rewrite, Write
 
 
 class SendToPeer(msgspec.Struct, frozen=True):
@@ -16,11 +16,11 @@
     message: PeerFrame
 
 
-class OrderEnded(msgspec.Struct, frozen=True):
-    """Answer an operator's order that reached this machine."""
+class CommandEnded(msgspec.Struct, frozen=True):
+    """Answer an operator's command that reached this machine."""
 
     call: int
-    result: OrderResult
+    result: CommandResult
 
 
 class ReadEnded(msgspec.Struct, frozen=True):
@@ -55,7 +55,7 @@
     | SendTo
     | SendToAll
     | Close
-    | OrderEnded
+    | CommandEnded
     | ReadEnded
     | UpstreamAnswered
     | SaveRegistry
--- a/madderwind/controlplane/host.py
+++ b/madderwind/controlplane/host.py
@@ -8,9 +8,9 @@
 from madderwind.controlplane.core import TICK_MS, ControlPlaneCore
 from madderwind.controlplane.disk_thread import Completion, DiskThread
 from madderwind.controlplane.effects import (
+    CommandEnded,
     Effect,
     LogLine,
-    OrderEnded,
     ReadEnded,
     SaveRegistry,
     SendToPeer,
@@ -24,7 +24,7 @@
 from madderwind.messages.peering import PeerFrame, peer_frames
 from madderwind.messages.status import ControlPlaneStatus
 from madderwind.registry.saved_copy import SavedCopy
-from madderwind.replication.api import LeaveRequested, Order, OrderResult, Rewrite, Write
+from madderwind.replication.api import Command, CommandResult, LeaveRequested, Rewrite, Write
 from madderwind.storage.record_file import RecordFile
 from madderwind.structured_log import Log
 
@@ -52,7 +52,7 @@
         self._registry_saver = RegistrySaver(saved_registry, self._report_saved)
         self._registry_offered_s = 0.0
         self._is_save_urgent = False
-        self._orders: dict[int, asyncio.Future[OrderResult]] = {}
+        self._commands: dict[int, asyncio.Future[CommandResult]] = {}
         self._reads: dict[int, asyncio.Future[ReadEnded]] = {}
         self._upstream_calls: dict[int, asyncio.Future[bool]] = {}
         self._last_call = 0
@@ -65,7 +65,7 @@
             SendTo: self._streams.send_to,
             SendToAll: self._streams.send_to_all,
             Close: self._streams.close,
-            OrderEnded: self._end_order,
+            CommandEnded: self._end_command,
             ReadEnded: self._end_read,
             UpstreamAnswered: self._answer_upstream,
             SaveRegistry: self._save_registry,
@@ -126,12 +126,12 @@
         call = self._draw_call()
         return await self._answered(call, self._core.deregister(self._now_ms(), call, instance))
 
-    async def order(self, order: Order) -> OrderResult:
-        """Bring an operator's order to its end."""
+    async def command(self, command: Command) -> CommandResult:
+        """Bring an operator's command to its end."""
         call = self._draw_call()
-        ended: asyncio.Future[OrderResult] = self._loop.create_future()
-        self._orders[call] = ended
-        self._carry_out(self._core.submit(self._now_ms(), call, order))
+        ended: asyncio.Future[CommandResult] = self._loop.create_future()
+        self._commands[call] = ended
+        self._carry_out(self._core.submit(self._now_ms(), call, command))
         return await ended
 
     async def read(self) -> ReadEnded:
@@ -215,8 +215,8 @@
             self._encoded_message, self._encoded = effect.message, peer_frames.encode(effect.message)
         self._links.send(effect.address, self._encoded)
 
-    def _end_order(self, effect: OrderEnded) -> None:
-        ended = self._orders.pop(effect.call)
+    def _end_command(self, effect: CommandEnded) -> None:
+        ended = self._commands.pop(effect.call)
         if not ended.done():
             ended.set_result(effect.result)
 
--- a/madderwind/controlplane/public_server.py
+++ b/madderwind/controlplane/public_server.py
@@ -10,20 +10,20 @@
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.errors import InvalidHeartbeat
 from madderwind.registry.heartbeats import LONGEST_HEARTBEAT_BYTES
-from madderwind.replication.api import Order, OrderKind, OrderOutcome, OrderResult
+from madderwind.replication.api import Command, CommandKind, CommandOutcome, CommandResult
 from madderwind.structured_log import Log
 
-LONGEST_ORDER_BYTES = 4 * 1024 * 1024
+LONGEST_COMMAND_BYTES = 4 * 1024 * 1024
 BASE_VERSION_HEADER = "X-Base-Version"
 # An upstream takes its heartbeat elsewhere after a second, an operator's large body takes longer.
-HEARTBEAT_BODY_WITHIN_S, ORDER_BODY_WITHIN_S = 1.0, 10.0
+HEARTBEAT_BODY_WITHIN_S, COMMAND_BODY_WITHIN_S = 1.0, 10.0
 RETRY_AFTER_S = "0.1"
 
 _STATUS = {
-    OrderOutcome.TAKEN: 200,
-    OrderOutcome.STALE_BASE: 412,
-    OrderOutcome.INVALID: 400,
-    OrderOutcome.UNCLEAR: 503,
+    CommandOutcome.TAKEN: 200,
+    CommandOutcome.STALE_BASE: 412,
+    CommandOutcome.INVALID: 400,
+    CommandOutcome.UNCLEAR: 503,
 }
 
 
@@ -36,7 +36,7 @@
 
     def application(self) -> web.Application:
         """The application to be served."""
-        application = web.Application(client_max_size=LONGEST_ORDER_BYTES)
+        application = web.Application(client_max_size=LONGEST_COMMAND_BYTES)
         router = application.router
         router.add_post("/instances/{instance}/heartbeat", self._heartbeat)
         router.add_post("/instances/{instance}/deregister", self._deregister)
@@ -67,19 +67,19 @@
         return _answer_to_upstream(await self._host.deregister(request.match_info["instance"]))
 
     async def _replace(self, request: web.Request) -> web.Response:
-        return await self._order(request, OrderKind.REPLACE)
+        return await self._command(request, CommandKind.REPLACE)
 
     async def _update(self, request: web.Request) -> web.Response:
-        return await self._order(request, OrderKind.UPDATE)
+        return await self._command(request, CommandKind.UPDATE)
 
-    async def _order(self, request: web.Request, kind: OrderKind) -> web.Response:
+    async def _command(self, request: web.Request, kind: CommandKind) -> web.Response:
         if self._is_leaving:
             return _unavailable("this process is about to end")
         base = request.headers.get(BASE_VERSION_HEADER, "")
         if not (base.isascii() and base.isdigit()):
             return _json(400, {"error": "a whole number is expected", "field": BASE_VERSION_HEADER})
-        body = await _body(request, LONGEST_ORDER_BYTES, ORDER_BODY_WITHIN_S)
-        result = await self._host.order(Order(kind, int(base), body))
+        body = await _body(request, LONGEST_COMMAND_BYTES, COMMAND_BODY_WITHIN_S)
+        result = await self._host.command(Command(kind, int(base), body))
         self._log.info(
             "order ended",
             kind=kind.value,
@@ -89,7 +89,7 @@
             field=result.field,
             reason=result.reason,
         )
-        return _answer_to_order(result)
+        return _answer_to_command(result)
 
     async def _read(self, request: web.Request) -> web.Response:
         if self._is_leaving:
@@ -120,10 +120,10 @@
     return _json(200, {}) if is_accepted else _unavailable("no other control plane has confirmed it")
 
 
-def _answer_to_order(result: OrderResult) -> web.Response:
-    if result.outcome is OrderOutcome.UNCLEAR:
+def _answer_to_command(result: CommandResult) -> web.Response:
+    if result.outcome is CommandOutcome.UNCLEAR:
         return _unavailable("no clear answer here and now")
-    if result.outcome is OrderOutcome.TAKEN:
+    if result.outcome is CommandOutcome.TAKEN:
         return _json(200, {"version": result.version})
     return _json(
         _STATUS[result.outcome],
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -167,7 +167,7 @@
 
 
 async def _send_all(socket: aiohttp.ClientWebSocketResponse, outgoing: asyncio.Queue[ToControlPlane]) -> None:
-    """In order, until the connection ends; its reader notices that."""
+    """In command, until the connection ends; its reader notices that."""
     try:
         while True:
             await socket.send_bytes(to_control_plane.encode(await outgoing.get()))
--- a/madderwind/dataplane/upstream_heads.py
+++ b/madderwind/dataplane/upstream_heads.py
@@ -59,6 +59,6 @@
 def tells_its_end(headers: Mapping[str, str]) -> bool:
     """Whether an answer's head says how its end is known; else only the connection's end tells it.
 
-    Guards against an upstream that ended within an event: its system closes its connections in good order.
+    Guards against an upstream that ended within an event: its system closes its connections in good command.
     """
     return "Content-Length" in headers or "Transfer-Encoding" in headers
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -23,6 +23,7 @@
 from madderwind.messages.distribution import (
     ClockRequested,
     ClockTold,
+    CommandRecord,
     ConfigurationApplied,
     ConfigurationDelta,
     ConfigurationSnapshot,
@@ -31,7 +32,6 @@
     FetchConfiguration,
     Freshness,
     LoadReport,
-    OrderRecord,
     PeerSample,
     RegistryDelta,
     RegistrySnapshot,
@@ -77,7 +77,7 @@
     def document(self) -> PublishedDocument | None:
         """The whole document of that version."""
 
-    def orders_since(self, version: int) -> Sequence[OrderRecord] | None:
+    def commands_since(self, version: int) -> Sequence[CommandRecord] | None:
         """What leads from a version to the committed one; None where the history does not reach back."""
 
 
@@ -114,7 +114,7 @@
 
 
 class SubscriberState(Enum):
-    """`FOLLOWING`: orders wait for it; `LAGGING`: it kept one waiting too long, and none waits until it has
+    """`FOLLOWING`: commands wait for it; `LAGGING`: it kept one waiting too long, and none waits until it has
     acknowledged again; `LEAVING`: it said farewell."""
 
     FOLLOWING = "following"
@@ -265,7 +265,7 @@
         else:
             self._away_since_ms[subscriber.participant] = now_ms
 
-    # --- what orders wait for ---
+    # --- what commands wait for ---
 
     def is_applied_by_all(self, version: int) -> bool:
         """Whether each data plane that is connected and keeps up has this version or a later one in force."""
@@ -295,7 +295,7 @@
     # --- parts ---
 
     def _status_of(self, subscriber: _Subscriber) -> DataPlaneStatus:
-        missing = self._configuration.orders_since(subscriber.applied_version)
+        missing = self._configuration.commands_since(subscriber.applied_version)
         return DataPlaneStatus(
             node=subscriber.participant.node,
             address=subscriber.address,
@@ -337,10 +337,10 @@
         version = self._configuration.version
         if document is None:
             return ConfigurationSnapshot(version, b"")
-        orders = self._configuration.orders_since(have) if have else None
-        if orders is None or sum(len(order.body) for order in orders) > document.raw_bytes:
+        commands = self._configuration.commands_since(have) if have else None
+        if commands is None or sum(len(command.body) for command in commands) > document.raw_bytes:
             return ConfigurationSnapshot(version, document.raw)
-        return ConfigurationDelta(have, version, tuple(orders))
+        return ConfigurationDelta(have, version, tuple(commands))
 
     def _freshness(self, now_ms: float) -> Freshness:
         self._freshness_due_ms = now_ms + FRESHNESS_INTERVAL_MS
--- a/madderwind/distribution/reading_ahead.py
+++ b/madderwind/distribution/reading_ahead.py
@@ -7,7 +7,7 @@
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration
 from madderwind.messages.distribution import ConfigurationDelta, ConfigurationSnapshot
-from madderwind.replication.api import OrderKind
+from madderwind.replication.api import CommandKind
 
 # Reading this much takes about 10 ms of a busy core: shorter than the pauses that a stream's client notices.
 LONG_CONFIGURATION_BYTES = 256 * 1024
@@ -26,7 +26,7 @@
     """Whether reading it would hold up whatever else there is to do."""
     if isinstance(message, ConfigurationSnapshot):
         return len(message.document) >= LONG_CONFIGURATION_BYTES
-    return sum(len(order.body) for order in message.orders) >= LONG_CONFIGURATION_BYTES
+    return sum(len(command.body) for command in message.commands) >= LONG_CONFIGURATION_BYTES
 
 
 def document_after(base: Document | None, message: ConfigurationMessage) -> Document:
@@ -35,11 +35,11 @@
     if isinstance(message, ConfigurationSnapshot):
         return read_document(message.document, base)
     document = base
-    for order in message.orders:
-        if order.kind == OrderKind.REPLACE.value or document is None:
-            document = read_document(order.body, document)
+    for command in message.commands:
+        if command.kind == CommandKind.REPLACE.value or document is None:
+            document = read_document(command.body, document)
         else:
-            document = document.updated(order.body)
+            document = document.updated(command.body)
     if document is None or document.version != message.version:
-        raise InvalidConfiguration("version", f"the orders do not lead to {message.version}")
+        raise InvalidConfiguration("version", f"the commands do not lead to {message.version}")
     return document
--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -31,7 +31,7 @@
     silent_ms: float
 
 
-class OrderRecord(msgspec.Struct, frozen=True, array_like=True):
+class CommandRecord(msgspec.Struct, frozen=True, array_like=True):
     """One operator's change as it came: `kind` is replace or update, `body` its JSON."""
 
     version: int
@@ -135,11 +135,11 @@
 
 
 class ConfigurationDelta(Message, frozen=True, tag="ConfigurationDelta"):
-    """The orders that lead from `base_version` to `version`, in order."""
+    """The commands that lead from `base_version` to `version`, in order."""
 
     base_version: int
     version: int
-    orders: tuple[OrderRecord, ...]
+    commands: tuple[CommandRecord, ...]
 
 
 class RegistrySnapshot(Message, frozen=True, tag="RegistrySnapshot"):
--- a/madderwind/messages/peering.py
+++ b/madderwind/messages/peering.py
@@ -63,8 +63,8 @@
     heard: tuple[Liveness, ...]
 
 
-class ForwardOrder(PeeringBase, frozen=True, tag="ForwardOrder"):
-    """An operator's order that reached a control plane which is not the primary. `token` is unique over the
+class ForwardCommand(PeeringBase, frozen=True, tag="ForwardOrder"):
+    """An operator's command that reached a control plane which is not the primary. `token` is unique over the
     sender's lives."""
 
     token: int
@@ -73,8 +73,8 @@
     body: bytes
 
 
-class OrderReply(PeeringBase, frozen=True, tag="OrderReply"):
-    """How a forwarded order ended; the fields are those of `OrderResult`."""
+class CommandReply(PeeringBase, frozen=True, tag="OrderReply"):
+    """How a forwarded command ended; the fields are those of `CommandResult`."""
 
     token: int
     outcome: Literal["taken", "stale base", "invalid", "unclear"]
@@ -105,8 +105,8 @@
     | FinalStateNoted
     | RegistryRequested
     | LivenessReport
-    | ForwardOrder
-    | OrderReply
+    | ForwardCommand
+    | CommandReply
     | ForwardRead
     | ReadReply
 )
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -53,7 +53,8 @@
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Orders proposals for one epoch. `life` is drawn at each start, so that no ballot is ever used twice."""
+    """Commands proposals for one epoch. `life` is drawn at each start, so that no ballot is ever used
+    twice."""
 
     round: int
     incarnation: str
@@ -64,7 +65,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One operator's order in the log: index and epoch together name it."""
+    """One operator's command in the log: index and epoch together name it."""
 
     index: int
     epoch: int
--- a/madderwind/replication/api.py
+++ b/madderwind/replication/api.py
@@ -14,23 +14,23 @@
 from madderwind.messages.replication import ReplicationMessage
 
 
-class OrderKind(Enum):
-    """How an operator's order changes the configuration."""
+class CommandKind(Enum):
+    """How an operator's command changes the configuration."""
 
     REPLACE = "replace"
     UPDATE = "update"
 
 
-class Order(msgspec.Struct, frozen=True):
-    """One order of the operator, as it came."""
+class Command(msgspec.Struct, frozen=True):
+    """One command of the operator, as it came."""
 
-    kind: OrderKind
+    kind: CommandKind
     base_version: int
     body: bytes
 
 
-class OrderOutcome(Enum):
-    """How an order ended."""
+class CommandOutcome(Enum):
+    """How a command ended."""
 
     TAKEN = "taken"  # acknowledged: it is on disk at as many machines as the promise needs
     STALE_BASE = "stale base"  # another version is current
@@ -38,10 +38,10 @@
     UNCLEAR = "unclear"  # this replica can't tell: the caller asks again elsewhere
 
 
-class OrderResult(msgspec.Struct, frozen=True):
+class CommandResult(msgspec.Struct, frozen=True):
     """`version` is the current one; `field` and `reason` tell what is invalid."""
 
-    outcome: OrderOutcome
+    outcome: CommandOutcome
     version: int = 0
     field: str = ""
     reason: str = ""
@@ -52,14 +52,14 @@
 
     @property
     def version(self) -> int:
-        """The current version; 0 before the first order."""
+        """The current version; 0 before the first command."""
 
-    def decide(self, order: Order) -> OrderResult | None:
-        """None: the order is valid on top of the present state and is to be appended. Else its result: TAKEN
-        where that very order was applied before, STALE_BASE or INVALID."""
+    def decide(self, command: Command) -> CommandResult | None:
+        """None: the command is valid on top of the present state and is to be appended. Else its result:
+        TAKEN where that very command was applied before, STALE_BASE or INVALID."""
 
-    def apply(self, order: Order) -> None:
-        """Change the state by an order that `decide` let pass on the same state."""
+    def apply(self, command: Command) -> None:
+        """Change the state by a command that `decide` let pass on the same state."""
 
     def snapshot(self) -> bytes:
         """The whole state, history included."""
@@ -94,11 +94,11 @@
     """Nothing happened but time."""
 
 
-class OrderSubmitted(msgspec.Struct, frozen=True):
-    """An operator's order reached this replica."""
+class CommandSubmitted(msgspec.Struct, frozen=True):
+    """An operator's command reached this replica."""
 
     token: int
-    order: Order
+    command: Command
 
 
 class ReadSubmitted(msgspec.Struct, frozen=True):
@@ -122,7 +122,7 @@
     | WriteCompleted
     | WriteFailed
     | TimePassed
-    | OrderSubmitted
+    | CommandSubmitted
     | ReadSubmitted
     | SeedsChanged
     | LeaveRequested
@@ -154,11 +154,11 @@
     records: tuple[bytes, ...]
 
 
-class OrderResolved(msgspec.Struct, frozen=True):
-    """The end of an order submitted here."""
+class CommandResolved(msgspec.Struct, frozen=True):
+    """The end of a command submitted here."""
 
     token: int
-    result: OrderResult
+    result: CommandResult
 
 
 class ReadResolved(msgspec.Struct, frozen=True):
@@ -181,7 +181,7 @@
     fields: dict[str, str | int | float | bool]
 
 
-Action = Send | Write | Rewrite | OrderResolved | ReadResolved | Committed | Report
+Action = Send | Write | Rewrite | CommandResolved | ReadResolved | Committed | Report
 
 
 class Standing(msgspec.Struct, frozen=True):
--- a/madderwind/replication/core.py
+++ b/madderwind/replication/core.py
@@ -19,9 +19,9 @@
 )
 from madderwind.replication.api import (
     Action,
+    Command,
+    CommandKind,
     Committed,
-    Order,
-    OrderKind,
     ReplicatedState,
     Report,
     Send,
@@ -216,9 +216,9 @@
     def _apply_to(self, index: int) -> None:
         while self.committed_index < index:
             self.committed_index += 1
-            self.committed.apply(order_of(self.log.entry(self.committed_index)))
+            self.committed.apply(command_of(self.log.entry(self.committed_index)))
 
 
-def order_of(entry: LogEntry) -> Order:
-    """The order in an entry."""
-    return Order(OrderKind(entry.kind), entry.base_version, entry.body)
+def command_of(entry: LogEntry) -> Command:
+    """The command in an entry."""
+    return Command(CommandKind(entry.kind), entry.base_version, entry.body)
--- a/madderwind/replication/log.py
+++ b/madderwind/replication/log.py
@@ -1,4 +1,4 @@
-"""The log of orders in memory: recent entries after an anchor, the rest is in the state alone."""
+"""The log of commands in memory: recent entries after an anchor, the rest is in the state alone."""
 
 from __future__ import annotations
 
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -27,7 +27,7 @@
 
     @property
     def smallest_in_sync(self) -> int:
-        """An order is acknowledged only when this many replicas hold it."""
+        """A command is acknowledged only when this many replicas hold it."""
         return self.tolerance + 1
 
 
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -1,4 +1,5 @@
-"""The primary's role: decides and appends orders, commits them, proves reads, watches the other replicas."""
+"""The primary's role: decides and appends commands, commits them, proves reads, watches the other
+replicas."""
 
 from __future__ import annotations
 
@@ -17,14 +18,14 @@
     View,
 )
 from madderwind.replication.api import (
-    Order,
-    OrderOutcome,
-    OrderResolved,
-    OrderResult,
+    Command,
+    CommandOutcome,
+    CommandResolved,
+    CommandResult,
     ReadResolved,
     ReplicatedState,
 )
-from madderwind.replication.core import ReplicaCore, order_of
+from madderwind.replication.core import ReplicaCore, command_of
 from madderwind.replication.known_peers import KnownPeer
 from madderwind.replication.log_shipping import LogShipping
 from madderwind.replication.membership import MembershipRules, PeerStanding, next_view
@@ -141,24 +142,24 @@
         self._core.log.needed_after = None
         self._core.actions += self._requests.give_up()
 
-    # --- orders and reads ---
+    # --- commands and reads ---
 
-    def submit(self, now_ms: float, token: int, order: Order) -> None:
-        """Decide an order on top of all that is appended."""
+    def submit(self, now_ms: float, token: int, command: Command) -> None:
+        """Decide a command on top of all that is appended."""
         if self._requests.is_full:
-            self._core.actions.append(OrderResolved(token, UNCLEAR))
+            self._core.actions.append(CommandResolved(token, UNCLEAR))
             return
-        deadline_ms = now_ms + self._core.times.order_ms
-        result = self._appended.decide(order)
+        deadline_ms = now_ms + self._core.times.command_timeout_ms
+        result = self._appended.decide(command)
         if result is None:
-            self._append(now_ms, order)
-            taken = OrderResult(OrderOutcome.TAKEN, self._appended.version)
-            self._requests.add_order(token, taken, self._core.log.last_index, 0, deadline_ms)
+            self._append(now_ms, command)
+            taken = CommandResult(CommandOutcome.TAKEN, self._appended.version)
+            self._requests.add_command(token, taken, self._core.log.last_index, 0, deadline_ms)
             return
         # A result tells what is committed, so the entries that it rests on have to be; and a refusal is only
         # right where no other primary has gone further.
-        needed_round = 0 if result.outcome is OrderOutcome.TAKEN else self._round_from_now()
-        self._requests.add_order(token, result, self._core.log.last_index, needed_round, deadline_ms)
+        needed_round = 0 if result.outcome is CommandOutcome.TAKEN else self._round_from_now()
+        self._requests.add_command(token, result, self._core.log.last_index, needed_round, deadline_ms)
 
     def read(self, now_ms: float, token: int) -> None:
         """Prove that what is committed here is the newest there is."""
@@ -278,16 +279,16 @@
             self._shipping.probe(now_ms, peer)
         self._start_round(now_ms)
 
-    def _append(self, now_ms: float, order: Order) -> None:
+    def _append(self, now_ms: float, command: Command) -> None:
         index = self._core.log.last_index + 1
-        entry = LogEntry(index, self._core.epoch, order.kind.value, order.base_version, order.body)
+        entry = LogEntry(index, self._core.epoch, command.kind.value, command.base_version, command.body)
         self._core.append(entry)
         self._apply(entry)
         for peer in self.peers.values():
             self._shipping.send_entries(now_ms, peer)
 
     def _apply(self, entry: LogEntry) -> None:
-        self._appended.apply(order_of(entry))
+        self._appended.apply(command_of(entry))
         self._states[entry.index] = self._appended.copy()
 
     def _commit(self, now_ms: float) -> None:
@@ -358,7 +359,7 @@
         return PeerStanding(peer.member, is_ready, not is_sound, is_replaceable, peer.silent_ms(now_ms))
 
     def _has_enough_in_sync(self, now_ms: float) -> bool:
-        """Whether orders can be acknowledged with those of the in-sync set that are sound."""
+        """Whether commands can be acknowledged with those of the in-sync set that are sound."""
         others = [peer for name, peer in self.peers.items() if name in self.view.in_sync]
         sound = [peer for peer in others if peer.is_sound(now_ms, self._core.times)]
         return 1 + len(sound) >= self._rules.smallest_in_sync
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -28,11 +28,11 @@
 )
 from madderwind.replication.api import (
     Action,
+    CommandResolved,
+    CommandSubmitted,
     Event,
     LeaveRequested,
     MessageReceived,
-    OrderResolved,
-    OrderSubmitted,
     ReadResolved,
     ReadSubmitted,
     ReplicatedState,
@@ -63,7 +63,7 @@
 class Replica:
     """A member or learner of the replicated configuration, and a witness of its views.
 
-    `committed` is the state after all orders that are known to be committed.
+    `committed` is the state after all commands that are known to be committed.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
 
     @property
     def committed(self) -> ReplicatedState:
-        """The state after all orders that are known to be committed here."""
+        """The state after all commands that are known to be committed here."""
         return self._core.committed
 
     @property
@@ -167,11 +167,11 @@
             case WriteFailed(token):
                 self._core.journal.failed(token, now_ms)
                 self._core.report("write_failed", token=token)
-            case OrderSubmitted(token, order):
+            case CommandSubmitted(token, command):
                 if self._roles.primary is not None:
-                    self._roles.primary.submit(now_ms, token, order)
+                    self._roles.primary.submit(now_ms, token, command)
                 else:
-                    self._core.actions.append(OrderResolved(token, UNCLEAR))
+                    self._core.actions.append(CommandResolved(token, UNCLEAR))
             case ReadSubmitted(token):
                 if self._roles.primary is not None:
                     self._roles.primary.read(now_ms, token)
--- a/madderwind/replication/times.py
+++ b/madderwind/replication/times.py
@@ -23,7 +23,7 @@
     step_down_ms: float = 700.0  # without a round answered by a majority, before the primary gives up
     slow_write_ms: float = 500.0  # own write pending, before the primary hands over
     read_ms: float = 1_000.0  # longest wait of a read
-    order_ms: float = 3_400.0  # longest wait of an order
+    command_timeout_ms: float = 3_400.0  # longest wait of a command
     announce_ms: float = 100.0  # between announcements of a replica that follows no primary
     replace_ms: float = 410.0  # silence of a member before another machine takes its place
     proposal_ms: float = 1_000.0  # longest wait of a proposer for answers, which it asks for again meanwhile
@@ -38,7 +38,7 @@
     @classmethod
     def from_bounds(cls, ack_ms: float) -> ReplicationTimes:
         """The times for a deployment whose operator waits `ack_ms` for an acknowledgement."""
-        return cls(order_ms=min(0.85 * ack_ms, 10_000.0))
+        return cls(command_timeout_ms=min(0.85 * ack_ms, 10_000.0))
 
     def broken_inequalities(self) -> tuple[str, ...]:
         """What does not hold of all that has to hold between the times; empty where they fit together."""
--- a/madderwind/testing/local_fleet/checker.py
+++ b/madderwind/testing/local_fleet/checker.py
@@ -39,8 +39,8 @@
     matches_sent: bool = True
 
 
-class OrderSent(msgspec.Struct, frozen=True):
-    """An operator's order and whether it was acknowledged."""
+class CommandSent(msgspec.Struct, frozen=True):
+    """An operator's command and whether it was acknowledged."""
 
     version: int
     acknowledged: bool
@@ -51,7 +51,7 @@
 
     outcomes: Sequence[Outcome]
     records: Sequence[AnyRecord]
-    orders: Sequence[OrderSent]
+    commands: Sequence[CommandSent]
     reads: Sequence[ConfigurationRead]
     idempotent_kinds: frozenset[str]
 
@@ -76,7 +76,7 @@
 
 
 def _check_configuration(evidence: Evidence) -> Iterable[Violation]:
-    newest = max((order.version for order in evidence.orders if order.acknowledged), default=0)
+    newest = max((command.version for command in evidence.commands if command.acknowledged), default=0)
     if not newest:
         return
     if not any(read.version >= newest for read in evidence.reads):
--- a/madderwind/testing/local_fleet/operator_client.py
+++ b/madderwind/testing/local_fleet/operator_client.py
@@ -1,4 +1,4 @@
-"""An operator's calls: orders and reads at any control plane, sent again until one answers clearly."""
+"""An operator's calls: commands and reads at any control plane, sent again until one answers clearly."""
 
 from __future__ import annotations
 
@@ -47,11 +47,11 @@
 
     async def replace(self, base_version: int, document: bytes) -> Answer:
         """Send a whole configuration that follows a version, 0 for the first."""
-        return await self._order("/config/replace", base_version, document)
+        return await self._command("/config/replace", base_version, document)
 
     async def update(self, base_version: int, change: bytes) -> Answer:
         """Send a change of named items on top of a version."""
-        return await self._order("/config/update", base_version, change)
+        return await self._command("/config/update", base_version, change)
 
     async def read(self) -> Answer:
         """The newest configuration; 404 where there is none yet."""
@@ -64,7 +64,7 @@
             raise OperatorCallFailed(f"{address} gave no clear answer")
         return answer
 
-    async def _order(self, path: str, base_version: int, body: bytes) -> Answer:
+    async def _command(self, path: str, base_version: int, body: bytes) -> Answer:
         headers = {"X-Base-Version": str(base_version), "Content-Type": "application/json"}
         return await self._until_clear("POST", path, headers, body)
 
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -9,7 +9,7 @@
 
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration, OperatorCallFailed
-from madderwind.testing.local_fleet.checker import ConfigurationRead, OrderSent
+from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead
 from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind
 from madderwind.testing.local_fleet.operator_client import OperatorClient
 
@@ -25,7 +25,7 @@
 
     def __init__(self, layout: FleetLayout, every_s: float) -> None:
         self._layout, self._every_s = layout, every_s
-        self.orders: list[OrderSent] = []
+        self.commands: list[CommandSent] = []
         self._sent: dict[int, Document] = {}
 
     async def run(self) -> None:
@@ -44,12 +44,12 @@
             change = _change_of(document)
             after = document.updated(change)
             self._sent[after.version] = after
-            self.orders.append(OrderSent(after.version, False))
+            self.commands.append(CommandSent(after.version, False))
             answer = await client.update(document.version, change)
         except (OperatorCallFailed, InvalidConfiguration):
             return
         if answer.is_taken:
-            self.orders[-1] = OrderSent(after.version, True)
+            self.commands[-1] = CommandSent(after.version, True)
 
     async def read_back(self) -> list[ConfigurationRead]:
         """What each control plane gives as the newest configuration, once it gives one."""
@@ -99,6 +99,6 @@
     return msgspec.json.encode({"version": version, "upsert": {"routes": [route]}})
 
 
-def acknowledged(orders: Sequence[OrderSent]) -> int:
-    """How many orders were acknowledged."""
-    return sum(order.acknowledged for order in orders)
+def acknowledged(commands: Sequence[CommandSent]) -> int:
+    """How many commands were acknowledged."""
+    return sum(command.acknowledged for command in commands)
--- a/madderwind/testing/local_fleet/report.py
+++ b/madderwind/testing/local_fleet/report.py
@@ -33,8 +33,8 @@
     cache: CacheFigures
     faults: Sequence[PlayedFault]
     baselines: Sequence[Baseline]
-    acknowledged_orders: int
-    sent_orders: int
+    acknowledged_commands: int
+    sent_commands: int
     own_ends: int
     violations: Sequence[Violation] | None
 
@@ -91,7 +91,7 @@
         outcome = f"not played: {fault.not_played}" if fault.not_played else f"for {for_s:.1f} s"
         lines.append(f"  +{after_s:4.1f} s  {fault.what:9} {', '.join(fault.nodes)} {outcome}")
     lines.append(
-        f"Operator's changes: {report.acknowledged_orders} of {report.sent_orders} acknowledged. "
+        f"Operator's changes: {report.acknowledged_commands} of {report.sent_commands} acknowledged. "
         f"Processes that ended by themselves: {report.own_ends}"
     )
     return "\n".join(lines)
--- a/madderwind/testing/local_fleet/run.py
+++ b/madderwind/testing/local_fleet/run.py
@@ -12,7 +12,7 @@
 from madderwind.testing.engine_emulator.records import AnyRecord, read_records
 from madderwind.testing.local_fleet.baselines import simulate_baselines
 from madderwind.testing.local_fleet.cache_figures import cache_figures
-from madderwind.testing.local_fleet.checker import ConfigurationRead, Evidence, OrderSent, Violation, check
+from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead, Evidence, Violation, check
 from madderwind.testing.local_fleet.fault_player import FaultPlayer, PlayedFault
 from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
 from madderwind.testing.local_fleet.layout import FleetLayout, read_layout
@@ -89,7 +89,7 @@
     fleet: FleetFile,
     layout: FleetLayout,
     outcomes: Sequence[Outcome],
-    orders: Sequence[OrderSent],
+    commands: Sequence[CommandSent],
     reads: Sequence[ConfigurationRead],
 ) -> list[Violation]:
     """The violations that a run left behind."""
@@ -100,7 +100,7 @@
         if route is not None and (route.route_type == "safe" or route.resumable):
             idempotent.add(kind.name)
     records = list(upstream_records(layout))
-    return check(Evidence(outcomes, records, orders, reads, frozenset(idempotent)))
+    return check(Evidence(outcomes, records, commands, reads, frozenset(idempotent)))
 
 
 def upstream_records(layout: FleetLayout) -> Iterator[AnyRecord]:
@@ -124,7 +124,7 @@
     began_ms = min((outcome.at_ms for outcome in outcomes), default=0.0)
     records = [record for record in upstream_records(layout) if record.at_ms >= began_ms]
     asked_tokens = sum(outcome.shared_tokens for outcome in outcomes if outcome.is_served)
-    orders = operator.orders if operator is not None else []
+    commands = operator.commands if operator is not None else []
     report = RunReport(
         name=layout.name,
         kinds=all_figures(outcomes),
@@ -132,8 +132,8 @@
         cache=cache_figures(records, asked_tokens, traffic_of(fleet).again_s),
         faults=faults,
         baselines=simulate_baselines(fleet) if with_baselines else [],
-        acknowledged_orders=acknowledged(orders),
-        sent_orders=len(orders),
+        acknowledged_commands=acknowledged(commands),
+        sent_commands=len(commands),
         own_ends=_own_ends(folder),
         violations=violations,
     )
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -12,14 +12,14 @@
 from madderwind.controlplane.core import TICK_MS
 from madderwind.distribution.subscriber import CURRENT_MS
 from madderwind.errors import MadderwindError
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.data_plane import DataPlane
 from tests.campaign.fault_player import FaultPlayer
 from tests.campaign.faults import Fault, LossCount, draw_faults, draw_long_faults
 from tests.campaign.losses import CATCH_UP_MS
-from tests.campaign.records import Intent, OrderCall, replacement
+from tests.campaign.records import CommandCall, Intent, replacement
 from tests.campaign.stable_watch import StableWatch
 from tests.campaign.system import Plan, System
 from tests.campaign.upstream import Intention
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Schedule:
-    """All that a campaign follows. `keeps_little`: log, orders and file are kept short."""
+    """All that a campaign follows. `keeps_little`: log, commands and file are kept short."""
 
     plan: Plan
     rounds: tuple[tuple[Fault, ...], ...]
@@ -54,7 +54,7 @@
         plan = self.plan
         lines = [
             f"{plan.machines} machines, tolerance {plan.tolerance}, {plan.data_planes} data planes, "
-            f"{plan.operators} operators, an order every {plan.order_pause_ms:.0f} ms, "
+            f"{plan.operators} operators, a command every {plan.command_interval_ms:.0f} ms, "
             f"{plan.answer_loss:.2f} of answers lost"
             f"{', little is kept' if self.keeps_little else ''}"
             f", losses are counted {self.loss_count.value}"
@@ -79,7 +79,7 @@
         data_planes=rng.randint(1, 3),
         operators=rng.randint(1, 4) * (2 if is_busy else 1),
         upstreams=rng.randint(0, 3),
-        order_pause_ms=rng.choice(pauses),
+        command_interval_ms=rng.choice(pauses),
         upstream_life_ms=rng.uniform(1_500.0, 6_000.0),
         answer_loss=rng.choice((0.0, 0.0, 0.1, 0.3)),
     )
@@ -113,7 +113,7 @@
 
     def run(self) -> None:
         """The whole schedule."""
-        with forgetting_orders() if self.schedule.keeps_little else contextlib.nullcontext():
+        with forgetting_commands() if self.schedule.keeps_little else contextlib.nullcontext():
             try:
                 self._run()
             except Violation:
@@ -155,41 +155,41 @@
         self.player.heal()
         system.run(CATCH_UP_MS if self.player.disk_losses else SETTLE_MS)
         for address in list(system.machines):
-            self._order_at(system.machines[address])
+            self._command_at(system.machines[address])
         self._check_everywhere()
         self._check_upstreams()
         self.history.check()
 
-    def _order_at(self, machine: ControlMachine) -> None:
-        """An order that is sent to this machine first is acknowledged in time."""
+    def _command_at(self, machine: ControlMachine) -> None:
+        """A command that is sent to this machine first is acknowledged in time."""
         base = self.history.chain[-1].version if self.history.chain else 0
         marker = self.history.next_marker()
-        order = replacement(marker, base, base + 1)
-        intent = Intent(marker, order, base + 1, True, self._clock.now_ms)
+        command = replacement(marker, base, base + 1)
+        intent = Intent(marker, command, base + 1, True, self._clock.now_ms)
         self.history.add(intent)
         self._call(machine, intent)
         self._wait(
             lambda: intent.acknowledged_ms is not None,
             ACKNOWLEDGED_WITHIN_MS,
-            lambda: f"an order sent to {machine.address} in calm times is not acknowledged",
+            lambda: f"a command sent to {machine.address} in calm times is not acknowledged",
         )
 
     def _call(self, machine: ControlMachine, intent: Intent) -> None:
-        record = OrderCall(intent, machine.address, self._clock.now_ms)
+        record = CommandCall(intent, machine.address, self._clock.now_ms)
 
-        def ended(result: OrderResult | None) -> None:
-            if result is not None and result.outcome is not OrderOutcome.UNCLEAR:
+        def ended(result: CommandResult | None) -> None:
+            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self.history.answered(record)
-                if result.outcome is not OrderOutcome.TAKEN:
-                    raise Violation(f"an order in calm times is refused: {record}: {result}")
+                if result.outcome is not CommandOutcome.TAKEN:
+                    raise Violation(f"a command in calm times is refused: {record}: {result}")
                 return
             others = list(self.system.machines.values())
             following = others[(others.index(machine) + 1) % len(others)]
             self._clock.after(RETRY_MS, lambda: self._call(following, intent))
 
-        call: HttpCall[OrderResult] = HttpCall(
-            self.system.links, "o-calm", machine, lambda reply: machine.order(intent.order, reply), ended
+        call: HttpCall[CommandResult] = HttpCall(
+            self.system.links, "o-calm", machine, lambda reply: machine.command(intent.command, reply), ended
         )
         call.start(self.system.rng, 0.0)
 
@@ -258,17 +258,17 @@
 
 @contextlib.contextmanager
 def keeping_little() -> Iterator[None]:
-    """Logs and histories that let go of orders soon, and files that are rewritten often."""
+    """Logs and histories that let go of commands soon, and files that are rewritten often."""
     with (
         patch("madderwind.replication.log.KEPT_ENTRIES", SHORT_KEPT),
-        patch("madderwind.configuration.history.KEPT_ORDERS", SHORT_KEPT),
+        patch("madderwind.configuration.history.KEPT_COMMANDS", SHORT_KEPT),
         patch("madderwind.replication.journal.LONG_FILE_BYTES", SHORT_FILE_BYTES),
     ):
         yield
 
 
 @contextlib.contextmanager
-def forgetting_orders() -> Iterator[None]:
-    """Little is kept, and few orders are known again when they are sent again."""
+def forgetting_commands() -> Iterator[None]:
+    """Little is kept, and few commands are known again when they are sent again."""
     with keeping_little(), patch("madderwind.configuration.history.KEPT_DIGESTS", FEW_DIGESTS):
         yield
--- a/tests/campaign/chain.py
+++ b/tests/campaign/chain.py
@@ -1,4 +1,4 @@
-"""The configuration with its whole ancestry, so that what was committed is compared order by order."""
+"""The configuration with its whole ancestry, so that what was committed is compared command by command."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.configuration.reading import Document
-from madderwind.messages.distribution import OrderRecord
-from madderwind.replication.api import Order, OrderResult
+from madderwind.messages.distribution import CommandRecord
+from madderwind.replication.api import Command, CommandResult
 
 
 @attrs.frozen(eq=False)
 class Link:
-    """One order in the chain that led to a state. `place` counts from 1."""
+    """One command in the chain that led to a state. `place` counts from 1."""
 
     parent: Link | None
     place: int
-    order: Order
+    command: Command
     version: int
 
 
@@ -33,12 +33,12 @@
         self._links[hashlib.blake2b(data).digest()] = newest
 
     def newest(self, data: bytes) -> Link | None:
-        """The last order in a snapshot."""
+        """The last command in a snapshot."""
         return self._links[hashlib.blake2b(data).digest()]
 
 
 class ChainedHistory:
-    """A ConfigurationHistory and the chain of orders behind it."""
+    """A ConfigurationHistory and the chain of commands behind it."""
 
     def __init__(
         self, snapshots: Snapshots, inner: ConfigurationHistory | None = None, newest: Link | None = None
@@ -55,16 +55,16 @@
     def document(self) -> Document | None:
         return self.inner.document
 
-    def orders_since(self, version: int) -> tuple[OrderRecord, ...] | None:
-        return self.inner.orders_since(version)
+    def commands_since(self, version: int) -> tuple[CommandRecord, ...] | None:
+        return self.inner.commands_since(version)
 
-    def decide(self, order: Order) -> OrderResult | None:
-        return self.inner.decide(order)
+    def decide(self, command: Command) -> CommandResult | None:
+        return self.inner.decide(command)
 
-    def apply(self, order: Order) -> None:
-        self.inner.apply(order)
+    def apply(self, command: Command) -> None:
+        self.inner.apply(command)
         place = self.newest.place + 1 if self.newest is not None else 1
-        self.newest = Link(self.newest, place, order, self.inner.version)
+        self.newest = Link(self.newest, place, command, self.inner.version)
 
     def snapshot(self) -> bytes:
         data = self.inner.snapshot()
--- a/tests/campaign/control_disk.py
+++ b/tests/campaign/control_disk.py
@@ -8,7 +8,7 @@
 
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.errors import StorageError
-from madderwind.replication.api import Order, OrderOutcome, Rewrite, Write, WriteCompleted, WriteFailed
+from madderwind.replication.api import Command, CommandOutcome, Rewrite, Write, WriteCompleted, WriteFailed
 from madderwind.replication.records import stored_state
 from madderwind.storage.record_file import RecordFile, RecoveredFile
 from tests.campaign.process import Process
@@ -73,17 +73,17 @@
         self._batch.clear()
         self._queue.clear()
 
-    def holds(self, order: Order) -> bool:
-        """Whether the order would still be here after the worst loss of power."""
+    def holds(self, command: Command) -> bool:
+        """Whether the command would still be here after the worst loss of power."""
         stored = stored_state(RecordFile(self.memory.synced_copy()).recover().records)
         for index in range(stored.snapshot_index + 1, stored.log.last_index + 1):
             entry = stored.log.entry(index)
-            if (entry.base_version, entry.body) == (order.base_version, order.body):
+            if (entry.base_version, entry.body) == (command.base_version, command.body):
                 return True
         if stored.snapshot is None:
             return False
-        result = ConfigurationHistory.restore(stored.snapshot).decide(order)
-        return result is not None and result.outcome is OrderOutcome.TAKEN
+        result = ConfigurationHistory.restore(stored.snapshot).decide(command)
+        return result is not None and result.outcome is CommandOutcome.TAKEN
 
     def _begin(self) -> None:
         self._batch = [self._queue.popleft()]
--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -8,9 +8,9 @@
 
 from madderwind.controlplane.core import TICK_MS, ControlPlaneCore
 from madderwind.controlplane.effects import (
+    CommandEnded,
     Effect,
     LogLine,
-    OrderEnded,
     ReadEnded,
     SaveRegistry,
     SendToPeer,
@@ -30,10 +30,10 @@
 from madderwind.messages.replication import View
 from madderwind.node_settings import Bounds
 from madderwind.replication.api import (
+    Command,
+    CommandOutcome,
+    CommandResult,
     LeaveRequested,
-    Order,
-    OrderOutcome,
-    OrderResult,
     Rewrite,
     Standing,
     Write,
@@ -54,7 +54,7 @@
 HEARTBEAT_MS = 1_000.0
 SYNC_MS = 1.0
 GRACE_S = Bounds().grace_s
-UNCLEAR = OrderResult(OrderOutcome.UNCLEAR)
+UNCLEAR = CommandResult(CommandOutcome.UNCLEAR)
 
 
 class Observer(Protocol):
@@ -69,8 +69,8 @@
     def freshness_told(self, machine: ControlMachine, message: Freshness) -> None:
         """It tells data planes what is committed and how fresh that is."""
 
-    def order_taken(self, machine: ControlMachine, order: Order) -> None:
-        """It is about to tell an operator that the order was taken."""
+    def command_taken(self, machine: ControlMachine, command: Command) -> None:
+        """It is about to tell an operator that the command was taken."""
 
 
 class ControlMachine(Process):
@@ -100,7 +100,7 @@
         self._start_calls()
 
     def _start_calls(self) -> None:
-        self._orders: dict[int, tuple[Order, Callable[[OrderResult], None]]] = {}
+        self._commands: dict[int, tuple[Command, Callable[[CommandResult], None]]] = {}
         self._reads: dict[int, Callable[[ReadEnded], None]] = {}
         self._upstream_calls: dict[int, Callable[[bool], None]] = {}
         self._last_call = 0
@@ -210,14 +210,14 @@
 
     # --- what callers ask ---
 
-    def order(self, order: Order, reply: Callable[[OrderResult | None], None]) -> None:
-        """An operator's order; None where the process is about to end."""
+    def command(self, command: Command, reply: Callable[[CommandResult | None], None]) -> None:
+        """An operator's command; None where the process is about to end."""
         if self.is_leaving:
             reply(None)
             return
         call = self._draw_call()
-        self._orders[call] = (order, reply)
-        self._do(lambda core: core.submit(self._now, call, order))
+        self._commands[call] = (command, reply)
+        self._do(lambda core: core.submit(self._now, call, command))
 
     def read(self, reply: Callable[[ReadEnded | None], None]) -> None:
         """An operator's read; None where the process is about to end."""
@@ -351,8 +351,8 @@
                 case Close(connection):
                     if (closed := self._subscribers.pop(connection, None)) is not None:
                         closed.close(closed.server)
-                case OrderEnded(call, result):
-                    self._end_order(call, result)
+                case CommandEnded(call, result):
+                    self._end_command(call, result)
                 case ReadEnded(call):
                     self._reads.pop(call)(effect)
                 case UpstreamAnswered(call, is_accepted):
@@ -363,10 +363,10 @@
                 case LogLine():
                     self._note_line(effect)
 
-    def _end_order(self, call: int, result: OrderResult) -> None:
-        order, reply = self._orders.pop(call)
-        if result.outcome is OrderOutcome.TAKEN:
-            self._observer.order_taken(self, order)
+    def _end_command(self, call: int, result: CommandResult) -> None:
+        command, reply = self._commands.pop(call)
+        if result.outcome is CommandOutcome.TAKEN:
+            self._observer.command_taken(self, command)
         reply(result)
 
     def _note_line(self, line: LogLine) -> None:
--- a/tests/campaign/fault_player.py
+++ b/tests/campaign/fault_player.py
@@ -384,6 +384,6 @@
 
 
 def _spread(fault: Fault, number: int) -> float:
-    """Machines that went down together come back one by one, in an order that the fault tells."""
+    """Machines that went down together come back one by one, in a command that the fault tells."""
     share = (fault.pick + number * fault.other) % 1.0
     return STEP_MS + share * min(fault.duration_ms, LONGEST_DOWN_TOGETHER_MS)
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -11,12 +11,12 @@
 from madderwind.messages.distribution import Freshness
 from madderwind.messages.replication import View
 from madderwind.registry.states import UpstreamState, furthest, state_named
-from madderwind.replication.api import Order, OrderOutcome
+from madderwind.replication.api import Command, CommandOutcome
 from tests.campaign.chain import Link
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.data_plane import DataPlane
 from tests.campaign.links import MOST_DELAY_MS
-from tests.campaign.records import Intent, OrderCall, marker_in
+from tests.campaign.records import CommandCall, Intent, marker_in
 from tests.fleet import linearizability
 from tests.fleet.clock import Clock
 from tests.fleet.history import MOST_SEEDS, Violation
@@ -24,7 +24,7 @@
 
 # Of a version that is acknowledged and not in force, a data plane may know nothing for so long.
 CURRENT_WITHIN_MS = CURRENT_MS + 4 * MOST_DELAY_MS
-# Between an order's commit and its acknowledgement a disk that held it may be lost.
+# Between a command's commit and its acknowledgement a disk that held it may be lost.
 RECENT_LOSS_MS = 1_500.0
 # Ages are told in whole milliseconds.
 TOLD_AGE_ACCURACY_MS = 1.0
@@ -41,7 +41,7 @@
         self._clock, self._tolerance, self._machines = clock, tolerance, machines
         self.intents: list[Intent] = []
         self.acknowledged: list[Intent] = []
-        self.calls: list[OrderCall] = []
+        self.calls: list[CommandCall] = []
         self.reads: list[ReadCall] = []
         self.chain: list[Link] = []
         self.disk_losses_ms: list[float] = []
@@ -58,35 +58,35 @@
         """Something that must not be, after which the campaign goes on and may show more."""
         self.notes.setdefault(kind, f"{kind}: {message}")
 
-    # --- orders ---
+    # --- commands ---
 
     def next_marker(self) -> int:
-        """A number for an order that no other one has."""
+        """A number for a command that no other one has."""
         return len(self.intents) + 1
 
     def add(self, intent: Intent) -> None:
-        """An operator is about to send an order."""
+        """An operator is about to send a command."""
         self.intents.append(intent)
-        self._intents[_key(intent.order)] = intent
+        self._intents[_key(intent.command)] = intent
 
-    def order_taken(self, machine: ControlMachine, order: Order) -> None:
-        """A machine is about to acknowledge an order: by now it has to be on enough disks."""
-        intent = self._intents[_key(order)]
+    def command_taken(self, machine: ControlMachine, command: Command) -> None:
+        """A machine is about to acknowledge a command: by now it has to be on enough disks."""
+        intent = self._intents[_key(command)]
         if intent.acknowledged_ms is not None or not self._checks_disks():
             return
-        holders = {other.address for other in self._machines() if other.disk.holds(order)}
+        holders = {other.address for other in self._machines() if other.disk.holds(command)}
         recent_ms = self._clock.now_ms - RECENT_LOSS_MS
         lost = sum(at_ms > recent_ms for at_ms in self.disk_losses_ms)
         if len(holders) + lost <= self._tolerance:
             raise Violation(f"{machine.address} acknowledges {intent}, on disk at {sorted(holders)} alone")
 
-    def answered(self, call: OrderCall) -> None:
-        """An order's call got a clear answer."""
+    def answered(self, call: CommandCall) -> None:
+        """A command's call got a clear answer."""
         assert call.ended_ms is not None and call.result is not None
         self.calls.append(call)
         intent = call.intent
-        if call.result.outcome is not OrderOutcome.TAKEN:
-            is_final = call.result.version >= intent.order.base_version
+        if call.result.outcome is not CommandOutcome.TAKEN:
+            is_final = call.result.version >= intent.command.base_version
             if intent.acknowledged_ms is not None and is_final:
                 raise Violation(f"acknowledged at {intent.acknowledged_ms:.0f} ms and refused: {call}")
             return
@@ -118,7 +118,7 @@
         life = (machine.address, machine.life)
         checked = self._committed.get(life, 0)
         if place < checked:
-            raise Violation(f"{machine.address} went back from {checked} orders to {place}")
+            raise Violation(f"{machine.address} went back from {checked} commands to {place}")
         self._committed[life] = place
         self._compare(machine, newest, min(checked, len(self.chain)))
 
@@ -130,17 +130,17 @@
         for link in reversed(links):
             if link.place > len(self.chain):
                 self._extend(machine, link)
-            elif self.chain[link.place - 1].order != link.order:
-                other = self._intents[_key(self.chain[link.place - 1].order)]
-                mine = self._intents[_key(link.order)]
+            elif self.chain[link.place - 1].command != link.command:
+                other = self._intents[_key(self.chain[link.place - 1].command)]
+                mine = self._intents[_key(link.command)]
                 raise Violation(f"{machine.address} has {mine} at {link.place}, others have {other}")
 
     def _extend(self, machine: ControlMachine, link: Link) -> None:
         version_before = self.chain[-1].version if self.chain else 0
-        intent = self._intents.get(_key(link.order))
+        intent = self._intents.get(_key(link.command))
         if intent is None or not intent.is_proper:
             raise Violation(f"{machine.address} commits {intent or 'what nobody sent'} at {link.place}")
-        if link.order.base_version != version_before or link.version <= version_before:
+        if link.command.base_version != version_before or link.version <= version_before:
             raise Violation(f"{machine.address} commits {intent} on top of {version_before}")
         self.chain.append(link)
         self._places[link.version] = link.place
@@ -165,7 +165,7 @@
         if len(view.members) > max(2 * self._tolerance + 1, MOST_SEEDS):
             raise Violation(f"more members than are needed: {view}")
         if len(view.in_sync) <= self._tolerance:
-            raise Violation(f"the in-sync set is smaller than what has to hold an order: {view}")
+            raise Violation(f"the in-sync set is smaller than what has to hold a command: {view}")
 
     # --- data planes ---
 
@@ -176,7 +176,7 @@
             raise Violation(f"{data_plane.address} goes back from {version_before} to {version}")
         marker = marker_in(data_plane.subscriber.document)
         if version not in self._places or self._marker(self._places[version]) != marker:
-            raise Violation(f"{data_plane.address} has {version} of order {marker} in force: not committed")
+            raise Violation(f"{data_plane.address} has {version} of command {marker} in force: not committed")
 
     def data_plane_ticked(self, data_plane: DataPlane) -> None:
         """A data plane passes for current with what is old at most for a moment."""
@@ -222,39 +222,39 @@
     # --- all of it ---
 
     def check(self) -> None:
-        """Compare what operators were told with the one chain of committed orders."""
+        """Compare what operators were told with the one chain of committed commands."""
         chain = [self._entry(link) for link in self.chain]
-        # Calls without an answer bound nothing but the beginning of their order.
-        sent = [_order_call(intent, intent.began_ms) for intent in self.intents]
+        # Calls without an answer bound nothing but the beginning of their command.
+        sent = [_command_call(intent, intent.began_ms) for intent in self.intents]
         check_linearizable(chain, [*sent, *(_answered(call) for call in self.calls)], self.reads)
 
     def _entry(self, link: Link) -> ChainEntry:
-        intent = self._intents[_key(link.order)]
-        return ChainEntry(intent.marker, link.order.base_version, link.version, intent.marker)
+        intent = self._intents[_key(link.command)]
+        return ChainEntry(intent.marker, link.command.base_version, link.version, intent.marker)
 
     def _marker(self, place: int) -> int:
-        return self._intents[_key(self.chain[place - 1].order)].marker if place else 0
+        return self._intents[_key(self.chain[place - 1].command)].marker if place else 0
 
 
-def _order_call(intent: Intent, began_ms: float) -> linearizability.OrderCall:
-    return linearizability.OrderCall(
-        intent.marker, intent.order.base_version, intent.version, began_ms, is_valid=intent.is_proper
+def _command_call(intent: Intent, began_ms: float) -> linearizability.CommandCall:
+    return linearizability.CommandCall(
+        intent.marker, intent.command.base_version, intent.version, began_ms, is_valid=intent.is_proper
     )
 
 
-def _answered(call: OrderCall) -> linearizability.OrderCall:
+def _answered(call: CommandCall) -> linearizability.CommandCall:
     assert call.result is not None and call.ended_ms is not None
-    told_version = None if call.result.outcome is OrderOutcome.TAKEN else call.result.version
+    told_version = None if call.result.outcome is CommandOutcome.TAKEN else call.result.version
     return attrs.evolve(
-        _order_call(call.intent, call.began_ms),
+        _command_call(call.intent, call.began_ms),
         end_ms=call.ended_ms,
         outcome=call.result.outcome,
         told_version=told_version,
     )
 
 
-def _key(order: Order) -> tuple[str, int, bytes]:
-    return order.kind.value, order.base_version, order.body
+def _key(command: Command) -> tuple[str, int, bytes]:
+    return command.kind.value, command.base_version, command.body
 
 
 def _knows(machine: ControlMachine, instance: str, state: UpstreamState) -> bool:
--- a/tests/campaign/operators.py
+++ b/tests/campaign/operators.py
@@ -8,14 +8,14 @@
 import attrs
 
 from madderwind.controlplane.effects import ReadEnded
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.history import History
 from tests.campaign.links import Links
 from tests.campaign.records import (
+    CommandCall,
     Intent,
-    OrderCall,
     improper,
     marker_in_json,
     replacement,
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class Habits:
-    """How an operator works: pauses between orders, and the share of answers that are lost on their way."""
+    """How an operator works: pauses between commands, and the share of answers that are lost on their way."""
 
     pause_ms: float
     answer_loss: float
@@ -38,7 +38,7 @@
 
 
 class Operator:
-    """Sends one order after the other, on top of the newest version that it knows."""
+    """Sends one command after the other, on top of the newest version that it knows."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._pause()
 
     def stop(self) -> None:
-        """Send no further order."""
+        """Send no further command."""
         self._is_active = False
 
     def _pause(self) -> None:
@@ -86,22 +86,22 @@
             base = rng.choice((max(0, base - 1), base + 1, base + 2))
         version = base + rng.choice((1, 1, 1, 2, 3))
         if rng.random() < IMPROPER:
-            order, is_proper = improper(marker, base), False
+            command, is_proper = improper(marker, base), False
         elif base and rng.random() < UPDATES:
-            order, is_proper = update(marker, base, version), True
+            command, is_proper = update(marker, base, version), True
         else:
-            order, is_proper = replacement(marker, base, version), True
-        intent = Intent(marker, order, version, is_proper, self._clock.now_ms)
+            command, is_proper = replacement(marker, base, version), True
+        intent = Intent(marker, command, version, is_proper, self._clock.now_ms)
         self._history.add(intent)
         return intent
 
     def _send(self, intent: Intent, tries: int, backoff_ms: float) -> None:
         """One call; without a clear answer, the same again elsewhere."""
         machine = self._pick()
-        record = OrderCall(intent, machine.address, self._clock.now_ms)
+        record = CommandCall(intent, machine.address, self._clock.now_ms)
 
-        def ended(result: OrderResult | None) -> None:
-            if result is not None and result.outcome is not OrderOutcome.UNCLEAR:
+        def ended(result: CommandResult | None) -> None:
+            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self._history.answered(record)
                 self._base = max(self._base, result.version)
@@ -113,8 +113,8 @@
             else:
                 self._pause()
 
-        call: HttpCall[OrderResult] = HttpCall(
-            self._links, self.name, machine, lambda reply: machine.order(intent.order, reply), ended
+        call: HttpCall[CommandResult] = HttpCall(
+            self._links, self.name, machine, lambda reply: machine.command(intent.command, reply), ended
         )
         call.start(self._rng, self._habits.answer_loss)
 
--- a/tests/campaign/records.py
+++ b/tests/campaign/records.py
@@ -8,20 +8,20 @@
 import attrs
 
 from madderwind.configuration.reading import Document
-from madderwind.replication.api import Order, OrderKind, OrderResult
+from madderwind.replication.api import Command, CommandKind, CommandResult
 from tests.controlplane.configurations import replacement_body, route
 
-# Routes of the configurations; the first one's timeout tells which order was the last.
+# Routes of the configurations; the first one's timeout tells which command was the last.
 ROUTES = 3
 MARKED_ROUTE = "r-0"
 
 
 @attrs.define(eq=False)
 class Intent:
-    """One order of an operator, with all its calls. `marker` is found in the document that it leads to."""
+    """One command of an operator, with all its calls. `marker` is found in the document that it leads to."""
 
     marker: int
-    order: Order
+    command: Command
     version: int
     is_proper: bool  # whether it is valid on top of its base
     began_ms: float
@@ -29,44 +29,46 @@
 
     def __str__(self) -> str:
         kind = "" if self.is_proper else "improper "
-        return f"{kind}{self.order.kind.value} {self.marker} ({self.order.base_version} to {self.version})"
+        return (
+            f"{kind}{self.command.kind.value} {self.marker} ({self.command.base_version} to {self.version})"
+        )
 
 
 @attrs.define(eq=False)
-class OrderCall:
-    """One call with an order; `result` is None where no clear answer came."""
+class CommandCall:
+    """One call with a command; `result` is None where no clear answer came."""
 
     intent: Intent
     machine: str
     began_ms: float
     ended_ms: float | None = None
-    result: OrderResult | None = None
+    result: CommandResult | None = None
 
     def __str__(self) -> str:
         return f"{self.intent} at {self.machine} from {self.began_ms:.0f} to {self.ended_ms:.0f} ms"
 
 
-def replacement(marker: int, base: int, version: int) -> Order:
+def replacement(marker: int, base: int, version: int) -> Command:
     """A whole configuration."""
-    return Order(OrderKind.REPLACE, base, replacement_body(version, ROUTES, marker))
+    return Command(CommandKind.REPLACE, base, replacement_body(version, ROUTES, marker))
 
 
-def update(marker: int, base: int, version: int) -> Order:
+def update(marker: int, base: int, version: int) -> Command:
     """A change of one route."""
     body = {"version": version, "upsert": {"routes": [route(0, marker)]}}
-    return Order(OrderKind.UPDATE, base, json.dumps(body).encode())
+    return Command(CommandKind.UPDATE, base, json.dumps(body).encode())
 
 
-def improper(marker: int, base: int) -> Order:
+def improper(marker: int, base: int) -> Command:
     """A configuration that no version may lead to: its number does not rise, or a service is missing."""
     if marker % 2:
         return replacement(marker, base, max(base, 1) if base else 0)
     body = {"version": base + 1, "upsert": {"routes": [route(0, marker) | {"service": "unknown"}]}}
-    return Order(OrderKind.UPDATE, base, json.dumps(body).encode())
+    return Command(CommandKind.UPDATE, base, json.dumps(body).encode())
 
 
 def marker_in(document: Document | None) -> int:
-    """Which order a document came from; 0 without a document."""
+    """Which command a document came from; 0 without a document."""
     if document is None:
         return 0
     routes = document.configuration.routes
@@ -74,6 +76,6 @@
 
 
 def marker_in_json(document: bytes) -> int:
-    """Which order a document's JSON came from."""
+    """Which command a document's JSON came from."""
     routes: list[dict[str, Any]] = json.loads(document)["routes"]
     return int(next(item["timeout_ms"] for item in routes if item["name"] == MARKED_ROUTE))
--- a/tests/campaign/stable_watch.py
+++ b/tests/campaign/stable_watch.py
@@ -1,4 +1,4 @@
-"""Sends orders while a system in trouble is stable: they are to be answered, and put in force, in time.
+"""Sends commands while a system in trouble is stable: they are to be answered, and put in force, in time.
 
 A system is stable once nothing has begun or ended for a while and no more machines are hurt than it is to
 bear: a machine that is cut off for twenty seconds is no excuse for the others.
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.losses import LossLedger
-from tests.campaign.records import Intent, OrderCall, replacement
+from tests.campaign.records import CommandCall, Intent, replacement
 from tests.campaign.system import System
 
 CONTACT_MS = 3_000.0
@@ -21,13 +21,13 @@
 
 
 class StableWatch:
-    """Notes violations in the history. `orders`: how many were demanded."""
+    """Notes violations in the history. `commands`: how many were demanded."""
 
     def __init__(self, system: System, losses: LossLedger) -> None:
         self._system, self._losses = system, losses
         self._clock, self._history = system.clock, system.history
         self._is_active = False
-        self.orders = 0
+        self.commands = 0
 
     def start(self) -> None:
         """Watch until stopped."""
@@ -35,25 +35,25 @@
         self._look()
 
     def stop(self) -> None:
-        """Send no further order."""
+        """Send no further command."""
         self._is_active = False
 
     def _look(self) -> None:
         if not self._is_active:
             return
         if self._is_stable_since(self._clock.now_ms - CONTACT_MS):
-            self._order()
+            self._command()
         self._clock.after(INTERVAL_MS, self._look)
 
     def _is_stable_since(self, since_ms: float) -> bool:
         return self._is_active and self._losses.last_event_ms <= since_ms and self._losses.is_within_bounds
 
-    def _order(self) -> None:
-        self.orders += 1
+    def _command(self) -> None:
+        self.commands += 1
         base = self._history.chain[-1].version if self._history.chain else 0
         marker = self._history.next_marker()
-        order = replacement(marker, base, base + 1)
-        intent = Intent(marker, order, base + 1, True, self._clock.now_ms)
+        command = replacement(marker, base, base + 1)
+        intent = Intent(marker, command, base + 1, True, self._clock.now_ms)
         self._history.add(intent)
         machines = list(self._system.machines.values())
         demand = _Demand(intent)
@@ -62,20 +62,24 @@
 
     def _call(self, machines: list[ControlMachine], turn: int, demand: _Demand) -> None:
         machine, intent = machines[turn % len(machines)], demand.intent
-        record = OrderCall(intent, machine.address, self._clock.now_ms)
+        record = CommandCall(intent, machine.address, self._clock.now_ms)
 
-        def ended(result: OrderResult | None) -> None:
-            if result is not None and result.outcome is not OrderOutcome.UNCLEAR:
+        def ended(result: CommandResult | None) -> None:
+            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self._history.answered(record)
                 demand.is_answered = True
-                if result.outcome is OrderOutcome.TAKEN:
+                if result.outcome is CommandOutcome.TAKEN:
                     self._clock.after(APPLIED_WITHIN_MS, lambda: self._demand_force(intent))
             elif self._is_active:
                 self._clock.after(RETRY_MS, lambda: self._call(machines, turn + 1, demand))
 
-        call: HttpCall[OrderResult] = HttpCall(
-            self._system.links, "o-stable", machine, lambda reply: machine.order(intent.order, reply), ended
+        call: HttpCall[CommandResult] = HttpCall(
+            self._system.links,
+            "o-stable",
+            machine,
+            lambda reply: machine.command(intent.command, reply),
+            ended,
         )
         call.start(self._system.rng, 0.0)
 
@@ -96,7 +100,7 @@
 
 
 class _Demand:
-    """An order that is to be answered."""
+    """A command that is to be answered."""
 
     def __init__(self, intent: Intent) -> None:
         self.intent = intent
--- a/tests/campaign/system.py
+++ b/tests/campaign/system.py
@@ -30,7 +30,7 @@
     data_planes: int
     operators: int
     upstreams: int
-    order_pause_ms: float
+    command_interval_ms: float
     upstream_life_ms: float
     answer_loss: float
 
@@ -123,7 +123,7 @@
     def _new_operator(self, number: int) -> Operator:
         name = f"o{number}"
         rng = random.Random(f"{self.plan.seed} {name}")
-        pause_ms = self.plan.order_pause_ms * rng.uniform(0.5, 1.5)
+        pause_ms = self.plan.command_interval_ms * rng.uniform(0.5, 1.5)
         habits = Habits(pause_ms, self.plan.answer_loss, gives_up=rng.random() < 0.5)
         return Operator(name, self.links, self._list, self.history, rng, habits)
 
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -15,7 +15,7 @@
 from madderwind.controlplane.upstreams import Upstreams
 from madderwind.distribution.publisher import Publisher
 from madderwind.messages.distribution import Freshness
-from madderwind.replication.api import Order, OrderOutcome, OrderResolved, OrderResult
+from madderwind.replication.api import Command, CommandOutcome, CommandResolved, CommandResult
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.primary import Primary
 from madderwind.replication.records import SnapshotRecord, StoredRecord
@@ -34,12 +34,12 @@
 ordinary_freshness = Publisher._freshness_message
 
 
-def refuse_without_a_fence(primary: Primary, now_ms: float, token: int, order: Order) -> None:
-    result = primary._appended.decide(order)
-    if result is not None and result.outcome is not OrderOutcome.TAKEN:
-        primary._core.actions.append(OrderResolved(token, result))
+def refuse_without_a_fence(primary: Primary, now_ms: float, token: int, command: Command) -> None:
+    result = primary._appended.decide(command)
+    if result is not None and result.outcome is not CommandOutcome.TAKEN:
+        primary._core.actions.append(CommandResolved(token, result))
     else:
-        ordinary_submit(primary, now_ms, token, order)
+        ordinary_submit(primary, now_ms, token, command)
 
 
 def snapshot_without_digests(history: ConfigurationHistory) -> bytes:
@@ -80,13 +80,13 @@
 
 
 def take_before_the_commit(
-    calls: OperatorCalls, now_ms: float, caller: LocalCaller | PeerCaller, order: Order | None
+    calls: OperatorCalls, now_ms: float, caller: LocalCaller | PeerCaller, command: Command | None
 ) -> list[Output]:
-    outputs = ordinary_call(calls, now_ms, caller, order)
+    outputs = ordinary_call(calls, now_ms, caller, command)
     for call in list(calls._calls.values()):
         is_placed = call.caller == caller and outputs and calls._standing().is_primary
-        if is_placed and isinstance(caller, PeerCaller) and order is not None:
-            call.result = OrderResult(OrderOutcome.TAKEN, order.base_version + 1)
+        if is_placed and isinstance(caller, PeerCaller) and command is not None:
+            call.result = CommandResult(CommandOutcome.TAKEN, command.base_version + 1)
             return outputs + calls._end(call)
     return outputs
 
@@ -109,7 +109,7 @@
         data_planes=1,
         operators=6,
         upstreams=0,
-        order_pause_ms=5.0,
+        command_interval_ms=5.0,
         upstream_life_ms=1_000.0,
         answer_loss=0.0,
     )
@@ -153,7 +153,7 @@
         with patch.object(ReplicaCore, "_whole_file", file_with_an_older_snapshot):
             self.assert_found([8])
 
-    def test_given_a_forwarded_order_acknowledged_before_its_commit_then_it_is_found(self) -> None:
+    def test_given_a_forwarded_command_acknowledged_before_its_commit_then_it_is_found(self) -> None:
         with patch.object(OperatorCalls, "submit", take_before_the_commit):
             self.assert_found([2])
 
--- a/tests/configuration/cost_of_change.py
+++ b/tests/configuration/cost_of_change.py
@@ -16,7 +16,7 @@
 from madderwind.configuration.history import KEPT_DIGESTS, ConfigurationHistory
 from madderwind.configuration.reading import Document, read_document
 from madderwind.dataplane.admission import Admission
-from madderwind.replication.api import Order, OrderKind
+from madderwind.replication.api import Command, CommandKind
 from tests.configuration.samples import encoded, route, tenant, whole
 
 SIZES = (100, 2_000, 16_000)
@@ -97,9 +97,9 @@
         """With all digests that are kept, and this document at the end."""
         history = ConfigurationHistory()
         for version in range(1, KEPT_DIGESTS):
-            history.apply(Order(OrderKind.REPLACE, version - 1, encoded(whole(version, routes=[]))))
+            history.apply(Command(CommandKind.REPLACE, version - 1, encoded(whole(version, routes=[]))))
         last = large_configuration(self._routes, version=KEPT_DIGESTS)
-        history.apply(Order(OrderKind.REPLACE, KEPT_DIGESTS - 1, last))
+        history.apply(Command(CommandKind.REPLACE, KEPT_DIGESTS - 1, last))
         return history
 
     def _primary(self) -> float:
@@ -108,9 +108,11 @@
         states = [committed]
 
         def take(version: int) -> None:
-            order = Order(OrderKind.UPDATE, version - 1, one_route_update(version, version % self._routes))
-            assert appended.decide(order) is None
-            appended.apply(order)
+            command = Command(
+                CommandKind.UPDATE, version - 1, one_route_update(version, version % self._routes)
+            )
+            assert appended.decide(command) is None
+            appended.apply(command)
             states[:] = [appended.copy()]
 
         return median_ms(take, list(range(KEPT_DIGESTS + 1, KEPT_DIGESTS + 1 + REPEATS)))
@@ -119,7 +121,7 @@
         history = self._history()
 
         def change(version: int) -> None:
-            history.apply(Order(OrderKind.UPDATE, version - 1, one_route_update(version, 0)))
+            history.apply(Command(CommandKind.UPDATE, version - 1, one_route_update(version, 0)))
 
         versions = range(KEPT_DIGESTS + 1, KEPT_DIGESTS + 1 + REPEATS)
         times = []
--- a/tests/controlplane/configurations.py
+++ b/tests/controlplane/configurations.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from madderwind.replication.api import Order, OrderKind
+from madderwind.replication.api import Command, CommandKind
 
 
 def route(number: int, timeout_ms: int = 1000) -> dict[str, Any]:
@@ -46,12 +46,12 @@
     ).encode()
 
 
-def replacement(base_version: int, version: int, routes: int = 1, timeout_ms: int = 1000) -> Order:
-    """An order that replaces the whole configuration."""
-    return Order(OrderKind.REPLACE, base_version, replacement_body(version, routes, timeout_ms))
+def replacement(base_version: int, version: int, routes: int = 1, timeout_ms: int = 1000) -> Command:
+    """A command that replaces the whole configuration."""
+    return Command(CommandKind.REPLACE, base_version, replacement_body(version, routes, timeout_ms))
 
 
-def update(base_version: int, version: int) -> Order:
-    """An order that changes one route."""
+def update(base_version: int, version: int) -> Command:
+    """A command that changes one route."""
     body = json.dumps({"version": version, "upsert": {"routes": [route(0, timeout_ms=2000)]}}).encode()
-    return Order(OrderKind.UPDATE, base_version, body)
+    return Command(CommandKind.UPDATE, base_version, body)
--- a/tests/controlplane/cut_scenarios.py
+++ b/tests/controlplane/cut_scenarios.py
@@ -13,13 +13,13 @@
 
 import attrs
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.campaign import Campaign, Schedule
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.faults import LossCount
 from tests.campaign.operators import Habits, Operator
-from tests.campaign.records import Intent, OrderCall, replacement
+from tests.campaign.records import CommandCall, Intent, replacement
 from tests.campaign.system import Plan
 from tests.fleet.history import Violation
 
@@ -27,7 +27,7 @@
 SETTLE_MS, BEFORE_MS, AFTER_MS = 3_000.0, 1_500.0, 2_000.0
 # From the end of a cut until all is as before: the machine is back, and every data plane is current.
 FULL_SERVICE_MS = 4_000.0
-# Orders come one after the other as a cut begins, in its midst and as it ends.
+# Commands come one after the other as a cut begins, in its midst and as it ends.
 PRESSED_MS, PRESS_INTERVAL_MS = 600.0, 20.0
 RESTART_INTERVAL_MS = 300.0
 GONE_SEEDS = ("gone-1", "gone-2")
@@ -80,7 +80,7 @@
         data_planes=2,
         operators=2,
         upstreams=2,
-        order_pause_ms=400.0,
+        command_interval_ms=400.0,
         upstream_life_ms=6_000.0,
         answer_loss=0.1,
     )
@@ -130,11 +130,11 @@
         system.run(SETTLE_MS)
         self.victims = self._choose_victims()
         victim = self.victims[0]
-        self._order_at(victim)
+        self._command_at(victim)
         system.run(BEFORE_MS)
         self._begin()
         system.run(self._cut.duration_ms)
-        self._order_at(next(machine for machine in system.machines.values() if machine is not victim))
+        self._command_at(next(machine for machine in system.machines.values() if machine is not victim))
         self._change_inside()
         self._send_newest(victim)
         system.run(AFTER_MS)
@@ -143,7 +143,7 @@
             raise Violation("; ".join(self.history.notes.values()))
 
     def _choose_victims(self) -> list[ControlMachine]:
-        """Who is cut off, the one first that orders are pressed on."""
+        """Who is cut off, the one first that commands are pressed on."""
         primary = self.system.primary()
         assert primary is not None
         standing = primary.standing()
@@ -167,7 +167,7 @@
         return Operator("o-cut", system.links, lambda: [victim], self.history, system.rng, habits)
 
     def _press(self, victim: ControlMachine) -> None:
-        """Send it orders on top of the newest confirmed version, wherever that was confirmed."""
+        """Send it commands on top of the newest confirmed version, wherever that was confirmed."""
         for number in range(int(PRESSED_MS / PRESS_INTERVAL_MS)):
             self._clock.after(number * PRESS_INTERVAL_MS, lambda: self._send_newest(victim))
 
@@ -176,15 +176,15 @@
         marker = self.history.next_marker()
         intent = Intent(marker, replacement(marker, base, base + 1), base + 1, True, self._clock.now_ms)
         self.history.add(intent)
-        record = OrderCall(intent, victim.address, self._clock.now_ms)
+        record = CommandCall(intent, victim.address, self._clock.now_ms)
 
-        def ended(result: OrderResult | None) -> None:
-            if result is not None and result.outcome is not OrderOutcome.UNCLEAR:
+        def ended(result: CommandResult | None) -> None:
+            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self.history.answered(record)
 
-        call: HttpCall[OrderResult] = HttpCall(
-            self.system.links, "o-cut", victim, lambda reply: victim.order(intent.order, reply), ended
+        call: HttpCall[CommandResult] = HttpCall(
+            self.system.links, "o-cut", victim, lambda reply: victim.command(intent.command, reply), ended
         )
         call.start(self.system.rng, 0.0)
 
--- a/tests/controlplane/fleet.py
+++ b/tests/controlplane/fleet.py
@@ -8,9 +8,9 @@
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.controlplane.core import TICK_MS, ControlPlaneCore
 from madderwind.controlplane.effects import (
+    CommandEnded,
     Effect,
     LogLine,
-    OrderEnded,
     ReadEnded,
     SaveRegistry,
     SendToPeer,
@@ -19,7 +19,7 @@
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
 from madderwind.messages.distribution import Subscribe, ToControlPlane, ToDataPlane
 from madderwind.messages.peering import PeerFrame, peer_frames
-from madderwind.replication.api import Order
+from madderwind.replication.api import Command
 from tests.controlplane.scripted_replica import ScriptedReplica
 
 HEARTBEAT_MS = 1000.0
@@ -43,7 +43,7 @@
         self.core = ControlPlaneCore(
             self.replica, address, members, HEARTBEAT_MS, TOLERANCE, random.Random(address)
         )
-        self.orders: dict[int, OrderEnded] = {}
+        self.commands: dict[int, CommandEnded] = {}
         self.reads: dict[int, ReadEnded] = {}
         self.accepted: dict[int, bool] = {}  # upstreams' calls
         self.has_stalled_disk = False
@@ -84,9 +84,9 @@
                     self.carry_out(plane, plane.core.tick(self.now_ms))
             self.deliver()
 
-    def submit(self, plane: ControlPlaneInMemory, call: int, order: Order | None) -> None:
+    def submit(self, plane: ControlPlaneInMemory, call: int, command: Command | None) -> None:
         """The operator calls a control plane."""
-        self.carry_out(plane, plane.core.submit(self.now_ms, call, order))
+        self.carry_out(plane, plane.core.submit(self.now_ms, call, command))
         self.deliver()
 
     def heartbeat(self, plane: ControlPlaneInMemory, sequence: int, state: str = "ready") -> None:
@@ -140,8 +140,8 @@
                     told.append(effect.message)
             elif isinstance(effect, Close):
                 del plane.told[effect.connection]
-            elif isinstance(effect, OrderEnded):
-                plane.orders[effect.call] = effect
+            elif isinstance(effect, CommandEnded):
+                plane.commands[effect.call] = effect
             elif isinstance(effect, ReadEnded):
                 plane.reads[effect.call] = effect
             elif isinstance(effect, UpstreamAnswered):
--- a/tests/controlplane/scripted_replica.py
+++ b/tests/controlplane/scripted_replica.py
@@ -5,13 +5,13 @@
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.replication.api import (
     Action,
+    Command,
+    CommandOutcome,
+    CommandResolved,
+    CommandResult,
+    CommandSubmitted,
     Committed,
     Event,
-    Order,
-    OrderOutcome,
-    OrderResolved,
-    OrderResult,
-    OrderSubmitted,
     ReadResolved,
     ReadSubmitted,
     Standing,
@@ -19,7 +19,7 @@
 
 
 class ScriptedReplica:
-    """`primary` is the address that it takes for the primary; `mute` keeps orders without an end."""
+    """`primary` is the address that it takes for the primary; `mute` keeps commands without an end."""
 
     def __init__(self, address: str, members: tuple[str, ...], history: ConfigurationHistory) -> None:
         self.address, self.members = address, members
@@ -39,8 +39,8 @@
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take an event."""
         self.events.append(event)
-        if isinstance(event, OrderSubmitted) and not self.mute:
-            return self._order(event.token, event.order)
+        if isinstance(event, CommandSubmitted) and not self.mute:
+            return self._command(event.token, event.command)
         if isinstance(event, ReadSubmitted) and not self.mute:
             return [ReadResolved(event.token, self._is_primary())]
         return []
@@ -60,13 +60,13 @@
     def _is_primary(self) -> bool:
         return self.primary == self.address
 
-    def _order(self, token: int, order: Order) -> list[Action]:
+    def _command(self, token: int, command: Command) -> list[Action]:
         if not self._is_primary():
-            return [OrderResolved(token, OrderResult(OrderOutcome.UNCLEAR))]
-        result = self.history.decide(order)
+            return [CommandResolved(token, CommandResult(CommandOutcome.UNCLEAR))]
+        result = self.history.decide(command)
         if result is not None:
-            return [OrderResolved(token, result)]
-        self.history.apply(order)
+            return [CommandResolved(token, result)]
+        self.history.apply(command)
         version = self.history.version
-        taken = OrderResult(OrderOutcome.TAKEN, version)
-        return [Committed(version), OrderResolved(token, taken)]
+        taken = CommandResult(CommandOutcome.TAKEN, version)
+        return [Committed(version), CommandResolved(token, taken)]
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -21,9 +21,9 @@
     RegistrySnapshot,
     ToDataPlane,
 )
-from madderwind.messages.peering import OrderReply
+from madderwind.messages.peering import CommandReply
 from madderwind.registry.registry import FORGET_AFTER_MS
-from madderwind.replication.api import OrderOutcome
+from madderwind.replication.api import CommandOutcome
 from tests.controlplane.configurations import replacement, replacement_body
 from tests.controlplane.fleet import ControlPlaneInMemory, FleetInMemory
 
@@ -39,22 +39,22 @@
         self.fleet = FleetInMemory()
         self.first, self.second, self.third = self.fleet.planes
 
-    def outcome(self, plane: ControlPlaneInMemory, call: int) -> OrderOutcome:
-        return plane.orders[call].result.outcome
+    def outcome(self, plane: ControlPlaneInMemory, call: int) -> CommandOutcome:
+        return plane.commands[call].result.outcome
 
 
 class TheOperatorCalls(FleetStory):
-    def test_the_primary_takes_an_order_and_a_read_gives_it_back(self) -> None:
+    def test_the_primary_takes_a_command_and_a_read_gives_it_back(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.submit(self.first, 1, replacement(0, 5))
-        self.assertEqual(self.outcome(self.first, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.TAKEN)
         self.fleet.submit(self.first, 2, None)
         self.assertEqual(self.first.reads[2].document, replacement_body(5))
 
-    def test_another_forwards_the_order_and_the_read(self) -> None:
+    def test_another_forwards_the_command_and_the_read(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
         self.fleet.submit(self.third, 1, None)
         self.assertEqual(
             (self.third.reads[1].version, self.third.reads[1].document), (5, replacement_body(5))
@@ -63,49 +63,49 @@
     def test_the_result_comes_back_whole(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.submit(self.second, 1, replacement(0, 5, timeout_ms=0))
-        result = self.second.orders[1].result
-        self.assertEqual(result.outcome, OrderOutcome.INVALID)
+        result = self.second.commands[1].result
+        self.assertEqual(result.outcome, CommandOutcome.INVALID)
         self.assertIn("timeout_ms", result.field)
         self.fleet.submit(self.second, 2, replacement(3, 9))
-        self.assertEqual(self.outcome(self.second, 2), OrderOutcome.STALE_BASE)
+        self.assertEqual(self.outcome(self.second, 2), CommandOutcome.STALE_BASE)
 
-    def test_an_order_sent_again_elsewhere_is_taken_again(self) -> None:
+    def test_a_command_sent_again_elsewhere_is_taken_again(self) -> None:
         self.fleet.make_primary(self.first)
         for plane in self.fleet.planes:
             self.fleet.submit(plane, 1, replacement(0, 5))
-            self.assertEqual(self.outcome(plane, 1), OrderOutcome.TAKEN)
+            self.assertEqual(self.outcome(plane, 1), CommandOutcome.TAKEN)
 
     def test_a_call_waits_for_a_primary(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.submit(self.third, 1, None)
         self.fleet.run(CALL_DEADLINE_MS / 2)
-        self.assertEqual((self.second.orders, self.third.reads), ({}, {}))
+        self.assertEqual((self.second.commands, self.third.reads), ({}, {}))
         self.fleet.make_primary(self.first)
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
         self.assertIsNotNone(self.third.reads[1].document)
 
     def test_but_not_beyond_its_deadline(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.submit(self.second, 2, None)
         self.fleet.run(CALL_DEADLINE_MS + 25.0)
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNCLEAR)
         self.assertIsNone(self.second.reads[2].document)
 
     def test_and_hardly_at_a_machine_that_is_cut_off(self) -> None:
         self.fleet.run(CUT_OFF_AFTER_MS + 25.0)
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.run(WAIT_WHEN_CUT_OFF_MS + 50.0)
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNCLEAR)
         self.fleet.submit(self.second, 2, replacement(0, 5))
         self.fleet.make_primary(self.first)
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 2), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 2), CommandOutcome.TAKEN)
 
     def test_a_large_body_is_given_longer(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5, routes=4000))
         self.fleet.run(CALL_DEADLINE_MS + 25.0)
-        self.assertEqual(self.second.orders, {})
+        self.assertEqual(self.second.commands, {})
 
     def test_a_call_goes_on_at_the_next_primary(self) -> None:
         self.fleet.make_primary(self.first)
@@ -114,16 +114,16 @@
         self.fleet.run(200.0)
         self.fleet.make_primary(self.third, epoch=3)
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
 
     def test_a_call_forwarded_to_what_is_no_primary_tries_again(self) -> None:
         self.second.replica.primary = self.first.address
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.assertEqual(self.second.orders, {})
+        self.assertEqual(self.second.commands, {})
         self.fleet.run(100.0)
         self.first.replica.primary = self.first.address
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
 
     def test_a_call_at_a_primary_that_hangs_ends_unclear(self) -> None:
         self.fleet.make_primary(self.first)
@@ -131,18 +131,18 @@
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.run(CALL_DEADLINE_MS + 100.0)
-        self.assertEqual(self.outcome(self.first, 1), OrderOutcome.UNCLEAR)
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNCLEAR)
 
     def test_a_reply_to_a_former_life_fits_no_call(self) -> None:
         self.fleet.make_primary(self.first)
         self.first.replica.mute = True
         self.fleet.submit(self.second, 1, replacement(0, 5))
         for token in range(100):
-            reply = OrderReply(token, "taken", 5, "", "")
+            reply = CommandReply(token, "taken", 5, "", "")
             effects = self.second.core.peer_message(self.fleet.now_ms, self.first.address, reply)
             self.fleet.carry_out(self.second, effects)
-        self.assertEqual(self.second.orders, {})
+        self.assertEqual(self.second.commands, {})
 
 
 class AnOrderWaitsForDataPlanes(FleetStory):
@@ -154,26 +154,26 @@
 
     def test_until_they_have_the_version(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.assertEqual(self.second.orders, {})
+        self.assertEqual(self.second.commands, {})
         self.assertEqual(told(self.first, 1, Freshness)[-1].version, 5)
         self.fleet.say(self.first, 1, FetchConfiguration(0))
         self.assertEqual(told(self.first, 1, ConfigurationSnapshot)[0].document, replacement_body(5))
         self.fleet.say(self.first, 1, ConfigurationApplied(5))
-        self.assertEqual(self.outcome(self.second, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
 
     def test_at_most_for_a_while_and_once(self) -> None:
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.run(APPLY_WAIT_MS - 50.0)
-        self.assertEqual(self.first.orders, {})
+        self.assertEqual(self.first.commands, {})
         self.fleet.run(75.0)
-        self.assertEqual(self.outcome(self.first, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.TAKEN)
         self.fleet.submit(self.first, 2, replacement(5, 6))
-        self.assertEqual(self.outcome(self.first, 2), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 2), CommandOutcome.TAKEN)
 
     def test_not_for_one_whose_connection_ends(self) -> None:
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.carry_out(self.first, self.first.core.data_plane_closed(self.fleet.now_ms, 1))
-        self.assertEqual(self.outcome(self.first, 1), OrderOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.TAKEN)
 
 
 class UpstreamsAreKnownEverywhere(FleetStory):
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest.mock import patch
 
-from madderwind.replication.api import OrderResult
+from madderwind.replication.api import CommandResult
 from madderwind.replication.requests import WaitingRequests
 from tests.controlplane.cut_scenarios import Cut, CutScenario, Role, Shape
 from tests.fleet.history import Violation
@@ -16,7 +16,7 @@
 
 
 class CutOffForAWhile(unittest.TestCase):
-    """When it ends, no old version was called fresh, no order was refused that was right, none is lost that
+    """When it ends, no old version was called fresh, no command was refused that was right, none is lost that
     was confirmed, and full service is back within the bounds."""
 
     def assert_holds(self, role: Role, shape: Shape, duration_ms: float) -> None:
@@ -59,18 +59,18 @@
         self.assert_holds(Role.LEARNER, Shape.ALL, 5_000.0)
 
 
-add_order, add_read = WaitingRequests.add_order, WaitingRequests.add_read
+add_command, add_read = WaitingRequests.add_command, WaitingRequests.add_read
 
 
-def add_order_without_a_fence(
+def add_command_without_a_fence(
     requests: WaitingRequests,
     token: int,
-    result: OrderResult,
+    result: CommandResult,
     index: int,
     needed_round: int,
     deadline_ms: float,
 ) -> None:
-    add_order(requests, token, result, index, 0, deadline_ms)
+    add_command(requests, token, result, index, 0, deadline_ms)
 
 
 def add_read_without_a_fence(
@@ -91,7 +91,7 @@
         self.fail("no cut finds it")
 
     def test_a_refusal_without_a_fence(self) -> None:
-        mutant = patch.object(WaitingRequests, "add_order", add_order_without_a_fence)
+        mutant = patch.object(WaitingRequests, "add_command", add_command_without_a_fence)
         with mutant, self.assertRaises(Violation):
             woken_primary().run_woken_primary()
 
--- a/tests/controlplane/test_frames.py
+++ b/tests/controlplane/test_frames.py
@@ -42,28 +42,28 @@
 class ABudgetOfBytes(unittest.IsolatedAsyncioTestCase):
     async def test_who_would_pass_the_bound_waits_for_others_to_end(self) -> None:
         budget = ByteBudget(most_bytes=10)
-        order: list[str] = []
+        command: list[str] = []
         began, release = asyncio.Event(), asyncio.Event()
 
         async def first() -> None:
             async with budget.taken(8):
-                order.append("first began")
+                command.append("first began")
                 began.set()
                 await release.wait()
-                order.append("first ended")
+                command.append("first ended")
 
         async def second() -> None:
             async with budget.taken(8):
-                order.append("second began")
+                command.append("second began")
 
         async with asyncio.timeout(DEADLINE_S), asyncio.TaskGroup() as tasks:
             tasks.create_task(first())
             await began.wait()
             tasks.create_task(second())
             async with budget.taken(2):
-                order.append("small")
+                command.append("small")
             release.set()
-        self.assertEqual(order, ["first began", "small", "first ended", "second began"])
+        self.assertEqual(command, ["first began", "small", "first ended", "second began"])
 
     async def test_one_alone_may_be_longer_than_the_bound(self) -> None:
         budget = ByteBudget(most_bytes=10)
--- a/tests/controlplane/test_hosts.py
+++ b/tests/controlplane/test_hosts.py
@@ -19,7 +19,7 @@
 from madderwind.controlplane.core import ControlPlaneCore
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.controlplane.internal_server import InternalServer
-from madderwind.controlplane.public_server import LONGEST_ORDER_BYTES, PublicServer
+from madderwind.controlplane.public_server import LONGEST_COMMAND_BYTES, PublicServer
 from madderwind.messages.distribution import (
     ConfigurationApplied,
     ConfigurationSnapshot,
@@ -122,7 +122,7 @@
     def url(self, number: int, path: str) -> str:
         return f"http://{self.public[number]}{path}"
 
-    async def order(self, number: int, path: str, base: str, body: bytes) -> tuple[int, bytes]:
+    async def command(self, number: int, path: str, base: str, body: bytes) -> tuple[int, bytes]:
         headers = {"X-Base-Version": base}
         async with self.session.post(self.url(number, path), data=body, headers=headers) as response:
             return response.status, await response.read()
@@ -145,31 +145,31 @@
 
 
 class TheOperatorsApi(HostsStory):
-    async def test_orders_and_reads_at_any_machine(self) -> None:
+    async def test_commands_and_reads_at_any_machine(self) -> None:
         self.assertEqual((await self.read(1))[0], 404)
-        self.assertEqual((await self.order(1, "/config/replace", "0", replacement_body(5)))[0], 200)
-        self.assertEqual((await self.order(2, "/config/replace", "0", replacement_body(5)))[0], 200)
-        self.assertEqual((await self.order(0, "/config/replace", "0", replacement_body(6)))[0], 412)
-        self.assertEqual((await self.order(2, "/config/update", "5", update(5, 9).body))[0], 200)
+        self.assertEqual((await self.command(1, "/config/replace", "0", replacement_body(5)))[0], 200)
+        self.assertEqual((await self.command(2, "/config/replace", "0", replacement_body(5)))[0], 200)
+        self.assertEqual((await self.command(0, "/config/replace", "0", replacement_body(6)))[0], 412)
+        self.assertEqual((await self.command(2, "/config/update", "5", update(5, 9).body))[0], 200)
         status, body = await self.read(2)
         self.assertEqual(status, 200)
         self.assertIn(b'"version": 9', body.replace(b'"version":9', b'"version": 9'))
 
     async def test_what_is_invalid_is_named(self) -> None:
-        status, body = await self.order(1, "/config/replace", "0", replacement_body(5, timeout_ms=0))
+        status, body = await self.command(1, "/config/replace", "0", replacement_body(5, timeout_ms=0))
         self.assertEqual(status, 400)
         self.assertIn(b"timeout_ms", body)
         for base in ("", "x", "-1", "1.5"):
-            self.assertEqual((await self.order(1, "/config/replace", base, replacement_body(5)))[0], 400)
+            self.assertEqual((await self.command(1, "/config/replace", base, replacement_body(5)))[0], 400)
 
     async def test_a_body_over_the_limit_is_refused(self) -> None:
-        too_long = b" " * (LONGEST_ORDER_BYTES + 1)
-        self.assertEqual((await self.order(1, "/config/replace", "0", too_long))[0], 413)
+        too_long = b" " * (LONGEST_COMMAND_BYTES + 1)
+        self.assertEqual((await self.command(1, "/config/replace", "0", too_long))[0], 413)
 
     async def test_a_long_body_is_passed_on_to_the_primary(self) -> None:
         body = replacement_body(5, routes=8000)
         self.assertGreater(len(body), 1024 * 1024)
-        self.assertEqual((await self.order(1, "/config/replace", "0", body))[0], 200)
+        self.assertEqual((await self.command(1, "/config/replace", "0", body))[0], 200)
         self.assertEqual(await self.read(2), (200, body))
 
     async def test_without_a_primary_it_is_told_when_to_come_back(self) -> None:
@@ -183,7 +183,7 @@
 
     async def test_who_is_about_to_end_sends_callers_elsewhere(self) -> None:
         self.servers[1].refuse_new_calls()
-        self.assertEqual((await self.order(1, "/config/replace", "0", replacement_body(5)))[0], 503)
+        self.assertEqual((await self.command(1, "/config/replace", "0", replacement_body(5)))[0], 503)
         self.assertEqual((await self.read(1))[0], 503)
         self.assertEqual(await self.call(1, "i-1/heartbeat", heartbeat(1)), 503)
         self.assertEqual(await self.call(1, "i-1/deregister"), 503)
@@ -208,7 +208,7 @@
 class DataPlanesSubscribe(HostsStory):
     async def test_a_version_is_told_fetched_and_acknowledged(self) -> None:
         data_plane = await self.subscribe(0)
-        ordering = asyncio.create_task(self.order(1, "/config/replace", "0", replacement_body(5)))
+        ordering = asyncio.create_task(self.command(1, "/config/replace", "0", replacement_body(5)))
         await data_plane.hear(lambda message: isinstance(message, Freshness) and message.version == 5)
         await data_plane.say(FetchConfiguration(0))
         snapshot = await data_plane.hear(lambda message: isinstance(message, ConfigurationSnapshot))
--- a/tests/controlplane/test_process.py
+++ b/tests/controlplane/test_process.py
@@ -87,7 +87,7 @@
                         if response.status < 500:
                             return response.status, await response.read()
 
-    async def order(self, number: int, base: int, version: int) -> int:
+    async def command(self, number: int, base: int, version: int) -> int:
         url = self.url(number, "/config/replace")
         return (await self.until_clear("POST", url, base, replacement_body(version)))[0]
 
@@ -111,27 +111,27 @@
     async def test_the_primary_hands_over_and_comes_back(self) -> None:
         for number in (1, 2, 3):
             self.start(number, bootstrap=True)
-        self.assertEqual(await self.order(2, 0, 5), 200)
+        self.assertEqual(await self.command(2, 0, 5), 200)
         primary = await self.primary()
         await self.end(primary)
         other = primary % 3 + 1
-        self.assertEqual(await self.order(other, 5, 6), 200)
+        self.assertEqual(await self.command(other, 5, 6), 200)
         self.assertNotEqual(await self.primary(), primary)
         self.start(primary)
         self.assertEqual(await self.read(primary), (200, replacement_body(6)))
         await self.end(await self.primary())
-        self.assertEqual(await self.order(next(iter(self.tasks)), 6, 7), 200)
+        self.assertEqual(await self.command(next(iter(self.tasks)), 6, 7), 200)
 
     async def test_all_end_and_start_again(self) -> None:
         for number in (1, 2, 3):
             self.start(number, bootstrap=True)
-        self.assertEqual(await self.order(1, 0, 5), 200)
+        self.assertEqual(await self.command(1, 0, 5), 200)
         for number in (1, 2, 3):
             await self.end(number)
         for number in (3, 1, 2):
             self.start(number)
         self.assertEqual(await self.read(2), (200, replacement_body(5)))
-        self.assertEqual(await self.order(3, 5, 6), 200)
+        self.assertEqual(await self.command(3, 5, 6), 200)
 
     async def test_upstreams_are_acknowledged_before_there_is_a_primary(self) -> None:
         self.start(1, bootstrap=True)
--- a/tests/controlplane/test_repeated_orders.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -1,4 +1,4 @@
-"""Orders of several operators, and the same order again, at any machine and whatever happens between."""
+"""Commands of several operators, and the same order again, at any machine and whatever happens between."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from unittest.mock import patch
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.replication.api import Order, OrderOutcome, OrderResult
+from madderwind.replication.api import Command, CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.campaign import Campaign, Schedule, keeping_little
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.faults import LossCount
-from tests.campaign.records import Intent, OrderCall, replacement, update
+from tests.campaign.records import CommandCall, Intent, replacement, update
 from tests.campaign.system import Plan
 from tests.fleet.history import Violation
 
@@ -22,11 +22,11 @@
 BACK_MS = 3_000.0
 
 
-class OrdersStory(unittest.TestCase):
+class CommandsStory(unittest.TestCase):
     """Given three machines without other callers; at the end everything that was seen fits together."""
 
     def setUp(self) -> None:
-        plan = Plan("orders", 3, 1, 1, 0, 0, 400.0, 6_000.0, 0.0)
+        plan = Plan("commands", 3, 1, 1, 0, 0, 400.0, 6_000.0, 0.0)
         schedule = Schedule(plan, (), 0.0, keeps_little=False, loss_count=LossCount.PLAIN)
         self.campaign = Campaign(schedule)
         self.system, self.history = self.campaign.system, self.campaign.history
@@ -49,32 +49,32 @@
     def others(self, machine: ControlMachine) -> list[ControlMachine]:
         return [other for other in self.system.machines.values() if other is not machine]
 
-    # --- orders ---
+    # --- commands ---
 
-    def intent(self, make: Callable[[int, int, int], Order], base: int, version: int) -> Intent:
+    def intent(self, make: Callable[[int, int, int], Command], base: int, version: int) -> Intent:
         marker = self.history.next_marker()
         intent = Intent(marker, make(marker, base, version), version, True, self.clock.now_ms)
         self.history.add(intent)
         return intent
 
-    def send(self, machine: ControlMachine, intent: Intent) -> list[OrderResult]:
+    def send(self, machine: ControlMachine, intent: Intent) -> list[CommandResult]:
         """One call; its clear answer is in the list once it is there."""
-        answers: list[OrderResult] = []
-        record = OrderCall(intent, machine.address, self.clock.now_ms)
+        answers: list[CommandResult] = []
+        record = CommandCall(intent, machine.address, self.clock.now_ms)
 
-        def ended(result: OrderResult | None) -> None:
-            if result is not None and result.outcome is not OrderOutcome.UNCLEAR:
+        def ended(result: CommandResult | None) -> None:
+            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
                 record.ended_ms, record.result = self.clock.now_ms, result
                 self.history.answered(record)
                 answers.append(result)
 
-        call: HttpCall[OrderResult] = HttpCall(
-            self.system.links, "o-1", machine, lambda reply: machine.order(intent.order, reply), ended
+        call: HttpCall[CommandResult] = HttpCall(
+            self.system.links, "o-1", machine, lambda reply: machine.command(intent.command, reply), ended
         )
         call.start(self.system.rng, 0.0)
         return answers
 
-    def outcome(self, machine: ControlMachine, intent: Intent) -> OrderOutcome:
+    def outcome(self, machine: ControlMachine, intent: Intent) -> CommandOutcome:
         """Send it until there is a clear answer."""
         began_ms = self.clock.now_ms
         while self.clock.now_ms - began_ms < PATIENCE_MS:
@@ -86,13 +86,13 @@
         raise AssertionError(f"no clear answer to {intent} within {PATIENCE_MS} ms")
 
     def take(self, count: int) -> list[Intent]:
-        """Have orders taken one on top of the other, whole ones and updates, at each machine in turn."""
+        """Have commands taken one on top of the other, whole ones and updates, at each machine in turn."""
         intents = []
         machines = list(self.system.machines.values())
         for number in range(count):
             make = update if number % 2 and self.base else replacement
             intent = self.intent(make, self.base, self.base + 1 + number % 3)
-            self.assertEqual(OrderOutcome.TAKEN, self.outcome(machines[number % len(machines)], intent))
+            self.assertEqual(CommandOutcome.TAKEN, self.outcome(machines[number % len(machines)], intent))
             self.base = intent.version
             intents.append(intent)
         return intents
@@ -100,10 +100,10 @@
     def assert_taken_again(self, intents: list[Intent]) -> None:
         for machine in self.system.machines.values():
             for intent in intents:
-                self.assertEqual(OrderOutcome.TAKEN, self.outcome(machine, intent))
+                self.assertEqual(CommandOutcome.TAKEN, self.outcome(machine, intent))
 
 
-class TheSameOrderAgain(OrdersStory):
+class TheSameCommandAgain(CommandsStory):
     def test_given_what_is_kept_is_little_when_it_comes_after_snapshot_wipe_and_failover(self) -> None:
         with keeping_little():
             intents = self.take(20)
@@ -162,11 +162,11 @@
         intent = self.intent(update, self.base, self.base + 1)
         answers = [self.send(machine, intent) for machine in self.system.machines.values()] * 2
         self.system.run(1_000.0)
-        self.assertEqual({OrderOutcome.TAKEN}, {answer[0].outcome for answer in answers})
+        self.assertEqual({CommandOutcome.TAKEN}, {answer[0].outcome for answer in answers})
         self.finish()
 
 
-class TwoOperators(OrdersStory):
+class TwoOperators(CommandsStory):
     def test_given_one_number_and_two_bodies_at_once_then_one_wins_and_stays_the_winner(self) -> None:
         self.take(2)
         for number in range(6):
@@ -178,14 +178,14 @@
             self.system.run(600.0)
             outcomes = [first[0].outcome, second[0].outcome]
             self.assertEqual(
-                sorted((OrderOutcome.TAKEN, OrderOutcome.STALE_BASE), key=str), sorted(outcomes, key=str)
+                sorted((CommandOutcome.TAKEN, CommandOutcome.STALE_BASE), key=str), sorted(outcomes, key=str)
             )
             again = [self.outcome(machines[(number + 2) % 3], rival) for rival in rivals]
             self.assertEqual(outcomes, again)
             self.base += 1
         self.finish()
 
-    def test_given_an_order_that_an_old_primary_dropped_when_another_is_taken_then_it_is_refused(
+    def test_given_a_command_that_an_old_primary_dropped_when_another_is_taken_then_it_is_refused(
         self,
     ) -> None:
         self.take(2)
@@ -196,14 +196,14 @@
         self.system.run(2_000.0)
         other = self.others(old)[0]
         taken = self.intent(replacement, self.base, self.base + 1)
-        self.assertEqual(OrderOutcome.TAKEN, self.outcome(other, taken))
+        self.assertEqual(CommandOutcome.TAKEN, self.outcome(other, taken))
         self.assertEqual([], answers)
         self.system.links.heal()
         self.system.run(2_000.0)
-        self.assertEqual(OrderOutcome.STALE_BASE, self.outcome(old, dropped))
+        self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(old, dropped))
         self.finish()
 
-    def test_given_an_order_that_an_old_primary_could_not_end_when_it_is_sent_again_then_it_is_taken(
+    def test_given_a_command_that_an_old_primary_could_not_end_when_it_is_sent_again_then_it_is_taken(
         self,
     ) -> None:
         self.take(2)
@@ -212,24 +212,24 @@
         self.cut_off(old)
         self.send(old, unclear)
         self.system.run(2_000.0)
-        self.assertEqual(OrderOutcome.TAKEN, self.outcome(self.others(old)[0], unclear))
+        self.assertEqual(CommandOutcome.TAKEN, self.outcome(self.others(old)[0], unclear))
         self.system.links.heal()
         self.system.run(2_000.0)
-        self.assertEqual(OrderOutcome.TAKEN, self.outcome(old, unclear))
+        self.assertEqual(CommandOutcome.TAKEN, self.outcome(old, unclear))
         self.finish()
 
-    def test_given_an_order_that_the_backups_hold_when_its_primary_dies_then_it_is_kept(self) -> None:
+    def test_given_a_command_that_the_backups_hold_when_its_primary_dies_then_it_is_kept(self) -> None:
         self.take(2)
         old = self.primary
         kept = self.intent(update, self.base, self.base + 1)
         self.send(old, kept)
-        while not all(machine.disk.holds(kept.order) for machine in self.others(old)):
+        while not all(machine.disk.holds(kept.command) for machine in self.others(old)):
             self.system.run(1.0)
         old.kill()
         self.system.run(2_000.0)
         rival = self.intent(update, self.base, self.base + 1)
-        self.assertEqual(OrderOutcome.STALE_BASE, self.outcome(self.others(old)[0], rival))
-        self.assertEqual(OrderOutcome.TAKEN, self.outcome(self.others(old)[1], kept))
+        self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.others(old)[0], rival))
+        self.assertEqual(CommandOutcome.TAKEN, self.outcome(self.others(old)[1], kept))
         old.start()
         self.finish()
 
@@ -265,7 +265,7 @@
 class Mutants(unittest.TestCase):
     """Without its mechanism the story fails."""
 
-    def assert_caught(self, story: OrdersStory) -> None:
+    def assert_caught(self, story: CommandsStory) -> None:
         result = unittest.TestResult()
         with contextlib.suppress(Violation):
             story.run(result)
@@ -274,7 +274,7 @@
     def test_a_digest_left_out_of_the_snapshot(self) -> None:
         name = "test_given_what_is_kept_is_little_when_it_comes_after_snapshot_wipe_and_failover"
         with patch.object(ConfigurationHistory, "snapshot", snapshot_without_digests):
-            self.assert_caught(TheSameOrderAgain(name))
+            self.assert_caught(TheSameCommandAgain(name))
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -9,8 +9,8 @@
 from madderwind.controlplane.calls import OperatorCalls, Output, _Call
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.messages.distribution import Freshness, ToDataPlane
-from madderwind.messages.peering import ForwardOrder, OrderReply
-from madderwind.replication.api import OrderOutcome, OrderSubmitted
+from madderwind.messages.peering import CommandReply, ForwardCommand
+from madderwind.replication.api import CommandOutcome, CommandSubmitted
 from tests.campaign.control_machine import ControlMachine
 from tests.controlplane import test_core
 from tests.controlplane.configurations import replacement
@@ -49,7 +49,7 @@
         for epoch in range(3, 9):
             self.fleet.make_primary(self.first, epoch)
             self.fleet.run(75.0)
-        submitted = [event for event in self.first.replica.events if isinstance(event, OrderSubmitted)]
+        submitted = [event for event in self.first.replica.events if isinstance(event, CommandSubmitted)]
         self.assertEqual(1, len(submitted))
 
     def test_given_it_was_sent_again_then_the_answer_to_the_first_sending_ends_it(self) -> None:
@@ -59,15 +59,15 @@
         forwarded = [
             message
             for effect in effects
-            if isinstance(message := getattr(effect, "message", None), ForwardOrder)
+            if isinstance(message := getattr(effect, "message", None), ForwardCommand)
         ]
         self.second.replica.epoch += 1
         self.fleet.run(100.0)
-        reply = OrderReply(forwarded[0].token, "stale base", 7, "", "")
+        reply = CommandReply(forwarded[0].token, "stale base", 7, "", "")
         answered = self.second.core.peer_message(self.fleet.now_ms, self.third.address, reply)
         self.fleet.carry_out(self.second, answered)
-        self.assertIn(1, self.second.orders)
-        self.assertEqual(OrderOutcome.STALE_BASE, self.outcome(self.second, 1))
+        self.assertIn(1, self.second.commands)
+        self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.second, 1))
 
 
 place = OperatorCalls._place
--- a/tests/dataplane/answer_mutants.py
+++ b/tests/dataplane/answer_mutants.py
@@ -98,7 +98,7 @@
     "half an event passes as a stream's end": lambda: patch.object(
         forwarding, "tells_its_end", lambda headers: True
     ),
-    "a stream that broke off ends in good order": lambda: patch.object(ClientAnswer, "abort", leave_open),
+    "a stream that broke off ends in good command": lambda: patch.object(ClientAnswer, "abort", leave_open),
     "a connection is reused after an early answer": lambda: patch.object(
         upstreams._GatedRequest, "write_bytes", keep_within_the_body
     ),
--- a/tests/dataplane/answer_oracle.py
+++ b/tests/dataplane/answer_oracle.py
@@ -79,7 +79,7 @@
 
 
 def said(request: Request, reply: Reply, last_event: int, part: bytes, is_ended: bool) -> Said:
-    """What an upstream said of a reply's body. `is_ended`: it ended the connection in good order after it.
+    """What an upstream said of a reply's body. `is_ended`: it ended the connection in good command after it.
 
     Where only the connection's end tells that an answer is whole, an upstream that ended is taken at its
     word, but for half an event.
--- a/tests/dataplane/test_answer_mutants.py
+++ b/tests/dataplane/test_answer_mutants.py
@@ -32,7 +32,7 @@
     "half an event passes as a stream's end": test_answers.AnAnswerOfNoToldLength(
         "test_is_not_whole_within_an_event"
     ),
-    "a stream that broke off ends in good order": test_hazards.AStreamThatBreaksOff(
+    "a stream that broke off ends in good command": test_hazards.AStreamThatBreaksOff(
         "test_is_broken_off_for_the_client_where_it_cannot_go_on"
     ),
     "a connection is reused after an early answer": test_answers.ARequestWhoseBodyIsNotIn(
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -128,7 +128,7 @@
         assert self.history.document is not None
         self.assertEqual(told, [SendTo(1, ConfigurationSnapshot(5, self.history.document.raw))])
 
-    def test_a_fetch_from_the_version_before_gets_the_order(self) -> None:
+    def test_a_fetch_from_the_version_before_gets_the_command(self) -> None:
         self.subscribed(1, "front-1")
         self.commit(10.0, 5)
         self.history = self.history.copy()
@@ -137,7 +137,7 @@
         told = self.publisher.receive(21.0, 1, FetchConfiguration(5))
         deltas = sent(told, ConfigurationDelta, 1)
         self.assertEqual([(delta.base_version, delta.version) for delta in deltas], [(5, 9)])
-        self.assertEqual([order.kind for order in deltas[0].orders], ["update"])
+        self.assertEqual([command.kind for command in deltas[0].commands], ["update"])
 
     def test_an_unknown_version_gets_the_whole_document(self) -> None:
         self.subscribed(1, "front-1")
--- a/tests/distribution/test_reading_ahead.py
+++ b/tests/distribution/test_reading_ahead.py
@@ -19,9 +19,9 @@
     TimePassed,
 )
 from madderwind.messages.distribution import (
+    CommandRecord,
     ConfigurationDelta,
     ConfigurationSnapshot,
-    OrderRecord,
 )
 from tests.distribution.test_subscriber import FIRST, SECOND, Story, body, update
 
@@ -71,11 +71,11 @@
 
 class WhatIsLong(unittest.TestCase):
     def test_by_the_bytes_that_have_to_be_read(self) -> None:
-        order = OrderRecord(4, 5, "update", update(5) + b" " * (LONG_CONFIGURATION_BYTES // 2))
+        command = CommandRecord(4, 5, "update", update(5) + b" " * (LONG_CONFIGURATION_BYTES // 2))
         self.assertFalse(is_long(SNAPSHOT))
         self.assertTrue(is_long(ConfigurationSnapshot(5, b" " * LONG_CONFIGURATION_BYTES)))
-        self.assertFalse(is_long(ConfigurationDelta(4, 5, (order,))))
-        self.assertTrue(is_long(ConfigurationDelta(4, 5, (order, order))))
+        self.assertFalse(is_long(ConfigurationDelta(4, 5, (command,))))
+        self.assertTrue(is_long(ConfigurationDelta(4, 5, (command, command))))
 
 
 if __name__ == "__main__":
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -28,6 +28,7 @@
     TimePassed,
 )
 from madderwind.messages.distribution import (
+    CommandRecord,
     ConfigurationApplied,
     ConfigurationDelta,
     ConfigurationSnapshot,
@@ -35,7 +36,6 @@
     Farewell,
     FetchConfiguration,
     Freshness,
-    OrderRecord,
     RegistrySnapshot,
     Subscribe,
     ToControlPlane,
@@ -199,20 +199,20 @@
         self.happens(LinkClosed(SECOND))
         self.assertEqual(self.fetches(), [(SECOND, 0), (THIRD, 0)])
 
-    def test_is_changed_by_the_orders_of_a_delta(self) -> None:
+    def test_is_changed_by_the_commands_of_a_delta(self) -> None:
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
         changed = update(7, upsert={"services": [{"name": "t"}]})
         again = update(9, delete={"services": ["t"]})
-        orders = (OrderRecord(7, 5, "update", changed), OrderRecord(9, 7, "update", again))
-        self.hears(FIRST, ConfigurationDelta(5, 9, orders))
+        commands = (CommandRecord(7, 5, "update", changed), CommandRecord(9, 7, "update", again))
+        self.hears(FIRST, ConfigurationDelta(5, 9, commands))
         self.assertEqual(self.in_force, [5, 9])
         document = self.subscriber.document
         assert document is not None
         self.assertEqual([service.name for service in document.configuration.services], ["s"])
 
     def test_is_changed_by_a_delta_that_begins_with_a_replacement(self) -> None:
-        orders = (OrderRecord(5, 0, "replace", body(5)),)
-        self.hears(FIRST, ConfigurationDelta(0, 5, orders))
+        commands = (CommandRecord(5, 0, "replace", body(5)),)
+        self.hears(FIRST, ConfigurationDelta(0, 5, commands))
         self.assertEqual(self.in_force, [5])
 
     def test_never_goes_back(self) -> None:
@@ -225,13 +225,13 @@
     def test_is_fetched_anew_where_a_delta_has_another_base(self) -> None:
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
         self.hears_freshness(FIRST, 9)
-        self.hears(FIRST, ConfigurationDelta(6, 9, (OrderRecord(9, 6, "update", update(9)),)))
+        self.hears(FIRST, ConfigurationDelta(6, 9, (CommandRecord(9, 6, "update", update(9)),)))
         self.assertEqual(self.in_force, [5])
         self.assertEqual(self.fetches(), [(FIRST, 5), (FIRST, 5)])
 
-    def test_is_fetched_whole_where_orders_cannot_be_used(self) -> None:
+    def test_is_fetched_whole_where_commands_cannot_be_used(self) -> None:
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
-        broken = OrderRecord(9, 5, "update", b'{"version":9,"upsert":{"routes":[{"name":"r"}]}}')
+        broken = CommandRecord(9, 5, "update", b'{"version":9,"upsert":{"routes":[{"name":"r"}]}}')
         self.hears(FIRST, ConfigurationDelta(5, 9, (broken,)))
         self.assertEqual((self.in_force, self.fetches()), ([5], [(FIRST, 0)]))
         self.hears(FIRST, ConfigurationSnapshot(9, body(9)))
--- a/tests/explore/calm.py
+++ b/tests/explore/calm.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from madderwind.replication.api import Order, OrderOutcome
+from madderwind.replication.api import Command, CommandOutcome
 from tests.explore.node import Ended, Node, Output, Sent
 from tests.explore.steps import Violation
 
@@ -91,17 +91,17 @@
         seeds = self.nodes[primary].settings.seed_count
         return view is not None and len(view.in_sync) == min(seeds, len(here)) and set(view.in_sync) <= here
 
-    def take_order(self, order: Order, most_ms: float) -> float:
-        """Send an order to whoever is primary until it is acknowledged; how long that took."""
+    def submit_and_commit(self, command: Command, most_ms: float) -> float:
+        """Send a command to whoever is primary until it is acknowledged; how long that took."""
         asked: set[tuple[int, int]] = set()
 
         def is_taken() -> bool:
             primary = self.primary()
             if primary is not None and (primary, len(self.ended)) not in asked:
                 asked.add((primary, len(self.ended)))
-                self.act(primary, lambda node, output: node.submit(order, output))
+                self.act(primary, lambda node, output: node.submit(command, output))
             return any(
-                ended.taken == (order.base_version, order.body) and ended.outcome is OrderOutcome.TAKEN
+                ended.taken == (command.base_version, command.body) and ended.outcome is CommandOutcome.TAKEN
                 for ended in self.ended
             )
 
--- a/tests/explore/choices.py
+++ b/tests/explore/choices.py
@@ -54,9 +54,9 @@
 
 
 class Submit(Choice, frozen=True):
-    """An operator sends one of the scenario's orders."""
+    """An operator sends one of the scenario's commands."""
 
-    order: int
+    command: int
 
 
 class Read(Choice, frozen=True):
@@ -74,7 +74,7 @@
     times: int = 0
     faults: int = 0
     wipes: int = 0
-    orders: int = 0
+    commands: int = 0
     reads: int = 0
     leaves: int = 0
 
@@ -87,7 +87,7 @@
             self.times - cost.times,
             self.faults - cost.faults,
             self.wipes - cost.wipes,
-            self.orders - cost.orders,
+            self.commands - cost.commands,
             self.reads - cost.reads,
             self.leaves - cost.leaves,
         )
@@ -95,7 +95,7 @@
     def bears(self, choice: Choice) -> bool:
         """Whether that choice may still be made."""
         left = self.after(choice)
-        counts = (left.times, left.faults, left.wipes, left.orders, left.reads, left.leaves)
+        counts = (left.times, left.faults, left.wipes, left.commands, left.reads, left.leaves)
         return min(counts) >= 0
 
 
@@ -106,7 +106,7 @@
     Kill: Allowance(faults=1),
     FailWrite: Allowance(faults=1),
     Wipe: Allowance(faults=1, wipes=1),
-    Submit: Allowance(orders=1),
+    Submit: Allowance(commands=1),
     Read: Allowance(reads=1),
     Leave: Allowance(leaves=1),
 }
@@ -129,7 +129,7 @@
             return f"{machine}: {duration_ms:g} ms pass"
         case LosePower(_, kept_writes):
             return f"{machine}: loses power, {kept_writes} of the writes under way done, and starts"
-        case Submit(_, order):
-            return f"{machine}: order {order} comes in"
+        case Submit(_, command):
+            return f"{machine}: command {command} comes in"
         case _:
             return f"{machine}: {type(choice).__name__}"
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from madderwind.messages.replication import Accept, Accepted, Ballot, Prepare, View
-from madderwind.replication.api import OrderOutcome
+from madderwind.replication.api import CommandOutcome
 from tests.explore.node import Observation, Sent, Taken, Vote
 from tests.explore.steps import Step, Violation
 
 MOST_MEMBERS = 3
-REFUSALS = (OrderOutcome.STALE_BASE, OrderOutcome.INVALID)
+REFUSALS = (CommandOutcome.STALE_BASE, CommandOutcome.INVALID)
 
 
 class Proposal(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
 
 
 class Question(msgspec.Struct, frozen=True):
-    """A read or an order that has no answer yet: what had been acknowledged when it came."""
+    """A read or a command that has no answer yet: what had been acknowledged when it came."""
 
     node: int
     life: int
@@ -94,7 +94,7 @@
     history = _with_choices(history, moment)
     history = _with_reign(history, moment)
     history = _with_commits(history, moment)
-    history = _with_orders(history, moment)
+    history = _with_commands(history, moment)
     _check_in_sync_hold_all(history, moment)
     return _with_questions(history, moment)
 
@@ -180,7 +180,7 @@
 def _check_view(view: View, tolerance: int) -> None:
     members = {member.incarnation for member in view.members}
     if len(set(view.in_sync)) <= tolerance:
-        raise Violation(f"the in-sync set is smaller than what has to hold an order: {view}")
+        raise Violation(f"the in-sync set is smaller than what has to hold a command: {view}")
     if not {view.primary, *view.in_sync} <= members or view.primary not in view.in_sync:
         raise Violation(f"primary or in-sync replicas are not members: {view}")
     if len(members) > MOST_MEMBERS or len({member.address for member in view.members}) < len(members):
@@ -216,10 +216,10 @@
     return msgspec.structs.replace(history, committed=longest)
 
 
-def _with_orders(history: History, moment: Moment) -> History:
+def _with_commands(history: History, moment: Moment) -> History:
     for ended in moment.step.ended:
         match ended.outcome:
-            case OrderOutcome.TAKEN:
+            case CommandOutcome.TAKEN:
                 history = _acknowledged(history, moment, ended.taken)
             case outcome if outcome in REFUSALS:
                 if ended.taken in history.acknowledged or ended.taken in history.committed:
@@ -247,7 +247,7 @@
 
 
 def _with_questions(history: History, moment: Moment) -> History:
-    """Whoever answers a read as the newest, or refuses an order, knows all that was acknowledged before."""
+    """Whoever answers a read as the newest, or refuses a command, knows all that was acknowledged before."""
     step, life = moment.step, moment.after.life
     questions = set(history.questions)
     if step.token:
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -15,13 +15,13 @@
     View,
 )
 from madderwind.replication.api import (
+    Command,
+    CommandOutcome,
+    CommandResolved,
+    CommandSubmitted,
     Event,
     LeaveRequested,
     MessageReceived,
-    Order,
-    OrderOutcome,
-    OrderResolved,
-    OrderSubmitted,
     ReadResolved,
     ReadSubmitted,
     Rewrite,
@@ -43,7 +43,7 @@
 # Where in a range of waits the first machine's lie, and how much later each further machine's.
 WAIT_SHARE_STEP = 0.05
 
-Taken = tuple[int, bytes]  # base version and body of one order
+Taken = tuple[int, bytes]  # base version and body of one command
 
 
 class Sent(msgspec.Struct, frozen=True):
@@ -55,10 +55,10 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """How an order ended that was submitted here."""
+    """How a command ended that was submitted here."""
 
     taken: Taken
-    outcome: OrderOutcome
+    outcome: CommandOutcome
     token: int = 0
 
 
@@ -93,7 +93,7 @@
         self.votes: list[Vote] = []
         self.early: list[Sent] = []
         self.fault = ""
-        self.token = 0  # of the order or read that came in
+        self.token = 0  # of the command or read that came in
 
 
 class Observation(msgspec.Struct, frozen=True):
@@ -125,7 +125,7 @@
         self.needs_rewrite = True
         self.is_leaving = False
         self.replica: Replica | None = None
-        self._orders: dict[int, Taken] = {}
+        self._commands: dict[int, Taken] = {}
         self._last_token = 0
 
     # --- what happens to it ---
@@ -136,7 +136,7 @@
         self.is_leaving = False
         self.needs_rewrite = True
         self.pending.clear()
-        self._orders.clear()
+        self._commands.clear()
         self.replica = Replica(
             identity_address=self.address,
             zone="zone",
@@ -207,11 +207,11 @@
         self.disk_number += 1
         self.start(output)
 
-    def submit(self, order: Order, output: Output) -> None:
-        """An operator's order comes in."""
+    def submit(self, command: Command, output: Output) -> None:
+        """An operator's command comes in."""
         output.token = self._last_token = self._last_token + 1
-        self._orders[output.token] = (order.base_version, order.body)
-        self._handle(OrderSubmitted(output.token, order), output)
+        self._commands[output.token] = (command.base_version, command.body)
+        self._handle(CommandSubmitted(output.token, command), output)
 
     def read(self, output: Output) -> None:
         """An operator asks for the newest configuration."""
@@ -290,8 +290,8 @@
                     self._send(Sent(self.address, address, message), output)
                 case Write() | Rewrite():
                     self.pending.append(action)
-                case OrderResolved(token, result):
-                    output.ended.append(Ended(self._orders.pop(token), result.outcome, token))
+                case CommandResolved(token, result):
+                    output.ended.append(Ended(self._commands.pop(token), result.outcome, token))
                 case ReadResolved(token, is_newest):
                     if is_newest:
                         output.proven_reads.append(token)
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -71,17 +71,17 @@
     Plan(scenarios.swap_and_candidate, Allowance(times=2, faults=1, wipes=1), 2, 3_000),
 )
 REPLICA_PLANS = (
-    Plan(scenarios.settled, Allowance(times=1, orders=2, reads=1), 4, 1_500),
-    Plan(scenarios.cut_off, Allowance(times=1, orders=1, reads=1), 4, 1_200),
+    Plan(scenarios.settled, Allowance(times=1, commands=2, reads=1), 4, 1_500),
+    Plan(scenarios.cut_off, Allowance(times=1, commands=1, reads=1), 4, 1_200),
     Plan(scenarios.takeover, Allowance(faults=1), 2, 3_000),
-    Plan(scenarios.swap, Allowance(orders=1), 3, 2_000),
+    Plan(scenarios.swap, Allowance(commands=1), 3, 2_000),
     Plan(scenarios.swap, Allowance(times=1, faults=1, wipes=1), 1, 800),
-    Plan(scenarios.replacement, Allowance(orders=1), 2, 600),
+    Plan(scenarios.replacement, Allowance(commands=1), 2, 600),
     Plan(scenarios.hand_over, Allowance(times=1, faults=1, wipes=1), 1, 800),
 )
 LATE_PLANS = (
     Plan(scenarios.learner, Allowance(), 1, 800, has_late_copies=True),
-    Plan(scenarios.takeover, Allowance(orders=1), 1, 500, has_late_copies=True),
-    Plan(scenarios.hand_over, Allowance(orders=1), 1, 600, has_late_copies=True),
+    Plan(scenarios.takeover, Allowance(commands=1), 1, 500, has_late_copies=True),
+    Plan(scenarios.hand_over, Allowance(commands=1), 1, 600, has_late_copies=True),
 )
 ALL_PLANS = (*REGISTER_PLANS, *REPLICA_PLANS, *LATE_PLANS)
--- a/tests/explore/scenarios.py
+++ b/tests/explore/scenarios.py
@@ -20,7 +20,7 @@
 from tests.explore.history import Disk, History
 from tests.explore.node import Node, Output, Settings
 from tests.explore.world import Bounds, Rules, World
-from tests.fleet.register import order
+from tests.fleet.register import command
 
 # The messages that concern the register of views, and those that make views known.
 REGISTER_MESSAGES = (Announce, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedNotice, Refused)
@@ -31,9 +31,9 @@
 HEARTBEAT_MS = TIMES.heartbeat_ms
 SETTLE_MS = 5_000.0
 
-FOUNDING_ORDERS = (order(0, 1, "first"), order(1, 2, "second"))
+FOUNDING_ORDERS = (command(0, 1, "first"), command(1, 2, "second"))
 # Two operators, both on top of the second version, and one on top of the first of these.
-ORDERS = (order(2, 3, "ann"), order(2, 4, "bob"), order(3, 5, "cid"))
+ORDERS = (command(2, 3, "ann"), command(2, 4, "bob"), command(3, 5, "cid"))
 
 
 class Scenario(msgspec.Struct):
@@ -62,12 +62,12 @@
 
 
 def lagging_candidate(allowance: Allowance) -> Scenario:
-    """The register alone: one that is not in sync and lacks an order stands, beside one that is."""
+    """The register alone: one that is not in sync and lacks a command stands, beside one that is."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), timed=(1, 2))
     run = _settled()
     run.present.discard(2)
     run.run_until(lambda: _in_sync_count(run) == 2, SETTLE_MS)
-    run.take_order(ORDERS[0], SETTLE_MS)
+    run.submit_and_commit(ORDERS[0], SETTLE_MS)
     run.in_flight.clear()
     return _of_register(_from_calm("a candidate that lags", bounds, run, 0))
 
@@ -85,9 +85,9 @@
 
 
 def settled(allowance: Allowance) -> Scenario:
-    """The whole replica: orders, reads, silence and crashes in a settled system."""
+    """The whole replica: commands, reads, silence and crashes in a settled system."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
-    return _from_calm("orders", bounds, _settled(), most_steps=0)
+    return _from_calm("commands", bounds, _settled(), most_steps=0)
 
 
 def takeover(allowance: Allowance) -> Scenario:
@@ -108,7 +108,7 @@
 
 
 def learner(allowance: Allowance) -> Scenario:
-    """The whole replica: a standby machine comes back with an empty disk, and an order comes once it has
+    """The whole replica: a standby machine comes back with an empty disk, and a command comes once it has
     learned everything, in the same epoch."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 3), (3,), (0, 3))
     run = _settled(machines=4)
@@ -136,13 +136,13 @@
 
 
 def cut_off(allowance: Allowance) -> Scenario:
-    """The whole replica: the primary was cut off while the others chose another and took an order. It is back
-    in touch and knows nothing of that."""
+    """The whole replica: the primary was cut off while the others chose another and took a command. It is
+    back in touch and knows nothing of that."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (), (0, 1, 2))
     run = _settled()
     run.present.discard(0)
     run.run_until(lambda: run.primary() is not None, SETTLE_MS)
-    run.take_order(ORDERS[0], SETTLE_MS)
+    run.submit_and_commit(ORDERS[0], SETTLE_MS)
     run.in_flight.clear()
     return _from_calm("a primary cut off", bounds, run, 0)
 
@@ -161,17 +161,17 @@
 SWAP_STEPS = 60
 TAKEOVER_STEPS = 60
 HAND_OVER_STEPS = 60
-# And until an order is known to be committed everywhere.
+# And until a command is known to be committed everywhere.
 ORDER_STEPS = 20
 # From a primary's loss until the others are about to stand.
 BEFORE_TAKEOVER_MS = 0.0
 
 
 def _settled(machines: int = 3) -> CalmRun:
-    """Three machines with two orders, and standbys beyond them. All are in sync and were started anew; the
+    """Three machines with two commands, and standbys beyond them. All are in sync and were started anew; the
     first one is primary."""
     run = _founded(machines)
-    # The first life after the orders writes a snapshot, and the log of the second one begins after it.
+    # The first life after the commands writes a snapshot, and the log of the second one begins after it.
     for number in (2, 1, 0, 2, 1, 0):
         run.act(number, lambda node, output: node.kill(output))
         run.run_until(run.is_whole, SETTLE_MS)
@@ -215,8 +215,8 @@
     for number in range(machines):
         run.act(number, lambda node, output: node.start(output, bootstrap=True))
     run.run_until(run.is_whole, SETTLE_MS)
-    for founding_order in FOUNDING_ORDERS:
-        run.take_order(founding_order, SETTLE_MS)
+    for founding_command in FOUNDING_ORDERS:
+        run.submit_and_commit(founding_command, SETTLE_MS)
     run.run_until(lambda: run.nodes[0].now_ms >= SETTLE_MS, SETTLE_MS)
     return run
 
--- a/tests/explore/steps.py
+++ b/tests/explore/steps.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from madderwind.replication.api import Order
+from madderwind.replication.api import Command
 from tests.explore.choices import (
     Choice,
     Deliver,
@@ -32,7 +32,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What came of a choice at one machine: its next state and what it did. `token` of an order or
+    """What came of a choice at one machine: its next state and what it did. `token` of a command or
     read that came in."""
 
     state: int
@@ -66,8 +66,8 @@
 class Steps:
     """States of machines by number, and the steps between them."""
 
-    def __init__(self, orders: tuple[Order, ...], messages: Numbers[Sent]) -> None:
-        self._orders, self._messages = orders, messages
+    def __init__(self, commands: tuple[Command, ...], messages: Numbers[Sent]) -> None:
+        self._commands, self._messages = commands, messages
         self._nodes: list[Node] = []
         self._observations: list[Observation | None] = []
         self._numbers: dict[Hashable, int] = {}
@@ -146,8 +146,8 @@
                 node.kill(output)
             case Wipe():
                 node.wipe(output)
-            case Submit(_, order):
-                node.submit(self._orders[order], output)
+            case Submit(_, command):
+                node.submit(self._commands[command], output)
             case Read():
                 node.read(output)
             case Leave():
--- a/tests/explore/tail.py
+++ b/tests/explore/tail.py
@@ -1,4 +1,4 @@
-"""What becomes of a world when calm sets in: within tolerance, it has to be whole and take orders again."""
+"""What becomes of a world when calm sets in: within tolerance, it has to be whole and take commands again."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from tests.explore.calm import CalmRun
 from tests.explore.graph import clone
 from tests.explore.world import Rules, World
-from tests.fleet.register import change_of, order
+from tests.fleet.register import change_of, command
 
-# Until the set is full again, and until an order is acknowledged then.
+# Until the set is full again, and until a command is acknowledged then.
 FULL_SET_MS = 10_000.0
 ACKNOWLEDGED_MS = 4_000.0
-# For orders that were under way to end.
+# For commands that were under way to end.
 PAUSE_MS = 500.0
 
 
@@ -34,7 +34,7 @@
 
 def recover(rules: Rules, world: World, loses_messages: bool = False) -> float:
     """Let calm set in, with or without what is in flight; how long it takes until the set is full. Raises
-    Violation where it takes too long, or where an order is not acknowledged in time after that."""
+    Violation where it takes too long, or where a command is not acknowledged in time after that."""
     nodes = [clone(rules.steps.node(state)) for state in world.nodes]
     present = set(range(len(nodes))) - set(rules.bounds.removed)
     run = CalmRun(nodes, [] if loses_messages else rules.messages(world), present)
@@ -47,7 +47,7 @@
     primary = run.primary()
     assert primary is not None
     version = change_of(nodes[primary].observe().committed[-1][1]).version
-    run.take_order(order(version, version + 1, "last"), ACKNOWLEDGED_MS)
+    run.submit_and_commit(command(version, version + 1, "last"), ACKNOWLEDGED_MS)
     return elapsed_ms
 
 
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -143,7 +143,7 @@
 
     def test_promises_kept_beyond_their_epoch(self) -> None:
         with patch.object(Witness, "adopt", adopt_and_keep_promises):
-            self.assert_found(Plan(scenarios.takeover, Allowance(orders=1), 1, 0), leaves=10)
+            self.assert_found(Plan(scenarios.takeover, Allowance(commands=1), 1, 0), leaves=10)
 
     def test_a_choice_by_a_minority(self) -> None:
         with patch.object(View, "majority", a_minority):
@@ -175,7 +175,7 @@
         with patch.object(Roles, "promote_if_due", promote_before_it_is_on_disk):
             self.assert_found(Plan(scenarios.takeover, Allowance(faults=1), 1, 0))
 
-    def test_a_set_too_small_to_hold_an_order(self) -> None:
+    def test_a_set_too_small_to_hold_a_command(self) -> None:
         with patch.object(MembershipRules, "smallest_in_sync", PropertyMock(return_value=1)):
             self.assert_found(Plan(scenarios.lagging_candidate, Allowance(times=3), 5, 0))
 
@@ -183,19 +183,19 @@
         with patch.object(ReplicaCore, "is_in_sync", PropertyMock(return_value=True)):
             self.assert_found(Plan(scenarios.lagging_candidate, Allowance(times=3), 7, 0))
 
-    # --- orders and reads ---
+    # --- commands and reads ---
 
     def test_commits_that_do_not_wait_for_those_that_join(self) -> None:
         with patch.object(Primary, "wanted_view", wanted_view_without_joining):
-            self.assert_found(Plan(scenarios.takeover, Allowance(orders=1), 3, 0))
+            self.assert_found(Plan(scenarios.takeover, Allowance(commands=1), 3, 0))
 
     def test_commits_that_wait_for_nobody(self) -> None:
         with patch.object(Primary, "_synced_by", as_if_synced_everywhere):
-            self.assert_found(Plan(scenarios.settled, Allowance(orders=1), 1, 0))
+            self.assert_found(Plan(scenarios.settled, Allowance(commands=1), 1, 0))
 
     def test_entries_acknowledged_before_they_are_on_disk(self) -> None:
         with patch.object(ReplicaCore, "synced_index", property(last_index)):
-            self.assert_found(Plan(scenarios.cut_off, Allowance(orders=1, faults=1), 3, 0))
+            self.assert_found(Plan(scenarios.cut_off, Allowance(commands=1, faults=1), 3, 0))
 
     def test_a_snapshot_older_than_the_log(self) -> None:
         with patch.object(Follower, "take_snapshot", install_any_snapshot):
@@ -207,7 +207,7 @@
 
     def test_a_refusal_without_a_fence(self) -> None:
         with patch.object(Primary, "_round_from_now", return_value=0):
-            self.assert_found(Plan(scenarios.cut_off, Allowance(orders=1), 1, 0))
+            self.assert_found(Plan(scenarios.cut_off, Allowance(commands=1), 1, 0))
 
 
 if __name__ == "__main__":
--- a/tests/explore/world.py
+++ b/tests/explore/world.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.replication.api import Order
+from madderwind.replication.api import Command
 from tests.explore.choices import (
     Allowance,
     Choice,
@@ -66,11 +66,11 @@
 class Rules:
     """Which steps a system can take, and what comes of each."""
 
-    def __init__(self, bounds: Bounds, orders: tuple[Order, ...], tolerance: int) -> None:
+    def __init__(self, bounds: Bounds, commands: tuple[Command, ...], tolerance: int) -> None:
         self.bounds, self.tolerance = bounds, tolerance
         self._messages: Numbers[Sent] = Numbers()
-        self.steps = Steps(orders, self._messages)
-        self._order_count = len(orders)
+        self.steps = Steps(commands, self._messages)
+        self._command_count = len(commands)
         self._histories: Numbers[History] = Numbers()
         self._targets: dict[int, int] = {}
         self._moves: dict[tuple[int, Choice], Move] = {}
@@ -197,7 +197,7 @@
         if node in bounds.leaving:
             yield Leave(node)
         if self.steps.observation(state).is_primary:
-            yield from (Submit(node, order) for order in range(self._order_count))
+            yield from (Submit(node, command) for command in range(self._command_count))
             yield Read(node)
 
     def _move(self, state: int, choice: Choice) -> Move:
--- a/tests/fleet/campaign.py
+++ b/tests/fleet/campaign.py
@@ -40,7 +40,7 @@
         self.reader = Reader(self.fleet, self.history, random.Random(rng.getrandbits(64)))
         self._rng = rng
         confirmed = Confirmations(self.fleet.clock)
-        self.history.on_acknowledged = lambda each: confirmed.confirm(change_of(each.order.body).version)
+        self.history.on_acknowledged = lambda each: confirmed.confirm(change_of(each.command.body).version)
         FreshnessWatch(self.fleet.clock, self.fleet.running, confirmed.newest_before)
         self.fleet.observe(self.history.note_committed, self.history.note_view)
 
@@ -73,15 +73,15 @@
         self.fleet.run(STABLE_MS)
         final = self._read()
         self.history.check(final)
-        self._order(final.version)
+        self._command(final.version)
         self.fleet.run(1_000.0)
         self.history.check(self._read())
 
-    def _order(self, base: int) -> None:
+    def _command(self, base: int) -> None:
         try:
-            self.fleet.take_order(base, base + 1, f"calm-{base}", ACKNOWLEDGED_WITHIN_MS)
+            self.fleet.submit_and_commit(base, base + 1, f"calm-{base}", ACKNOWLEDGED_WITHIN_MS)
         except TimeoutError as error:
-            raise Violation(f"no order is acknowledged in calm times: {error}") from None
+            raise Violation(f"no command is acknowledged in calm times: {error}") from None
 
     def _read(self) -> Register:
         try:
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from madderwind.messages.replication import View
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.fleet.clock import Clock
 from tests.fleet.machine import Machine
 from tests.fleet.network import Network
-from tests.fleet.register import Register, order
+from tests.fleet.register import Register, command
 
 START_SPREAD_MS = 300.0
 
@@ -105,17 +105,21 @@
         assert view is not None
         return {member.address for member in view.members if member.incarnation in view.in_sync}
 
-    def submit(self, machine: Machine, base: int, version: int, name: str = "operator") -> list[OrderResult]:
-        """An order to one machine; its result is in the list once it is there."""
-        results: list[OrderResult] = []
-        machine.submit(order(base, version, name), results.append)
+    def submit(
+        self, machine: Machine, base: int, version: int, name: str = "operator"
+    ) -> list[CommandResult]:
+        """A command to one machine; its result is in the list once it is there."""
+        results: list[CommandResult] = []
+        machine.submit(command(base, version, name), results.append)
         return results
 
-    def take_order(self, base: int, version: int, name: str = "operator", most_ms: float = 4_000.0) -> float:
-        """Send an order to whoever is primary until it is acknowledged; how long that took."""
-        state: list[OrderResult] = []
+    def submit_and_commit(
+        self, base: int, version: int, name: str = "operator", most_ms: float = 4_000.0
+    ) -> float:
+        """Send a command to whoever is primary until it is acknowledged; how long that took."""
+        state: list[CommandResult] = []
         began_ms = self.clock.now_ms
-        while not any(result.outcome is OrderOutcome.TAKEN for result in state):
+        while not any(result.outcome is CommandOutcome.TAKEN for result in state):
             if self.clock.now_ms - began_ms > most_ms:
                 raise TimeoutError(f"not acknowledged after {most_ms} ms: {state[-3:]}")
             primary = self.primary()
@@ -138,10 +142,10 @@
         return next(result for result in results if result is not None)
 
     def submit_into(
-        self, machine: Machine, base: int, version: int, name: str, results: list[OrderResult]
+        self, machine: Machine, base: int, version: int, name: str, results: list[CommandResult]
     ) -> None:
-        """An order to one machine, its result added to a list."""
-        machine.submit(order(base, version, name), results.append)
+        """A command to one machine, its result added to a list."""
+        machine.submit(command(base, version, name), results.append)
 
     def read(self, machine: Machine, most_ms: float = 1_500.0) -> Register | None:
         """A read at one machine."""
--- a/tests/fleet/history.py
+++ b/tests/fleet/history.py
@@ -7,14 +7,14 @@
 import attrs
 
 from madderwind.messages.replication import View
-from madderwind.replication.api import Order, OrderOutcome
+from madderwind.replication.api import Command, CommandOutcome
 from tests.fleet.machine import Machine
 from tests.fleet.register import Register, change_of
 
 # Members at the founding, whatever the tolerance.
 MOST_SEEDS = 3
 
-Taken = tuple[int, bytes]  # base version and body of one order
+Taken = tuple[int, bytes]  # base version and body of one command
 
 
 class Violation(AssertionError):
@@ -23,16 +23,16 @@
 
 @attrs.define
 class Attempt:
-    """One order of an operator, with all its repeats."""
+    """One command of an operator, with all its repeats."""
 
-    order: Order
+    command: Command
     began_ms: float
     acknowledged_ms: float | None = None
     refused_ms: float | None = None
 
     @property
     def taken(self) -> Taken:
-        return (self.order.base_version, self.order.body)
+        return (self.command.base_version, self.command.body)
 
 
 @attrs.frozen
@@ -57,7 +57,7 @@
         self._views: dict[int, View] = {}
 
     def acknowledge(self, now_ms: float, attempt: Attempt, machines: list[Machine]) -> None:
-        """An order was acknowledged: by now it has to be on enough disks."""
+        """A command was acknowledged: by now it has to be on enough disks."""
         if attempt.refused_ms is not None:
             raise Violation(f"{attempt} was refused and then acknowledged")
         if attempt.acknowledged_ms is None:
@@ -67,8 +67,8 @@
             if len(holders) <= self._tolerance:
                 raise Violation(f"{attempt} is acknowledged and on disk at {holders} alone")
 
-    def refuse(self, now_ms: float, attempt: Attempt, outcome: OrderOutcome) -> None:
-        """An order was refused."""
+    def refuse(self, now_ms: float, attempt: Attempt, outcome: CommandOutcome) -> None:
+        """A command was refused."""
         if attempt.acknowledged_ms is not None:
             raise Violation(f"{attempt} was acknowledged and then {outcome}")
         attempt.refused_ms = now_ms
@@ -94,7 +94,7 @@
         if len(view.members) > max(2 * self._tolerance + 1, MOST_SEEDS):
             raise Violation(f"more members than are needed: {view}")
         if len(view.in_sync) <= self._tolerance:
-            raise Violation(f"the in-sync set is smaller than what has to hold an order: {view}")
+            raise Violation(f"the in-sync set is smaller than what has to hold a command: {view}")
 
     def check(self, final: Register) -> None:
         """Compare all that was seen with what the fleet holds at the end."""
@@ -120,7 +120,7 @@
                 raise Violation(f"a read saw {_names(read.taken)}, at the end there is {_names(taken)}")
             needed = max((index + 1 for at_ms, index in acknowledged if at_ms < read.began_ms), default=0)
             if len(read.taken) < needed:
-                raise Violation(f"a read from {read.began_ms} on saw {len(read.taken)} of {needed} orders")
+                raise Violation(f"a read from {read.began_ms} on saw {len(read.taken)} of {needed} commands")
 
 
 def _names(taken: tuple[Taken, ...]) -> list[str]:
--- a/tests/fleet/linearizability.py
+++ b/tests/fleet/linearizability.py
@@ -1,22 +1,22 @@
 """Whether what several callers saw of one configuration fits together: a check of linearizability.
 
-The configuration is a register that is changed by orders, each on top of one version. The chain of orders
+The configuration is a register that is changed by commands, each on top of one version. The chain of commands
 that were taken is known at the end, so that only the moments are open at which each of them took effect. Each
 call bounds these moments:
 
-* an order takes effect after its first call began, and before the first answer that confirms it ended;
+* a command takes effect after its first call began, and before the first answer that confirms it ended;
 * a read that saw a version ended after that version took effect, and began before the next one did;
-* a refusal says the same of the version that it names as current, which is not the one the order builds on;
+* a refusal says the same of the version that it names as current, which is not the one the command builds on;
 * a call without an answer, or with an unclear one, may take effect at any time after its beginning, or never.
 
 The bounds are all lower or upper ones on single moments, but for a refusal that names no version: it holds if
-the version that the order builds on was not yet there when the call began, or no longer when it ended. The
+the version that the command builds on was not yet there when the call began, or no longer when it ended. The
 earliest moments that the lower bounds allow are computed; a refusal that they leave in doubt raises a lower
 bound, as its other half is impossible then. The history is linearizable if the earliest moments keep all
 upper bounds.
 
-Beyond linearizability, the operators' rules are checked: an order is in the chain once at most, and one that
-was refused, whenever that was, is not in it. Not so an order on a version that is not there yet, which no
+Beyond linearizability, the operators' rules are checked: a command is in the chain once at most, and one that
+was refused, whenever that was, is not in it. Not so a command on a version that is not there yet, which no
 operator can know: its refusal names a version below its base, and is right at its moment. A call of it that
 was held up may be taken once its base is there, so it takes effect after that refusal began.
 """
@@ -28,7 +28,7 @@
 
 import attrs
 
-from madderwind.replication.api import OrderOutcome
+from madderwind.replication.api import CommandOutcome
 from tests.fleet.history import Violation
 
 
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class ChainEntry:
-    """One order that was taken, in its place in the chain. `document`: the configuration after it, compared
+    """One command that was taken, in its place in the chain. `document`: the configuration after it, compared
     with what reads saw where both are given."""
 
     identity: Hashable
@@ -48,11 +48,11 @@
 
 
 @attrs.frozen
-class OrderCall:
-    """One call with an order; repeats are calls of their own with the same identity.
+class CommandCall:
+    """One call with a command; repeats are calls of their own with the same identity.
 
     `outcome` is None where no answer came. `told_version`: the version that a clear answer named as current,
-    None where it is not known. `is_valid`: whether the order is valid by itself on top of its base.
+    None where it is not known. `is_valid`: whether the command is valid by itself on top of its base.
     """
 
     identity: Hashable
@@ -60,14 +60,14 @@
     version: int
     start_ms: float
     end_ms: float = math.inf
-    outcome: OrderOutcome | None = None
+    outcome: CommandOutcome | None = None
     told_version: int | None = None
     is_valid: bool = True
 
     @property
     def waits_for_its_base(self) -> bool:
         """Whether it was refused as the version that it builds on was not there yet."""
-        if self.outcome is not OrderOutcome.STALE_BASE or self.told_version is None:
+        if self.outcome is not CommandOutcome.STALE_BASE or self.told_version is None:
             return False
         return self.told_version < self.base_version
 
@@ -95,7 +95,7 @@
     """A refusal that holds unless the version at `place` was current from the call's start to its end."""
 
     place: int
-    call: OrderCall
+    call: CommandCall
 
 
 _NEVER = _Bound(-math.inf, "nothing")
@@ -103,13 +103,13 @@
 
 
 def check_linearizable(
-    chain: Sequence[ChainEntry], orders: Iterable[OrderCall], reads: Iterable[ReadCall] = ()
+    chain: Sequence[ChainEntry], commands: Iterable[CommandCall], reads: Iterable[ReadCall] = ()
 ) -> None:
-    """Raises NotLinearizable where no moments explain all calls. `chain`: the orders that were taken, oldest
-    first, on top of version 0."""
+    """Raises NotLinearizable where no moments explain all calls. `chain`: the commands that were taken,
+    oldest first, on top of version 0."""
     moments = _Moments(chain)
-    for call in orders:
-        moments.take_order(call)
+    for call in commands:
+        moments.submit_and_commit(call)
     for read in reads:
         moments.take_read(read)
     moments.check()
@@ -121,7 +121,7 @@
     def __init__(self, chain: Sequence[ChainEntry]) -> None:
         self._chain = chain
         self._place_of_version = {0: 0}
-        self._place_of_order: dict[Hashable, int] = {}
+        self._place_of_command: dict[Hashable, int] = {}
         for place, entry in enumerate(chain, start=1):
             self._add_entry(place, entry)
         self._first_call_ms: dict[Hashable, float] = {}
@@ -133,20 +133,20 @@
         before = self._chain[place - 2].version if place > 1 else 0
         if entry.base_version != before or entry.version <= before:
             raise NotLinearizable(f"{entry} was taken on top of version {before}")
-        if entry.identity in self._place_of_order:
+        if entry.identity in self._place_of_command:
             raise NotLinearizable(f"{entry} was taken twice")
         self._place_of_version[entry.version] = place
-        self._place_of_order[entry.identity] = place
+        self._place_of_command[entry.identity] = place
 
     # --- what was seen ---
 
-    def take_order(self, call: OrderCall) -> None:
-        """Add what a call with an order tells."""
+    def submit_and_commit(self, call: CommandCall) -> None:
+        """Add what a call with a command tells."""
         first_ms = self._first_call_ms.get(call.identity, math.inf)
         self._first_call_ms[call.identity] = min(first_ms, call.start_ms)
-        if call.outcome is None or call.outcome is OrderOutcome.UNCLEAR:
+        if call.outcome is None or call.outcome is CommandOutcome.UNCLEAR:
             return
-        if call.outcome is OrderOutcome.TAKEN:
+        if call.outcome is CommandOutcome.TAKEN:
             self._take_confirmation(call)
         else:
             self._take_refusal(call)
@@ -160,21 +160,21 @@
         if None not in (document, read.document) and document != read.document:
             raise NotLinearizable(f"{read} saw another document than was taken under its version")
 
-    def _take_confirmation(self, call: OrderCall) -> None:
-        place = self._place_of_order.get(call.identity)
+    def _take_confirmation(self, call: CommandCall) -> None:
+        place = self._place_of_command.get(call.identity)
         if place is None:
             raise NotLinearizable(f"{call} was confirmed and is lost")
         self._not_after(place, _Bound(call.end_ms, str(call)))
         if call.told_version is not None and call.told_version < self._chain[place - 1].version:
             raise NotLinearizable(f"{call} was confirmed under an older version than its own")
 
-    def _take_refusal(self, call: OrderCall) -> None:
-        place = self._place_of_order.get(call.identity)
+    def _take_refusal(self, call: CommandCall) -> None:
+        place = self._place_of_command.get(call.identity)
         if place is not None:
             if not call.waits_for_its_base:
                 raise NotLinearizable(f"{call} was refused and is in force")
             self._not_before(place, _Bound(call.start_ms, str(call)))
-        if call.outcome is OrderOutcome.INVALID:
+        if call.outcome is CommandOutcome.INVALID:
             self._take_invalidity(call)
         elif call.told_version == call.base_version:
             raise NotLinearizable(f"{call} was refused on top of the version that it builds on")
@@ -183,8 +183,8 @@
             if place is not None:
                 self._doubtful.append(_DoubtfulRefusal(place, call))
 
-    def _take_invalidity(self, call: OrderCall) -> None:
-        """A valid order may be called invalid only where its version is not above the current one."""
+    def _take_invalidity(self, call: CommandCall) -> None:
+        """A valid command may be called invalid only where its version is not above the current one."""
         if not call.is_valid:
             return
         later = [place for version, place in self._place_of_version.items() if version >= call.version]
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -9,15 +9,15 @@
 from madderwind.errors import StorageError
 from madderwind.messages.replication import View, replication_messages
 from madderwind.replication.api import (
+    Command,
+    CommandOutcome,
+    CommandResolved,
+    CommandResult,
+    CommandSubmitted,
     Committed,
     Event,
     LeaveRequested,
     MessageReceived,
-    Order,
-    OrderOutcome,
-    OrderResolved,
-    OrderResult,
-    OrderSubmitted,
     ReadResolved,
     ReadSubmitted,
     Report,
@@ -41,7 +41,7 @@
 TICK_MS = 25.0
 SYNC_MS = 1.0
 
-OnOrder = Callable[[OrderResult], None]
+OnCommand = Callable[[CommandResult], None]
 OnRead = Callable[["Register | None"], None]
 
 
@@ -74,7 +74,7 @@
         self._is_frozen = False
         self._is_removed = False
         self.is_leaving = False
-        self._orders: dict[int, OnOrder] = {}
+        self._commands: dict[int, OnCommand] = {}
         self._reads: dict[int, OnRead] = {}
         self._last_token = 0
         network.attach(address, self._receive)
@@ -123,11 +123,11 @@
         self.is_leaving = False
         self._is_frozen = False
         self.life += 1
-        for on_order in self._orders.values():
-            on_order(OrderResult(OrderOutcome.UNCLEAR))
+        for on_command in self._commands.values():
+            on_command(CommandResult(CommandOutcome.UNCLEAR))
         for on_read in self._reads.values():
             on_read(None)
-        self._orders.clear()
+        self._commands.clear()
         self._reads.clear()
 
     def lose_power(self) -> None:
@@ -174,14 +174,14 @@
 
     # --- what callers ask ---
 
-    def submit(self, order: Order, on_result: OnOrder) -> None:
-        """An operator's order; the end may never come where the machine is frozen."""
+    def submit(self, command: Command, on_result: OnCommand) -> None:
+        """An operator's command; the end may never come where the machine is frozen."""
         if self.replica is None:
-            on_result(OrderResult(OrderOutcome.UNCLEAR))
+            on_result(CommandResult(CommandOutcome.UNCLEAR))
             return
         self._last_token += 1
-        self._orders[self._last_token] = on_result
-        self._event(OrderSubmitted(self._last_token, order))
+        self._commands[self._last_token] = on_result
+        self._event(CommandSubmitted(self._last_token, command))
 
     def read(self, on_result: OnRead) -> None:
         """An operator's read: the committed state if it is the newest, else None."""
@@ -205,7 +205,7 @@
         return committed
 
     def taken_on_disk(self) -> set[tuple[int, bytes]]:
-        """The orders that would still be here after a loss of power."""
+        """The commands that would still be here after a loss of power."""
         stored = stored_state(RecordFile(self.disk.synced_copy()).recover().records)
         register = Register.restore(stored.snapshot) if stored.snapshot is not None else Register()
         taken = set(register.taken)
@@ -244,8 +244,8 @@
                     self._disk_queue.append(action)
                     if len(self._disk_queue) == 1:
                         self._begin_write(self.life)
-                case OrderResolved(token, result):
-                    self._orders.pop(token)(result)
+                case CommandResolved(token, result):
+                    self._commands.pop(token)(result)
                 case ReadResolved(token, is_newest):
                     self._reads.pop(token)(self.register.copy() if is_newest else None)
                 case Committed():
--- a/tests/fleet/operators.py
+++ b/tests/fleet/operators.py
@@ -5,18 +5,18 @@
 import random
 from collections.abc import Callable
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.fleet.fleet import Fleet
 from tests.fleet.history import Attempt, History, ProvenRead
 from tests.fleet.machine import Machine
-from tests.fleet.register import Register, order
+from tests.fleet.register import Register, command
 
 PATIENCE_MS = 1_000.0  # without an answer, before the call goes to another machine
 MOST_TRIES = 12
 
 
 class Operator:
-    """Sends one order after the other, on top of the newest version that it knows."""
+    """Sends one command after the other, on top of the newest version that it knows."""
 
     def __init__(self, name: str, fleet: Fleet, history: History, rng: random.Random) -> None:
         self.name, self.fleet, self.history, self._rng = name, fleet, history, rng
@@ -31,7 +31,7 @@
         self._later(self._next)
 
     def stop(self) -> None:
-        """Send no further order."""
+        """Send no further command."""
         self.is_active = False
 
     def _later(self, action: Callable[[], None]) -> None:
@@ -46,7 +46,7 @@
         self._count += 1
         version = self._base + self._rng.randint(1, 3)
         name = f"{self.name}-{self._count}"
-        attempt = Attempt(order(self._base, version, name), self.fleet.clock.now_ms)
+        attempt = Attempt(command(self._base, version, name), self.fleet.clock.now_ms)
         self.history.attempts.append(attempt)
         self._send(attempt, version, MOST_TRIES)
 
@@ -58,16 +58,16 @@
             return
         call = _Call()
 
-        def on_result(result: OrderResult) -> None:
+        def on_result(result: CommandResult) -> None:
             now_ms = self.fleet.clock.now_ms
-            if result.outcome is OrderOutcome.TAKEN:
+            if result.outcome is CommandOutcome.TAKEN:
                 self.history.acknowledge(now_ms, attempt, list(self.fleet.machines.values()))
                 self._base = max(self._base, version)
-            elif result.outcome is not OrderOutcome.UNCLEAR:
+            elif result.outcome is not CommandOutcome.UNCLEAR:
                 self.history.refuse(now_ms, attempt, result.outcome)
                 self._base = max(self._base, result.version)
             if call.end():
-                if result.outcome is OrderOutcome.UNCLEAR:
+                if result.outcome is CommandOutcome.UNCLEAR:
                     self._later(lambda: self._send(attempt, version, tries - 1))
                 else:
                     self._later(self._next)
@@ -77,7 +77,7 @@
                 self._send(attempt, version, tries - 1)
 
         self.fleet.clock.after(PATIENCE_MS, on_silence)
-        machine.submit(attempt.order, on_result)
+        machine.submit(attempt.command, on_result)
 
     def _read(self) -> None:
         machine = self._pick()
