--- a/tests/fleet/test_linearizability.py
+++ b/tests/fleet/test_linearizability.py
@@ -6,20 +6,20 @@
 import random
 import unittest
 
-from madderwind.replication.api import OrderOutcome
+from madderwind.replication.api import CommandOutcome
 from tests.fleet.linearizability import (
     ChainEntry,
+    CommandCall,
     NotLinearizable,
-    OrderCall,
     ReadCall,
     check_linearizable,
 )
 
 TAKEN, STALE, INVALID, UNCLEAR = (
-    OrderOutcome.TAKEN,
-    OrderOutcome.STALE_BASE,
-    OrderOutcome.INVALID,
-    OrderOutcome.UNCLEAR,
+    CommandOutcome.TAKEN,
+    CommandOutcome.STALE_BASE,
+    CommandOutcome.INVALID,
+    CommandOutcome.UNCLEAR,
 )
 
 
@@ -33,10 +33,10 @@
     version: int,
     start: float,
     end: float,
-    outcome: OrderOutcome | None,
+    outcome: CommandOutcome | None,
     told: int | None = None,
-) -> OrderCall:
-    return OrderCall(name, base, version, start, end, outcome, told)
+) -> CommandCall:
+    return CommandCall(name, base, version, start, end, outcome, told)
 
 
 A, B = entry("a", 0, 1), entry("b", 1, 2)
@@ -45,7 +45,7 @@
 
 
 class RightHistories(unittest.TestCase):
-    def test_orders_one_after_the_other_with_reads_between(self) -> None:
+    def test_commands_one_after_the_other_with_reads_between(self) -> None:
         reads = [
             ReadCall(0.0, 5.0, 0),
             ReadCall(5.0, 9.0, 1, "document of a"),
@@ -60,7 +60,7 @@
         check_linearizable([], [lost])
         check_linearizable([A], [lost], [ReadCall(50.0, 51.0, 0), ReadCall(60.0, 61.0, 1)])
 
-    def test_an_order_that_is_sent_again_is_confirmed_again(self) -> None:
+    def test_a_command_that_is_sent_again_is_confirmed_again(self) -> None:
         again = [call("a", 0, 1, 0.0, 5.0, UNCLEAR), call("a", 0, 1, 40.0, 45.0, TAKEN, told=2)]
         check_linearizable([A, B], [*again, SENT_B])
 
@@ -68,71 +68,71 @@
         check_linearizable([A], [SENT_A, call("b", 0, 2, 0.0, 8.0, STALE, told=1)])
         check_linearizable([A], [SENT_A, call("b", 0, 2, 0.0, 8.0, STALE)])
 
-    def test_an_order_ahead_of_the_base_it_builds_on_is_refused(self) -> None:
+    def test_a_command_ahead_of_the_base_it_builds_on_is_refused(self) -> None:
         late = call("c", 1, 5, 2.0, 3.0, STALE)
         check_linearizable([A], [call("a", 0, 1, 0.0, 10.0, TAKEN), late])
 
-    def test_an_order_refused_ahead_of_its_base_may_be_taken_once_that_is_there(self) -> None:
+    def test_a_command_refused_ahead_of_its_base_may_be_taken_once_that_is_there(self) -> None:
         held_up, refused = call("b", 1, 2, 1.0, 2.0, None), call("b", 1, 2, 3.0, 4.0, STALE, told=0)
         sent_a = call("a", 0, 1, 3.5, 10.0, TAKEN)
         check_linearizable([A, B], [sent_a, held_up, refused])
 
-    def test_an_order_with_a_version_that_is_not_above_the_current_one_is_invalid(self) -> None:
+    def test_a_command_with_a_version_that_is_not_above_the_current_one_is_invalid(self) -> None:
         check_linearizable([A], [SENT_A, call("c", 1, 1, 20.0, 30.0, INVALID)])
 
-    def test_an_invalid_order_is_called_stale_or_invalid(self) -> None:
+    def test_an_invalid_command_is_called_stale_or_invalid(self) -> None:
         for outcome in (STALE, INVALID):
-            wrong = OrderCall("w", 1, 5, 20.0, 30.0, outcome, is_valid=False)
+            wrong = CommandCall("w", 1, 5, 20.0, 30.0, outcome, is_valid=False)
             check_linearizable([A], [SENT_A, wrong])
 
 
 class WrongHistories(unittest.TestCase):
     def assert_rejected(
-        self, chain: list[ChainEntry], orders: list[OrderCall], reads: list[ReadCall] | None = None
+        self, chain: list[ChainEntry], commands: list[CommandCall], reads: list[ReadCall] | None = None
     ) -> None:
         with self.assertRaises(NotLinearizable):
-            check_linearizable(chain, orders, reads or [])
+            check_linearizable(chain, commands, reads or [])
 
-    def test_a_confirmed_order_is_lost(self) -> None:
+    def test_a_confirmed_command_is_lost(self) -> None:
         self.assert_rejected([], [SENT_A])
 
-    def test_a_confirmed_order_is_taken_later_only(self) -> None:
+    def test_a_confirmed_command_is_taken_later_only(self) -> None:
         self.assert_rejected([A], [SENT_A], [ReadCall(20.0, 21.0, 0)])
 
-    def test_two_orders_on_one_base_are_confirmed(self) -> None:
+    def test_two_commands_on_one_base_are_confirmed(self) -> None:
         self.assert_rejected([A], [SENT_A, call("b", 0, 2, 0.0, 10.0, TAKEN)])
         self.assert_rejected([A, entry("b", 0, 2)], [SENT_A, call("b", 0, 2, 0.0, 10.0, TAKEN)])
 
-    def test_a_refused_order_is_in_force(self) -> None:
+    def test_a_refused_command_is_in_force(self) -> None:
         self.assert_rejected([A], [call("a", 0, 1, 0.0, 5.0, STALE), call("a", 0, 1, 6.0, 9.0, None)])
 
-    def test_a_taken_order_is_refused_when_it_is_sent_again(self) -> None:
+    def test_a_taken_command_is_refused_when_it_is_sent_again(self) -> None:
         self.assert_rejected([A], [SENT_A, call("a", 0, 1, 40.0, 45.0, STALE, told=1)])
 
-    def test_an_order_refused_ahead_of_its_base_was_taken_before(self) -> None:
+    def test_a_command_refused_ahead_of_its_base_was_taken_before(self) -> None:
         refused = call("b", 1, 2, 40.0, 45.0, STALE, told=0)
         self.assert_rejected([A, B], [SENT_A, SENT_B, refused])
 
-    def test_an_order_refused_as_later_than_its_base_is_taken_all_the_same(self) -> None:
+    def test_a_command_refused_as_later_than_its_base_is_taken_all_the_same(self) -> None:
         held_up, refused = call("b", 1, 2, 1.0, 2.0, None), call("b", 1, 2, 3.0, 40.0, STALE, told=2)
         self.assert_rejected([A, B], [SENT_A, held_up, refused])
 
-    def test_an_order_is_taken_twice(self) -> None:
+    def test_a_command_is_taken_twice(self) -> None:
         self.assert_rejected([A, entry("a", 1, 2)], [SENT_A, call("a", 0, 1, 20.0, 30.0, TAKEN)])
 
-    def test_an_order_is_refused_while_its_base_is_current(self) -> None:
+    def test_a_command_is_refused_while_its_base_is_current(self) -> None:
         for told in (None, 1):
             self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE, told)])
         self.assert_rejected([], [call("a", 0, 1, 0.0, 10.0, STALE)])
 
-    def test_an_order_is_refused_for_a_version_that_was_never_taken(self) -> None:
+    def test_a_command_is_refused_for_a_version_that_was_never_taken(self) -> None:
         self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE, told=7)])
 
-    def test_an_order_is_refused_for_a_version_that_is_no_longer_current(self) -> None:
+    def test_a_command_is_refused_for_a_version_that_is_no_longer_current(self) -> None:
         c = call("c", 2, 3, 40.0, 50.0, STALE, told=1)
         self.assert_rejected([A, B], [SENT_A, SENT_B, c])
 
-    def test_a_valid_order_is_called_invalid(self) -> None:
+    def test_a_valid_command_is_called_invalid(self) -> None:
         self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, INVALID)])
 
     def test_a_read_sees_what_was_replaced_before_it_began(self) -> None:
@@ -157,8 +157,8 @@
     def test_refusals_that_only_together_leave_no_explanation(self) -> None:
         # b was refused although a was current from 10 on, unless a was replaced by then; but c came later.
         c = entry("c", 1, 3)
-        orders = [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE), call("c", 1, 3, 40.0, 50.0, TAKEN)]
-        self.assert_rejected([A, c], orders)
+        commands = [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE), call("c", 1, 3, 40.0, 50.0, TAKEN)]
+        self.assert_rejected([A, c], commands)
 
 
 class AgainstASearch(unittest.TestCase):
@@ -168,49 +168,49 @@
         rng = random.Random(5)
         verdicts = {True: 0, False: 0}
         for _ in range(1_500):
-            chain, orders, reads = _drawn_history(rng)
-            expected = _is_explained(chain, orders, reads)
+            chain, commands, reads = _drawn_history(rng)
+            expected = _is_explained(chain, commands, reads)
             verdicts[expected] += 1
             try:
-                check_linearizable(chain, orders, reads)
+                check_linearizable(chain, commands, reads)
                 found = True
             except NotLinearizable:
                 found = False
-            self.assertEqual(expected, found, (chain, orders, reads))
+            self.assertEqual(expected, found, (chain, commands, reads))
         self.assertGreater(min(verdicts.values()), 100, verdicts)
 
 
-def _drawn_history(rng: random.Random) -> tuple[list[ChainEntry], list[OrderCall], list[ReadCall]]:
+def _drawn_history(rng: random.Random) -> tuple[list[ChainEntry], list[CommandCall], list[ReadCall]]:
     """A chain of up to three, its calls, a refusal and a read or two, at times drawn without any sense."""
     chain = [ChainEntry(f"o{place}", place - 1, place) for place in range(1, rng.randint(1, 3) + 1)]
-    orders = []
+    commands = []
     for each in chain:
         start, end = sorted(rng.sample(range(12), 2))
         outcome = rng.choice([TAKEN, TAKEN, None])
-        orders.append(OrderCall(each.identity, each.base_version, each.version, start, end, outcome))
+        commands.append(CommandCall(each.identity, each.base_version, each.version, start, end, outcome))
     for number in range(rng.randint(0, 2)):
         start, end = sorted(rng.sample(range(12), 2))
         base = rng.randint(0, len(chain))
-        orders.append(OrderCall(f"r{number}", base, 9, start, end, STALE))
+        commands.append(CommandCall(f"r{number}", base, 9, start, end, STALE))
     reads = []
     for _ in range(rng.randint(0, 2)):
         start, end = sorted(rng.sample(range(12), 2))
         reads.append(ReadCall(start, end, rng.randint(0, len(chain))))
-    return chain, orders, reads
+    return chain, commands, reads
 
 
-def _is_explained(chain: list[ChainEntry], orders: list[OrderCall], reads: list[ReadCall]) -> bool:
-    """Try all moments of the chain's orders, on the grid of the calls' whole-numbered times."""
+def _is_explained(chain: list[ChainEntry], commands: list[CommandCall], reads: list[ReadCall]) -> bool:
+    """Try all moments of the chain's commands, on the grid of the calls' whole-numbered times."""
     grid = range(13)
     for moments in itertools.combinations_with_replacement(grid, len(chain)):
-        if all(_order_fits(call, chain, moments) for call in orders) and all(
+        if all(_command_fits(call, chain, moments) for call in commands) and all(
             _was_at(read.start_ms, read.end_ms, {read.version}, moments) for read in reads
         ):
             return True
     return False
 
 
-def _order_fits(call: OrderCall, chain: list[ChainEntry], moments: tuple[int, ...]) -> bool:
+def _command_fits(call: CommandCall, chain: list[ChainEntry], moments: tuple[int, ...]) -> bool:
     if call.outcome is STALE:
         other_versions = set(range(len(chain) + 1)) - {call.base_version}
         return _was_at(call.start_ms, call.end_ms, other_versions, moments)
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -150,13 +150,13 @@
     assert committed.document.raw == replacement_body(8, routes=2)
 
 
-def test_repeated_order_is_recognized_after_start_on_golden_folder(
+def test_repeated_command_is_recognized_after_start_on_golden_folder(
     golden_folder: Callable[[str], Path],
 ) -> None:
     machine = ReplicaOnDisk(golden_folder("restarted"), tolerance=0, bootstrap=False)
     machine.run(3_000.0)
-    for order in (replacement(0, 3), update(3, 5), replacement(5, 8, routes=2)):
-        result = machine.replica.committed.decide(order)
+    for command in (replacement(0, 3), update(3, 5), replacement(5, 8, routes=2)):
+        result = machine.replica.committed.decide(command)
         assert result is not None
         assert (result.outcome.value, result.version) == ("taken", 8)
 
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.messages.distribution import OrderRecord, to_control_plane, to_data_plane
+from madderwind.messages.distribution import CommandRecord, to_control_plane, to_data_plane
 from madderwind.messages.peering import peer_frames
 from madderwind.messages.replication import (
     Accept,
@@ -33,10 +33,10 @@
 from madderwind.registry.saved_copy import SavedCopy
 from madderwind.replication.api import (
     Action,
+    Command,
+    CommandSubmitted,
     Event,
     MessageReceived,
-    Order,
-    OrderSubmitted,
     Rewrite,
     TimePassed,
     Write,
@@ -104,17 +104,18 @@
 
 
 def write_primary(folder: Path) -> None:
-    """A replica that founded the system and took three orders: identity, view, witness, snapshot, entries."""
+    """A replica that founded the system and took three commands: identity, view, witness, snapshot,
+    entries."""
     machine = ReplicaOnDisk(folder, tolerance=0, bootstrap=True)
     machine.run(3_000.0)
-    for token, order in enumerate((replacement(0, 3), update(3, 5), replacement(5, 8, routes=2))):
-        machine.handle(OrderSubmitted(token, order))
+    for token, command in enumerate((replacement(0, 3), update(3, 5), replacement(5, 8, routes=2))):
+        machine.handle(CommandSubmitted(token, command))
         machine.run(100.0)
 
 
 def write_restarted(folder: Path, earlier: Path) -> None:
     """The same replica after another start, which wrote its file anew: a snapshot of the second form, whose
-    digests stand by the version that each order built on."""
+    digests stand by the version that each command built on."""
     shutil.copytree(earlier, folder, dirs_exist_ok=True)
     ReplicaOnDisk(folder, tolerance=0, bootstrap=False).run(1_000.0)
 
@@ -144,10 +145,10 @@
 def write_first_form(folder: Path) -> None:
     """A replica's file with a snapshot of the first form, which held the digests alone."""
     history = ConfigurationHistory()
-    order = replacement(0, 3)
-    history.apply(order)
+    command = replacement(0, 3)
+    history.apply(command)
     assert history.document is not None
-    kept = (OrderRecord(3, 0, order.kind.value, order.body),)
+    kept = (CommandRecord(3, 0, command.kind.value, command.body),)
     state = msgspec.msgpack.encode((history.document.raw, (b"0123456789abcdef",), kept))
     records: list[StoredRecord] = [IdentityRecord("incarnation-first", True), SnapshotRecord(4, 1, state)]
     file = RecordFile(FileDisk(str(folder)))
@@ -177,8 +178,8 @@
     path.write_text(json.dumps(content, indent=1) + "\n")
 
 
-def _entry(index: int, epoch: int, order: Order) -> LogEntry:
-    return LogEntry(index, epoch, order.kind.value, order.base_version, order.body)
+def _entry(index: int, epoch: int, command: Command) -> LogEntry:
+    return LogEntry(index, epoch, command.kind.value, command.base_version, command.body)
 
 
 def main(folder: Path) -> None:
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -75,7 +75,7 @@
         self._rng = random.Random(seed)
         self._now_ms = 0.0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
-        self._order = itertools.count()
+        self._command = itertools.count()
         self._exchange = UsageExchange()
         self._multiple = 1.0
         self._count = data_planes
@@ -169,7 +169,7 @@
     # --- events ---
 
     def _at(self, at_ms: float, event: Callable[[], object]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._order), event))
+        heapq.heappush(self._events, (at_ms, next(self._command), event))
 
     def _after(self, delay_ms: float, event: Callable[[], object]) -> None:
         self._at(self._now_ms + delay_ms, event)
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -73,7 +73,7 @@
         self.fleet.heartbeat(1, 2)
 
     def assert_stays(self, state: str) -> None:
-        """Whatever comes late, at whichever control plane, in whichever order, and again."""
+        """Whatever comes late, at whichever control plane, in whichever command, and again."""
         for number, sequence, told in itertools.product(range(3), (1, 2, 3, 9), ("ready", "draining")):
             if (state, told) != ("draining", "draining"):
                 self.fleet.heartbeat(number, sequence, told)
--- a/tests/replication/catch_up.py
+++ b/tests/replication/catch_up.py
@@ -14,17 +14,17 @@
 
 import attrs
 
-from madderwind.replication.api import Order, OrderOutcome, OrderResult
+from madderwind.replication.api import Command, CommandOutcome, CommandResult
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
-from tests.fleet.register import Register, change_of, order
+from tests.fleet.register import Register, change_of, command
 
 # By routes: bytes of the JSON of such a configuration, as tests.configuration.cost_of_change makes it.
 STATE_BYTES = {100: 28_000, 2_000: 550_000, 16_000: 4_400_000}
 LINK_BYTES_PER_MS = 26_250.0  # 210 Mbit/s
 # 16,000 routes take 200 ms to read.
 HANDLING_MS_PER_BYTE = 200.0 / 4_400_000
-# Three short orders a second, or one that replaces the whole state: three of these would fill the link.
+# Three short commands a second, or one that replaces the whole state: three of these would fill the link.
 SHORT_ORDER_INTERVAL_MS, LONG_ORDER_INTERVAL_MS = 330.0, 1_000.0
 KEPT_ENTRIES = 4
 SHORT_ORDER_BYTES, LONG_ORDER_BYTES = 200, 1_000
@@ -34,15 +34,15 @@
 
 
 class LargeRegister(Register):
-    """Keeps the padding of the last long order alone, as a configuration does with the last replacement."""
+    """Keeps the padding of the last long command alone, as a configuration does with the last replacement."""
 
-    def apply(self, order: Order) -> None:
-        super().apply(order)
-        long_ago = len(self.taken) - 1 if len(order.body) > LONG_ORDER_BYTES else 0
+    def apply(self, command: Command) -> None:
+        super().apply(command)
+        long_ago = len(self.taken) - 1 if len(command.body) > LONG_ORDER_BYTES else 0
         for index, (base, body) in enumerate(self.taken[:long_ago]):
             if len(body) > LONG_ORDER_BYTES:
                 change = change_of(body)
-                self.taken[index] = (base, _order(base, change.version, "").body)
+                self.taken[index] = (base, _command(base, change.version, "").body)
 
     def copy(self) -> LargeRegister:
         duplicate = LargeRegister()
@@ -50,8 +50,8 @@
         return duplicate
 
 
-def _order(base: int, version: int, padding: str) -> Order:
-    return order(base, version, "operator", padding)
+def _command(base: int, version: int, padding: str) -> Command:
+    return command(base, version, "operator", padding)
 
 
 @contextmanager
@@ -76,19 +76,19 @@
 
 
 class Return:
-    """One machine's end and return, in a fleet that takes an order every third of a second."""
+    """One machine's end and return, in a fleet that takes a command every third of a second."""
 
     def __init__(
         self,
         state_bytes: int,
         seed: int,
         wiped: bool,
-        order_bytes: int,
+        command_bytes: int,
         interval_ms: float | None = None,
     ) -> None:
         self.fleet = Fleet(3, 1, seed=seed)
-        self._wiped, self._order_bytes = wiped, order_bytes
-        is_long = order_bytes > LONG_ORDER_BYTES
+        self._wiped, self._command_bytes = wiped, command_bytes
+        is_long = command_bytes > LONG_ORDER_BYTES
         usual_ms = LONG_ORDER_INTERVAL_MS if is_long else SHORT_ORDER_INTERVAL_MS
         self._interval_ms = interval_ms or usual_ms
         self.version = 0
@@ -97,9 +97,9 @@
         self.fleet.settle()
         self.fleet.network.bytes_per_ms = LINK_BYTES_PER_MS
         self.fleet.network.handling_ms_per_byte = HANDLING_MS_PER_BYTE
-        self._order(state_bytes)
+        self._command(state_bytes)
         self.fleet.run(3_000.0)
-        assert self.version == 1, "the first order was not taken"
+        assert self.version == 1, "the first command was not taken"
 
     def run(self) -> CatchUp:
         """Raises TimeoutError where it never gets current."""
@@ -120,10 +120,10 @@
         return CatchUp(current_ms, self._snapshots() - snapshots, len(self._primaries))
 
     def _go_on(self, duration_ms: float, until_current: Machine | None = None) -> None:
-        """Take orders for a while, or until a machine is current."""
+        """Take commands for a while, or until a machine is current."""
         until_ms = self.fleet.clock.now_ms + duration_ms
         while self.fleet.clock.now_ms < until_ms:
-            self._order(self._order_bytes)
+            self._command(self._command_bytes)
             next_ms = min(until_ms, self.fleet.clock.now_ms + self._interval_ms)
             while self.fleet.clock.now_ms < next_ms:
                 if until_current is not None and self._is_current(until_current):
@@ -131,15 +131,15 @@
                 self.fleet.run(5.0)
                 self._observe()
 
-    def _order(self, size: int) -> None:
+    def _command(self, size: int) -> None:
         primary = self.fleet.primary()
         if primary is None:
             return
-        submitted = _order(self.version, self.version + 1, "x" * size)
+        submitted = _command(self.version, self.version + 1, "x" * size)
         primary.submit(submitted, self._ended)
 
-    def _ended(self, result: OrderResult) -> None:
-        if result.outcome is OrderOutcome.TAKEN:
+    def _ended(self, result: CommandResult) -> None:
+        if result.outcome is CommandOutcome.TAKEN:
             self.version = max(self.version, result.version)
 
     def _observe(self) -> None:
@@ -167,26 +167,26 @@
 def main() -> None:
     """Print a table: median and worst over the seeds."""
     names = f"{'median ms':>11}{'worst ms':>10}{'snapshots':>11}{'primaries':>11}"
-    print(f"{'routes':>8}{'disk':>8}{'order bytes':>13}{names}")
+    print(f"{'routes':>8}{'disk':>8}{'command bytes':>13}{names}")
     for routes, state_bytes in STATE_BYTES.items():
         for wiped in (False, True):
-            for order_bytes in (SHORT_ORDER_BYTES, state_bytes):
+            for command_bytes in (SHORT_ORDER_BYTES, state_bytes):
                 row = []
                 for seed in SEEDS:
-                    row.append(_catch_up(state_bytes, seed, wiped, order_bytes))
+                    row.append(_catch_up(state_bytes, seed, wiped, command_bytes))
                 times = sorted(each.current_ms for each in row)
                 print(
-                    f"{routes:>8,}{'empty' if wiped else 'kept':>8}{order_bytes:>13,}"
+                    f"{routes:>8,}{'empty' if wiped else 'kept':>8}{command_bytes:>13,}"
                     f"{times[len(times) // 2]:>11.0f}{times[-1]:>10.0f}"
                     f"{max(each.snapshots for each in row):>11}{max(each.primaries for each in row):>11}",
                     flush=True,
                 )
 
 
-def _catch_up(state_bytes: int, seed: int, wiped: bool, order_bytes: int) -> CatchUp:
+def _catch_up(state_bytes: int, seed: int, wiped: bool, command_bytes: int) -> CatchUp:
     with large_states():
         try:
-            return Return(state_bytes, seed, wiped, order_bytes).run()
+            return Return(state_bytes, seed, wiped, command_bytes).run()
         except TimeoutError:
             return CatchUp(math.inf, 0, 0)
 
--- a/tests/replication/loss_at_each_event.py
+++ b/tests/replication/loss_at_each_event.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.fleet.clock import Clock
 from tests.fleet.fleet import Fleet
 from tests.fleet.history import Violation
@@ -119,7 +119,7 @@
         self._swap = swap
         self._acknowledged = 3
         self._mended_ms = 0.0
-        self._results: list[OrderResult] = []
+        self._results: list[CommandResult] = []
         self._clock = StrikingClock()
         with (
             patch("tests.fleet.fleet.Clock", lambda: self._clock),
@@ -128,7 +128,7 @@
             self.fleet = Fleet(3, 1, seed=SEED)
         self.fleet.start()
         self.fleet.settle()
-        self.fleet.take_order(0, 3)
+        self.fleet.submit_and_commit(0, 3)
         self.fleet.run(1_000.0)
         self._newcomer = self._begin()
 
@@ -140,7 +140,7 @@
 
     def run(self, case: Case) -> float:
         """Strike; ms from the restart of what was struck to a full set. Violation where it is not so within
-        the bound, or an acknowledged order is lost."""
+        the bound, or an acknowledged command is lost."""
         self._clock.strike_at = case.event
         self._clock.strike = lambda: self._strike(case)
         self._start_newcomer()
@@ -207,10 +207,10 @@
         return next((machine for machine in self.fleet.running() if machine not in others), None)
 
     def _check(self, case: Case) -> None:
-        taken = any(result.outcome is OrderOutcome.TAKEN for result in self._results)
+        taken = any(result.outcome is CommandOutcome.TAKEN for result in self._results)
         version = self.fleet.take_read().version
         if version < (5 if taken else 3):
-            raise Violation(f"{case}: an acknowledged order is lost, the version is {version}")
+            raise Violation(f"{case}: an acknowledged command is lost, the version is {version}")
 
 
 def main() -> None:
--- a/tests/replication/story.py
+++ b/tests/replication/story.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
 
@@ -14,7 +14,7 @@
 
 
 class FleetStory(unittest.TestCase):
-    """Given a fleet that was founded and has taken its first order, at version 3."""
+    """Given a fleet that was founded and has taken its first command, at version 3."""
 
     machines = 3
     tolerance = 1
@@ -23,7 +23,7 @@
         self.fleet = Fleet(self.machines, self.tolerance, seed=17)
         self.fleet.start()
         self.fleet.settle()
-        self.fleet.take_order(0, 3)
+        self.fleet.submit_and_commit(0, 3)
         self.fleet.run(1_000.0)
 
     @property
@@ -36,11 +36,11 @@
         """The machines that run and are not the primary."""
         return [machine for machine in self.fleet.running() if machine is not self.primary]
 
-    def assert_taken(self, results: list[OrderResult]) -> None:
-        self.assertEqual([OrderOutcome.TAKEN], [result.outcome for result in results])
+    def assert_taken(self, results: list[CommandResult]) -> None:
+        self.assertEqual([CommandOutcome.TAKEN], [result.outcome for result in results])
 
-    def assert_unclear(self, results: list[OrderResult]) -> None:
-        self.assertEqual([OrderOutcome.UNCLEAR], [result.outcome for result in results])
+    def assert_unclear(self, results: list[CommandResult]) -> None:
+        self.assertEqual([CommandOutcome.UNCLEAR], [result.outcome for result in results])
 
     def assert_all_follow(self, version: int) -> None:
         """All that run know the same primary and version, and all members are in sync."""
--- a/tests/replication/test_choices.py
+++ b/tests/replication/test_choices.py
@@ -143,13 +143,13 @@
     def test_given_a_full_disk_while_another_is_lost_then_the_primary_keeps_its_role(self) -> None:
         primary = self.primary
         self.backups()[0].kill()
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
         primary.disk.is_full = True
         self.fleet.submit(primary, 5, 6)
         self.fleet.run(1_000.0)
         self.assertIs(primary, self.primary)
         primary.disk.is_full = False
-        self.assertLess(self.fleet.take_order(5, 6), 300.0)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), 300.0)
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_orders.py
+++ b/tests/replication/test_commands.py
@@ -1,16 +1,16 @@
-"""Orders and reads while all is well, and what they are told when it is not."""
+"""Commands and reads while all is well, and what they are told when it is not."""
 
 from __future__ import annotations
 
 import unittest
 
-from madderwind.replication.api import OrderOutcome, OrderResult
-from tests.fleet.register import order
+from madderwind.replication.api import CommandOutcome, CommandResult
+from tests.fleet.register import command
 from tests.replication.story import CALM_ACKNOWLEDGEMENT_MS, FleetStory
 
 
 class OrdersInCalmTimes(FleetStory):
-    def test_when_an_order_comes_then_it_is_acknowledged_and_soon_known_everywhere(self) -> None:
+    def test_when_a_command_comes_then_it_is_acknowledged_and_soon_known_everywhere(self) -> None:
         results = self.fleet.submit(self.primary, 3, 5)
         self.fleet.run(20.0)
         self.assert_taken(results)
@@ -18,8 +18,8 @@
         self.assert_all_follow(5)
 
     def test_when_it_is_repeated_then_it_is_acknowledged_again(self) -> None:
-        self.fleet.take_order(3, 5)
-        self.fleet.take_order(5, 6)
+        self.fleet.submit_and_commit(3, 5)
+        self.fleet.submit_and_commit(5, 6)
         results = self.fleet.submit(self.primary, 3, 5)
         self.fleet.run(20.0)
         self.assert_taken(results)
@@ -38,12 +38,12 @@
         second = self.fleet.submit(self.primary, 3, 6, "other")
         self.fleet.run(50.0)
         self.assert_taken(first)
-        self.assertEqual([OrderResult(OrderOutcome.STALE_BASE, 5)], second)
+        self.assertEqual([CommandResult(CommandOutcome.STALE_BASE, 5)], second)
 
-    def test_when_an_order_is_invalid_then_it_is_told_why(self) -> None:
+    def test_when_a_command_is_invalid_then_it_is_told_why(self) -> None:
         results = self.fleet.submit(self.primary, 3, 2)
         self.fleet.run(50.0)
-        self.assertEqual([OrderOutcome.INVALID], [result.outcome for result in results])
+        self.assertEqual([CommandOutcome.INVALID], [result.outcome for result in results])
         self.assertEqual("version", results[0].field)
 
     def test_when_many_come_one_on_top_of_the_other_then_all_are_taken(self) -> None:
@@ -56,7 +56,7 @@
         self.primary.stalled_until_ms = self.fleet.clock.now_ms + 300.0
         results = [self.fleet.submit(self.primary, version, version + 1) for version in range(3, 103)]
         outcomes = [result[0].outcome for result in results if result]
-        self.assertEqual({OrderOutcome.UNCLEAR}, set(outcomes))
+        self.assertEqual({CommandOutcome.UNCLEAR}, set(outcomes))
         self.fleet.run(1_000.0)
         self.assertTrue(all(results))
 
@@ -65,8 +65,8 @@
 
     def test_when_bodies_are_large_then_they_are_taken(self) -> None:
         for version in range(3, 6):
-            results: list[OrderResult] = []
-            self.primary.submit(order(version, version + 1, "large", "x" * 3_000_000), results.append)
+            results: list[CommandResult] = []
+            self.primary.submit(command(version, version + 1, "large", "x" * 3_000_000), results.append)
             self.fleet.run(200.0)
             self.assert_taken(results)
         self.assertEqual(6, self.fleet.take_read().version)
@@ -99,31 +99,31 @@
     def test_when_it_is_asked_to_read_then_it_proves_nothing(self) -> None:
         self.assertIsNone(self.fleet.read(self.old))
 
-    def test_when_an_order_comes_then_it_is_unclear_within_a_second(self) -> None:
+    def test_when_a_command_comes_then_it_is_unclear_within_a_second(self) -> None:
         results = self.fleet.submit(self.old, 3, 5)
         self.fleet.run(1_000.0)
         self.assert_unclear(results)
 
-    def test_when_an_order_builds_on_what_it_does_not_know_then_it_is_not_refused(self) -> None:
+    def test_when_a_command_builds_on_what_it_does_not_know_then_it_is_not_refused(self) -> None:
         self.fleet.run(400.0)
         results = self.fleet.submit(self.old, 8, 9)
         self.fleet.run(1_000.0)
         self.assert_unclear(results)
 
-    def test_when_it_comes_back_with_an_order_of_its_own_then_that_is_dropped(self) -> None:
+    def test_when_it_comes_back_with_a_command_of_its_own_then_that_is_dropped(self) -> None:
         self.fleet.submit(self.old, 3, 5, "lost")
         self.fleet.run(1_500.0)
-        self.fleet.take_order(3, 6, "won")
+        self.fleet.submit_and_commit(3, 6, "won")
         self.fleet.network.heal()
         self.fleet.run(1_500.0)
         self.assert_all_follow(6)
         self.assertEqual(self.primary.register.taken, self.old.register.taken)
 
-    def test_when_it_comes_back_then_its_order_can_be_repeated_to_a_clear_end(self) -> None:
+    def test_when_it_comes_back_then_its_command_can_be_repeated_to_a_clear_end(self) -> None:
         self.fleet.submit(self.old, 3, 5, "again")
         self.fleet.run(1_500.0)
         self.fleet.network.heal()
-        self.fleet.take_order(3, 5, "again")
+        self.fleet.submit_and_commit(3, 5, "again")
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
--- a/tests/replication/test_disks_of_all.py
+++ b/tests/replication/test_disks_of_all.py
@@ -5,12 +5,12 @@
 import unittest
 from unittest.mock import patch
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from madderwind.replication.primary import Primary
 from tests.fleet.disk import MemoryDisk
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
-from tests.fleet.register import order
+from tests.fleet.register import command
 from tests.replication.story import FAILOVER_MS, FleetStory
 
 # A full disk that has space again, or a machine that has power again, serves within this: far less than any
@@ -29,24 +29,24 @@
             machine.disk.is_full = False
 
     def assert_nothing_is_acknowledged(self, version: int) -> None:
-        """Wherever an order is sent to, and however often."""
-        results: list[OrderResult] = []
+        """Wherever a command is sent to, and however often."""
+        results: list[CommandResult] = []
         for _ in range(6):
             for machine in self.fleet.running():
                 self.fleet.submit_into(machine, 3, version, "operator", results)
             self.fleet.run(500.0)
-        self.assertEqual({OrderOutcome.UNCLEAR}, {result.outcome for result in results})
+        self.assertEqual({CommandOutcome.UNCLEAR}, {result.outcome for result in results})
 
     def assert_serves_again(self, version: int) -> None:
-        self.assertLess(self.fleet.take_order(3, version, most_ms=RECOVERY_MS), RECOVERY_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, version, most_ms=RECOVERY_MS), RECOVERY_MS)
         self.fleet.run(3_000.0)
         self.assert_all_follow(version)
 
-    def test_given_one_after_the_other_full_then_orders_go_through_at_those_that_are_not(self) -> None:
+    def test_given_one_after_the_other_full_then_commands_go_through_at_those_that_are_not(self) -> None:
         version = 3
         for machine in list(self.fleet.machines.values()):
             self.fill(machine)
-            self.assertLess(self.fleet.take_order(version, version + 1), FAILOVER_MS)
+            self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
             self.assertNotIn(machine.address, self.fleet.in_sync())
             self.make_space()
             self.fleet.run(3_000.0)
@@ -97,7 +97,7 @@
         for machine in fleet.machines.values():
             machine.disk.is_full = False
         fleet.settle(RECOVERY_MS)
-        fleet.take_order(0, 1)
+        fleet.submit_and_commit(0, 1)
         fleet.run(3_000.0)
         self.assertEqual({"m1", "m2", "m3"}, fleet.in_sync())
 
@@ -105,18 +105,18 @@
         for full in (("m1",), ("m2",), ("m2", "m3"), ("m1", "m2", "m3")):
             self.assert_founded_once_there_is_space(*full)
 
-    def test_given_one_beside_the_first_that_stays_full_then_the_others_take_orders(self) -> None:
+    def test_given_one_beside_the_first_that_stays_full_then_the_others_take_commands(self) -> None:
         for full in ("m2", "m3"):
             fleet = Fleet(3, 1, seed=31)
             fleet[full].disk.is_full = True
             fleet.start()
             fleet.settle(RECOVERY_MS)
-            fleet.take_order(0, 1)
+            fleet.submit_and_commit(0, 1)
             self.assertNotIn(full, fleet.in_sync())
 
 
 class PowerIsLostEverywhere(unittest.TestCase):
-    """Each order that was acknowledged is there, whenever that happens, and the fleet serves soon."""
+    """Each command that was acknowledged is there, whenever that happens, and the fleet serves soon."""
 
     def setUp(self) -> None:
         self.fleet = Fleet(3, 1, seed=29)
@@ -133,11 +133,11 @@
         for machine in self.fleet.machines.values():
             machine.start()
 
-    def order(self, version: int) -> list[OrderResult]:
+    def command(self, version: int) -> list[CommandResult]:
         primary = self.fleet.primary()
         assert primary is not None
-        results: list[OrderResult] = []
-        primary.submit(order(self.version, version, "operator"), results.append)
+        results: list[CommandResult] = []
+        primary.submit(command(self.version, version, "operator"), results.append)
         return results
 
     def assert_is_back(self, acknowledged: int, sent: int) -> None:
@@ -149,12 +149,12 @@
         self.assertGreaterEqual(version, acknowledged)
         self.version = version
 
-    def test_given_any_moment_of_an_order_then_it_is_there_once_it_was_acknowledged(self) -> None:
+    def test_given_any_moment_of_a_command_then_it_is_there_once_it_was_acknowledged(self) -> None:
         acknowledged_in_all = 0
         for step in range(24):
-            results = self.order(self.version + 2)
+            results = self.command(self.version + 2)
             self.fleet.run(STEP_MS * step)
-            taken = [result for result in results if result.outcome is OrderOutcome.TAKEN]
+            taken = [result for result in results if result.outcome is CommandOutcome.TAKEN]
             acknowledged_in_all += len(taken)
             self.lose_power_everywhere()
             self.start_all()
@@ -164,9 +164,9 @@
 
     def test_given_a_second_loss_at_any_moment_of_the_start_then_all_is_there(self) -> None:
         for step in range(24):
-            results = self.order(self.version + 2)
+            results = self.command(self.version + 2)
             self.fleet.run_until(lambda: bool(results), 1_000.0)  # noqa: B023
-            self.assertEqual([OrderOutcome.TAKEN], [result.outcome for result in results])
+            self.assertEqual([CommandOutcome.TAKEN], [result.outcome for result in results])
             acknowledged = self.version + 2
             self.lose_power_everywhere()
             self.start_all()
@@ -177,7 +177,7 @@
 
     def test_given_machines_that_come_back_one_by_one_then_all_is_there(self) -> None:
         for step in range(6):
-            results = self.order(self.version + 2)
+            results = self.command(self.version + 2)
             self.fleet.run_until(lambda: bool(results), 1_000.0)  # noqa: B023
             self.lose_power_everywhere()
             for machine in self.fleet.rng.sample(list(self.fleet.machines.values()), 3):
--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -13,17 +13,17 @@
     def test_given_the_primary_killed_then_another_takes_over(self) -> None:
         old = self.primary
         old.kill()
-        self.assertLess(self.fleet.take_order(3, 5), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         old.start()
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
-    def test_given_a_backup_killed_then_orders_wait_for_its_silence_alone(self) -> None:
+    def test_given_a_backup_killed_then_commands_wait_for_its_silence_alone(self) -> None:
         self.backups()[0].kill()
-        self.assertLess(self.fleet.take_order(3, 5), 1_000.0)
-        self.assertLess(self.fleet.take_order(5, 6), 100.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
 
-    def test_given_the_primary_killed_at_any_moment_of_an_order_then_it_is_not_lost(self) -> None:
+    def test_given_the_primary_killed_at_any_moment_of_a_command_then_it_is_not_lost(self) -> None:
         for version in range(3, 23, 2):
             old = self.primary
             results = self.fleet.submit(old, version, version + 2)
@@ -31,7 +31,7 @@
             old.lose_power()
             self.fleet.run(1.0)
             self.assertEqual(1, len(results))
-            self.fleet.take_order(version, version + 2)
+            self.fleet.submit_and_commit(version, version + 2)
             old.start()
             self.fleet.run(3_000.0)
             self.assert_all_follow(version + 2)
@@ -42,11 +42,11 @@
         self.fleet.run(500.0)
         for machine in self.fleet.machines.values():
             machine.start()
-        self.assertLess(self.fleet.take_order(3, 5), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
-    def test_given_all_lose_power_in_the_middle_of_an_order_then_it_ends_one_way_or_the_other(self) -> None:
+    def test_given_all_lose_power_in_the_middle_of_a_command_then_it_ends_one_way_or_the_other(self) -> None:
         for version in range(3, 23, 2):
             results = self.fleet.submit(self.primary, version, version + 2)
             self.fleet.run(0.5 * (version - 3))
@@ -55,7 +55,7 @@
             self.assertEqual(1, len(results))
             for machine in self.fleet.machines.values():
                 machine.start()
-            self.fleet.take_order(version, version + 2)
+            self.fleet.submit_and_commit(version, version + 2)
             self.fleet.run(2_000.0)
             self.assert_all_follow(version + 2)
 
@@ -64,25 +64,25 @@
         old.leave()
         self.fleet.run(100.0)
         self.assertIsNot(old, self.primary)
-        self.assertLess(self.fleet.take_order(3, 5), 200.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_a_backup_asked_to_leave_then_orders_do_not_wait_for_it(self) -> None:
+    def test_given_a_backup_asked_to_leave_then_commands_do_not_wait_for_it(self) -> None:
         self.backups()[0].leave()
         self.fleet.run(50.0)
-        self.assertLess(self.fleet.take_order(3, 5), 200.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_all_stopped_and_started_in_turn_then_each_order_goes_through(self) -> None:
+    def test_given_all_stopped_and_started_in_turn_then_each_command_goes_through(self) -> None:
         version = 3
         for machine in list(self.fleet.machines.values()):
             machine.leave()
             self.fleet.run(500.0)
             machine.start()
-            self.assertLess(self.fleet.take_order(version, version + 1), FAILOVER_MS)
+            self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
             version += 1
             self.fleet.run(2_500.0)
         self.assert_all_follow(version)
 
-    def test_given_an_order_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds(
+    def test_given_a_command_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds(
         self,
     ) -> None:
         old = self.primary
@@ -106,7 +106,7 @@
         old = self.primary
         old.freeze()
         waiting = self.fleet.submit(old, 3, 4, "queued")
-        self.assertLess(self.fleet.take_order(3, 5), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(2_000.0)
         old.thaw()
         self.assertIsNone(self.fleet.read(old))
@@ -114,7 +114,7 @@
         self.assert_unclear(waiting)
         self.assert_all_follow(5)
 
-    def test_given_the_primary_frozen_with_an_order_sent_out_when_it_wakes_then_what_it_tells_is_true(
+    def test_given_the_primary_frozen_with_a_command_sent_out_when_it_wakes_then_what_it_tells_is_true(
         self,
     ) -> None:
         old = self.primary
@@ -122,13 +122,13 @@
         old.freeze()
         self.fleet.run(2_000.0)
         self.assertEqual(5, self.primary.register.version)  # the others had it, so it is committed
-        self.fleet.take_order(5, 8, "later")
+        self.fleet.submit_and_commit(5, 8, "later")
         old.thaw()
         self.fleet.run(1_500.0)
         self.assert_taken(results)
         self.assert_all_follow(8)
 
-    def test_given_the_primary_frozen_before_an_order_got_out_when_it_wakes_then_it_acknowledges_nothing(
+    def test_given_the_primary_frozen_before_a_command_got_out_when_it_wakes_then_it_acknowledges_nothing(
         self,
     ) -> None:
         old = self.primary
@@ -137,7 +137,7 @@
         old.freeze()
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
-        self.fleet.take_order(3, 8, "later")
+        self.fleet.submit_and_commit(3, 8, "later")
         old.thaw()
         self.fleet.run(1_500.0)
         self.assert_unclear(results)
@@ -168,7 +168,7 @@
     def assert_stays_primary(self, primary: Machine) -> None:
         self.fleet.run(4_000.0)
         self.assertIs(primary, self.primary)
-        self.assertLess(self.fleet.take_order(3, 5), 100.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 100.0)
         self.fleet.network.heal()
         self.fleet.run(2_500.0)
         self.assertIs(primary, self.primary)
@@ -179,7 +179,7 @@
         self.fleet.network.cut(primary.address, self.backups()[0].address)
         self.assert_stays_primary(primary)
 
-    def test_given_a_backup_that_the_primary_cannot_hear_then_orders_go_on_without_it(self) -> None:
+    def test_given_a_backup_that_the_primary_cannot_hear_then_commands_go_on_without_it(self) -> None:
         primary = self.primary
         self.fleet.network.cut(self.backups()[0].address, primary.address)
         self.assert_stays_primary(primary)
@@ -212,7 +212,7 @@
             self.fleet.network.cut(backup.address, old.address)
         self.fleet.run(2_500.0)
         self.assertIsNot(old, self.primary)
-        self.assertLess(self.fleet.take_order(3, 5), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
 
     def test_given_a_primary_that_nobody_hears_then_another_takes_over(self) -> None:
         old = self.primary
@@ -220,7 +220,7 @@
             self.fleet.network.cut(old.address, backup.address)
         self.fleet.run(2_500.0)
         self.assertIsNot(old, self.primary)
-        self.assertLess(self.fleet.take_order(3, 5), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
 
     def test_given_all_cut_from_each_other_then_nothing_is_promised_until_they_are_joined(self) -> None:
         for machine in self.fleet.running():
@@ -230,30 +230,32 @@
         self.assert_unclear(results)
         self.assertIsNone(self.fleet.primary())
         self.fleet.network.heal()
-        self.assertLess(self.fleet.take_order(3, 5), 2_000.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 2_000.0)
 
 
 class DisksInTrouble(FleetStory):
-    def test_given_a_stalled_disk_at_the_primary_then_it_hands_over_and_the_order_goes_through(self) -> None:
+    def test_given_a_stalled_disk_at_the_primary_then_it_hands_over_and_the_command_goes_through(
+        self,
+    ) -> None:
         old = self.primary
         old.stalled_until_ms = self.fleet.clock.now_ms + 6_000.0
-        self.assertLess(self.fleet.take_order(3, 5), 1_200.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 1_200.0)
         self.assertIsNot(old, self.primary)
-        self.assertLess(self.fleet.take_order(5, 6), 100.0)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
         self.fleet.run(9_000.0)
         self.assert_all_follow(6)
 
-    def test_given_a_stalled_disk_at_a_backup_then_orders_go_on_without_it(self) -> None:
+    def test_given_a_stalled_disk_at_a_backup_then_commands_go_on_without_it(self) -> None:
         self.backups()[0].stalled_until_ms = self.fleet.clock.now_ms + 6_000.0
-        self.assertLess(self.fleet.take_order(3, 5), 1_000.0)
-        self.assertLess(self.fleet.take_order(5, 6), 100.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
         self.fleet.run(9_000.0)
         self.assert_all_follow(6)
 
     def test_given_a_full_disk_at_the_primary_then_it_hands_over_at_once(self) -> None:
         old = self.primary
         old.disk.is_full = True
-        self.assertLess(self.fleet.take_order(3, 5), 300.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 300.0)
         self.assertIsNot(old, self.primary)
         old.disk.is_full = False
         self.fleet.run(3_000.0)
@@ -262,17 +264,17 @@
     def test_given_a_full_disk_at_a_backup_then_it_leaves_the_set_and_comes_back(self) -> None:
         backup = self.backups()[0]
         backup.disk.is_full = True
-        self.assertLess(self.fleet.take_order(3, 5), 300.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 300.0)
         self.assertNotIn(backup.address, self.fleet.in_sync())
         backup.disk.is_full = False
         self.fleet.run(3_000.0)
         self.assert_all_follow(5)
 
-    def test_given_slow_disks_everywhere_then_orders_are_still_taken(self) -> None:
+    def test_given_slow_disks_everywhere_then_commands_are_still_taken(self) -> None:
         for machine in self.fleet.running():
             machine.sync_ms = 200.0
         primary = self.primary
-        self.assertLess(self.fleet.take_order(3, 5), 1_000.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
         self.assertIs(primary, self.primary)
 
     def test_given_failing_syncs_then_nothing_is_promised_on_them(self) -> None:
@@ -283,7 +285,7 @@
         self.assert_unclear(results)
         for machine in self.fleet.running():
             machine.disk.fails_syncs = False
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
 
 
 class FiveMachines(FleetStory):
@@ -292,13 +294,13 @@
     machines = 5
     tolerance = 2
 
-    def test_given_the_primary_and_a_backup_killed_then_orders_go_on(self) -> None:
+    def test_given_the_primary_and_a_backup_killed_then_commands_go_on(self) -> None:
         self.backups()[0].kill()
         self.primary.kill()
-        self.assertLess(self.fleet.take_order(3, 5), 2_000.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 2_000.0)
 
     def test_given_two_wiped_while_the_others_lose_power_then_nothing_is_lost(self) -> None:
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
         machines = list(self.fleet.machines.values())
         for machine in machines[:2]:
             machine.wipe()
@@ -306,7 +308,7 @@
             machine.lose_power()
         for machine in machines:
             machine.start()
-        self.assertLess(self.fleet.take_order(5, 6), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), FAILOVER_MS)
         self.fleet.run(2_000.0)
         self.assert_all_follow(6)
 
@@ -316,7 +318,7 @@
             self.fleet.network.isolate(machine.address)
         self.fleet.run(3_000.0)
         self.assertNotIn(self.primary, minority)
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
         self.fleet.network.heal()
         self.fleet.run(4_000.0)
         self.assert_all_follow(5)
--- a/tests/replication/test_founding.py
+++ b/tests/replication/test_founding.py
@@ -33,7 +33,7 @@
         fleet["m1"].start(bootstrap=True)
         fleet["m2"].start(bootstrap=True)
         fleet.settle()
-        fleet.take_order(0, 1)
+        fleet.submit_and_commit(0, 1)
         fleet["m3"].start(bootstrap=True)
         fleet.run(1_000.0)
         self.assertEqual({"m1", "m2", "m3"}, fleet.in_sync())
@@ -50,7 +50,7 @@
             fleet["m1"].start(bootstrap=True)
             fleet.run(1_500.0)
             fleet.settle()
-            fleet.take_order(0, 1)
+            fleet.submit_and_commit(0, 1)
 
     def test_given_the_founder_restarted_without_bootstrap_then_its_file_still_knows(self) -> None:
         fleet = Fleet(3, 1)
@@ -73,7 +73,7 @@
         fleet = Fleet(3, 1)
         fleet.start()
         fleet.settle()
-        fleet.take_order(0, 1)
+        fleet.submit_and_commit(0, 1)
         for machine in fleet.machines.values():
             machine.kill()
         fleet["m1"].wipe()
@@ -98,7 +98,7 @@
         fleet = Fleet(5, 1)
         fleet.start()
         fleet.settle()
-        fleet.take_order(0, 1)
+        fleet.submit_and_commit(0, 1)
         fleet.run(500.0)
         standing = fleet["m5"].standing()
         assert standing is not None
@@ -109,7 +109,7 @@
         fleet = Fleet(1, 0)
         fleet.start()
         fleet.settle()
-        fleet.take_order(0, 1)
+        fleet.submit_and_commit(0, 1)
         fleet["m1"].lose_power()
         fleet["m1"].start()
         fleet.settle()
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -27,8 +27,8 @@
         self.watch = FreshnessWatch(self.fleet.clock, self.fleet.running, self.confirmed.newest_before)
         self.confirmed.confirm(3)
 
-    def order(self, base: int, version: int) -> None:
-        self.fleet.take_order(base, version)
+    def command(self, base: int, version: int) -> None:
+        self.fleet.submit_and_commit(base, version)
         self.confirmed.confirm(version)
 
     def age_ms(self, machine: Machine) -> float:
@@ -53,7 +53,7 @@
 
 
 class AReplicaThatLacksSomething(FreshnessStory):
-    def test_given_heartbeats_without_their_orders_then_the_old_version_is_not_called_fresh(self) -> None:
+    def test_given_heartbeats_without_their_commands_then_the_old_version_is_not_called_fresh(self) -> None:
         lagging = self.backups()[0]
 
         def is_content_for_it(sender: str, receiver: str, data: bytes) -> bool:
@@ -61,7 +61,7 @@
             return receiver == lagging.address and isinstance(message, Append | InstallSnapshot)
 
         self.lose(is_content_for_it)
-        self.order(3, 5)
+        self.command(3, 5)
         self.fleet.run(2_000.0)
         self.assertEqual(3, lagging.register.version)
         self.assertGreater(self.age_ms(lagging), CURRENT_MS)
@@ -74,7 +74,7 @@
 
         self.lose(is_commit_notice)
         backups = self.backups()
-        self.order(3, 5)
+        self.command(3, 5)
         old.kill()
         self.fleet.run_until(lambda: any(self.is_candidate(backup) for backup in backups), 1_000.0)
         for backup in backups:
@@ -92,7 +92,7 @@
         frozen.freeze()
         self.fleet.run(300.0)
         self.fleet.network.isolate(frozen.address)
-        self.order(3, 5)
+        self.command(3, 5)
         self.fleet.run(CUT_MS)
         frozen.thaw()
         self.fleet.run(500.0)
@@ -113,7 +113,7 @@
             return is_content and self.fleet.clock.now_ms < heals_ms  # so it reads old heartbeats alone
 
         self.lose(is_content_in_the_cut)
-        self.order(3, 5)
+        self.command(3, 5)
         self.fleet.run(heals_ms - self.fleet.clock.now_ms)
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
@@ -122,7 +122,7 @@
     def test_given_a_link_that_only_takes_long_then_the_age_tells_so(self) -> None:
         self.fleet.network.least_delay_ms = self.fleet.network.most_delay_ms = 40.0
         self.fleet.run(2_000.0)
-        self.order(3, 5)
+        self.command(3, 5)
         self.fleet.run(1_000.0)
         for machine in self.fleet.running():
             self.assertLess(self.age_ms(machine), CURRENT_MS)
@@ -158,7 +158,7 @@
             for name in names:
                 self.assert_caught(MessagesThatWereHeldUp(name))
 
-    def test_freshness_taken_from_a_heartbeat_ahead_of_its_orders(self) -> None:
-        name = "test_given_heartbeats_without_their_orders_then_the_old_version_is_not_called_fresh"
+    def test_freshness_taken_from_a_heartbeat_ahead_of_its_commands(self) -> None:
+        name = "test_given_heartbeats_without_their_commands_then_the_old_version_is_not_called_fresh"
         with patch.object(Follower, "_note_lease", fresh_as_of_the_arrival):
             self.assert_caught(AReplicaThatLacksSomething(name))
--- a/tests/replication/test_large_states.py
+++ b/tests/replication/test_large_states.py
@@ -29,9 +29,9 @@
 SLOW_LINK_BYTES_PER_MS = 4_000.0
 
 
-def returned(state_bytes: int = LONG_STATE, order_bytes: int = 200, wiped: bool = False) -> CatchUp:
+def returned(state_bytes: int = LONG_STATE, command_bytes: int = 200, wiped: bool = False) -> CatchUp:
     with large_states():
-        return Return(state_bytes, 1, wiped, order_bytes).run()
+        return Return(state_bytes, 1, wiped, command_bytes).run()
 
 
 class AMemberComesBack(unittest.TestCase):
@@ -39,16 +39,16 @@
         self.assertLess(catch_up.current_ms, CATCH_UP_MS)
         self.assertEqual((1, 1), (catch_up.snapshots, catch_up.primaries))
 
-    def test_given_three_orders_a_second_when_it_restarts_then_it_is_soon_current(self) -> None:
+    def test_given_three_commands_a_second_when_it_restarts_then_it_is_soon_current(self) -> None:
         self.assert_smooth(returned())
 
-    def test_given_three_orders_a_second_when_its_disk_was_lost_then_it_is_soon_current(self) -> None:
+    def test_given_three_commands_a_second_when_its_disk_was_lost_then_it_is_soon_current(self) -> None:
         self.assert_smooth(returned(wiped=True))
 
     def test_given_whole_replacements_when_it_restarts_then_it_is_soon_current(self) -> None:
-        self.assert_smooth(returned(MIDDLE_STATE, order_bytes=MIDDLE_STATE))
+        self.assert_smooth(returned(MIDDLE_STATE, command_bytes=MIDDLE_STATE))
 
-    def test_given_a_slow_link_and_quick_orders_then_one_snapshot_is_enough(self) -> None:
+    def test_given_a_slow_link_and_quick_commands_then_one_snapshot_is_enough(self) -> None:
         with large_states(), patch("madderwind.replication.log.KEPT_ENTRIES", 2):
             story = Return(LONG_STATE, 1, True, 200, interval_ms=100.0)
             story.fleet.network.bytes_per_ms = SLOW_LINK_BYTES_PER_MS
@@ -235,11 +235,11 @@
 
     def test_a_snapshot_begun_anew_without_regard_to_its_progress(self) -> None:
         with patch.object(Peer, "is_resend_due", resend_without_regard_to_progress):
-            self.assert_found("test_given_a_slow_link_and_quick_orders_then_one_snapshot_is_enough")
+            self.assert_found("test_given_a_slow_link_and_quick_commands_then_one_snapshot_is_enough")
 
     def test_a_log_that_is_not_kept_for_those_on_their_way(self) -> None:
         with patch.object(LogShipping, "needed_after", return_value=None):
-            self.assert_found("test_given_a_slow_link_and_quick_orders_then_one_snapshot_is_enough")
+            self.assert_found("test_given_a_slow_link_and_quick_commands_then_one_snapshot_is_enough")
 
     def test_a_snapshot_older_than_its_index(self) -> None:
         def old(register: LargeRegister) -> bytes:
@@ -248,7 +248,7 @@
         ordinary = LargeRegister.snapshot
         with patch.object(LargeRegister, "snapshot", old):
             self.assert_found(
-                "test_given_three_orders_a_second_when_its_disk_was_lost_then_it_is_soon_current"
+                "test_given_three_commands_a_second_when_its_disk_was_lost_then_it_is_soon_current"
             )
 
 
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -25,7 +25,7 @@
         old.wipe()
         self.fleet.run(100.0)
         old.start()
-        self.assertLess(self.fleet.take_order(3, 5), 500.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 500.0)
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
@@ -33,7 +33,7 @@
         for address in ("m1", "m2", "m3"):
             with self.subTest(wiped=address):
                 version = self.primary.register.version
-                self.fleet.take_order(version, version + 1)
+                self.fleet.submit_and_commit(version, version + 1)
                 for machine in self.fleet.machines.values():
                     if machine.address == address:
                         machine.wipe()
@@ -41,7 +41,7 @@
                         machine.lose_power()
                 for machine in self.fleet.machines.values():
                     machine.start()
-                self.assertLess(self.fleet.take_order(version + 1, version + 2), FAILOVER_MS)
+                self.assertLess(self.fleet.submit_and_commit(version + 1, version + 2), FAILOVER_MS)
                 self.fleet.run(4_000.0)
                 self.assert_all_follow(version + 2)
 
@@ -65,23 +65,23 @@
     ) -> None:
         primary, (wiped, late) = self.primary, self.backups()
         self.fleet.network.isolate(late.address)
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
         self.fleet.network.heal()
         wiped.wipe()
         primary.lose_power()
         late.lose_power()
         for machine in (late, wiped, primary):
             machine.start()
-        self.assertLess(self.fleet.take_order(5, 6), 2_000.0)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), 2_000.0)
 
 
 class MessagesAreLost(FleetStory):
-    def test_given_a_learner_that_missed_the_first_entries_while_orders_go_on_then_it_catches_up(
+    def test_given_a_learner_that_missed_the_first_entries_while_commands_go_on_then_it_catches_up(
         self,
     ) -> None:
         primary, learner = self.primary, self.backups()[0]
         learner.wipe()
-        self.fleet.take_order(3, 4)
+        self.fleet.submit_and_commit(3, 4)
         self.fleet.network.cut(primary.address, learner.address)
         learner.start()
         for version in range(4, 104):
@@ -108,7 +108,7 @@
                 successor = self.fleet.add(f"new{number}")
                 self.fleet.run(200.0)
                 successor.start()
-                self.assertLess(self.fleet.take_order(version, version + 1), FAILOVER_MS)
+                self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
                 self.fleet.run(3_000.0)
                 standing = self.primary.standing()
                 assert standing is not None
@@ -134,7 +134,7 @@
         standing = member.standing()
         assert standing is not None
         self.assertNotIn(member.address, standing.members)
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
         self.fleet.run(200.0)
         self.assertEqual(5, member.register.version)
 
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -17,7 +17,7 @@
 from tests.fleet.disk import MemoryDisk
 from tests.fleet.history import Violation
 from tests.fleet.machine import Machine
-from tests.replication import test_failover, test_lost_disks, test_orders, test_witness
+from tests.replication import test_commands, test_failover, test_lost_disks, test_witness
 
 MOST_CAMPAIGNS = 40
 
@@ -119,7 +119,9 @@
     def test_a_read_without_a_fence(self) -> None:
         with patch.object(Primary, "read", read_without_a_fence):
             self.assert_found_by(
-                test_orders.APrimaryThatIsNoneAnyMore("test_when_it_is_asked_to_read_then_it_proves_nothing")
+                test_commands.APrimaryThatIsNoneAnyMore(
+                    "test_when_it_is_asked_to_read_then_it_proves_nothing"
+                )
             )
 
     def test_a_wiped_machine_that_votes(self) -> None:
@@ -134,15 +136,15 @@
         with patch.object(Roles, "promote_if_due", promote_after_a_restart):
             self.assert_found_by(
                 test_failover.ProcessesEnd(
-                    "test_given_an_order_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds"
+                    "test_given_a_command_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds"
                 )
             )
 
     def test_refusals_without_a_fence(self) -> None:
         with patch.object(Primary, "_round_from_now", return_value=0):
             self.assert_found_by(
-                test_orders.APrimaryThatIsNoneAnyMore(
-                    "test_when_an_order_builds_on_what_it_does_not_know_then_it_is_not_refused"
+                test_commands.APrimaryThatIsNoneAnyMore(
+                    "test_when_a_command_builds_on_what_it_does_not_know_then_it_is_not_refused"
                 )
             )
 
--- a/tests/replication/test_rewrites.py
+++ b/tests/replication/test_rewrites.py
@@ -16,7 +16,7 @@
 
 
 class FilesAreRewritten(unittest.TestCase):
-    """A file counts as long at a few hundred bytes; every few orders all machines end at once, some in
+    """A file counts as long at a few hundred bytes; every few commands all machines end at once, some in
     the midst of a write."""
 
     def setUp(self) -> None:
@@ -34,9 +34,9 @@
             machine.start()
         self.fleet.settle()
 
-    def test_given_ends_of_all_processes_or_of_all_power_then_all_orders_are_there(self) -> None:
+    def test_given_ends_of_all_processes_or_of_all_power_then_all_commands_are_there(self) -> None:
         for version in range(1, ORDERS + 1):
-            self.fleet.take_order(version - 1, version)
+            self.fleet.submit_and_commit(version - 1, version)
             if version % 5 == 0:
                 self.end_all(with_power=version % 2 == 0)
                 self.assertEqual(version, self.fleet.take_read().version)
@@ -45,7 +45,7 @@
 
 
 def whole_file_with_an_old_snapshot(core: ReplicaCore) -> list[StoredRecord]:
-    """The state before the last order, under the index after it."""
+    """The state before the last command, under the index after it."""
     records = ordinary_whole_file(core)
     return [_older(record) if isinstance(record, SnapshotRecord) else record for record in records]
 
@@ -63,7 +63,7 @@
 
 class MutantsAreFound(unittest.TestCase):
     def assert_found(self) -> None:
-        name = "test_given_ends_of_all_processes_or_of_all_power_then_all_orders_are_there"
+        name = "test_given_ends_of_all_processes_or_of_all_power_then_all_commands_are_there"
         result = unittest.TestResult()
         FilesAreRewritten(name).run(result)
         self.assertEqual(1, result.testsRun)
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -36,7 +36,7 @@
         self.remove(second)
         self.fleet.run(SUCCESSOR_STARTS_MS)
         self.fleet.add("second").start()
-        self.assertLess(self.fleet.take_order(3, 5), FAILOVER_MS)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(1_000.0)
         self.assert_all_follow(5)
 
@@ -77,23 +77,23 @@
 
     def test_given_a_full_set_when_a_member_leaves_then_it_is_gone_at_once(self) -> None:
         self.assertLess(self.end_when_not_needed(self.backups()[0], 1_000.0), 100.0)
-        self.assertLess(self.fleet.take_order(3, 5), 200.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_full_set_when_the_primary_leaves_then_it_hands_over_first(self) -> None:
         old = self.primary
         self.assertLess(self.end_when_not_needed(old, 1_000.0), 150.0)
         self.fleet.run(10.0)
         self.assertIsNot(old, self.primary)
-        self.assertLess(self.fleet.take_order(3, 5), 200.0)
+        self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_member_that_holds_one_of_two_copies_then_it_stays_until_there_is_another(self) -> None:
         away, leaving = self.backups()
         away.wipe()
-        self.fleet.take_order(3, 5)
+        self.fleet.submit_and_commit(3, 5)
         leaving.ask_to_leave()
         self.fleet.run(2_000.0)
         self.assertTrue(standing_of(leaving).is_needed)
-        self.assertLess(self.fleet.take_order(5, 6), 200.0)
+        self.assertLess(self.fleet.submit_and_commit(5, 6), 200.0)
         away.start()
         self.fleet.run_until(lambda: not standing_of(leaving).is_needed, 500.0)
         leaving.remove()
--- a/tests/replication/time_to_full_set.py
+++ b/tests/replication/time_to_full_set.py
@@ -14,13 +14,13 @@
 
 import attrs
 
-from madderwind.replication.api import OrderOutcome, OrderResult
+from madderwind.replication.api import CommandOutcome, CommandResult
 from tests.fleet.clock import Clock
 from tests.fleet.fleet import Fleet
 from tests.fleet.history import Taken, Violation
 from tests.fleet.machine import Machine
 from tests.fleet.network import Network
-from tests.fleet.register import order
+from tests.fleet.register import command
 from tests.replication.full_set import is_full
 
 SMALL_STATE_BYTES = 0
@@ -102,7 +102,7 @@
         self._mended_ms = 0.0
         self._troubled: Machine | None = None
         self._learner: Machine | None = None
-        self._orders = 0
+        self._commands = 0
         self._acknowledged: list[Taken] = []
 
     def run(self) -> Repair:
@@ -112,7 +112,7 @@
         fleet.settle()
         self._fill()
         fleet.run_until(lambda: is_full(fleet), LONGEST_MS)
-        self._send_orders()
+        self._send_commands()
         fleet.run(self._rng.uniform(1_000.0, 1_200.0))
         self._bring_about()
         began_ms = fleet.clock.now_ms
@@ -138,27 +138,27 @@
             network.attach(machine.address, machine._receive)
 
     def _fill(self) -> None:
-        """An order that makes the state as large as wanted."""
-        results: list[OrderResult] = []
+        """A command that makes the state as large as wanted."""
+        results: list[CommandResult] = []
         primary = self.fleet.primary()
         assert primary is not None
         # Random, so that it is as large on the links, where messages are compressed.
         padding = base64.b64encode(random.Random(self.seed).randbytes(self._state_bytes)).decode()
-        primary.submit(order(0, 1, "first", padding), results.append)
+        primary.submit(command(0, 1, "first", padding), results.append)
         self.fleet.run_until(lambda: bool(results), LONGEST_MS)
 
-    def _send_orders(self) -> None:
-        """An order to whoever is primary, again and again."""
-        self.fleet.clock.after(ORDER_INTERVAL_MS, self._send_orders)
+    def _send_commands(self) -> None:
+        """A command to whoever is primary, again and again."""
+        self.fleet.clock.after(ORDER_INTERVAL_MS, self._send_commands)
         primary = self.fleet.primary()
         if primary is None:
             return
         version = primary.register.version
-        self._orders += 1
-        sent = order(version, version + 1, f"order-{self._orders}")
+        self._commands += 1
+        sent = command(version, version + 1, f"command-{self._commands}")
 
-        def note(result: OrderResult) -> None:
-            if result.outcome is OrderOutcome.TAKEN:
+        def note(result: CommandResult) -> None:
+            if result.outcome is CommandOutcome.TAKEN:
                 self._acknowledged.append((sent.base_version, sent.body))
 
         primary.submit(sent, note)
@@ -168,7 +168,7 @@
         final = self.fleet.take_read().taken
         lost = [taken for taken in acknowledged if taken not in final]
         if lost:
-            raise Violation(f"seed {self.seed}: {len(lost)} acknowledged orders are lost")
+            raise Violation(f"seed {self.seed}: {len(lost)} acknowledged commands are lost")
 
     # --- what happens ---
 
--- a/tests/testing/local_fleet/test_checking.py
+++ b/tests/testing/local_fleet/test_checking.py
@@ -9,7 +9,7 @@
 from madderwind.errors import LocalFleetError
 from madderwind.testing.engine_emulator.records import PrefilledPart, Ran
 from madderwind.testing.local_fleet.cache_figures import cache_figures
-from madderwind.testing.local_fleet.checker import ConfigurationRead, Evidence, OrderSent, Promise, check
+from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead, Evidence, Promise, check
 from madderwind.testing.local_fleet.fault_file import Fault
 from madderwind.testing.local_fleet.fault_schedule import Action, plan_fault
 from madderwind.testing.local_fleet.outcomes import Fate, Outcome, TryOutcome
@@ -32,7 +32,7 @@
 
 def broken(**changes: Any) -> list[Promise]:
     """The promises that a run with this evidence broke."""
-    evidence: dict[str, Any] = {"outcomes": [], "records": [], "orders": [], "reads": []}
+    evidence: dict[str, Any] = {"outcomes": [], "records": [], "commands": [], "reads": []}
     evidence |= {"idempotent_kinds": frozenset({"safe"}), **changes}
     return [violation.promise for violation in check(Evidence(**evidence))]
 
@@ -42,7 +42,7 @@
         found = broken(
             outcomes=[outcome(made("a", 503, ""), made("b"))],
             records=[ran("b")],
-            orders=[OrderSent(3, True), OrderSent(5, False)],
+            commands=[CommandSent(3, True), CommandSent(5, False)],
             reads=[ConfigurationRead("control-1", 3), ConfigurationRead("control-2", 5)],
         )
         self.assertEqual(found, [])
@@ -64,15 +64,15 @@
         self.assertEqual(broken(outcomes=[outcome(made(signature=""))]), [Promise.ANSWER])
 
     def test_an_acknowledged_configuration_that_is_gone(self) -> None:
-        orders = [OrderSent(3, True), OrderSent(5, True)]
+        commands = [CommandSent(3, True), CommandSent(5, True)]
         older = [ConfigurationRead("control-1", 3)]
-        self.assertEqual(set(broken(orders=orders, reads=older)), {Promise.CONFIGURATION})
+        self.assertEqual(set(broken(commands=commands, reads=older)), {Promise.CONFIGURATION})
         silent = [ConfigurationRead("control-1", 0)]
-        self.assertEqual(broken(orders=orders, reads=silent), [Promise.CONFIGURATION])
+        self.assertEqual(broken(commands=commands, reads=silent), [Promise.CONFIGURATION])
         other = [ConfigurationRead("control-1", 5, matches_sent=False)]
-        self.assertEqual(broken(orders=orders, reads=other), [Promise.CONFIGURATION])
+        self.assertEqual(broken(commands=commands, reads=other), [Promise.CONFIGURATION])
         one_silent = [ConfigurationRead("control-1", 0), ConfigurationRead("control-2", 5)]
-        self.assertEqual(broken(orders=orders, reads=one_silent), [])
+        self.assertEqual(broken(commands=commands, reads=one_silent), [])
 
 
 class FaultsOnNodes(unittest.TestCase):
