--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -52,16 +52,16 @@
     first_hand: bool
 
 
-class Ballot(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Commands proposals for one epoch. `life` is drawn at each start, so that no ballot is ever used
+class ProposalNumber(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """Orders proposals for one epoch. `life` is drawn at each start, so that no proposal number is ever used
     twice."""
 
     round: int
     incarnation: str
-    life: str
+    process_incarnation: str
 
 
-NO_BALLOT = Ballot(0, "", "")
+NO_PROPOSAL = ProposalNumber(0, "", "")
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
@@ -107,17 +107,17 @@
     `handed_over`: the primary of `base` gave its role up."""
 
     base: View
-    ballot: Ballot
+    number: ProposalNumber
     handed_over: bool
 
 
 class Promise(Message, frozen=True, tag="Promise"):
-    """No lower ballot will be accepted for this epoch; with what was accepted for it so far. `peers`: what
-    this witness knows of the others, of no matter to the choice."""
+    """No lower proposal number will be accepted for this epoch; with what was accepted for it so far.
+    `peers`: what this witness knows of the others, of no matter to the choice."""
 
     epoch: int
-    ballot: Ballot
-    accepted_ballot: Ballot
+    number: ProposalNumber
+    accepted_number: ProposalNumber
     accepted_view: View | None
     peers: tuple[PeerStatus, ...] = ()
 
@@ -126,32 +126,33 @@
     """Asks the members of `base` to accept `view` as what follows it."""
 
     base: View
-    ballot: Ballot
+    number: ProposalNumber
     view: View
 
 
 class Accepted(Message, frozen=True, tag="Accepted"):
-    """The view proposed under this ballot is on this witness's disk."""
+    """The view proposed under this proposal number is on this witness's disk."""
 
     epoch: int
-    ballot: Ballot
+    number: ProposalNumber
 
 
 class AcceptedNotice(Message, frozen=True, tag="AcceptedNotice"):
-    """`view` is on the sender's disk under this ballot. Told to all members of the base and of `view` but the
-    proposer, so that a choice is known without it: with a majority of the base under one ballot."""
+    """`view` is on the sender's disk under this proposal number. Told to all members of the base and of
+    `view` but the proposer, so that a choice is known without it: with a majority of the base under one
+    proposal number."""
 
-    ballot: Ballot
+    number: ProposalNumber
     view: View
 
 
 class Refused(Message, frozen=True, tag="Refused"):
-    """This witness does not go along. `promised` is the highest ballot it knows; `hears_primary`: the primary
-    is at work, as far as it can tell."""
+    """This witness does not go along. `promised` is the highest proposal number it knows; `hears_primary`:
+    the primary is at work, as far as it can tell."""
 
     epoch: int
-    ballot: Ballot
-    promised: Ballot
+    number: ProposalNumber
+    promised: ProposalNumber
     hears_primary: bool
 
 
--- a/madderwind/replication/choice_watch.py
+++ b/madderwind/replication/choice_watch.py
@@ -1,22 +1,23 @@
 """Learns from the acceptors themselves that a view is chosen, so that nobody depends on its proposer.
 
-A ballot is used for one proposal alone, and an acceptor gives notice once the view is on its disk: notices of
-a majority of the base's members under one ballot are the choice itself, the same as what the proposer counts.
+A proposal number is used for one proposal alone, and an acceptor gives notice once the view is on its disk:
+notices of a majority of the base's members under one proposal number are the choice itself, the same as what
+the proposer counts.
 """
 
 from __future__ import annotations
 
-from madderwind.messages.replication import AcceptedNotice, Ballot, View
+from madderwind.messages.replication import AcceptedNotice, ProposalNumber, View
 
-# Ballots under way for one epoch; more are of proposers that were beaten.
-MOST_BALLOTS = 16
+# Proposal numbers under way for one epoch; more are of proposers that were beaten.
+MAX_PROPOSAL_NUMBERS = 16
 
 
 class ChoiceWatch:
     """Counts the notices about the epoch that follows the newest view known here."""
 
     def __init__(self) -> None:
-        self._accepted: dict[Ballot, set[str]] = {}
+        self._accepted: dict[ProposalNumber, set[str]] = {}
 
     def begin_epoch(self) -> None:
         """Another view is known: notices about its epoch are of no matter any more."""
@@ -30,8 +31,8 @@
         """
         if base.epoch == 0 or notice.view.epoch != base.epoch + 1 or not base.has_member(notice.sender):
             return False
-        senders = self._accepted.setdefault(notice.ballot, set())
+        senders = self._accepted.setdefault(notice.number, set())
         senders.add(notice.sender)
-        if len(self._accepted) > MOST_BALLOTS:
+        if len(self._accepted) > MAX_PROPOSAL_NUMBERS:
             del self._accepted[min(self._accepted)]
         return len(senders) >= base.majority()
--- a/madderwind/replication/proposer.py
+++ b/madderwind/replication/proposer.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from madderwind.messages.replication import NO_BALLOT, Accepted, Ballot, Member, Promise, View
+from madderwind.messages.replication import NO_PROPOSAL, Accepted, Member, Promise, ProposalNumber, View
 
 # Builds the proposal from the incarnations that promised.
 ViewBuilder = Callable[[frozenset[str]], View]
@@ -26,8 +26,8 @@
     own one's place.
     """
 
-    def __init__(self, base: View, ballot: Ballot, build: ViewBuilder, now_ms: float) -> None:
-        self.base, self.ballot = base, ballot
+    def __init__(self, base: View, number: ProposalNumber, build: ViewBuilder, now_ms: float) -> None:
+        self.base, self.number = base, number
         self.started_ms = now_ms
         self.phase = Phase.PREPARING
         self.proposal: View | None = None
@@ -35,7 +35,7 @@
         self._build = build
         self._promised: set[str] = set()
         self._accepted: set[str] = set()
-        self._highest_accepted = NO_BALLOT
+        self._highest_accepted_number = NO_PROPOSAL
         self._accepted_view: View | None = None
 
     @property
@@ -46,11 +46,14 @@
 
     def take_promise(self, sender: str, promise: Promise) -> bool:
         """Whether this promise completes the majority, so that `proposal` is to be sent out."""
-        if self.phase is not Phase.PREPARING or not self._concerns(sender, promise.epoch, promise.ballot):
+        if self.phase is not Phase.PREPARING or not self._concerns(sender, promise.epoch, promise.number):
             return False
         self._promised.add(sender)
-        if promise.accepted_view is not None and promise.accepted_ballot > self._highest_accepted:
-            self._highest_accepted, self._accepted_view = promise.accepted_ballot, promise.accepted_view
+        if promise.accepted_view is not None and promise.accepted_number > self._highest_accepted_number:
+            self._highest_accepted_number, self._accepted_view = (
+                promise.accepted_number,
+                promise.accepted_view,
+            )
         if len(self._promised) < self.base.majority():
             return False
         self.is_own_proposal = self._accepted_view is None
@@ -60,7 +63,7 @@
 
     def take_accepted(self, sender: str, accepted: Accepted) -> bool:
         """Whether this acceptance completes the majority: `proposal` is chosen."""
-        if self.phase is not Phase.ACCEPTING or not self._concerns(sender, accepted.epoch, accepted.ballot):
+        if self.phase is not Phase.ACCEPTING or not self._concerns(sender, accepted.epoch, accepted.number):
             return False
         self._accepted.add(sender)
         if len(self._accepted) < self.base.majority():
@@ -71,5 +74,5 @@
     def _become(self, phase: Phase) -> None:
         self.phase = phase
 
-    def _concerns(self, sender: str, epoch: int, ballot: Ballot) -> bool:
-        return epoch == self.base.epoch + 1 and ballot == self.ballot and self.base.has_member(sender)
+    def _concerns(self, sender: str, epoch: int, number: ProposalNumber) -> bool:
+        return epoch == self.base.epoch + 1 and number == self.number and self.base.has_member(sender)
--- a/madderwind/replication/records.py
+++ b/madderwind/replication/records.py
@@ -6,7 +6,7 @@
 
 from madderwind.errors import MessageError
 from madderwind.messages.codec import Codec
-from madderwind.messages.replication import NO_BALLOT, Ballot, LogEntry, View
+from madderwind.messages.replication import NO_PROPOSAL, LogEntry, ProposalNumber, View
 from madderwind.replication.log import ReplicatedLog
 
 
@@ -30,8 +30,8 @@
 class WitnessRecord(Record, frozen=True, tag="WitnessRecord"):
     """What this witness promised and accepted about the epoch that follows the newest view."""
 
-    promised: Ballot
-    accepted_ballot: Ballot
+    promised: ProposalNumber
+    accepted_number: ProposalNumber
     accepted_view: View | None
 
 
@@ -67,7 +67,7 @@
     def __init__(self) -> None:
         self.identity: IdentityRecord | None = None
         self.view: View | None = None
-        self.witness = WitnessRecord(NO_BALLOT, NO_BALLOT, None)
+        self.witness = WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None)
         self.log = ReplicatedLog()
         self.snapshot: bytes | None = None
         self.snapshot_index = 0
@@ -80,7 +80,7 @@
                 self.identity = record
             case ViewRecord(view):
                 self.view = view
-                self.witness = WitnessRecord(NO_BALLOT, NO_BALLOT, None)
+                self.witness = WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None)
             case WitnessRecord():
                 self.witness = record
             case EntryRecord(entry, committed):
--- a/madderwind/replication/roles.py
+++ b/madderwind/replication/roles.py
@@ -27,21 +27,21 @@
 
 
 class Roles:
-    """Which role this replica has, and how it gets and loses the primary's. `life` is drawn at each start of
-    the process; `on_new_view` is called when a view of another primary was taken over."""
+    """Which role this replica has, and how it gets and loses the primary's. `process_incarnation` is drawn at
+    each start of the process; `on_new_view` is called when a view of another primary was taken over."""
 
     def __init__(
         self,
         core: ReplicaCore,
         follower: Follower,
         rules: MembershipRules,
-        life: str,
+        process_incarnation: str,
         on_new_view: Callable[[float], None],
         now_ms: float,
     ) -> None:
         self._core, self._follower, self._rules = core, follower, rules
         self._on_new_view = on_new_view
-        self.proposals = ViewProposals(core, life, now_ms)
+        self.proposals = ViewProposals(core, process_incarnation, now_ms)
         self.election = Election(core, now_ms)
         self._choice_watch = ChoiceWatch()
         self.role = Role.FOLLOWER
@@ -77,7 +77,7 @@
         self.step_down(now_ms)
         self._on_new_view(now_ms)
         if is_primary and self._won_epoch != view.epoch:
-            # Proposed in an earlier life: its log may lack what was sent then.
+            # Proposed in an earlier process_incarnation: its log may lack what was sent then.
             self.election.postpone(now_ms, 0.0, 50.0)
         elif not is_primary and self._is_silent(now_ms, view.primary):
             # A proposal of a primary that was lost meanwhile: it gets the time of some heartbeats, no more.
@@ -155,13 +155,13 @@
             self.adopt(now_ms, notice.view)
 
     def take_refusal(self, now_ms: float, refusal: Refused) -> None:
-        """A witness does not go along; a higher ballot than the own one ends the proposal."""
+        """A witness does not go along; a higher proposal number than the own one ends the proposal."""
         if self.proposals.is_beaten(refusal):
             self._abandon_proposal(now_ms, self.election.draw_pause_ms())
 
     def give_way(self, now_ms: float) -> None:
-        """This replica promised a rival's ballot as a witness: its own attempt can't succeed, and a new one
-        would end the rival's."""
+        """This replica promised a rival's proposal number as a witness: its own attempt can't succeed, and a
+        new one would end the rival's."""
         pause_ms = self.election.draw_pause_ms()
         if self.role is Role.CANDIDATE:
             self._abandon_proposal(now_ms, pause_ms)
--- a/madderwind/replication/view_proposals.py
+++ b/madderwind/replication/view_proposals.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-from madderwind.messages.replication import Accept, Accepted, Ballot, Prepare, Promise, Refused, View
+from madderwind.messages.replication import Accept, Accepted, Prepare, Promise, ProposalNumber, Refused, View
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.proposer import Proposer, ViewBuilder
 
 
 class ViewProposals:
-    """At most one proposal is under way. `life` is drawn at each start of the process."""
+    """At most one proposal is under way. `process_incarnation` is drawn at each start of the process."""
 
-    def __init__(self, core: ReplicaCore, life: str, now_ms: float) -> None:
-        self._core, self._life = core, life
+    def __init__(self, core: ReplicaCore, process_incarnation: str, now_ms: float) -> None:
+        self._core, self._process_incarnation = core, process_incarnation
         self._proposer: Proposer | None = None
-        self._ballot_round = 0
+        self._last_round = 0
         self._next_ms = now_ms
         self._asked_ms = now_ms
         self._is_handed_over = False
@@ -31,9 +31,9 @@
     def begin(self, now_ms: float, base: View, build: ViewBuilder, handed_over: bool) -> None:
         """Ask the members of `base` for their promises."""
         core = self._core
-        self._ballot_round = max(self._ballot_round, core.witness.promised.round) + 1
-        ballot = Ballot(self._ballot_round, core.me.incarnation, self._life)
-        self._proposer = Proposer(base, ballot, build, now_ms)
+        self._last_round = max(self._last_round, core.witness.promised.round) + 1
+        number = ProposalNumber(self._last_round, core.me.incarnation, self._process_incarnation)
+        self._proposer = Proposer(base, number, build, now_ms)
         self._is_handed_over = handed_over
         self._ask(now_ms, self._proposer)
 
@@ -67,12 +67,12 @@
         return view in self._built
 
     def is_beaten(self, refusal: Refused) -> bool:
-        """Whether a refusal tells of a higher ballot than the present proposal's."""
+        """Whether a refusal tells of a higher proposal number than the present proposal's."""
         proposer = self._proposer
-        if proposer is None or refusal.ballot != proposer.ballot:
+        if proposer is None or refusal.number != proposer.number:
             return False
-        self._ballot_round = max(self._ballot_round, refusal.promised.round)
-        return refusal.promised > proposer.ballot
+        self._last_round = max(self._last_round, refusal.promised.round)
+        return refusal.promised > proposer.number
 
     def is_timed_out(self, now_ms: float) -> bool:
         """Whether the present proposal has waited too long for answers."""
@@ -97,11 +97,11 @@
     def _ask(self, now_ms: float, proposer: Proposer) -> None:
         """Put the present phase's question to those that have not answered it."""
         self._asked_ms = now_ms
-        core, base, ballot = self._core, proposer.base, proposer.ballot
+        core, base, number = self._core, proposer.base, proposer.number
         for member in proposer.unanswered:
             message: Prepare | Accept
             if proposer.proposal is None:
-                message = Prepare(core.me.incarnation, member.incarnation, base, ballot, self._is_handed_over)
+                message = Prepare(core.me.incarnation, member.incarnation, base, number, self._is_handed_over)
             else:
-                message = Accept(core.me.incarnation, member.incarnation, base, ballot, proposer.proposal)
+                message = Accept(core.me.incarnation, member.incarnation, base, number, proposer.proposal)
             core.send(member.address, message)
--- a/madderwind/replication/witness.py
+++ b/madderwind/replication/witness.py
@@ -1,13 +1,13 @@
 """The register of views: what one witness keeps.
 
 Views form a chain. The view of each epoch is decided by the members of the view before it, by single-decree
-Paxos: a proposal is chosen once a majority of those members accepted it under one ballot. A chosen view is a
-fact that anyone may pass on. A witness that learns one forgets what it promised about that epoch.
+Paxos: a proposal is chosen once a majority of those members accepted it under one proposal number. A chosen
+view is a fact that anyone may pass on. A witness that learns one forgets what it promised about that epoch.
 """
 
 from __future__ import annotations
 
-from madderwind.messages.replication import NO_BALLOT, Ballot, View
+from madderwind.messages.replication import NO_PROPOSAL, ProposalNumber, View
 from madderwind.replication.records import WitnessRecord
 
 
@@ -17,7 +17,7 @@
     def __init__(self, view: View | None, stored: WitnessRecord) -> None:
         self.view = view
         self.promised = stored.promised
-        self.accepted_ballot = stored.accepted_ballot
+        self.accepted_number = stored.accepted_number
         self.accepted_view = stored.accepted_view
 
     @property
@@ -35,28 +35,28 @@
         if self.view is not None and view.epoch <= self.epoch and not self._is_other_founding(view):
             return False
         self.view = view
-        self.promised = self.accepted_ballot = NO_BALLOT
+        self.promised = self.accepted_number = NO_PROPOSAL
         self.accepted_view = None
         return True
 
-    def promise(self, ballot: Ballot) -> bool:
-        """Promise to accept nothing below this ballot; False where more was promised before."""
-        if ballot <= self.promised:
+    def promise(self, number: ProposalNumber) -> bool:
+        """Promise to accept nothing below this proposal number; False where more was promised before."""
+        if number <= self.promised:
             return False
-        self.promised = ballot
+        self.promised = number
         return True
 
-    def accept(self, ballot: Ballot, view: View) -> bool:
-        """Accept a proposal; False where a higher ballot was promised."""
-        if ballot < self.promised:
+    def accept(self, number: ProposalNumber, view: View) -> bool:
+        """Accept a proposal; False where a higher proposal number was promised."""
+        if number < self.promised:
             return False
-        self.promised = self.accepted_ballot = ballot
+        self.promised = self.accepted_number = number
         self.accepted_view = view
         return True
 
     def record(self) -> WitnessRecord:
         """What has to be on disk before an answer goes out."""
-        return WitnessRecord(self.promised, self.accepted_ballot, self.accepted_view)
+        return WitnessRecord(self.promised, self.accepted_number, self.accepted_view)
 
     def _is_other_founding(self, view: View) -> bool:
         """Before the founding is accepted by anyone here, the founder may begin it anew with other seeds."""
--- a/madderwind/replication/witness_role.py
+++ b/madderwind/replication/witness_role.py
@@ -16,15 +16,15 @@
         self._started_ms, self._started_epoch = now_ms, core.epoch
 
     def take_prepare(self, now_ms: float, sender_address: str, message: Prepare) -> None:
-        """Promise to go along with no lower ballot, once that is on disk, or refuse."""
+        """Promise to go along with no lower proposal number, once that is on disk, or refuse."""
         if not self._is_open(now_ms, sender_address, message.sender, message.base):
             return
         core, witness, epoch = self._core, self._core.witness, message.base.epoch + 1
         hears_primary = self._protects_primary(now_ms, message)
-        is_repeated = witness.promised == message.ballot  # the promise was lost, or is not on disk yet
-        if hears_primary or not (is_repeated or witness.promise(message.ballot)):
+        is_repeated = witness.promised == message.number  # the promise was lost, or is not on disk yet
+        if hears_primary or not (is_repeated or witness.promise(message.number)):
             refusal = Refused(
-                core.me.incarnation, message.sender, epoch, message.ballot, witness.promised, hears_primary
+                core.me.incarnation, message.sender, epoch, message.number, witness.promised, hears_primary
             )
             core.send(sender_address, refusal)
             return
@@ -36,8 +36,8 @@
             core.me.incarnation,
             message.sender,
             epoch,
-            message.ballot,
-            witness.accepted_ballot,
+            message.number,
+            witness.accepted_number,
             witness.accepted_view,
             self._follower.known_peers.statuses(now_ms),
         )
@@ -51,16 +51,16 @@
         if not self._is_open(now_ms, sender_address, message.sender, message.base):
             return
         core, witness = self._core, self._core.witness
-        is_repeated = witness.accepted_ballot == message.ballot
-        if not witness.accept(message.ballot, message.view):
+        is_repeated = witness.accepted_number == message.number
+        if not witness.accept(message.number, message.view):
             refusal = Refused(
-                core.me.incarnation, message.sender, epoch, message.ballot, witness.promised, False
+                core.me.incarnation, message.sender, epoch, message.number, witness.promised, False
             )
             core.send(sender_address, refusal)
             return
         if not is_repeated:
             core.record_witness()
-        accepted = Accepted(core.me.incarnation, message.sender, epoch, message.ballot)
+        accepted = Accepted(core.me.incarnation, message.sender, epoch, message.number)
         core.send_once_synced(sender_address, accepted)
         self._give_notice(message)
 
@@ -70,7 +70,7 @@
         concerned = dict.fromkeys((*message.base.members, *message.view.members))
         for member in concerned:
             if member.incarnation != message.sender:
-                notice = AcceptedNotice(core.me.incarnation, member.incarnation, message.ballot, message.view)
+                notice = AcceptedNotice(core.me.incarnation, member.incarnation, message.number, message.view)
                 core.send_once_synced(member.address, notice)
 
     def _is_open(self, now_ms: float, sender_address: str, sender: str, base: View) -> bool:
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from madderwind.messages.replication import Accept, Accepted, Ballot, Prepare, View
+from madderwind.messages.replication import Accept, Accepted, Prepare, ProposalNumber, View
 from madderwind.replication.api import CommandOutcome
 from tests.explore.node import Observation, Sent, Taken, Vote
 from tests.explore.steps import Step, Violation
@@ -18,9 +18,9 @@
 
 
 class Proposal(msgspec.Struct, frozen=True):
-    """A view that was proposed under a ballot."""
+    """A view that was proposed under a proposal number."""
 
-    ballot: Ballot
+    number: ProposalNumber
     view: View
 
 
@@ -41,10 +41,10 @@
     acknowledged: frozenset[Taken]
 
 
-class UsedBallot(msgspec.Struct, frozen=True):
-    """A ballot that one life of a process used."""
+class UsedProposalNumber(msgspec.Struct, frozen=True):
+    """A proposal number that one life of a process used."""
 
-    ballot: Ballot
+    number: ProposalNumber
     node: int
     life: int
 
@@ -68,7 +68,7 @@
     acknowledged: frozenset[Taken] = frozenset()
     refused: frozenset[Taken] = frozenset()
     questions: frozenset[Question] = frozenset()
-    ballots: frozenset[UsedBallot] = frozenset()
+    numbers: frozenset[UsedProposalNumber] = frozenset()
 
 
 class Moment(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
     if moment.step.early:
         raise Violation(f"told before it was on disk: {moment.step.early[0]}")
     history = _with_disk(history, moment)
-    history = _with_ballots(history, moment)
+    history = _with_proposal_numbers(history, moment)
     history = _with_votes(history, moment)
     history = _with_choices(history, moment)
     history = _with_reign(history, moment)
@@ -120,14 +120,14 @@
     return msgspec.structs.replace(history, disks=history.disks | {disk})
 
 
-def _with_ballots(history: History, moment: Moment) -> History:
+def _with_proposal_numbers(history: History, moment: Moment) -> History:
     for sent in moment.step.sent:
         if not isinstance(sent.message, Prepare):
             continue
-        used = UsedBallot(sent.message.ballot, moment.node, moment.after.life)
-        if any(other.ballot == used.ballot and other != used for other in history.ballots):
-            raise Violation(f"two lives use one ballot: {used}")
-        history = msgspec.structs.replace(history, ballots=history.ballots | {used})
+        used = UsedProposalNumber(sent.message.number, moment.node, moment.after.life)
+        if any(other.number == used.number and other != used for other in history.numbers):
+            raise Violation(f"two lives use one number: {used}")
+        history = msgspec.structs.replace(history, numbers=history.numbers | {used})
     return history
 
 
@@ -135,13 +135,13 @@
     proposals, votes = set(history.proposals), set(history.votes)
     for sent in moment.step.sent:
         if isinstance(sent.message, Accept):
-            proposals.add(Proposal(sent.message.ballot, sent.message.view))
-    views = {proposal.ballot: proposal.view for proposal in proposals}
+            proposals.add(Proposal(sent.message.number, sent.message.view))
+    views = {proposal.number: proposal.view for proposal in proposals}
     if len(views) < len(proposals):
-        raise Violation("two views were proposed under one ballot")
+        raise Violation("two views were proposed under one proposal number")
     for sent in moment.step.sent:
-        if isinstance(sent.message, Accepted) and sent.message.ballot in views:
-            votes.add(Vote(sent.message.sender, sent.message.ballot, views[sent.message.ballot]))
+        if isinstance(sent.message, Accepted) and sent.message.number in views:
+            votes.add(Vote(sent.message.sender, sent.message.number, views[sent.message.number]))
     votes.update(moment.step.votes)
     if len(votes) == len(history.votes) and len(proposals) == len(history.proposals):
         return history
@@ -159,7 +159,7 @@
 
 
 def _is_same_choice(vote: Vote, other: Vote) -> bool:
-    return (vote.ballot, vote.view) == (other.ballot, other.view)
+    return (vote.number, vote.view) == (other.number, other.view)
 
 
 def _with_choice(history: History, view: View, voters: set[str], tolerance: int) -> History:
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -9,8 +9,8 @@
 from madderwind.messages.replication import (
     Accepted,
     AcceptedNotice,
-    Ballot,
     Promise,
+    ProposalNumber,
     ReplicationMessage,
     View,
 )
@@ -79,7 +79,7 @@
     """One witness accepted a view, and has that on its disk."""
 
     incarnation: str
-    ballot: Ballot
+    number: ProposalNumber
     view: View
 
 
@@ -263,19 +263,19 @@
         for data in action.records:
             record = stored_records.decode(data)
             if isinstance(record, WitnessRecord) and record.accepted_view is not None:
-                output.votes.append(Vote(incarnation, record.accepted_ballot, record.accepted_view))
+                output.votes.append(Vote(incarnation, record.accepted_number, record.accepted_view))
 
     def _send(self, sent: Sent, output: Output) -> None:
         output.sent.append(sent)
         match sent.message:
-            case Promise(epoch=epoch, ballot=ballot) | Accepted(epoch=epoch, ballot=ballot):
-                self._check_on_disk(sent, epoch, ballot, output)
-            case AcceptedNotice(ballot=ballot, view=view):
-                self._check_on_disk(sent, view.epoch, ballot, output)
+            case Promise(epoch=epoch, number=number) | Accepted(epoch=epoch, number=number):
+                self._check_on_disk(sent, epoch, number, output)
+            case AcceptedNotice(number=number, view=view):
+                self._check_on_disk(sent, view.epoch, number, output)
 
-    def _check_on_disk(self, sent: Sent, epoch: int, ballot: Ballot, output: Output) -> None:
+    def _check_on_disk(self, sent: Sent, epoch: int, number: ProposalNumber, output: Output) -> None:
         stored = self._stored()
-        is_on_disk = stored.witness.promised >= ballot or _epoch(stored) >= epoch
+        is_on_disk = stored.witness.promised >= number or _epoch(stored) >= epoch
         if not is_on_disk or sent.message.sender != _name(stored):
             output.early.append(sent)
 
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -7,7 +7,14 @@
 
 from msgspec import structs
 
-from madderwind.messages.replication import NO_BALLOT, AcceptedNotice, Ballot, InstallSnapshot, Promise, View
+from madderwind.messages.replication import (
+    NO_PROPOSAL,
+    AcceptedNotice,
+    InstallSnapshot,
+    Promise,
+    ProposalNumber,
+    View,
+)
 from madderwind.replication.api import ReadResolved
 from madderwind.replication.choice_watch import ChoiceWatch
 from madderwind.replication.core import ReplicaCore
@@ -28,19 +35,19 @@
 ordinary_wanted_view = Primary.wanted_view
 
 
-def accept_whatever_was_promised(witness: Witness, ballot: Ballot, view: View) -> bool:
-    witness.promised = max(witness.promised, ballot)
-    witness.accepted_ballot, witness.accepted_view = ballot, view
+def accept_whatever_was_promised(witness: Witness, number: ProposalNumber, view: View) -> bool:
+    witness.promised = max(witness.promised, number)
+    witness.accepted_number, witness.accepted_view = number, view
     return True
 
 
-def promise_whatever_was_promised(witness: Witness, ballot: Ballot) -> bool:
-    witness.promised = ballot
+def promise_whatever_was_promised(witness: Witness, number: ProposalNumber) -> bool:
+    witness.promised = number
     return True
 
 
 def take_promise_without_what_was_accepted(proposer: Proposer, sender: str, promise: Promise) -> bool:
-    without = structs.replace(promise, accepted_ballot=NO_BALLOT, accepted_view=None)
+    without = structs.replace(promise, accepted_number=NO_PROPOSAL, accepted_view=None)
     return ordinary_take_promise(proposer, sender, without)
 
 
@@ -167,7 +174,7 @@
         with patch.object(Node, "chance", chance_by_address):
             self.assert_found(Plan(scenarios.three_candidates, Allowance(faults=1, wipes=1), 2, 0))
 
-    def test_a_ballot_used_by_two_lives(self) -> None:
+    def test_a_proposal_number_used_by_two_process_incarnations(self) -> None:
         with patch.object(Node, "chance", chance_by_disk):
             self.assert_found(Plan(scenarios.two_candidates, Allowance(times=3, faults=2), 3, 0))
 
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -50,7 +50,6 @@
     Append,
     Appended,
     AppendRefused,
-    Ballot,
     HandOver,
     Heartbeat,
     HeartbeatAnswer,
@@ -60,6 +59,7 @@
     PeerStatus,
     Prepare,
     Promise,
+    ProposalNumber,
     Refused,
     SnapshotReceived,
     View,
@@ -71,8 +71,8 @@
 TWO = Member("incarnation-2", "10.0.0.2:7500", "10.0.0.2:7000", "zone-b")
 VIEW = View(7, ONE.incarnation, (ONE.incarnation, TWO.incarnation), (ONE, TWO))
 NEXT_VIEW = View(8, TWO.incarnation, (TWO.incarnation,), (ONE, TWO))
-LOWER = Ballot(3, ONE.incarnation, "process-1")
-HIGHER = Ballot(4, TWO.incarnation, "process-2")
+LOWER = ProposalNumber(3, ONE.incarnation, "process-1")
+HIGHER = ProposalNumber(4, TWO.incarnation, "process-2")
 PEERS = (PeerStatus(TWO, 12.5, True, False),)
 ENTRY = LogEntry(41, 7, "update", 17, b'{"version":18}')
 UPSTREAM = UpstreamRecord("i-1", "chat", "10.0.1.1:8000", "zone-a", "v3", 16, "draining", 9, 250.0, 1500.0)
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -22,10 +22,10 @@
 from madderwind.messages.replication import (
     Accept,
     Append,
-    Ballot,
     LogEntry,
     Member,
     Prepare,
+    ProposalNumber,
     ReplicationMessage,
     View,
     ViewNotice,
@@ -135,10 +135,10 @@
     machine.receive(Append(sender, target, 1, 0, 0, (entries[0], entries[1]), 1))
     machine.receive(ViewNotice(sender, target, second))
     machine.receive(Append(sender, target, 2, 1, 1, (entries[2],), 1))
-    ballot = Ballot(2, PEER.incarnation, "process-2")
-    machine.receive(Prepare(sender, target, second, ballot, True))
+    number = ProposalNumber(2, PEER.incarnation, "process-2")
+    machine.receive(Prepare(sender, target, second, number, True))
     machine.receive(
-        Accept(sender, target, second, ballot, View(3, PEER.incarnation, second.in_sync, second.members))
+        Accept(sender, target, second, number, View(3, PEER.incarnation, second.in_sync, second.members))
     )
 
 
--- a/tests/replication/test_choices.py
+++ b/tests/replication/test_choices.py
@@ -8,9 +8,9 @@
 from madderwind.messages.replication import (
     Accepted,
     AcceptedNotice,
-    Ballot,
     Member,
     Prepare,
+    ProposalNumber,
     ReplicationMessage,
     View,
     replication_messages,
@@ -26,11 +26,11 @@
 
 
 def notice(sender: str, number: int = 1, view: View = NEXT) -> AcceptedNotice:
-    return AcceptedNotice(sender, "", Ballot(number, "bob", "life"), view)
+    return AcceptedNotice(sender, "", ProposalNumber(number, "bob", "life"), view)
 
 
 class TheWatch(unittest.TestCase):
-    def test_given_notices_then_only_a_majority_under_one_ballot_is_a_choice(self) -> None:
+    def test_given_broadcasts_then_only_a_majority_under_one_proposal_number_is_a_decision(self) -> None:
         watch = ChoiceWatch()
         self.assertFalse(watch.take(BASE, notice("ann", 1)))
         self.assertFalse(watch.take(BASE, notice("bob", 2)))
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -51,7 +51,9 @@
     def test_a_choice_by_one_acceptor(self) -> None:
         with patch.object(View, "majority", lambda view: 1):
             self.assert_found_by(
-                test_choices.TheWatch("test_given_notices_then_only_a_majority_under_one_ballot_is_a_choice")
+                test_choices.TheWatch(
+                    "test_given_broadcasts_then_only_a_majority_under_one_proposal_number_is_a_decision"
+                )
             )
 
     def test_a_leaving_member_that_is_dropped_first(self) -> None:
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -112,7 +112,7 @@
         with patch.object(ReplicaCore, "record_witness", lambda core: None):
             self.assert_found_by(
                 test_witness.PromisesOutlastRestarts(
-                    "test_given_a_promise_when_power_is_lost_then_no_lower_ballot_is_accepted"
+                    "test_given_a_promise_when_power_is_lost_then_no_lower_proposal_number_is_accepted"
                 )
             )
 
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -6,16 +6,16 @@
 import unittest
 
 from madderwind.messages.replication import (
-    NO_BALLOT,
+    NO_PROPOSAL,
     Accept,
     Accepted,
     AcceptedNotice,
     Announce,
-    Ballot,
     Member,
     Message,
     Prepare,
     Promise,
+    ProposalNumber,
     Refused,
     View,
     ViewNotice,
@@ -104,16 +104,16 @@
         self.records = action.records if isinstance(action, Rewrite) else self.records + action.records
         return self.replica.handle(self.now_ms, WriteCompleted(action.token))
 
-    def prepare(self, sender: Member, number: int) -> list[Message]:
+    def prepare(self, sender: Member, proposal_round: int) -> list[Message]:
         """Ask for a promise about the second epoch."""
-        ballot = Ballot(number, sender.incarnation, "life")
-        return self.receive(sender, Prepare(sender.incarnation, "", self.view(), ballot, False))
+        number = ProposalNumber(proposal_round, sender.incarnation, "process")
+        return self.receive(sender, Prepare(sender.incarnation, "", self.view(), number, False))
 
-    def accept(self, sender: Member, number: int) -> list[Message]:
+    def accept(self, sender: Member, proposal_round: int) -> list[Message]:
         """Propose the sender as primary of the second epoch."""
-        ballot = Ballot(number, sender.incarnation, "life")
+        number = ProposalNumber(proposal_round, sender.incarnation, "process")
         proposal = self.view(2, sender)
-        return self.receive(sender, Accept(sender.incarnation, "", self.view(), ballot, proposal))
+        return self.receive(sender, Accept(sender.incarnation, "", self.view(), number, proposal))
 
 
 def kinds(messages: list[Message]) -> list[type[Message]]:
@@ -124,7 +124,7 @@
     def setUp(self) -> None:
         self.witness = LoneWitness()
 
-    def test_given_a_promise_then_a_lower_ballot_is_refused_and_a_higher_one_is_not(self) -> None:
+    def test_given_a_promise_then_a_lower_proposal_number_is_rejected_and_a_higher_one_is_not(self) -> None:
         self.assertEqual([Promise], kinds(self.witness.prepare(ANN, 5)))
         self.assertEqual([Refused], kinds(self.witness.prepare(BOB, 4)))
         self.assertEqual([Refused], kinds(self.witness.accept(BOB, 4)))
@@ -154,14 +154,14 @@
         self.assertEqual(chosen, notice.view)
 
     def test_given_a_message_for_a_forerunner_at_this_address_then_nothing_is_promised(self) -> None:
-        ballot = Ballot(5, "a", "life")
-        answers = self.witness.receive(ANN, Prepare("a", "forerunner", self.witness.view(), ballot, False))
+        number = ProposalNumber(5, "a", "life")
+        answers = self.witness.receive(ANN, Prepare("a", "forerunner", self.witness.view(), number, False))
         self.assertNotIn(Promise, kinds(answers))
 
     def test_given_a_base_in_which_it_has_no_vote_then_it_does_not_answer(self) -> None:
         base = View(1, "a", ("a", "b"), (ANN, BOB))
-        ballot = Ballot(5, "a", "life")
-        answers = self.witness.receive(ANN, Prepare("a", "", base, ballot, False))
+        number = ProposalNumber(5, "a", "life")
+        answers = self.witness.receive(ANN, Prepare("a", "", base, number, False))
         self.assertEqual([], answers)
 
     def test_given_a_failed_write_then_nothing_is_promised(self) -> None:
@@ -173,7 +173,7 @@
     def setUp(self) -> None:
         self.witness = LoneWitness()
 
-    def test_given_a_promise_when_power_is_lost_then_no_lower_ballot_is_accepted(self) -> None:
+    def test_given_a_promise_when_power_is_lost_then_no_lower_proposal_number_is_accepted(self) -> None:
         self.witness.prepare(ANN, 5)
         self.witness.start()
         self.assertEqual([Refused], kinds(self.witness.accept(BOB, 4)))
@@ -194,20 +194,20 @@
 
 class TheRegisterOfOneWitness(unittest.TestCase):
     def test_given_a_newer_view_then_older_promises_are_of_no_matter(self) -> None:
-        witness = Witness(None, WitnessRecord(NO_BALLOT, NO_BALLOT, None))
+        witness = Witness(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
         one, two = (View(epoch, "a", ("a",), (ANN,)) for epoch in (1, 2))
         self.assertTrue(witness.adopt(one))
-        self.assertTrue(witness.promise(Ballot(3, "a", "x")))
-        self.assertTrue(witness.accept(Ballot(3, "a", "x"), two))
+        self.assertTrue(witness.promise(ProposalNumber(3, "a", "x")))
+        self.assertTrue(witness.accept(ProposalNumber(3, "a", "x"), two))
         self.assertEqual(2, witness.accepted_epoch)
         self.assertTrue(witness.adopt(two))
         self.assertFalse(witness.adopt(one))
-        self.assertEqual((2, NO_BALLOT), (witness.accepted_epoch, witness.promised))
+        self.assertEqual((2, NO_PROPOSAL), (witness.accepted_epoch, witness.promised))
 
-    def test_given_the_same_ballot_twice_then_it_is_promised_once(self) -> None:
-        witness = Witness(None, WitnessRecord(NO_BALLOT, NO_BALLOT, None))
-        self.assertTrue(witness.promise(Ballot(1, "a", "x")))
-        self.assertFalse(witness.promise(Ballot(1, "a", "x")))
+    def test_given_the_same_proposal_number_twice_then_it_is_promised_once(self) -> None:
+        witness = Witness(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
+        self.assertTrue(witness.promise(ProposalNumber(1, "a", "x")))
+        self.assertFalse(witness.promise(ProposalNumber(1, "a", "x")))
 
 
 if __name__ == "__main__":
