--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -94,7 +94,7 @@
 
 
 class ViewNotice(Message, frozen=True, tag="ViewNotice"):
-    """A view that was chosen."""
+    """A view that was decided."""
 
     view: View
 
@@ -103,7 +103,7 @@
 
 
 class Prepare(Message, frozen=True, tag="Prepare"):
-    """Asks the members of `base`, the newest chosen view, for a promise about the epoch that follows it.
+    """Asks the members of `base`, the newest decided view, for a promise about the epoch that follows it.
     `handed_over`: the primary of `base` gave its role up."""
 
     base: View
@@ -113,7 +113,7 @@
 
 class Promise(Message, frozen=True, tag="Promise"):
     """No lower proposal number will be accepted for this epoch; with what was accepted for it so far.
-    `peers`: what this witness knows of the others, of no matter to the choice."""
+    `peers`: what this witness knows of the others, of no matter to the decision."""
 
     epoch: int
     number: ProposalNumber
@@ -137,9 +137,9 @@
     number: ProposalNumber
 
 
-class AcceptedNotice(Message, frozen=True, tag="AcceptedNotice"):
+class AcceptedBroadcast(Message, frozen=True, tag="AcceptedNotice"):
     """`view` is on the sender's disk under this proposal number. Told to all members of the base and of
-    `view` but the proposer, so that a choice is known without it: with a majority of the base under one
+    `view` but the proposer, so that a decision is known without it: with a majority of the base under one
     proposal number."""
 
     number: ProposalNumber
@@ -244,7 +244,7 @@
     | Promise
     | Accept
     | Accepted
-    | AcceptedNotice
+    | AcceptedBroadcast
     | Refused
     | Heartbeat
     | HeartbeatAnswer
--- a/madderwind/replication/core.py
+++ b/madderwind/replication/core.py
@@ -75,7 +75,7 @@
 
     @property
     def view(self) -> View | None:
-        """The newest view that is known to be chosen."""
+        """The newest view that is known to be decided."""
         return self.witness.view
 
     @property
@@ -165,7 +165,7 @@
     # --- the register ---
 
     def adopt(self, view: View) -> bool:
-        """Take over a view that was chosen; False where it is not newer."""
+        """Take over a view that was decided; False where it is not newer."""
         if not self.witness.adopt(view):
             return False
         self.journal.add(ViewRecord(view))
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -111,7 +111,7 @@
     kept = [name for name in candidates if name in view.in_sync]
     sound = [name for name in kept if name in standings and not standings[name].is_lost]
     joining = [name for name in standings if name not in kept and standings[name].is_ready]
-    chosen = [primary.incarnation, *sound, *joining]
+    wanted = [primary.incarnation, *sound, *joining]
     lost = [name for name in kept if name not in sound]
-    missing = rules.smallest_in_sync - len(chosen)
-    return (*chosen, *lost[: max(0, missing)])
+    missing = rules.smallest_in_sync - len(wanted)
+    return (*wanted, *lost[: max(0, missing)])
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -42,7 +42,7 @@
 
 
 class Primary:
-    """Lives from the moment that this replica is chosen as primary until it loses or gives up the role. In
+    """Lives from the moment that this replica is decided as primary until it loses or gives up the role. In
     that time the epoch may rise with this replica as primary."""
 
     def __init__(
@@ -125,7 +125,7 @@
         return best.member if best is not None else None
 
     def can_be_followed(self, now_ms: float) -> bool:
-        """Whether enough members can write down what they promise, so that another primary can be chosen.
+        """Whether enough members can write down what they promise, so that another primary can be decided.
         Where they can't, giving up the role would gain nothing."""
         core = self._core
         voters = [
@@ -365,7 +365,7 @@
         return 1 + len(sound) >= self._rules.smallest_in_sync
 
     def _has_open_proposal(self) -> bool:
-        """Whether a proposal that was begun may yet be chosen."""
+        """Whether a proposal that was begun may yet be decided."""
         return self._is_contested or not self._joining <= set(self.view.in_sync)
 
     def _learners(self) -> int:
--- a/madderwind/replication/proposer.py
+++ b/madderwind/replication/proposer.py
@@ -1,4 +1,4 @@
-"""One attempt to have a view chosen as the successor of another."""
+"""One attempt to have a view decided as the successor of another."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
     PREPARING = "preparing"
     ACCEPTING = "accepting"
-    CHOSEN = "chosen"
+    DECIDED = "decided"
 
 
 class Proposer:
     """Counts promises and acceptances of the members of `base`.
 
-    Where a member has accepted another proposal already, that one may be chosen, and is proposed again in the
-    own one's place.
+    Where a member has accepted another proposal already, that one may be decided, and is proposed again in
+    the own one's place.
     """
 
     def __init__(self, base: View, number: ProposalNumber, build: ViewBuilder, now_ms: float) -> None:
@@ -62,13 +62,13 @@
         return True
 
     def take_accepted(self, sender: str, accepted: Accepted) -> bool:
-        """Whether this acceptance completes the majority: `proposal` is chosen."""
+        """Whether this acceptance completes the majority: `proposal` is decided."""
         if self.phase is not Phase.ACCEPTING or not self._concerns(sender, accepted.epoch, accepted.number):
             return False
         self._accepted.add(sender)
         if len(self._accepted) < self.base.majority():
             return False
-        self._become(Phase.CHOSEN)
+        self._become(Phase.DECIDED)
         return True
 
     def _become(self, phase: Phase) -> None:
--- a/madderwind/replication/records.py
+++ b/madderwind/replication/records.py
@@ -22,7 +22,7 @@
 
 
 class ViewRecord(Record, frozen=True, tag="ViewRecord"):
-    """A view that was chosen. What was promised about its epoch no longer matters."""
+    """A view that was decided. What was promised about its epoch no longer matters."""
 
     view: View
 
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -8,7 +8,7 @@
 from madderwind.messages.replication import (
     Accept,
     Accepted,
-    AcceptedNotice,
+    AcceptedBroadcast,
     Announce,
     Append,
     Appended,
@@ -109,7 +109,7 @@
 
     @property
     def view(self) -> View | None:
-        """The newest view that this replica knows to be chosen."""
+        """The newest view that this replica knows to be decided."""
         return self._core.view if self._core.epoch > 0 else None
 
     @property
@@ -204,8 +204,8 @@
                 self._roles.take_promise(now_ms, message)
             case Accepted():
                 self._roles.take_accepted(now_ms, message)
-            case AcceptedNotice():
-                self._roles.take_notice(now_ms, message)
+            case AcceptedBroadcast():
+                self._roles.handle_accepted_broadcast(now_ms, message)
             case Refused():
                 self._roles.take_refusal(now_ms, message)
             case Heartbeat() | Append() | InstallSnapshot():
--- a/madderwind/replication/roles.py
+++ b/madderwind/replication/roles.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from enum import Enum
 
-from madderwind.messages.replication import Accepted, AcceptedNotice, HandOver, Promise, Refused, View
-from madderwind.replication.choice_watch import ChoiceWatch
+from madderwind.messages.replication import Accepted, AcceptedBroadcast, HandOver, Promise, Refused, View
 from madderwind.replication.core import ReplicaCore
+from madderwind.replication.decision_learner import DecisionLearner
 from madderwind.replication.election import Election
 from madderwind.replication.follower import Follower
 from madderwind.replication.membership import MembershipRules, founding_view, takeover_view
@@ -43,11 +43,11 @@
         self._on_new_view = on_new_view
         self.proposals = ViewProposals(core, process_incarnation, now_ms)
         self.election = Election(core, now_ms)
-        self._choice_watch = ChoiceWatch()
+        self._decision_learner = DecisionLearner()
         self.role = Role.FOLLOWER
         self.primary: Primary | None = None
         self.is_leaving = False
-        self._won_epoch = 0  # chosen with this replica as primary, by its own proposal in this life
+        self._won_epoch = 0  # decided with this replica as primary, by its own proposal in this life
 
     @property
     def is_primary(self) -> bool:
@@ -57,13 +57,13 @@
     # --- views ---
 
     def adopt(self, now_ms: float, view: View) -> None:
-        """A view that was chosen: follow its primary, or be it."""
+        """A view that was decided: follow its primary, or be it."""
         if not self._core.adopt(view):
             return
         if view.primary == self._core.me.incarnation and self.proposals.has_built(view):
             self._won_epoch = view.epoch
         self.proposals.drop_before(view.epoch)
-        self._choice_watch.begin_epoch()
+        self._decision_learner.begin_epoch()
         self.election.begin_epoch()
         self._follower.begin_epoch()
         if view.epoch == 0:
@@ -148,10 +148,10 @@
             for member in view.members:
                 self._core.notify_view(member.address, member.incarnation)
 
-    def take_notice(self, now_ms: float, notice: AcceptedNotice) -> None:
+    def handle_accepted_broadcast(self, now_ms: float, notice: AcceptedBroadcast) -> None:
         """An acceptor tells of a proposal of another: with a majority of such notices the view is a fact."""
         view = self._core.view
-        if view is not None and self._choice_watch.take(view, notice):
+        if view is not None and self._decision_learner.take(view, notice):
             self.adopt(now_ms, notice.view)
 
     def take_refusal(self, now_ms: float, refusal: Refused) -> None:
@@ -191,7 +191,7 @@
             self._become(Role.PRIMARY)
 
     def hand_over(self, now_ms: float, primary: Primary) -> None:
-        """Give the role to a replica that can do the work and that can be chosen, where there is one."""
+        """Give the role to a replica that can do the work and that can be decided, where there is one."""
         successor = primary.successor(now_ms)
         if successor is None or not primary.can_be_followed(now_ms):
             return
--- a/madderwind/replication/view_proposals.py
+++ b/madderwind/replication/view_proposals.py
@@ -53,7 +53,7 @@
             self._ask(now_ms, proposer)
 
     def take_accepted(self, now_ms: float, accepted: Accepted) -> View | None:
-        """Count an acceptance; the view that is chosen with it, if one is."""
+        """Count an acceptance; the view that is decided with it, if one is."""
         proposer = self._proposer
         if proposer is None or not proposer.take_accepted(accepted.sender, accepted):
             return None
--- a/madderwind/replication/witness.py
+++ b/madderwind/replication/witness.py
@@ -1,7 +1,7 @@
 """The register of views: what one witness keeps.
 
 Views form a chain. The view of each epoch is decided by the members of the view before it, by single-decree
-Paxos: a proposal is chosen once a majority of those members accepted it under one proposal number. A chosen
+Paxos: a proposal is decided once a majority of those members accepted it under one proposal number. A chosen
 view is a fact that anyone may pass on. A witness that learns one forgets what it promised about that epoch.
 """
 
@@ -12,7 +12,7 @@
 
 
 class Witness:
-    """`view` is the newest chosen view; promises concern the epoch that follows it."""
+    """`view` is the newest decided view; promises concern the epoch that follows it."""
 
     def __init__(self, view: View | None, stored: WitnessRecord) -> None:
         self.view = view
@@ -22,16 +22,16 @@
 
     @property
     def epoch(self) -> int:
-        """Of the newest chosen view; 0 before the system was founded."""
+        """Of the newest decided view; 0 before the system was founded."""
         return self.view.epoch if self.view is not None else 0
 
     @property
     def accepted_epoch(self) -> int:
-        """Of the newest view that was accepted here or is known to be chosen."""
+        """Of the newest view that was accepted here or is known to be decided."""
         return self.accepted_view.epoch if self.accepted_view is not None else self.epoch
 
     def adopt(self, view: View) -> bool:
-        """Take over a chosen view; False where it is not newer."""
+        """Take over a decided view; False where it is not newer."""
         if self.view is not None and view.epoch <= self.epoch and not self._is_other_founding(view):
             return False
         self.view = view
--- a/madderwind/replication/witness_role.py
+++ b/madderwind/replication/witness_role.py
@@ -1,8 +1,16 @@
-"""This replica as a witness: how it answers those who want a view chosen."""
+"""This replica as a witness: how it answers those who propose a view."""
 
 from __future__ import annotations
 
-from madderwind.messages.replication import Accept, Accepted, AcceptedNotice, Prepare, Promise, Refused, View
+from madderwind.messages.replication import (
+    Accept,
+    Accepted,
+    AcceptedBroadcast,
+    Prepare,
+    Promise,
+    Refused,
+    View,
+)
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.follower import Follower
 from madderwind.replication.roles import Roles
@@ -62,15 +70,17 @@
             core.record_witness()
         accepted = Accepted(core.me.incarnation, message.sender, epoch, message.number)
         core.send_once_synced(sender_address, accepted)
-        self._give_notice(message)
+        self._broadcast_accepted(message)
 
-    def _give_notice(self, message: Accept) -> None:
-        """Tell all whom the choice concerns, this replica too: the proposer may be gone before it does."""
+    def _broadcast_accepted(self, message: Accept) -> None:
+        """Tell all whom the decision concerns, this replica too: the proposer may be gone before it does."""
         core = self._core
         concerned = dict.fromkeys((*message.base.members, *message.view.members))
         for member in concerned:
             if member.incarnation != message.sender:
-                notice = AcceptedNotice(core.me.incarnation, member.incarnation, message.number, message.view)
+                notice = AcceptedBroadcast(
+                    core.me.incarnation, member.incarnation, message.number, message.view
+                )
                 core.send_once_synced(member.address, notice)
 
     def _is_open(self, now_ms: float, sender_address: str, sender: str, base: View) -> bool:
--- a/madderwind/testing/engine_emulator/server.py
+++ b/madderwind/testing/engine_emulator/server.py
@@ -88,7 +88,7 @@
         self._warm_up()
 
     async def start(self) -> str:
-        """Listen; the address, with the port that was chosen where the settings say 0."""
+        """Listen; the address, with the port that was decided where the settings say 0."""
         ip, _, port = self.settings.listen.rpartition(":")
         self._listening = await self._loop.create_server(self._server, ip, int(port), reuse_address=True)
         return f"{ip}:{self._listening.sockets[0].getsockname()[1]}"
--- a/tests/dataplane/test_choosing.py
+++ b/tests/dataplane/test_choosing.py
@@ -1,4 +1,4 @@
-"""Stories of the choice of an upstream, without sockets or clocks."""
+"""Stories of the decision of an upstream, without sockets or clocks."""
 
 from __future__ import annotations
 
--- a/tests/explore/choices.py
+++ b/tests/explore/choices.py
@@ -1,4 +1,4 @@
-"""What may happen next: the choices that the explorer makes, and how often it may make the rare ones."""
+"""What may happen next: the decisions that the explorer makes, and how often it may make the rare ones."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     leaves: int = 0
 
     def after(self, choice: Choice) -> Allowance:
-        """What is left once a choice was made."""
+        """What is left once a decision was made."""
         cost = cost_of(choice)
         if cost == _NOTHING:
             return self
@@ -113,7 +113,7 @@
 
 
 def cost_of(choice: Choice) -> Allowance:
-    """What a choice takes off the allowance."""
+    """What a decision takes off the allowance."""
     cost = _COSTS.get(type(choice), _NOTHING)
     further = choice.holds_writes + (isinstance(choice, Deliver) and choice.stays)
     return msgspec.structs.replace(cost, faults=cost.faults + further) if further else cost
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -57,9 +57,9 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """`chosen`: the views of consecutive epochs, the first one given; `committed`: the longest prefix."""
+    """`decided`: the views of consecutive epochs, the first one given; `committed`: the longest prefix."""
 
-    chosen: tuple[View, ...]
+    decided: tuple[View, ...]
     committed: tuple[Taken, ...]
     disks: frozenset[Disk]
     votes: frozenset[Vote] = frozenset()
@@ -91,7 +91,7 @@
     history = _with_disk(history, moment)
     history = _with_proposal_numbers(history, moment)
     history = _with_votes(history, moment)
-    history = _with_choices(history, moment)
+    history = _with_decisions(history, moment)
     history = _with_reign(history, moment)
     history = _with_commits(history, moment)
     history = _with_commands(history, moment)
@@ -148,13 +148,13 @@
     return msgspec.structs.replace(history, proposals=frozenset(proposals), votes=frozenset(votes))
 
 
-def _with_choices(history: History, moment: Moment) -> History:
+def _with_decisions(history: History, moment: Moment) -> History:
     for vote in history.votes:
         voters = {other.incarnation for other in history.votes if _is_same_choice(vote, other)}
         history = _with_choice(history, vote.view, voters, moment.tolerance)
     view = moment.after.view
-    if view is not None and view.epoch >= history.chosen[0].epoch and view not in history.chosen:
-        raise Violation(f"taken for chosen without the votes of a majority: {view}")
+    if view is not None and view.epoch >= history.decided[0].epoch and view not in history.decided:
+        raise Violation(f"taken for decided without the votes of a majority: {view}")
     return history
 
 
@@ -163,17 +163,17 @@
 
 
 def _with_choice(history: History, view: View, voters: set[str], tolerance: int) -> History:
-    place = view.epoch - history.chosen[0].epoch
-    if not 0 < place <= len(history.chosen):
+    place = view.epoch - history.decided[0].epoch
+    if not 0 < place <= len(history.decided):
         return history
-    electors = {member.incarnation for member in history.chosen[place - 1].members}
+    electors = {member.incarnation for member in history.decided[place - 1].members}
     if 2 * len(voters & electors) <= len(electors):
         return history
-    if place == len(history.chosen):
+    if place == len(history.decided):
         _check_view(view, tolerance)
-        return msgspec.structs.replace(history, chosen=(*history.chosen, view))
-    if history.chosen[place] != view:
-        raise Violation(f"two views of one epoch: {history.chosen[place]} and {view}")
+        return msgspec.structs.replace(history, decided=(*history.decided, view))
+    if history.decided[place] != view:
+        raise Violation(f"two views of one epoch: {history.decided[place]} and {view}")
     return history
 
 
@@ -241,7 +241,7 @@
     """Each replica of the newest in-sync set has on its disk whatever was acknowledged: any of them may be
     the next primary."""
     for machine in moment.now:
-        is_in_sync = machine.disk_incarnation in history.chosen[-1].in_sync
+        is_in_sync = machine.disk_incarnation in history.decided[-1].in_sync
         if is_in_sync and not history.acknowledged <= machine.disk_taken:
             raise Violation(f"in sync, and lacks what was acknowledged: {machine.disk_incarnation}")
 
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -8,7 +8,7 @@
 
 from madderwind.messages.replication import (
     Accepted,
-    AcceptedNotice,
+    AcceptedBroadcast,
     Promise,
     ProposalNumber,
     ReplicationMessage,
@@ -270,7 +270,7 @@
         match sent.message:
             case Promise(epoch=epoch, number=number) | Accepted(epoch=epoch, number=number):
                 self._check_on_disk(sent, epoch, number, output)
-            case AcceptedNotice(number=number, view=view):
+            case AcceptedBroadcast(number=number, view=view):
                 self._check_on_disk(sent, view.epoch, number, output)
 
     def _check_on_disk(self, sent: Sent, epoch: int, number: ProposalNumber, output: Output) -> None:
--- a/tests/explore/scenarios.py
+++ b/tests/explore/scenarios.py
@@ -7,7 +7,7 @@
 from madderwind.messages.replication import (
     Accept,
     Accepted,
-    AcceptedNotice,
+    AcceptedBroadcast,
     Announce,
     Prepare,
     Promise,
@@ -23,7 +23,7 @@
 from tests.fleet.register import command
 
 # The messages that concern the register of views, and those that make views known.
-REGISTER_MESSAGES = (Announce, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedNotice, Refused)
+REGISTER_MESSAGES = (Announce, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedBroadcast, Refused)
 # After which silence a follower stands, and after which one a primary gives up.
 TIMES = ReplicationTimes()
 STAND_MS = TIMES.election_max_ms + TIMES.heartbeat_ms
--- a/tests/explore/steps.py
+++ b/tests/explore/steps.py
@@ -1,4 +1,5 @@
-"""Steps of single machines, each carried out once: it depends on the machine's state and the choice alone."""
+"""Steps of single machines, each carried out once: it depends on the machine's state and the decision
+alone."""
 
 from __future__ import annotations
 
@@ -32,7 +33,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What came of a choice at one machine: its next state and what it did. `token` of a command or
+    """What came of a decision at one machine: its next state and what it did. `token` of a command or
     read that came in."""
 
     state: int
--- a/tests/explore/tail.py
+++ b/tests/explore/tail.py
@@ -19,15 +19,15 @@
     """Whether a majority of the newest view, and of the one before it, still has its disks, and one of them
     is in sync. Where more is lost the system may stand still, but must not be wrong."""
     here = _disks(rules, world)
-    views = rules.history(world).chosen[-2:]
+    views = rules.history(world).decided[-2:]
     return all(_has_majority(view, here) for view in views) and bool(set(views[-1].in_sync) & here)
 
 
 def has_lost_the_former_majority(rules: Rules, world: World) -> bool:
-    """Whether a second disk was lost while the newest view was being told: only who knows that it was chosen
+    """Whether a second disk was lost while the newest view was being told: only who knows that it was decided
     can go on. Its own majority is still there."""
     here = _disks(rules, world)
-    newest = rules.history(world).chosen[-1]
+    newest = rules.history(world).decided[-1]
     is_borne = _has_majority(newest, here) and bool(set(newest.in_sync) & here)
     return is_borne and not is_within_tolerance(rules, world)
 
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -9,15 +9,15 @@
 
 from madderwind.messages.replication import (
     NO_PROPOSAL,
-    AcceptedNotice,
+    AcceptedBroadcast,
     InstallSnapshot,
     Promise,
     ProposalNumber,
     View,
 )
 from madderwind.replication.api import ReadResolved
-from madderwind.replication.choice_watch import ChoiceWatch
 from madderwind.replication.core import ReplicaCore
+from madderwind.replication.decision_learner import DecisionLearner
 from madderwind.replication.follower import Follower
 from madderwind.replication.membership import MembershipRules
 from madderwind.replication.primary import Primary
@@ -95,7 +95,7 @@
     return primary._core.synced_index
 
 
-def take_any_notice(watch: ChoiceWatch, base: View, notice: AcceptedNotice) -> bool:
+def take_any_notice(watch: DecisionLearner, base: View, notice: AcceptedBroadcast) -> bool:
     return notice.view.epoch == base.epoch + 1
 
 
@@ -157,7 +157,7 @@
             self.assert_found(Plan(scenarios.three_candidates, Allowance(times=1), 2, 0))
 
     def test_a_choice_known_from_one_notice(self) -> None:
-        with patch.object(ChoiceWatch, "take", take_any_notice):
+        with patch.object(DecisionLearner, "take", take_any_notice):
             self.assert_found(Plan(scenarios.swap_and_candidate, Allowance(times=1), 2, 0))
 
     def test_a_swap_told_by_the_proposer_alone(self) -> None:
@@ -165,7 +165,7 @@
             "test_while_a_swap_is_told_then_the_system_goes_on_where_the_messages_arrive"
         )
         result = unittest.TestResult()
-        with patch.object(Roles, "take_notice", lambda roles, now_ms, notice: None):
+        with patch.object(Roles, "handle_accepted_broadcast", lambda roles, now_ms, notice: None):
             story.run(result)
         self.assertEqual(1, result.testsRun)
         self.assertTrue(result.errors + result.failures)
--- a/tests/explore/world.py
+++ b/tests/explore/world.py
@@ -123,7 +123,7 @@
                     yield from self._variants(allowance, state, choice)
 
     def after(self, world: World, choice: Choice) -> World | None:
-        """The world after a choice; None where nothing came of it. Raises Violation."""
+        """The world after a decision; None where nothing came of it. Raises Violation."""
         node = choice.node
         before = world.nodes[node]
         move = self._move(before, choice)
@@ -243,7 +243,7 @@
 
 
 class BrokenRule(Violation):
-    """A violation with the choices that lead to it, a line each."""
+    """A violation with the decisions that lead to it, a line each."""
 
     def __init__(self, what: str, lines: list[str]) -> None:
         self.lines = lines
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -45,7 +45,7 @@
 from madderwind.messages.replication import (
     Accept,
     Accepted,
-    AcceptedNotice,
+    AcceptedBroadcast,
     Announce,
     Append,
     Appended,
@@ -85,7 +85,7 @@
     Promise(TWO.incarnation, ONE.incarnation, 8, HIGHER, LOWER, NEXT_VIEW, PEERS),
     Accept(ONE.incarnation, TWO.incarnation, VIEW, LOWER, NEXT_VIEW),
     Accepted(TWO.incarnation, ONE.incarnation, 8, LOWER),
-    AcceptedNotice(TWO.incarnation, ONE.incarnation, LOWER, NEXT_VIEW),
+    AcceptedBroadcast(TWO.incarnation, ONE.incarnation, LOWER, NEXT_VIEW),
     Refused(TWO.incarnation, ONE.incarnation, 8, LOWER, HIGHER, True),
     Heartbeat(ONE.incarnation, TWO.incarnation, 7, 99, 41, 3.5, 98, PEERS),
     HeartbeatAnswer(TWO.incarnation, ONE.incarnation, 7, 99, 8, 40, True, False),
--- a/tests/replication/test_choices.py
+++ b/tests/replication/test_decisions.py
@@ -1,4 +1,4 @@
-"""How a choice of a view becomes known, also without its proposer, and when a role is given up."""
+"""How a decision of a view becomes known, also without its proposer, and when a role is given up."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from madderwind.messages.replication import (
     Accepted,
-    AcceptedNotice,
+    AcceptedBroadcast,
     Member,
     Prepare,
     ProposalNumber,
@@ -15,7 +15,7 @@
     View,
     replication_messages,
 )
-from madderwind.replication.choice_watch import ChoiceWatch
+from madderwind.replication.decision_learner import DecisionLearner
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
 from tests.replication.story import FleetStory
@@ -25,34 +25,34 @@
 NEXT = View(2, "bob", ("bob", "cat"), (ANN, BOB, CAT))
 
 
-def notice(sender: str, number: int = 1, view: View = NEXT) -> AcceptedNotice:
-    return AcceptedNotice(sender, "", ProposalNumber(number, "bob", "life"), view)
+def notice(sender: str, number: int = 1, view: View = NEXT) -> AcceptedBroadcast:
+    return AcceptedBroadcast(sender, "", ProposalNumber(number, "bob", "life"), view)
 
 
 class TheWatch(unittest.TestCase):
     def test_given_broadcasts_then_only_a_majority_under_one_proposal_number_is_a_decision(self) -> None:
-        watch = ChoiceWatch()
+        watch = DecisionLearner()
         self.assertFalse(watch.take(BASE, notice("ann", 1)))
         self.assertFalse(watch.take(BASE, notice("bob", 2)))
         self.assertFalse(watch.take(BASE, notice("ann", 1)))
         self.assertTrue(watch.take(BASE, notice("cat", 2)))
 
     def test_given_notices_of_who_has_no_vote_or_of_another_epoch_then_they_do_not_count(self) -> None:
-        watch = ChoiceWatch()
+        watch = DecisionLearner()
         later = View(3, "bob", ("bob", "cat"), (ANN, BOB, CAT))
         self.assertFalse(watch.take(BASE, notice("ann")))
         self.assertFalse(watch.take(BASE, notice("stranger")))
         self.assertFalse(watch.take(BASE, notice("bob", view=later)))
 
     def test_given_another_epoch_then_earlier_notices_are_forgotten(self) -> None:
-        watch = ChoiceWatch()
+        watch = DecisionLearner()
         watch.take(BASE, notice("ann"))
         watch.begin_epoch()
         self.assertFalse(watch.take(BASE, notice("bob")))
 
     def test_given_notices_about_the_founding_then_they_do_not_count(self) -> None:
         """The founder may have begun anew with more members than are known here."""
-        watch, known_base = ChoiceWatch(), View(0, "", (), (ANN, BOB))
+        watch, known_base = DecisionLearner(), View(0, "", (), (ANN, BOB))
         for sender in ("ann", "bob"):
             self.assertFalse(watch.take(known_base, notice(sender, view=BASE)))
 
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -8,7 +8,7 @@
 from msgspec import structs
 
 from madderwind.messages.replication import HeartbeatAnswer, View
-from madderwind.replication.choice_watch import ChoiceWatch
+from madderwind.replication.decision_learner import DecisionLearner
 from madderwind.replication.election import Election
 from madderwind.replication.known_peers import KnownPeers
 from madderwind.replication.membership import MembershipRules
@@ -16,7 +16,7 @@
 from madderwind.replication.replica import Replica
 from madderwind.replication.times import ReplicationTimes
 from madderwind.replication.view_proposals import ViewProposals
-from tests.replication import test_choices, test_second_losses, test_times
+from tests.replication import test_decisions, test_second_losses, test_times
 
 ordinary_standing = Replica.standing
 ordinary_answer = Primary.take_answer
@@ -41,9 +41,9 @@
             )
 
     def test_a_swap_told_by_the_proposer_alone(self) -> None:
-        with patch.object(ChoiceWatch, "take", return_value=False):
+        with patch.object(DecisionLearner, "take", return_value=False):
             self.assert_found_by(
-                test_choices.AProposerThatIsLost(
+                test_decisions.AProposerThatIsLost(
                     "test_given_a_swap_when_the_proposer_is_lost_before_it_tells_then_all_know_the_choice"
                 )
             )
@@ -51,7 +51,7 @@
     def test_a_choice_by_one_acceptor(self) -> None:
         with patch.object(View, "majority", lambda view: 1):
             self.assert_found_by(
-                test_choices.TheWatch(
+                test_decisions.TheWatch(
                     "test_given_broadcasts_then_only_a_majority_under_one_proposal_number_is_a_decision"
                 )
             )
@@ -100,7 +100,7 @@
     def test_a_question_that_is_asked_once(self) -> None:
         with patch.object(ViewProposals, "ask_again_if_due", lambda proposals, now_ms: None):
             self.assert_found_by(
-                test_choices.AProposerThatIsLost(
+                test_decisions.AProposerThatIsLost(
                     "test_given_a_lost_question_then_it_is_asked_again_within_the_proposal"
                 )
             )
@@ -108,7 +108,7 @@
     def test_candidates_that_do_not_give_way(self) -> None:
         with patch.object(Election, "wait_at_least", lambda election, now_ms, pause_ms: None):
             self.assert_found_by(
-                test_choices.CandidatesWithSlowDisks(
+                test_decisions.CandidatesWithSlowDisks(
                     "test_given_one_slow_disk_then_the_candidates_do_not_keep_each_other_from_it"
                 )
             )
@@ -116,7 +116,7 @@
     def test_a_role_given_up_with_nobody_to_take_it(self) -> None:
         with patch.object(Primary, "can_be_followed", return_value=True):
             self.assert_found_by(
-                test_choices.ARoleThatNobodyCanTake(
+                test_decisions.ARoleThatNobodyCanTake(
                     "test_given_a_full_disk_while_another_is_lost_then_the_primary_keeps_its_role"
                 )
             )
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -9,7 +9,7 @@
     NO_PROPOSAL,
     Accept,
     Accepted,
-    AcceptedNotice,
+    AcceptedBroadcast,
     Announce,
     Member,
     Message,
@@ -130,7 +130,7 @@
         self.assertEqual([Refused], kinds(self.witness.accept(BOB, 4)))
         self.assertEqual([Promise], kinds(self.witness.prepare(BOB, 6)))
         self.assertEqual([Refused], kinds(self.witness.accept(ANN, 5)))
-        self.assertEqual([Accepted, AcceptedNotice], kinds(self.witness.accept(BOB, 6)))
+        self.assertEqual([Accepted, AcceptedBroadcast], kinds(self.witness.accept(BOB, 6)))
 
     def test_given_the_same_question_twice_then_it_has_the_same_answer(self) -> None:
         first = self.witness.prepare(ANN, 5)
