--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -28,8 +28,8 @@
     ForwardCommand,
     ForwardRead,
     PeerFrame,
-    PeeringBase,
     PeeringMessage,
+    PeeringMessageBase,
     ReadReply,
 )
 from madderwind.messages.status import ControlPlaneStatus, UpstreamStatus
@@ -145,7 +145,7 @@
     def peer_message(self, now_ms: float, sender: str, message: PeerFrame) -> list[Effect]:
         """A message from the control plane at this internal address."""
         self._peers.spoke(now_ms, sender)
-        if isinstance(message, PeeringBase):
+        if isinstance(message, PeeringMessageBase):
             outputs = self._refresh_standing(now_ms)
             return self._run(now_ms, outputs + self._peering(now_ms, sender, message))
         return self._run(now_ms, self._handle(now_ms, MessageReceived(sender, message)))
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -95,7 +95,7 @@
         await self._end_requested.wait()
         watching.cancel()
         public_server.refuse_new_calls()
-        await self._hand_over(host)
+        await self._transfer_leadership(host)
         if exporter is not None:
             await exporter.close()
         await self._close(host)
@@ -157,7 +157,7 @@
 
         return SettingsWatch(Path(os.environ.get(SETTINGS_VARIABLE, "")), take, log)
 
-    async def _hand_over(self, host: ControlPlaneHost) -> None:
+    async def _transfer_leadership(self, host: ControlPlaneHost) -> None:
         """Give the primary's role up where it is held, answer the calls under way, and stay as long as the
         grace period allows while the in-sync set can't do without this replica."""
         self._log.info("asked to end")
--- a/madderwind/controlplane/upstreams.py
+++ b/madderwind/controlplane/upstreams.py
@@ -12,12 +12,12 @@
 from madderwind.distribution.publisher import Delivery
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.messages.peering import (
-    FinalStateNoted,
+    FinalStateConfirmed,
     FinalStateNotice,
     LivenessReport,
     PeeringMessage,
     RegistryGossip,
-    RegistryRequested,
+    RegistryRequest,
 )
 from madderwind.registry.heartbeats import read_heartbeat
 from madderwind.registry.registry import Registry
@@ -109,9 +109,9 @@
             return [*self._publish(self._registry.merge(now_ms, message.upstreams))]
         if isinstance(message, FinalStateNotice):
             return self._note_final_state(now_ms, sender, message.upstream)
-        if isinstance(message, FinalStateNoted):
+        if isinstance(message, FinalStateConfirmed):
             return [*self._departures.confirm(sender, message.instance, state_named(message.state))]
-        if isinstance(message, RegistryRequested):
+        if isinstance(message, RegistryRequest):
             return self._tell_registry_again(now_ms, sender)
         return []
 
@@ -186,7 +186,7 @@
         self._peers.reported(now_ms, sender)
         if self._registry.merge_liveness(now_ms, message.heard):
             return []
-        return [SendToPeer(sender, RegistryRequested())]
+        return [SendToPeer(sender, RegistryRequest())]
 
     def _note_final_state(self, now_ms: float, sender: str, record: UpstreamRecord) -> list[Effect]:
         """Tell the data planes, and confirm the state to the sender once it is on disk here."""
@@ -207,5 +207,5 @@
         return [SendToPeer(address, message) for address in self._peers.addresses()]
 
 
-def _noted(instance: str, state: UpstreamState) -> FinalStateNoted:
-    return FinalStateNoted(instance, "gone" if state is UpstreamState.GONE else "draining")
+def _noted(instance: str, state: UpstreamState) -> FinalStateConfirmed:
+    return FinalStateConfirmed(instance, "gone" if state is UpstreamState.GONE else "draining")
--- a/madderwind/dataplane/reports.py
+++ b/madderwind/dataplane/reports.py
@@ -9,7 +9,7 @@
 from madderwind.eventlog import EventLog
 from madderwind.limits.budget import FleetRetryBudget
 from madderwind.limits.quota import TenantQuota
-from madderwind.messages.distribution import LoadReport, SendReport, UsageReport
+from madderwind.messages.distribution import DispatchReport, LoadReport, UsageReport
 from madderwind.placement.placement import Placement
 
 MS_PER_S = 1000.0
@@ -73,7 +73,7 @@
                 told_to = ""
                 continue
             if prompts:
-                self._links.send(primary, SendReport(prompts))
+                self._links.send(primary, DispatchReport(prompts))
             if load != told or primary != told_to:
                 self._links.send(primary, load)
                 told, told_to = load, primary
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -35,11 +35,11 @@
 from madderwind.limits.quota import TenantQuota
 from madderwind.messages.distribution import (
     Freshness,
-    LoadOfOthers,
+    PeerDispatches,
+    PeerLoad,
+    PeerUsage,
     RegistryDelta,
     RegistrySnapshot,
-    SendsOfOthers,
-    UsageOfOthers,
 )
 from madderwind.metrics.exporter import start_exporter
 from madderwind.node_settings import DATA_PLANE_PORT, NodeSettings
@@ -232,11 +232,11 @@
                 for instance in changed:
                     if not self.upstreams.takes_new(instance):
                         self.pool.forget(instance)
-            case UsageOfOthers(used, asked):
+            case PeerUsage(used, asked):
                 self.quota.others(now_ms, used, asked)
-            case LoadOfOthers(load):
+            case PeerLoad(load):
                 self.placement.others(load)
-            case SendsOfOthers(prompts):
+            case PeerDispatches(prompts):
                 self.placement.heard(now_ms, prompts)
             case Freshness():
                 pass
--- a/madderwind/distribution/exchange.py
+++ b/madderwind/distribution/exchange.py
@@ -12,11 +12,11 @@
 import attrs
 
 from madderwind.messages.distribution import (
-    LoadOfOthers,
+    DispatchReport,
     LoadReport,
-    SendReport,
-    SendsOfOthers,
-    UsageOfOthers,
+    PeerDispatches,
+    PeerLoad,
+    PeerUsage,
     UsageReport,
 )
 
@@ -24,7 +24,7 @@
 RATE_CHANGE = 0.05
 MOST_TENANTS = 10_000
 # Reports of sends that are kept for participants that have not been told of them yet.
-MOST_SEND_REPORTS = 2_000
+MAX_DISPATCH_REPORTS = 2_000
 # How often a participant is told that the others sent nothing.
 NOTHING_SENT_INTERVAL_MS = 400.0
 # What a participant that is away has at upstreams and asks for counts for so long.
@@ -83,7 +83,7 @@
         self.pause(participant)
         self._accounts.pop(participant, None)
 
-    def owed(self, participant: Hashable) -> UsageOfOthers | None:
+    def owed(self, participant: Hashable) -> PeerUsage | None:
         """What the others used since the last call, unless there is nothing new."""
         account = self._accounts[participant]
         used = {}
@@ -100,7 +100,7 @@
         if not used and not _rates_differ(asked, account.told_asked):
             return None
         account.told_asked = asked
-        return UsageOfOthers(used, asked)
+        return PeerUsage(used, asked)
 
     def _sum_asked(self) -> None:
         total: defaultdict[str, float] = defaultdict(float)
@@ -146,7 +146,7 @@
         self.pause(participant)
         self._accounts.pop(participant, None)
 
-    def owed(self, participant: Hashable) -> LoadOfOthers | None:
+    def owed(self, participant: Hashable) -> PeerLoad | None:
         """The sum of the others' loads, unless it is what the participant was told last."""
         if self._stale:
             self._sum()
@@ -160,7 +160,7 @@
         if others == account.told:
             return None
         account.told = others
-        return LoadOfOthers(others)
+        return PeerLoad(others)
 
     def _sum(self) -> None:
         total: Load = {}
@@ -172,11 +172,11 @@
         self._stale = False
 
 
-class SendExchange:
+class DispatchExchange:
     """Passes on what each participant sent to upstreams to all others, in order, each once."""
 
     def __init__(self) -> None:
-        self._reports: deque[tuple[Hashable, SendReport]] = deque(maxlen=MOST_SEND_REPORTS)
+        self._reports: deque[tuple[Hashable, DispatchReport]] = deque(maxlen=MAX_DISPATCH_REPORTS)
         self._reported = 0
         self._positions: dict[Hashable, int] = {}
         self._told_ms: dict[Hashable, float] = {}
@@ -185,7 +185,7 @@
         """A participant that is new or comes back is told what is reported from now on."""
         self._positions[participant] = self._reported
 
-    def report(self, participant: Hashable, report: SendReport) -> None:
+    def report(self, participant: Hashable, report: DispatchReport) -> None:
         """Take what a participant sent."""
         if participant in self._positions and report.prompts:
             self._reports.append((participant, report))
@@ -196,7 +196,7 @@
         self._positions.pop(participant, None)
         self._told_ms.pop(participant, None)
 
-    def owed(self, now_ms: float, participant: Hashable) -> SendsOfOthers | None:
+    def owed(self, now_ms: float, participant: Hashable) -> PeerDispatches | None:
         """What the others sent since this participant was last told; that it was nothing is told seldom."""
         unheard = self._reported - self._positions[participant]
         self._positions[participant] = self._reported
@@ -206,7 +206,7 @@
         if not reports and told_ms is not None and now_ms - told_ms < NOTHING_SENT_INTERVAL_MS:
             return None
         self._told_ms[participant] = now_ms
-        return SendsOfOthers(tuple(prompt for report in reversed(reports) for prompt in report.prompts))
+        return PeerDispatches(tuple(prompt for report in reversed(reports) for prompt in report.prompts))
 
 
 def _rates_differ(now: dict[str, float], told: dict[str, float]) -> bool:
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -16,26 +16,26 @@
 from madderwind.distribution.exchange import (
     AWAY_COUNTS_MS,
     FORGET_AFTER_MS,
+    DispatchExchange,
     LoadExchange,
-    SendExchange,
     UsageExchange,
 )
 from madderwind.messages.distribution import (
-    ClockRequested,
-    ClockTold,
+    ClockReading,
+    ClockRequest,
     CommandRecord,
     ConfigurationApplied,
     ConfigurationDelta,
     ConfigurationSnapshot,
     ControlPlanes,
-    Farewell,
+    DispatchReport,
     FetchConfiguration,
     Freshness,
+    Goodbye,
     LoadReport,
     PeerSample,
     RegistryDelta,
     RegistrySnapshot,
-    SendReport,
     Subscribe,
     ToControlPlane,
     ToDataPlane,
@@ -161,7 +161,7 @@
         self._answers: dict[int, ConfigurationDelta | ConfigurationSnapshot] = {}
         self._subscribers: dict[int, _Subscriber] = {}
         self._away_since_ms: dict[Participant, float] = {}
-        self._usage, self._load, self._sends = UsageExchange(), LoadExchange(), SendExchange()
+        self._usage, self._load, self._sends = UsageExchange(), LoadExchange(), DispatchExchange()
         self._freshness_due_ms = self._exchange_due_ms = self._load_due_ms = self._sample_due_ms = 0.0
 
     # --- what the control plane itself learns ---
@@ -245,11 +245,11 @@
             self._usage.report(subscriber.participant, message)
         elif isinstance(message, LoadReport):
             self._load.report(subscriber.participant, message)
-        elif isinstance(message, SendReport):
+        elif isinstance(message, DispatchReport):
             self._sends.report(subscriber.participant, message)
-        elif isinstance(message, ClockRequested):
-            return [SendTo(connection, ClockTold(message.asked_ms, round(now_ms)))]
-        elif isinstance(message, Farewell):
+        elif isinstance(message, ClockRequest):
+            return [SendTo(connection, ClockReading(message.asked_ms, round(now_ms)))]
+        elif isinstance(message, Goodbye):
             self._leave(now_ms, subscriber)
         return []
 
@@ -389,7 +389,7 @@
         return deliveries
 
     def _restart_exchanges(self) -> None:
-        self._usage, self._load, self._sends = UsageExchange(), LoadExchange(), SendExchange()
+        self._usage, self._load, self._sends = UsageExchange(), LoadExchange(), DispatchExchange()
         for subscriber in self._subscribers.values():
             self._usage.join(subscriber.participant)
             self._load.join(subscriber.participant)
--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -17,15 +17,15 @@
 from madderwind.distribution.reading_ahead import ConfigurationMessage, ReadAhead, document_after
 from madderwind.errors import InvalidConfiguration
 from madderwind.messages.distribution import (
-    ClockRequested,
-    ClockTold,
+    ClockReading,
+    ClockRequest,
     ConfigurationApplied,
     ConfigurationDelta,
     ConfigurationSnapshot,
     ControlPlanes,
-    Farewell,
     FetchConfiguration,
     Freshness,
+    Goodbye,
     Subscribe,
     ToControlPlane,
     ToDataPlane,
@@ -237,7 +237,7 @@
                 self._learn(now_ms, addresses)
             case Leaving():
                 self._leaving = True
-                actions += [Send(address, Farewell()) for address in self.open_links]
+                actions += [Send(address, Goodbye()) for address in self.open_links]
             case TimePassed():
                 pass
         self._close_silent(now_ms, actions)
@@ -287,7 +287,7 @@
                 self._named_primary = primary or self._named_primary
                 self._follow_named_primary(now_ms)
                 self._learn(now_ms, addresses)
-            case ClockTold(asked_ms, clock_ms):
+            case ClockReading(asked_ms, clock_ms):
                 link.hear_clock(now_ms, asked_ms, clock_ms)
             case _:
                 actions.append(Deliver(address, message))
@@ -393,7 +393,7 @@
         for link in self._links.values():
             if link.is_clock_due(now_ms):
                 link.ask_clock(now_ms)
-                actions.append(Send(link.address, ClockRequested(now_ms)))
+                actions.append(Send(link.address, ClockRequest(now_ms)))
 
     def _dial(self, now_ms: float, actions: list[Action]) -> None:
         """Connect to as many as are wanted, and to the primary in any case."""
--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -80,7 +80,7 @@
     load: dict[str, tuple[float, float, float]]
 
 
-class SentPrompt(msgspec.Struct, frozen=True, array_like=True):
+class DispatchedPrompt(msgspec.Struct, frozen=True, array_like=True):
     """A prompt that went to an upstream: ids and tokens of its parts, in order."""
 
     instance: str
@@ -88,19 +88,19 @@
     part_tokens: tuple[int, ...]
 
 
-class SendReport(Message, frozen=True, tag="SendReport"):
+class DispatchReport(Message, frozen=True, tag="SendReport"):
     """Prompts that this data plane sent to upstreams since its last report. To the primary alone."""
 
-    prompts: tuple[SentPrompt, ...]
+    prompts: tuple[DispatchedPrompt, ...]
 
 
-class ClockRequested(Message, frozen=True, tag="ClockRequested"):
+class ClockRequest(Message, frozen=True, tag="ClockRequested"):
     """Ask for the control plane's steady clock. `asked_ms`: the data plane's own, which comes back."""
 
     asked_ms: float
 
 
-class Farewell(Message, frozen=True, tag="Farewell"):
+class Goodbye(Message, frozen=True, tag="Farewell"):
     """The data plane ends: it takes no more requests."""
 
 
@@ -120,7 +120,7 @@
     clock_ms: float
 
 
-class ClockTold(Message, frozen=True, tag="ClockTold"):
+class ClockReading(Message, frozen=True, tag="ClockTold"):
     """The control plane's steady clock when it read the question that was asked at `asked_ms`."""
 
     asked_ms: float
@@ -167,7 +167,7 @@
     addresses: tuple[str, ...]
 
 
-class UsageOfOthers(Message, frozen=True, tag="UsageOfOthers"):
+class PeerUsage(Message, frozen=True, tag="UsageOfOthers"):
     """What all other data planes used, by tenant, since the last message of this kind on this connection, and
     what they ask for a second. From the primary alone."""
 
@@ -175,16 +175,16 @@
     asked: dict[str, float]
 
 
-class LoadOfOthers(Message, frozen=True, tag="LoadOfOthers"):
+class PeerLoad(Message, frozen=True, tag="LoadOfOthers"):
     """The sum of the other data planes' load reports, by instance."""
 
     load: dict[str, tuple[float, float, float]]
 
 
-class SendsOfOthers(Message, frozen=True, tag="SendsOfOthers"):
+class PeerDispatches(Message, frozen=True, tag="SendsOfOthers"):
     """Prompts that other data planes sent since the last message of this kind; it comes without any too."""
 
-    prompts: tuple[SentPrompt, ...]
+    prompts: tuple[DispatchedPrompt, ...]
 
 
 ToControlPlane = (
@@ -193,22 +193,22 @@
     | ConfigurationApplied
     | UsageReport
     | LoadReport
-    | SendReport
-    | ClockRequested
-    | Farewell
+    | DispatchReport
+    | ClockRequest
+    | Goodbye
 )
 ToDataPlane = (
     Freshness
-    | ClockTold
+    | ClockReading
     | ConfigurationSnapshot
     | ConfigurationDelta
     | RegistrySnapshot
     | RegistryDelta
     | ControlPlanes
     | PeerSample
-    | UsageOfOthers
-    | LoadOfOthers
-    | SendsOfOthers
+    | PeerUsage
+    | PeerLoad
+    | PeerDispatches
 )
 
 to_control_plane: Codec[ToControlPlane] = Codec(ToControlPlane)
--- a/madderwind/messages/peering.py
+++ b/madderwind/messages/peering.py
@@ -15,7 +15,7 @@
 from madderwind.messages.replication import ReplicationMessage
 
 
-class PeeringBase(msgspec.Struct, frozen=True, array_like=True):
+class PeeringMessageBase(msgspec.Struct, frozen=True, array_like=True):
     """The base of all messages of this module; each names its tag on the wire."""
 
 
@@ -27,43 +27,43 @@
     silent_ms: float
 
 
-class Hello(PeeringBase, frozen=True, tag="Hello"):
+class Hello(PeeringMessageBase, frozen=True, tag="Hello"):
     """First message of a connection: the internal address of who dialled it, where answers go."""
 
     sender: str
 
 
-class RegistryGossip(PeeringBase, frozen=True, tag="RegistryGossip"):
+class RegistryGossip(PeeringMessageBase, frozen=True, tag="RegistryGossip"):
     """Upstreams of which something changed; on a new connection all that are known."""
 
     upstreams: tuple[UpstreamRecord, ...]
 
 
-class FinalStateNotice(PeeringBase, frozen=True, tag="FinalStateNotice"):
+class FinalStateNotice(PeeringMessageBase, frozen=True, tag="FinalStateNotice"):
     """An upstream drains or is gone. Its acknowledgement waits until the receiver has told its data planes
     and has the state on disk."""
 
     upstream: UpstreamRecord
 
 
-class FinalStateNoted(PeeringBase, frozen=True, tag="FinalStateNoted"):
+class FinalStateConfirmed(PeeringMessageBase, frozen=True, tag="FinalStateNoted"):
     """The sender's data planes were told that the instance has this state, and its disk holds it."""
 
     instance: str
     state: Literal["draining", "gone"]
 
 
-class RegistryRequested(PeeringBase, frozen=True, tag="RegistryRequested"):
+class RegistryRequest(PeeringMessageBase, frozen=True, tag="RegistryRequested"):
     """The sender lacks some upstream: all are to be told again."""
 
 
-class LivenessReport(PeeringBase, frozen=True, tag="LivenessReport"):
+class LivenessReport(PeeringMessageBase, frozen=True, tag="LivenessReport"):
     """Upstreams that the sender heard since its last report; sent also when there are none."""
 
     heard: tuple[Liveness, ...]
 
 
-class ForwardCommand(PeeringBase, frozen=True, tag="ForwardOrder"):
+class ForwardCommand(PeeringMessageBase, frozen=True, tag="ForwardOrder"):
     """An operator's command that reached a control plane which is not the primary. `token` is unique over the
     sender's lives."""
 
@@ -73,7 +73,7 @@
     body: bytes
 
 
-class CommandReply(PeeringBase, frozen=True, tag="OrderReply"):
+class CommandReply(PeeringMessageBase, frozen=True, tag="OrderReply"):
     """How a forwarded command ended; the fields are those of `CommandResult`."""
 
     token: int
@@ -83,13 +83,13 @@
     reason: str
 
 
-class ForwardRead(PeeringBase, frozen=True, tag="ForwardRead"):
+class ForwardRead(PeeringMessageBase, frozen=True, tag="ForwardRead"):
     """The operator asks for the newest configuration."""
 
     token: int
 
 
-class ReadReply(PeeringBase, frozen=True, tag="ReadReply"):
+class ReadReply(PeeringMessageBase, frozen=True, tag="ReadReply"):
     """The newest configuration where `is_newest`; else the sender could not prove that it is."""
 
     token: int
@@ -102,8 +102,8 @@
     Hello
     | RegistryGossip
     | FinalStateNotice
-    | FinalStateNoted
-    | RegistryRequested
+    | FinalStateConfirmed
+    | RegistryRequest
     | LivenessReport
     | ForwardCommand
     | CommandReply
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -84,7 +84,7 @@
 # --- finding each other ---
 
 
-class Announce(Message, frozen=True, tag="Announce"):
+class JoinRequest(Message, frozen=True, tag="Announce"):
     """Told to known addresses by a replica that follows no primary. `epoch` is the newest it knows (0: none);
     `bootstrap`: its file was founded at the very first start of the system."""
 
@@ -104,11 +104,11 @@
 
 class Prepare(Message, frozen=True, tag="Prepare"):
     """Asks the members of `base`, the newest decided view, for a promise about the epoch that follows it.
-    `handed_over`: the primary of `base` gave its role up."""
+    `leadership_transferred`: the primary of `base` gave its role up."""
 
     base: View
     number: ProposalNumber
-    handed_over: bool
+    leadership_transferred: bool
 
 
 class Promise(Message, frozen=True, tag="Promise"):
@@ -146,7 +146,7 @@
     view: View
 
 
-class Refused(Message, frozen=True, tag="Refused"):
+class Rejected(Message, frozen=True, tag="Refused"):
     """This witness does not go along. `promised` is the highest proposal number it knows; `hears_primary`:
     the primary is at work, as far as it can tell."""
 
@@ -173,7 +173,7 @@
     peers: tuple[PeerStatus, ...]
 
 
-class HeartbeatAnswer(Message, frozen=True, tag="HeartbeatAnswer"):
+class HeartbeatAck(Message, frozen=True, tag="HeartbeatAnswer"):
     """Given by those that know the epoch. `accepted_epoch`: of the newest view that this witness accepted;
     `matched`: up to where its synced log is the primary's. `round` is 0 where nothing was asked."""
 
@@ -185,7 +185,7 @@
     leaving: bool
 
 
-class Append(Message, frozen=True, tag="Append"):
+class AppendEntries(Message, frozen=True, tag="Append"):
     """Entries that follow the entry named by `previous_index` and `previous_epoch`."""
 
     epoch: int
@@ -195,14 +195,14 @@
     committed: int
 
 
-class Appended(Message, frozen=True, tag="Appended"):
+class AppendAck(Message, frozen=True, tag="Appended"):
     """Up to `matched`, this replica's synced log is the primary's of `epoch`."""
 
     epoch: int
     matched: int
 
 
-class AppendRefused(Message, frozen=True, tag="AppendRefused"):
+class AppendRejected(Message, frozen=True, tag="AppendRefused"):
     """The entry before these is not in this replica's log, which is sure up to `committed`."""
 
     epoch: int
@@ -223,7 +223,7 @@
     data: bytes
 
 
-class SnapshotReceived(Message, frozen=True, tag="SnapshotReceived"):
+class SnapshotAck(Message, frozen=True, tag="SnapshotReceived"):
     """So many bytes of the state after the entry `index` are here, and more are expected."""
 
     epoch: int
@@ -231,29 +231,29 @@
     received: int
 
 
-class HandOver(Message, frozen=True, tag="HandOver"):
+class TransferLeadership(Message, frozen=True, tag="HandOver"):
     """The primary of `epoch` gives its role up: the receiver is to take it at once."""
 
     epoch: int
 
 
 ReplicationMessage = (
-    Announce
+    JoinRequest
     | ViewNotice
     | Prepare
     | Promise
     | Accept
     | Accepted
     | AcceptedBroadcast
-    | Refused
+    | Rejected
     | Heartbeat
-    | HeartbeatAnswer
-    | Append
-    | Appended
-    | AppendRefused
+    | HeartbeatAck
+    | AppendEntries
+    | AppendAck
+    | AppendRejected
     | InstallSnapshot
-    | SnapshotReceived
-    | HandOver
+    | SnapshotAck
+    | TransferLeadership
 )
 
 replication_messages: Codec[ReplicationMessage] = Codec(ReplicationMessage)
--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from madderwind.messages.distribution import SentPrompt
+from madderwind.messages.distribution import DispatchedPrompt
 from madderwind.placement.costs import PlacementCosts
 from madderwind.placement.first_event_model import FirstEventModel
 from madderwind.placement.popularity import PrefixRates
@@ -79,7 +79,7 @@
         self._requests: dict[str, str] = {}
         self._fleet = 1
         self._now_ms = 0.0
-        self._outbox: list[SentPrompt] = []
+        self._outbox: list[DispatchedPrompt] = []
         self._heard_at_ms = -math.inf
 
     # --- what the host tells ---
@@ -114,13 +114,13 @@
             if load.sequences
         }
 
-    def take_sent(self) -> tuple[SentPrompt, ...]:
+    def take_sent(self) -> tuple[DispatchedPrompt, ...]:
         """Own sends since the last call, as many as are kept for it."""
         prompts = tuple(self._outbox)
         self._outbox.clear()
         return prompts
 
-    def heard(self, now_ms: float, prompts: Sequence[SentPrompt]) -> None:
+    def heard(self, now_ms: float, prompts: Sequence[DispatchedPrompt]) -> None:
         """Sends of the other balancers to upstreams that were located; an empty call says there were none."""
         self._now_ms = max(self._now_ms, now_ms)
         self._heard_at_ms = now_ms
@@ -187,7 +187,9 @@
         upstream.kept.used(generation.parts, service.kv_tokens, copies)
         if len(self._outbox) < MOST_UNTOLD:
             ids = tuple(part.id for part in generation.parts)
-            self._outbox.append(SentPrompt(instance, ids, tuple(part.tokens for part in generation.parts)))
+            self._outbox.append(
+                DispatchedPrompt(instance, ids, tuple(part.tokens for part in generation.parts))
+            )
         self._requests[key] = instance
 
     def urgency(self, key: str, rank: int) -> int:
--- a/madderwind/replication/api.py
+++ b/madderwind/replication/api.py
@@ -139,8 +139,8 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Append these records to the replica's file and sync; then WriteCompleted or WriteFailed. Writes are
-    done in order; records asked for while a sync is running may share the next one."""
+    """AppendEntries these records to the replica's file and sync; then WriteCompleted or WriteFailed. Writes
+    are done in order; records asked for while a sync is running may share the next one."""
 
     token: int
     records: tuple[bytes, ...]
--- a/madderwind/replication/core.py
+++ b/madderwind/replication/core.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from madderwind.messages.replication import (
-    Announce,
+    JoinRequest,
     LogEntry,
     Member,
     Message,
@@ -117,9 +117,9 @@
         if self.view is not None and self.epoch > 0:
             self.send(address, ViewNotice(self.me.incarnation, target, self.view))
 
-    def announcement(self) -> Announce:
+    def join_request(self) -> JoinRequest:
         """Who this is, for replicas that may not know it."""
-        return Announce(self.me.incarnation, "", self.me, self.epoch, self.bootstrap)
+        return JoinRequest(self.me.incarnation, "", self.me, self.epoch, self.bootstrap)
 
     def report(self, event: str, **fields: str | int | float | bool) -> None:
         """Something for the log."""
--- a/madderwind/replication/discovery.py
+++ b/madderwind/replication/discovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from madderwind.messages.replication import Announce, Member, View
+from madderwind.messages.replication import JoinRequest, Member, View
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.membership import MembershipRules
 
@@ -21,29 +21,29 @@
         self._unfounded: dict[str, Member] = {core.me.address: core.me}
         self.seeds = seeds
 
-    def take(self, announcement: Announce) -> None:
+    def take(self, join_request: JoinRequest) -> None:
         """Remember who is there."""
-        member = announcement.member
+        member = join_request.member
         if member.address == self._core.me.address:
             return
         self._others.pop(member.address, None)
         self._others[member.address] = None
         if len(self._others) > MOST_OTHERS:
             del self._others[next(iter(self._others))]
-        if announcement.epoch == 0:
+        if join_request.epoch == 0:
             self._unfounded[member.address] = member
 
     def search_now(self, now_ms: float) -> None:
-        """There is news of whom to ask: do not wait for the next announcement."""
+        """There is news of whom to ask: do not wait for the next join_request."""
         self._next_ms = now_ms
 
-    def announce_if_due(self, now_ms: float) -> None:
+    def request_join_if_due(self, now_ms: float) -> None:
         """Tell all known addresses that this replica looks for the primary."""
         if now_ms < self._next_ms:
             return
-        self._next_ms = now_ms + self._core.times.announce_ms
+        self._next_ms = now_ms + self._core.times.join_interval_ms
         for address in self._addresses():
-            self._core.send(address, self._core.announcement())
+            self._core.send(address, self._core.join_request())
 
     def founding_members(self, now_ms: float, rules: MembershipRules) -> tuple[Member, ...] | None:
         """Who founds the system, where this replica is the one to begin it and the others are known.
--- a/madderwind/replication/election.py
+++ b/madderwind/replication/election.py
@@ -17,7 +17,7 @@
         self._core = core
         self.due_ms = now_ms + self._first_wait_ms(core)
         self._rivals = 0  # met in this epoch
-        self._handed_over_epoch = 0  # the epoch whose primary asked this replica to take over
+        self._transfer_epoch = 0  # the epoch whose primary asked this replica to take over
 
     def _first_wait_ms(self, core: ReplicaCore) -> float:
         """After a start. A primary that was started anew knows that nobody holds the role in its epoch."""
@@ -26,9 +26,9 @@
         return wait_ms if was_primary else core.times.election_min_ms + wait_ms
 
     @property
-    def was_handed_over(self) -> bool:
+    def is_transfer_target(self) -> bool:
         """Whether the primary of the newest view gave its role to this replica."""
-        return self._handed_over_epoch == self._core.epoch
+        return self._transfer_epoch == self._core.epoch
 
     def postpone(self, now_ms: float, least_ms: float, most_ms: float) -> None:
         """Stand no sooner than after a wait drawn between two bounds."""
@@ -56,9 +56,9 @@
         """The primary is lost for good: there is nothing to wait for."""
         self.due_ms = min(self.due_ms, now_ms + self._core.rng.uniform(0.0, 50.0))
 
-    def take_hand_over(self, now_ms: float, epoch: int) -> None:
+    def handle_transfer(self, now_ms: float, epoch: int) -> None:
         """The primary of this epoch asks this replica to take its place."""
-        self._handed_over_epoch = epoch
+        self._transfer_epoch = epoch
         self.due_ms = now_ms
 
     def is_due(self, now_ms: float, is_leaving: bool) -> bool:
--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from madderwind.messages.replication import (
-    Append,
-    Appended,
-    AppendRefused,
+    AppendAck,
+    AppendEntries,
+    AppendRejected,
     Heartbeat,
-    HeartbeatAnswer,
+    HeartbeatAck,
     InstallSnapshot,
     LogEntry,
-    SnapshotReceived,
+    SnapshotAck,
 )
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.known_peers import KnownPeers
@@ -84,7 +84,7 @@
         primary = view.member(view.primary) if view is not None else None
         if primary is None or primary == core.me:
             return
-        message = HeartbeatAnswer(
+        message = HeartbeatAck(
             core.me.incarnation,
             primary.incarnation,
             core.epoch,
@@ -96,7 +96,7 @@
         )
         core.send(primary.address, message)
 
-    def take_append(self, now_ms: float, message: Append) -> None:
+    def take_append(self, now_ms: float, message: AppendEntries) -> None:
         """Entries of the primary; what the log holds otherwise in their place was never committed."""
         self._hear(now_ms)
         entries = tuple(entry for entry in message.entries if entry.index > self._core.committed_index)
@@ -126,7 +126,7 @@
         state = self._incoming.take(message)
         if state is None:
             self._tell_primary(
-                SnapshotReceived(
+                SnapshotAck(
                     core.me.incarnation, message.sender, core.epoch, message.index, self._incoming.received
                 )
             )
@@ -149,7 +149,7 @@
             return
         self._acknowledged = synced
         self._is_acknowledgement_due = not is_whole and self._is_acknowledgement_due
-        core.send(primary.address, Appended(core.me.incarnation, primary.incarnation, core.epoch, synced))
+        core.send(primary.address, AppendAck(core.me.incarnation, primary.incarnation, core.epoch, synced))
 
     def _hear(self, now_ms: float) -> None:
         self.heard_ms = now_ms
@@ -158,20 +158,20 @@
         if primary is not None:
             self.known_peers.hear(now_ms, primary)
 
-    def _follows(self, message: Append) -> bool:
+    def _follows(self, message: AppendEntries) -> bool:
         """Whether the log holds the entry before these. What is committed is the same everywhere."""
         if message.previous_index <= self._core.committed_index:
             return True
         return self._core.log.epoch_at(message.previous_index) == message.previous_epoch
 
-    def _refuse(self, message: Append) -> None:
+    def _refuse(self, message: AppendEntries) -> None:
         core = self._core
-        refusal = AppendRefused(
+        refusal = AppendRejected(
             core.me.incarnation, message.sender, core.epoch, message.previous_index, core.committed_index
         )
         self._tell_primary(refusal)
 
-    def _tell_primary(self, message: AppendRefused | SnapshotReceived) -> None:
+    def _tell_primary(self, message: AppendRejected | SnapshotAck) -> None:
         view = self._core.view
         primary = view.member(view.primary) if view is not None else None
         if primary is not None:
--- a/madderwind/replication/log_shipping.py
+++ b/madderwind/replication/log_shipping.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from madderwind.messages.replication import Append, InstallSnapshot, LogEntry, SnapshotReceived
+from madderwind.messages.replication import AppendEntries, InstallSnapshot, LogEntry, SnapshotAck
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.peers import Peer, Progress
 from madderwind.replication.snapshot_transfer import SnapshotSender
@@ -16,7 +16,7 @@
     def __init__(self, core: ReplicaCore) -> None:
         self._core = core
 
-    def take_snapshot_received(self, now_ms: float, peer: Peer, message: SnapshotReceived) -> None:
+    def take_snapshot_received(self, now_ms: float, peer: Peer, message: SnapshotAck) -> None:
         """The replica has a part of the snapshot that it is sent."""
         if peer.snapshot is None or peer.snapshot.index != message.index:
             return
@@ -70,8 +70,10 @@
             peer.next_index = peer.matched + 1
         self.probe(now_ms, peer)
 
-    def _append_message(self, peer: Peer, previous_epoch: int, entries: tuple[LogEntry, ...]) -> Append:
-        return Append(
+    def _append_message(
+        self, peer: Peer, previous_epoch: int, entries: tuple[LogEntry, ...]
+    ) -> AppendEntries:
+        return AppendEntries(
             self._core.me.incarnation,
             peer.member.incarnation,
             self._core.epoch,
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -49,11 +49,11 @@
 
 
 def takeover_view(
-    view: View, successor: Member, reachable: frozenset[str], was_handed_over: bool, rules: MembershipRules
+    view: View, successor: Member, reachable: frozenset[str], is_transfer_target: bool, rules: MembershipRules
 ) -> View:
     """The view under which a replica of the in-sync set takes the primary's place. The old primary stays in
     the set only where it answered, or where the set would be too small without it."""
-    keeps_primary = view.primary in reachable and not was_handed_over
+    keeps_primary = view.primary in reachable and not is_transfer_target
     kept = [name for name in view.in_sync if name != view.primary or keeps_primary]
     if len(kept) < rules.smallest_in_sync or successor.incarnation not in kept:
         kept = list(view.in_sync)
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -6,15 +6,15 @@
 from msgspec import structs
 
 from madderwind.messages.replication import (
-    Announce,
-    Appended,
-    AppendRefused,
+    AppendAck,
+    AppendRejected,
     Heartbeat,
-    HeartbeatAnswer,
+    HeartbeatAck,
+    JoinRequest,
     LogEntry,
     Member,
     PeerStatus,
-    SnapshotReceived,
+    SnapshotAck,
     View,
 )
 from madderwind.replication.api import (
@@ -171,17 +171,17 @@
 
     # --- messages ---
 
-    def take_announcement(self, now_ms: float, announcement: Announce) -> None:
+    def handle_join_request(self, now_ms: float, join_request: JoinRequest) -> None:
         """A replica that looks for a primary: one that is not known yet is to learn. Of others it is no sign
         of life, as it may be that they can't hear this primary."""
-        member = announcement.member
+        member = join_request.member
         if member.incarnation in self.peers or self._learners() >= MOST_LEARNERS:
             return
         if member.incarnation != self._core.me.incarnation:
             peer = self.peers[member.incarnation] = Peer(member, now_ms, self._core.log.last_index + 1)
             self._shipping.probe(now_ms, peer)
 
-    def take_answer(self, now_ms: float, answer: HeartbeatAnswer) -> None:
+    def take_answer(self, now_ms: float, answer: HeartbeatAck) -> None:
         """A member's or learner's answer to a heartbeat."""
         peer = self.peers.get(answer.sender)
         if peer is None:
@@ -201,7 +201,7 @@
         else:
             self._count_answer(answer.round, answer.sender)
 
-    def take_appended(self, now_ms: float, message: Appended) -> None:
+    def take_appended(self, now_ms: float, message: AppendAck) -> None:
         """Entries are on the disk of another replica."""
         peer = self.peers.get(message.sender)
         if peer is None or message.epoch != self._core.epoch:
@@ -210,7 +210,7 @@
         peer.note_matched(now_ms, message.matched, self._core.log.last_index)
         self._shipping.send_entries(now_ms, peer)
 
-    def take_refused(self, now_ms: float, message: AppendRefused) -> None:
+    def take_refused(self, now_ms: float, message: AppendRejected) -> None:
         """The log of another replica does not lead up to what was sent: go back to where it is sure."""
         peer = self.peers.get(message.sender)
         if peer is None or message.epoch != self._core.epoch:
@@ -223,7 +223,7 @@
         peer.next_index = max(peer.matched, min(message.committed, self._core.log.last_index)) + 1
         self._shipping.probe(now_ms, peer)
 
-    def take_snapshot_received(self, now_ms: float, message: SnapshotReceived) -> None:
+    def take_snapshot_received(self, now_ms: float, message: SnapshotAck) -> None:
         """Another replica has a part of the snapshot that it is sent."""
         peer = self.peers.get(message.sender)
         if peer is None or message.epoch != self._core.epoch:
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -9,20 +9,20 @@
     Accept,
     Accepted,
     AcceptedBroadcast,
-    Announce,
-    Append,
-    Appended,
-    AppendRefused,
-    HandOver,
+    AppendAck,
+    AppendEntries,
+    AppendRejected,
     Heartbeat,
-    HeartbeatAnswer,
+    HeartbeatAck,
     InstallSnapshot,
+    JoinRequest,
     Member,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     ReplicationMessage,
-    SnapshotReceived,
+    SnapshotAck,
+    TransferLeadership,
     View,
     ViewNotice,
 )
@@ -189,11 +189,11 @@
             return
         if not self._core.is_for_me(message):
             # Meant for a forerunner at this address, whose disk is lost: tell who is here now.
-            self._core.send(sender_address, self._core.announcement())
+            self._core.send(sender_address, self._core.join_request())
             return
         match message:
-            case Announce():
-                self._take_announcement(now_ms, message)
+            case JoinRequest():
+                self._handle_join_request(now_ms, message)
             case ViewNotice(view=view):
                 self._roles.adopt(now_ms, view)
             case Prepare():
@@ -206,28 +206,28 @@
                 self._roles.take_accepted(now_ms, message)
             case AcceptedBroadcast():
                 self._roles.handle_accepted_broadcast(now_ms, message)
-            case Refused():
+            case Rejected():
                 self._roles.take_refusal(now_ms, message)
-            case Heartbeat() | Append() | InstallSnapshot():
+            case Heartbeat() | AppendEntries() | InstallSnapshot():
                 if self._is_from_primary(sender_address, message):
                     self._follow(now_ms, message)
-            case HeartbeatAnswer() | Appended() | AppendRefused() | SnapshotReceived():
+            case HeartbeatAck() | AppendAck() | AppendRejected() | SnapshotAck():
                 if self._roles.primary is not None:
                     self._take_report(now_ms, self._roles.primary, message)
-            case HandOver():
-                self._roles.take_hand_over(now_ms, message)
+            case TransferLeadership():
+                self._roles.handle_transfer(now_ms, message)
 
     # --- finding each other ---
 
-    def _take_announcement(self, now_ms: float, announcement: Announce) -> None:
-        core, member = self._core, announcement.member
-        self._discovery.take(announcement)
-        if announcement.epoch < core.epoch:
+    def _handle_join_request(self, now_ms: float, join_request: JoinRequest) -> None:
+        core, member = self._core, join_request.member
+        self._discovery.take(join_request)
+        if join_request.epoch < core.epoch:
             core.notify_view(member.address, member.incarnation)
-        elif announcement.epoch > core.epoch:
-            core.send(member.address, core.announcement())
+        elif join_request.epoch > core.epoch:
+            core.send(member.address, core.join_request())
         if self._roles.primary is not None:
-            self._roles.primary.take_announcement(now_ms, announcement)
+            self._roles.primary.handle_join_request(now_ms, join_request)
         elif self._is_successor_of_primary(member):
             # The primary's machine lost its disk: it will not be heard again.
             self._follower.forget_primary()
@@ -249,24 +249,26 @@
 
     # --- following ---
 
-    def _is_from_primary(self, sender_address: str, message: Heartbeat | Append | InstallSnapshot) -> bool:
+    def _is_from_primary(
+        self, sender_address: str, message: Heartbeat | AppendEntries | InstallSnapshot
+    ) -> bool:
         """Whether a message is of the newest view's primary; who knows less is told more, either way."""
         core = self._core
         if message.epoch > core.epoch:
-            core.send(sender_address, core.announcement())
+            core.send(sender_address, core.join_request())
             return False
         if message.epoch < core.epoch:
             core.notify_view(sender_address, message.sender)
             return False
         return core.view is not None and message.sender == core.view.primary and self._roles.primary is None
 
-    def _follow(self, now_ms: float, message: Heartbeat | Append | InstallSnapshot) -> None:
+    def _follow(self, now_ms: float, message: Heartbeat | AppendEntries | InstallSnapshot) -> None:
         self._roles.end_candidacy(now_ms)
         self._roles.election.postpone_by_silence(now_ms)
         match message:
             case Heartbeat():
                 self._follower.take_heartbeat(now_ms, message, self._roles.is_leaving)
-            case Append():
+            case AppendEntries():
                 self._follower.take_append(now_ms, message)
             case InstallSnapshot():
                 self._follower.take_snapshot(now_ms, message)
@@ -277,16 +279,16 @@
         self,
         now_ms: float,
         primary: Primary,
-        message: HeartbeatAnswer | Appended | AppendRefused | SnapshotReceived,
+        message: HeartbeatAck | AppendAck | AppendRejected | SnapshotAck,
     ) -> None:
         match message:
-            case HeartbeatAnswer():
+            case HeartbeatAck():
                 primary.take_answer(now_ms, message)
-            case Appended():
+            case AppendAck():
                 primary.take_appended(now_ms, message)
-            case AppendRefused():
+            case AppendRejected():
                 primary.take_refused(now_ms, message)
-            case SnapshotReceived():
+            case SnapshotAck():
                 primary.take_snapshot_received(now_ms, message)
 
     def _leave(self, now_ms: float) -> None:
@@ -315,7 +317,7 @@
             self._roles.step_down(now_ms)
             return
         if self._roles.is_leaving or core.journal.is_in_trouble(now_ms):
-            self._roles.hand_over(now_ms, primary)
+            self._roles.transfer_leadership(now_ms, primary)
             if self._roles.primary is None:
                 return
         primary.advance(now_ms)
@@ -325,7 +327,7 @@
         self._follower.acknowledge()
         self._tell_trouble(now_ms)
         if not self._follower.hears_primary(now_ms, SEARCH_AFTER_MS):
-            self._discovery.announce_if_due(now_ms)
+            self._discovery.request_join_if_due(now_ms)
         self._found_if_due(now_ms)
         self._roles.stand_if_due(now_ms)
 
--- a/madderwind/replication/roles.py
+++ b/madderwind/replication/roles.py
@@ -5,7 +5,14 @@
 from collections.abc import Callable
 from enum import Enum
 
-from madderwind.messages.replication import Accepted, AcceptedBroadcast, HandOver, Promise, Refused, View
+from madderwind.messages.replication import (
+    Accepted,
+    AcceptedBroadcast,
+    Promise,
+    Rejected,
+    TransferLeadership,
+    View,
+)
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.decision_learner import DecisionLearner
 from madderwind.replication.election import Election
@@ -15,7 +22,7 @@
 from madderwind.replication.view_proposals import ViewProposals
 
 # How long a primary that gave its role up leaves it to others.
-ABDICATION_MS = 1_500.0
+LEADERSHIP_TRANSFER_MS = 1_500.0
 
 
 class Role(Enum):
@@ -100,7 +107,7 @@
         """Have the members of a base of epoch 0 choose the first view, with this replica as primary."""
         me = self._core.me
         self.proposals.begin(
-            now_ms, base, lambda promised: founding_view(me, base.members), handed_over=False
+            now_ms, base, lambda promised: founding_view(me, base.members), leadership_transferred=False
         )
 
     def stand_if_due(self, now_ms: float) -> None:
@@ -114,14 +121,14 @@
             return
         if not self.election.is_due(now_ms, self.is_leaving):
             return
-        handed_over = self.election.was_handed_over
+        leadership_transferred = self.election.is_transfer_target
         me, rules = self._core.me, self._rules
         self._become(Role.CANDIDATE)
         self.proposals.begin(
             now_ms,
             view,
-            lambda promised: takeover_view(view, me, promised, handed_over, rules),
-            handed_over,
+            lambda promised: takeover_view(view, me, promised, leadership_transferred, rules),
+            leadership_transferred,
         )
 
     def improve_view_if_due(self, now_ms: float, primary: Primary) -> None:
@@ -130,7 +137,7 @@
             return
         wanted = primary.wanted_view(now_ms)
         if wanted is not None:
-            self.proposals.begin(now_ms, primary.view, lambda promised: wanted, handed_over=False)
+            self.proposals.begin(now_ms, primary.view, lambda promised: wanted, leadership_transferred=False)
 
     def take_promise(self, now_ms: float, promise: Promise) -> None:
         """Count a promise, and learn what that witness knows of the others."""
@@ -154,7 +161,7 @@
         if view is not None and self._decision_learner.take(view, notice):
             self.adopt(now_ms, notice.view)
 
-    def take_refusal(self, now_ms: float, refusal: Refused) -> None:
+    def take_refusal(self, now_ms: float, refusal: Rejected) -> None:
         """A witness does not go along; a higher proposal number than the own one ends the proposal."""
         if self.proposals.is_beaten(refusal):
             self._abandon_proposal(now_ms, self.election.draw_pause_ms())
@@ -190,25 +197,27 @@
             self.primary = Primary(core, view, self._rules, now_ms, known_peers)
             self._become(Role.PRIMARY)
 
-    def hand_over(self, now_ms: float, primary: Primary) -> None:
+    def transfer_leadership(self, now_ms: float, primary: Primary) -> None:
         """Give the role to a replica that can do the work and that can be decided, where there is one."""
         successor = primary.successor(now_ms)
         if successor is None or not primary.can_be_followed(now_ms):
             return
         core = self._core
-        core.send(successor.address, HandOver(core.me.incarnation, successor.incarnation, core.epoch))
+        core.send(
+            successor.address, TransferLeadership(core.me.incarnation, successor.incarnation, core.epoch)
+        )
         core.report("handed_over", to=successor.address)
         self.step_down(now_ms)
         self.proposals.drop()
-        self.election.due_ms = now_ms + ABDICATION_MS
+        self.election.due_ms = now_ms + LEADERSHIP_TRANSFER_MS
 
-    def take_hand_over(self, now_ms: float, message: HandOver) -> None:
+    def handle_transfer(self, now_ms: float, message: TransferLeadership) -> None:
         """The primary asks this replica to take its place."""
         view = self._core.view
         if view is None or view.epoch != message.epoch or view.primary != message.sender:
             return
         self._follower.forget_primary()
-        self.election.take_hand_over(now_ms, message.epoch)
+        self.election.handle_transfer(now_ms, message.epoch)
 
     def _is_silent(self, now_ms: float, incarnation: str) -> bool:
         silent_ms = self._follower.known_peers.silent_ms(now_ms, incarnation)
--- a/madderwind/replication/view_proposals.py
+++ b/madderwind/replication/view_proposals.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from madderwind.messages.replication import Accept, Accepted, Prepare, Promise, ProposalNumber, Refused, View
+from madderwind.messages.replication import Accept, Accepted, Prepare, Promise, ProposalNumber, Rejected, View
 from madderwind.replication.core import ReplicaCore
 from madderwind.replication.proposer import Proposer, ViewBuilder
 
@@ -16,7 +16,7 @@
         self._last_round = 0
         self._next_ms = now_ms
         self._asked_ms = now_ms
-        self._is_handed_over = False
+        self._leadership_transferred = False
         self._built: list[View] = []
 
     @property
@@ -28,13 +28,13 @@
         """Whether none is under way and the pause after the last one is over."""
         return self._proposer is None and now_ms >= self._next_ms
 
-    def begin(self, now_ms: float, base: View, build: ViewBuilder, handed_over: bool) -> None:
+    def begin(self, now_ms: float, base: View, build: ViewBuilder, leadership_transferred: bool) -> None:
         """Ask the members of `base` for their promises."""
         core = self._core
         self._last_round = max(self._last_round, core.witness.promised.round) + 1
         number = ProposalNumber(self._last_round, core.me.incarnation, self._process_incarnation)
         self._proposer = Proposer(base, number, build, now_ms)
-        self._is_handed_over = handed_over
+        self._leadership_transferred = leadership_transferred
         self._ask(now_ms, self._proposer)
 
     def ask_again_if_due(self, now_ms: float) -> None:
@@ -66,7 +66,7 @@
         completed it."""
         return view in self._built
 
-    def is_beaten(self, refusal: Refused) -> bool:
+    def is_beaten(self, refusal: Rejected) -> bool:
         """Whether a refusal tells of a higher proposal number than the present proposal's."""
         proposer = self._proposer
         if proposer is None or refusal.number != proposer.number:
@@ -101,7 +101,9 @@
         for member in proposer.unanswered:
             message: Prepare | Accept
             if proposer.proposal is None:
-                message = Prepare(core.me.incarnation, member.incarnation, base, number, self._is_handed_over)
+                message = Prepare(
+                    core.me.incarnation, member.incarnation, base, number, self._leadership_transferred
+                )
             else:
                 message = Accept(core.me.incarnation, member.incarnation, base, number, proposer.proposal)
             core.send(member.address, message)
--- a/madderwind/replication/witness_role.py
+++ b/madderwind/replication/witness_role.py
@@ -8,7 +8,7 @@
     AcceptedBroadcast,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     View,
 )
 from madderwind.replication.core import ReplicaCore
@@ -31,7 +31,7 @@
         hears_primary = self._protects_primary(now_ms, message)
         is_repeated = witness.promised == message.number  # the promise was lost, or is not on disk yet
         if hears_primary or not (is_repeated or witness.promise(message.number)):
-            refusal = Refused(
+            refusal = Rejected(
                 core.me.incarnation, message.sender, epoch, message.number, witness.promised, hears_primary
             )
             core.send(sender_address, refusal)
@@ -61,7 +61,7 @@
         core, witness = self._core, self._core.witness
         is_repeated = witness.accepted_number == message.number
         if not witness.accept(message.number, message.view):
-            refusal = Refused(
+            refusal = Rejected(
                 core.me.incarnation, message.sender, epoch, message.number, witness.promised, False
             )
             core.send(sender_address, refusal)
@@ -96,7 +96,12 @@
     def _protects_primary(self, now_ms: float, message: Prepare) -> bool:
         """Whether the primary is at work as far as can be told, so that nobody else is to take its place."""
         core, view = self._core, self._core.view
-        if view is None or core.epoch == 0 or message.handed_over or message.sender == view.primary:
+        if (
+            view is None
+            or core.epoch == 0
+            or message.leadership_transferred
+            or message.sender == view.primary
+        ):
             return False
         if self._roles.is_primary:
             return True
--- a/madderwind/testing/engine_emulator/fleet.py
+++ b/madderwind/testing/engine_emulator/fleet.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from madderwind.messages.distribution import SentPrompt
+from madderwind.messages.distribution import DispatchedPrompt
 from madderwind.placement.placement import Placement
 from madderwind.placement.prompts import PromptPart
 from madderwind.testing.engine_emulator.engine import Admission, Engine, EngineEvent, EngineRequest
@@ -302,11 +302,11 @@
         if self._now_ms < self._experiment.for_s * MS_PER_S:
             self._at(self._now_ms + self._experiment.report_ms, self._report)
 
-    def _tell(self, policy: Placement, told: list[SentPrompt]) -> None:
+    def _tell(self, policy: Placement, told: list[DispatchedPrompt]) -> None:
         policy.heard(self._now_ms, told)
 
 
-def _sent_prompts(policy: Policy) -> tuple[SentPrompt, ...]:
+def _sent_prompts(policy: Policy) -> tuple[DispatchedPrompt, ...]:
     return policy.take_sent() if isinstance(policy, Placement) else ()
 
 
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -14,7 +14,7 @@
 import attrs
 import msgspec
 
-from madderwind.messages.distribution import ConfigurationApplied, Farewell, Subscribe, UsageReport
+from madderwind.messages.distribution import ConfigurationApplied, Goodbye, Subscribe, UsageReport
 from madderwind.testing.fault_tests.wire import chunk
 from tests.dataplane.fleet import (
     ControlPlane,
@@ -129,7 +129,7 @@
                 await within(streaming.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
                 await within(ending)
                 await within(fleet.plane.wait_until_ended())
-                self.assertIn(Farewell(), fleet.control.heard)
+                self.assertIn(Goodbye(), fleet.control.heard)
 
         run(story())
 
--- a/tests/distribution/test_cut_off_sources.py
+++ b/tests/distribution/test_cut_off_sources.py
@@ -10,8 +10,8 @@
 from madderwind.distribution.remote_clock import RemoteClock
 from madderwind.distribution.subscriber import CURRENT_MS, LinkClosed, LinkOpened, Send, TimePassed
 from madderwind.messages.distribution import (
-    ClockRequested,
-    ClockTold,
+    ClockReading,
+    ClockRequest,
     ConfigurationSnapshot,
     ControlPlanes,
     Freshness,
@@ -160,7 +160,7 @@
             self.told(FIRST, 5)
             for action in self.happens(TimePassed(), 50.0):
                 if isinstance(action, Send) and action.address == FIRST:
-                    self.assertIsInstance(action.message, ClockRequested)
+                    self.assertIsInstance(action.message, ClockRequest)
                     asked_ms.append(self.now_ms - opened_ms)
         pauses_ms = [after - before for before, after in itertools.pairwise(asked_ms)]
         self.assertEqual([250.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0, 16_000.0, 20_000.0], pauses_ms)
@@ -181,8 +181,8 @@
         """The control planes that were asked for their clock tell it at once."""
         sent, self.sent = self.sent, []
         for address, message in sent:
-            if isinstance(message, ClockRequested):
-                self.hears(address, ClockTold(message.asked_ms, self.now_ms + self.ahead_ms))
+            if isinstance(message, ClockRequest):
+                self.hears(address, ClockReading(message.asked_ms, self.now_ms + self.ahead_ms))
 
     def test_given_clocks_that_drift_for_an_hour_then_the_version_is_still_current(self) -> None:
         drift = 0.0002  # the control planes' clocks lose a fifth of a second in a thousand
@@ -202,7 +202,7 @@
         while self.now_ms - opened_ms < 10_000.0 or not self.sent:
             self.sent.clear()
             self.hears(FIRST, RegistrySnapshot(()), 250.0)
-        self.assertIsInstance(self.sent[0][1], ClockRequested)
+        self.assertIsInstance(self.sent[0][1], ClockRequest)
         self.told(FIRST, 5, late_ms=self.now_ms - opened_ms)
         self.assertFalse(self.is_current)
 
--- a/tests/distribution/test_exchange.py
+++ b/tests/distribution/test_exchange.py
@@ -4,14 +4,14 @@
 
 import unittest
 
-from madderwind.distribution.exchange import LoadExchange, SendExchange, UsageExchange
+from madderwind.distribution.exchange import DispatchExchange, LoadExchange, UsageExchange
 from madderwind.messages.distribution import (
-    LoadOfOthers,
+    DispatchedPrompt,
+    DispatchReport,
     LoadReport,
-    SendReport,
-    SendsOfOthers,
-    SentPrompt,
-    UsageOfOthers,
+    PeerDispatches,
+    PeerLoad,
+    PeerUsage,
     UsageReport,
 )
 
@@ -42,7 +42,7 @@
     def test_a_newcomer_is_owed_nothing_of_the_past(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {"t": 3.0}))
         self.exchange.join("d")
-        self.assertEqual(self.exchange.owed("d"), UsageOfOthers({}, {"t": 3.0}))
+        self.assertEqual(self.exchange.owed("d"), PeerUsage({}, {"t": 3.0}))
 
     def test_who_comes_back_gets_what_it_missed(self) -> None:
         self.exchange.pause("b")
@@ -53,17 +53,17 @@
     def test_what_one_used_stays_owed_after_it_is_forgotten(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {"t": 4.0}))
         self.exchange.forget("a")
-        self.assertEqual(self.exchange.owed("b"), UsageOfOthers({"t": 10.0}, {}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({"t": 10.0}, {}))
 
     def test_rates_of_demand_are_told_when_they_change(self) -> None:
         self.exchange.report("a", UsageReport(1, {}, {"t": 100.0}))
-        self.assertEqual(self.exchange.owed("b"), UsageOfOthers({}, {"t": 100.0}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {"t": 100.0}))
         self.exchange.report("a", UsageReport(2, {}, {"t": 101.0}))
         self.assertIsNone(self.exchange.owed("b"))
         self.exchange.report("a", UsageReport(3, {}, {"t": 150.0}))
-        self.assertEqual(self.exchange.owed("b"), UsageOfOthers({}, {"t": 150.0}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {"t": 150.0}))
         self.exchange.pause("a")
-        self.assertEqual(self.exchange.owed("b"), UsageOfOthers({}, {}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {}))
         self.assertIsNone(self.exchange.owed("a"))
 
 
@@ -77,40 +77,42 @@
         self.exchange.join("c")
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.exchange.report("b", LoadReport({"i": (10.0, 2.0, 50.0), "j": (0.0, 1.0, 5.0)}))
-        self.assertEqual(self.exchange.owed("c"), LoadOfOthers({"i": (110, 3, 550), "j": (0, 1, 5)}))
-        self.assertEqual(self.exchange.owed("a"), LoadOfOthers({"i": (10, 2, 50), "j": (0, 1, 5)}))
+        self.assertEqual(self.exchange.owed("c"), PeerLoad({"i": (110, 3, 550), "j": (0, 1, 5)}))
+        self.assertEqual(self.exchange.owed("a"), PeerLoad({"i": (10, 2, 50), "j": (0, 1, 5)}))
         self.assertIsNone(self.exchange.owed("c"))
 
     def test_who_is_away_has_nothing_at_upstreams(self) -> None:
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.assertIsNotNone(self.exchange.owed("b"))
         self.exchange.pause("a")
-        self.assertEqual(self.exchange.owed("b"), LoadOfOthers({}))
+        self.assertEqual(self.exchange.owed("b"), PeerLoad({}))
 
     def test_who_comes_back_is_told_the_whole_sum(self) -> None:
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.exchange.owed("b")
         self.exchange.join("b")
-        self.assertEqual(self.exchange.owed("b"), LoadOfOthers({"i": (100, 1, 500)}))
+        self.assertEqual(self.exchange.owed("b"), PeerLoad({"i": (100, 1, 500)}))
 
 
-def prompt(name: str) -> SentPrompt:
-    return SentPrompt("i", (name,), (10,))
+def prompt(name: str) -> DispatchedPrompt:
+    return DispatchedPrompt("i", (name,), (10,))
 
 
 class Sends(unittest.TestCase):
     def setUp(self) -> None:
-        self.exchange = SendExchange()
+        self.exchange = DispatchExchange()
         for participant in ("a", "b", "c"):
             self.exchange.join(participant)
 
     def test_each_hears_of_the_others_in_order_and_once(self) -> None:
-        self.exchange.report("a", SendReport((prompt("1"), prompt("2"))))
-        self.exchange.report("b", SendReport((prompt("3"),)))
-        self.assertEqual(self.exchange.owed(0.0, "c"), SendsOfOthers((prompt("1"), prompt("2"), prompt("3"))))
-        self.assertEqual(self.exchange.owed(0.0, "a"), SendsOfOthers((prompt("3"),)))
-        self.exchange.report("c", SendReport((prompt("4"),)))
-        self.assertEqual(self.exchange.owed(0.0, "a"), SendsOfOthers((prompt("4"),)))
+        self.exchange.report("a", DispatchReport((prompt("1"), prompt("2"))))
+        self.exchange.report("b", DispatchReport((prompt("3"),)))
+        self.assertEqual(
+            self.exchange.owed(0.0, "c"), PeerDispatches((prompt("1"), prompt("2"), prompt("3")))
+        )
+        self.assertEqual(self.exchange.owed(0.0, "a"), PeerDispatches((prompt("3"),)))
+        self.exchange.report("c", DispatchReport((prompt("4"),)))
+        self.assertEqual(self.exchange.owed(0.0, "a"), PeerDispatches((prompt("4"),)))
         self.assertIsNone(self.exchange.owed(0.0, "c"))
 
     def test_that_nothing_was_sent_is_told_seldom(self) -> None:
@@ -118,22 +120,22 @@
         self.assertEqual(times, [0, 400, 800, 1_200, 1_600])
 
     def test_who_joins_hears_of_what_comes_after(self) -> None:
-        self.exchange.report("a", SendReport((prompt("1"),)))
+        self.exchange.report("a", DispatchReport((prompt("1"),)))
         self.exchange.join("d")
-        self.exchange.report("a", SendReport((prompt("2"),)))
-        self.assertEqual(self.exchange.owed(0.0, "d"), SendsOfOthers((prompt("2"),)))
+        self.exchange.report("a", DispatchReport((prompt("2"),)))
+        self.assertEqual(self.exchange.owed(0.0, "d"), PeerDispatches((prompt("2"),)))
 
     def test_what_is_kept_is_bounded(self) -> None:
         for _ in range(10_000):
-            self.exchange.report("a", SendReport((prompt("1"),)))
+            self.exchange.report("a", DispatchReport((prompt("1"),)))
         told = self.exchange.owed(0.0, "b")
         assert told is not None
         self.assertLessEqual(len(told.prompts), 2_000)
 
     def test_who_is_forgotten_is_not_heard(self) -> None:
         self.exchange.forget("a")
-        self.exchange.report("a", SendReport((prompt("1"),)))
-        self.assertEqual(self.exchange.owed(0.0, "b"), SendsOfOthers(()))
+        self.exchange.report("a", DispatchReport((prompt("1"),)))
+        self.assertEqual(self.exchange.owed(0.0, "b"), PeerDispatches(()))
 
 
 if __name__ == "__main__":
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -23,18 +23,18 @@
     ConfigurationDelta,
     ConfigurationSnapshot,
     ControlPlanes,
-    Farewell,
     FetchConfiguration,
     Freshness,
-    LoadOfOthers,
+    Goodbye,
     LoadReport,
+    PeerLoad,
     PeerSample,
+    PeerUsage,
     RegistryDelta,
     RegistrySnapshot,
     Subscribe,
     ToDataPlane,
     UpstreamRecord,
-    UsageOfOthers,
     UsageReport,
 )
 from tests.controlplane.configurations import replacement, update
@@ -178,7 +178,7 @@
     def test_nor_for_one_that_leaves_or_is_gone(self) -> None:
         self.subscribed(1, "front-1")
         self.subscribed(2, "front-2")
-        self.publisher.receive(1.0, 1, Farewell())
+        self.publisher.receive(1.0, 1, Goodbye())
         self.publisher.disconnect(1.0, 2)
         self.assertTrue(self.publisher.is_applied_by_all(5))
 
@@ -197,7 +197,7 @@
         self.publisher.disconnect(100.0, 1)
         self.subscribed(2, "front-1", life="2", now_ms=200.0)
         self.assertEqual(self.publisher.data_planes(), 1)
-        self.publisher.receive(300.0, 2, Farewell())
+        self.publisher.receive(300.0, 2, Goodbye())
         self.publisher.disconnect(400.0, 2)
         self.publisher.tick(101.0 + FORGET_AFTER_MS)
         self.assertEqual(self.publisher.data_planes(), 0)
@@ -210,9 +210,9 @@
         self.publisher.receive(1.0, 1, UsageReport(1, {"t": 10.0}, {"t": 2.0}))
         self.publisher.receive(1.0, 1, LoadReport({"i-1": (5.0, 1.0, 9.0)}))
         told = self.publisher.tick(1000.0)
-        self.assertEqual(sent(told, UsageOfOthers, 2), [UsageOfOthers({"t": 10.0}, {"t": 2.0})])
-        self.assertEqual(sent(told, LoadOfOthers, 2), [LoadOfOthers({"i-1": (5, 1, 9)})])
-        self.assertEqual(sent(told, UsageOfOthers, 1), [])
+        self.assertEqual(sent(told, PeerUsage, 2), [PeerUsage({"t": 10.0}, {"t": 2.0})])
+        self.assertEqual(sent(told, PeerLoad, 2), [PeerLoad({"i-1": (5, 1, 9)})])
+        self.assertEqual(sent(told, PeerUsage, 1), [])
 
     def test_over_a_new_connection_of_the_same_life(self) -> None:
         for connection, node in ((1, "front-1"), (2, "front-2")):
@@ -221,20 +221,18 @@
         self.publisher.receive(2.0, 1, UsageReport(1, {"t": 10.0}, {}))
         self.publisher.tick(1000.0)
         self.subscribed(3, "front-2", now_ms=1100.0)
-        self.assertEqual(
-            sent(self.publisher.tick(2000.0), UsageOfOthers, 3), [UsageOfOthers({"t": 10.0}, {})]
-        )
+        self.assertEqual(sent(self.publisher.tick(2000.0), PeerUsage, 3), [PeerUsage({"t": 10.0}, {})])
 
     def test_never_by_a_backup_and_from_zero_by_a_new_primary(self) -> None:
         for connection, node in ((1, "front-1"), (2, "front-2")):
             self.subscribed(connection, node)
         self.publisher.receive(1.0, 1, UsageReport(1, {"t": 10.0}, {}))
         self.publisher.update(2.0, BACKUP, self.history)
-        self.assertEqual(sent(self.publisher.tick(1000.0), UsageOfOthers, 2), [])
+        self.assertEqual(sent(self.publisher.tick(1000.0), PeerUsage, 2), [])
         self.publisher.update(1001.0, PRIMARY, self.history)
-        self.assertEqual(sent(self.publisher.tick(2000.0), UsageOfOthers, 2), [])
+        self.assertEqual(sent(self.publisher.tick(2000.0), PeerUsage, 2), [])
         self.publisher.receive(2001.0, 1, UsageReport(2, {"t": 4.0}, {}))
-        self.assertEqual(sent(self.publisher.tick(3000.0), UsageOfOthers, 2), [UsageOfOthers({"t": 4.0}, {})])
+        self.assertEqual(sent(self.publisher.tick(3000.0), PeerUsage, 2), [PeerUsage({"t": 4.0}, {})])
 
 
 if __name__ == "__main__":
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -33,9 +33,9 @@
     ConfigurationDelta,
     ConfigurationSnapshot,
     ControlPlanes,
-    Farewell,
     FetchConfiguration,
     Freshness,
+    Goodbye,
     RegistrySnapshot,
     Subscribe,
     ToControlPlane,
@@ -159,8 +159,8 @@
         self.happens(TimePassed())
         self.connects(FIRST, SECOND)
         actions = self.happens(Leaving())
-        self.assertIn(Send(FIRST, Farewell()), actions)
-        self.assertIn(Send(SECOND, Farewell()), actions)
+        self.assertIn(Send(FIRST, Goodbye()), actions)
+        self.assertIn(Send(SECOND, Goodbye()), actions)
         self.happens(LinkClosed(FIRST))
         self.assertEqual(self.dialled(self.happens(TimePassed(), 5000.0)), set())
 
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -77,11 +77,11 @@
     Plan(scenarios.swap, Allowance(commands=1), 3, 2_000),
     Plan(scenarios.swap, Allowance(times=1, faults=1, wipes=1), 1, 800),
     Plan(scenarios.replacement, Allowance(commands=1), 2, 600),
-    Plan(scenarios.hand_over, Allowance(times=1, faults=1, wipes=1), 1, 800),
+    Plan(scenarios.transfer_leadership, Allowance(times=1, faults=1, wipes=1), 1, 800),
 )
 LATE_PLANS = (
     Plan(scenarios.learner, Allowance(), 1, 800, has_late_copies=True),
     Plan(scenarios.takeover, Allowance(commands=1), 1, 500, has_late_copies=True),
-    Plan(scenarios.hand_over, Allowance(commands=1), 1, 600, has_late_copies=True),
+    Plan(scenarios.transfer_leadership, Allowance(commands=1), 1, 600, has_late_copies=True),
 )
 ALL_PLANS = (*REGISTER_PLANS, *REPLICA_PLANS, *LATE_PLANS)
--- a/tests/explore/scenarios.py
+++ b/tests/explore/scenarios.py
@@ -8,10 +8,10 @@
     Accept,
     Accepted,
     AcceptedBroadcast,
-    Announce,
+    JoinRequest,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     ViewNotice,
 )
 from madderwind.replication.times import ReplicationTimes
@@ -23,7 +23,7 @@
 from tests.fleet.register import command
 
 # The messages that concern the register of views, and those that make views known.
-REGISTER_MESSAGES = (Announce, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedBroadcast, Refused)
+REGISTER_MESSAGES = (JoinRequest, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedBroadcast, Rejected)
 # After which silence a follower stands, and after which one a primary gives up.
 TIMES = ReplicationTimes()
 STAND_MS = TIMES.election_max_ms + TIMES.heartbeat_ms
@@ -126,7 +126,7 @@
     return _from_calm("a replacement", bounds, _replacing(), SWAP_STEPS)
 
 
-def hand_over(allowance: Allowance) -> Scenario:
+def transfer_leadership(allowance: Allowance) -> Scenario:
     """The whole replica: from each moment on after the primary was told that it will end."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
     run = _settled()
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -21,7 +21,7 @@
 from madderwind.messages.peering import peer_frames
 from madderwind.messages.replication import (
     Accept,
-    Append,
+    AppendEntries,
     LogEntry,
     Member,
     Prepare,
@@ -132,9 +132,9 @@
     sender, target = PEER.incarnation, me.incarnation
     entries = [_entry(1, 1, replacement(0, 3)), _entry(2, 1, update(3, 5)), _entry(2, 2, update(3, 6))]
     machine.receive(ViewNotice(sender, target, first))
-    machine.receive(Append(sender, target, 1, 0, 0, (entries[0], entries[1]), 1))
+    machine.receive(AppendEntries(sender, target, 1, 0, 0, (entries[0], entries[1]), 1))
     machine.receive(ViewNotice(sender, target, second))
-    machine.receive(Append(sender, target, 2, 1, 1, (entries[2],), 1))
+    machine.receive(AppendEntries(sender, target, 2, 1, 1, (entries[2],), 1))
     number = ProposalNumber(2, PEER.incarnation, "process-2")
     machine.receive(Prepare(sender, target, second, number, True))
     machine.receive(
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from unittest.mock import patch
 
-from madderwind.messages.replication import Append, InstallSnapshot, replication_messages
+from madderwind.messages.replication import AppendEntries, InstallSnapshot, replication_messages
 from madderwind.replication.follower import Follower
 from madderwind.replication.primary import Primary
 from madderwind.replication.roles import Role
@@ -58,7 +58,7 @@
 
         def is_content_for_it(sender: str, receiver: str, data: bytes) -> bool:
             message = replication_messages.decode(data)
-            return receiver == lagging.address and isinstance(message, Append | InstallSnapshot)
+            return receiver == lagging.address and isinstance(message, AppendEntries | InstallSnapshot)
 
         self.lose(is_content_for_it)
         self.command(3, 5)
@@ -109,7 +109,7 @@
 
         def is_content_in_the_cut(sender: str, receiver: str, data: bytes) -> bool:
             message = replication_messages.decode(data)
-            is_content = receiver == held.address and isinstance(message, Append | InstallSnapshot)
+            is_content = receiver == held.address and isinstance(message, AppendEntries | InstallSnapshot)
             return is_content and self.fleet.clock.now_ms < heals_ms  # so it reads old heartbeats alone
 
         self.lose(is_content_in_the_cut)
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -7,7 +7,7 @@
 
 from msgspec import structs
 
-from madderwind.messages.replication import HeartbeatAnswer, View
+from madderwind.messages.replication import HeartbeatAck, View
 from madderwind.replication.decision_learner import DecisionLearner
 from madderwind.replication.election import Election
 from madderwind.replication.known_peers import KnownPeers
@@ -27,7 +27,7 @@
     return structs.replace(standing, is_needed=standing.is_primary)
 
 
-def leaving_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAnswer) -> None:
+def leaving_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAck) -> None:
     ordinary_answer(primary, now_ms, structs.replace(answer, leaving=False))
 
 
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -10,13 +10,13 @@
     Accept,
     Accepted,
     AcceptedBroadcast,
-    Announce,
+    JoinRequest,
     Member,
     Message,
     Prepare,
     Promise,
     ProposalNumber,
-    Refused,
+    Rejected,
     View,
     ViewNotice,
 )
@@ -83,7 +83,7 @@
     def receive(self, sender: Member, message: Message) -> list[Message]:
         """What it answers to a message; it also looks for a primary all the time."""
         sent = self.event(MessageReceived(sender.address, message))  # type: ignore[arg-type]
-        return [answer for answer in sent if not isinstance(answer, Announce)]
+        return [answer for answer in sent if not isinstance(answer, JoinRequest)]
 
     def event(self, event: Event) -> list[Message]:
         """What it sends once all its writes are done."""
@@ -126,10 +126,10 @@
 
     def test_given_a_promise_then_a_lower_proposal_number_is_rejected_and_a_higher_one_is_not(self) -> None:
         self.assertEqual([Promise], kinds(self.witness.prepare(ANN, 5)))
-        self.assertEqual([Refused], kinds(self.witness.prepare(BOB, 4)))
-        self.assertEqual([Refused], kinds(self.witness.accept(BOB, 4)))
+        self.assertEqual([Rejected], kinds(self.witness.prepare(BOB, 4)))
+        self.assertEqual([Rejected], kinds(self.witness.accept(BOB, 4)))
         self.assertEqual([Promise], kinds(self.witness.prepare(BOB, 6)))
-        self.assertEqual([Refused], kinds(self.witness.accept(ANN, 5)))
+        self.assertEqual([Rejected], kinds(self.witness.accept(ANN, 5)))
         self.assertEqual([Accepted, AcceptedBroadcast], kinds(self.witness.accept(BOB, 6)))
 
     def test_given_the_same_question_twice_then_it_has_the_same_answer(self) -> None:
@@ -176,7 +176,7 @@
     def test_given_a_promise_when_power_is_lost_then_no_lower_proposal_number_is_accepted(self) -> None:
         self.witness.prepare(ANN, 5)
         self.witness.start()
-        self.assertEqual([Refused], kinds(self.witness.accept(BOB, 4)))
+        self.assertEqual([Rejected], kinds(self.witness.accept(BOB, 4)))
 
     def test_given_an_accepted_view_when_power_is_lost_then_it_is_told_to_the_next(self) -> None:
         self.witness.prepare(ANN, 5)
