--- a/madderwind/controlplane/calls.py
+++ b/madderwind/controlplane/calls.py
@@ -23,7 +23,7 @@
     CommandResult,
     CommandSubmitted,
     ReadSubmitted,
-    Standing,
+    ReplicaStatus,
 )
 
 # The operator turns elsewhere after a second of silence, later with a large body.
@@ -135,12 +135,12 @@
     def __init__(
         self,
         first_token: int,
-        standing: Callable[[], Standing],
+        status: Callable[[], ReplicaStatus],
         data_planes: AppliedVersions,
         newest: Callable[[], NewestDocument],
     ) -> None:
         self._last_token = first_token
-        self._standing = standing
+        self._status = status
         self._data_planes = data_planes
         self._newest = newest
         self._calls: dict[int, _Call] = {}
@@ -151,7 +151,7 @@
 
     def note_primary(self, now_ms: float) -> None:
         """Take note of whether a primary is known now."""
-        if self._primary_known_ms is None or self._standing().primary:
+        if self._primary_known_ms is None or self._status().primary:
             self._primary_known_ms = now_ms
 
     # --- calls begin ---
@@ -247,7 +247,7 @@
     def _place(self, now_ms: float, call: _Call) -> list[Output]:
         """Bring a call that waits for a primary to it, where one is known."""
         call.submit_at_ms = now_ms + RESUBMIT_AFTER_MS
-        if self._standing().is_primary:
+        if self._status().is_primary:
             call.enter(CallState.AT_REPLICA)
             return [CommandSubmitted(call.token, call.command) if call.command else ReadSubmitted(call.token)]
         if isinstance(call.caller, PeerCaller):
@@ -260,10 +260,10 @@
         return [SendToPeer(destination.address, _forwarded(call))]
 
     def _destination(self) -> _Destination | None:
-        standing = self._standing()
-        if standing.is_primary or not standing.primary:
+        status = self._status()
+        if status.is_primary or not status.primary:
             return None
-        return _Destination(standing.primary, standing.epoch)
+        return _Destination(status.primary, status.epoch)
 
     def _wait_for_primary(self, now_ms: float, call: _Call) -> list[Output]:
         call.enter(CallState.WAITING_FOR_PRIMARY)
--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -21,7 +21,7 @@
 from madderwind.controlplane.effects import Effect, LogLine, SendToPeer
 from madderwind.controlplane.peers import Peers
 from madderwind.controlplane.upstreams import Upstreams
-from madderwind.distribution.publisher import PublishedConfiguration, PublishedStanding, Publisher
+from madderwind.distribution.publisher import PublishedConfiguration, PublishedStatus, Publisher
 from madderwind.messages.distribution import Subscribe, ToControlPlane, UpstreamRecord
 from madderwind.messages.peering import (
     CommandReply,
@@ -44,11 +44,11 @@
     MessageReceived,
     ReadResolved,
     ReadSubmitted,
+    ReplicaStatus,
     Report,
     Rewrite,
     SeedsChanged,
     Send,
-    Standing,
     TimePassed,
     Write,
     WriteCompleted,
@@ -73,7 +73,7 @@
     def handle(self, now_ms: float, event: Event) -> Iterable[Action]:
         """Take an event, return what is to be done."""
 
-    def standing(self, now_ms: float) -> Standing:
+    def status(self, now_ms: float) -> ReplicaStatus:
         """How the replica stands."""
 
 
@@ -92,7 +92,7 @@
         self._replica, self._own_address = replica, own_address
         self._publisher = Publisher(replica.committed, rng)
         self._peers = Peers(own_address, seeds)
-        self._standing = replica.standing(0.0)
+        self._status = replica.status(0.0)
         self._upstreams = Upstreams(
             own_address,
             heartbeat_ms,
@@ -103,9 +103,7 @@
         )
         self._last_primary = self._logged_primary = ""
         self._last_primary_ms = 0.0
-        self._calls = OperatorCalls(
-            rng.getrandbits(62), lambda: self._standing, self._publisher, self._newest
-        )
+        self._calls = OperatorCalls(rng.getrandbits(62), lambda: self._status, self._publisher, self._newest)
 
     # --- the replica ---
 
@@ -128,7 +126,7 @@
     def is_at_rest(self) -> bool:
         """Whether this process may end: it is not the primary, the in-sync set does without it, and nobody
         waits for an answer."""
-        is_needed = self._standing.is_primary or self._standing.is_needed
+        is_needed = self._status.is_primary or self._status.is_needed
         return not is_needed and not self._calls and self._upstreams.is_at_rest
 
     def set_seeds(self, now_ms: float, seeds: tuple[str, ...]) -> list[Effect]:
@@ -146,7 +144,7 @@
         """A message from the control plane at this internal address."""
         self._peers.spoke(now_ms, sender)
         if isinstance(message, PeeringMessageBase):
-            outputs = self._refresh_standing(now_ms)
+            outputs = self._refresh_status(now_ms)
             return self._run(now_ms, outputs + self._peering(now_ms, sender, message))
         return self._run(now_ms, self._handle(now_ms, MessageReceived(sender, message)))
 
@@ -154,7 +152,7 @@
 
     def subscribe(self, now_ms: float, connection: int, message: Subscribe) -> list[Effect]:
         """A data plane's connection begins."""
-        outputs = self._refresh_standing(now_ms)
+        outputs = self._refresh_status(now_ms)
         outputs += self._publisher.subscribe(now_ms, connection, message, self._upstreams.snapshot(now_ms))
         outputs.append(
             LogLine("data plane subscribed", {"data_plane": message.node, "version": message.version})
@@ -197,25 +195,25 @@
 
     def status(self, now_ms: float, node: str, zone: str) -> ControlPlaneStatus:
         """How this control plane stands, told under its node's name and zone."""
-        standing = self._replica.standing(now_ms)
+        status = self._replica.status(now_ms)
         return ControlPlaneStatus(
             node=node,
             address=self._own_address,
             zone=zone,
-            is_primary=standing.is_primary,
-            primary=standing.primary,
-            epoch=standing.epoch,
-            committed_version=standing.committed_version,
-            members=standing.members,
-            in_sync=standing.in_sync,
-            fresh_age_ms=standing.fresh_age_ms,
+            is_primary=status.is_primary,
+            primary=status.primary,
+            epoch=status.epoch,
+            committed_version=status.committed_version,
+            members=status.members,
+            in_sync=status.in_sync,
+            fresh_age_ms=status.fresh_age_ms,
             data_planes=self._publisher.overview(),
             upstreams=tuple(_upstream_status(record) for record in self._upstreams.snapshot(now_ms)),
         )
 
     def submit(self, now_ms: float, call: int, command: Command | None) -> list[Effect]:
         """A command, or a read where it is None; the host draws `call` and answers when the call ends."""
-        outputs = self._refresh_standing(now_ms)
+        outputs = self._refresh_status(now_ms)
         return self._run(now_ms, outputs + self._calls.submit(now_ms, LocalCaller(call), command))
 
     # --- parts ---
@@ -223,8 +221,8 @@
     def _is_in_touch(self) -> bool:
         """Whether a round trip reached a primary with its majority a moment ago. Before there is any view, as
         the whole system begins, nobody can be asked for that."""
-        age_ms = self._standing.fresh_age_ms
-        return self._standing.epoch == 0 or (age_ms is not None and age_ms < IN_TOUCH_MS)
+        age_ms = self._status.fresh_age_ms
+        return self._status.epoch == 0 or (age_ms is not None and age_ms < IN_TOUCH_MS)
 
     def _newest(self) -> NewestDocument:
         committed = self._replica.committed
@@ -242,11 +240,11 @@
         return [*self._upstreams.peer_message(now_ms, sender, message)]
 
     def _handle(self, now_ms: float, event: Event) -> list[Output]:
-        """Let the replica take an event; its actions, and what its new standing leads to."""
+        """Let the replica take an event; its actions, and what its new status leads to."""
         outputs: list[Output] = []
         for action in self._replica.handle(now_ms, event):
             outputs += self._act(now_ms, action)
-        return outputs + self._refresh_standing(now_ms)
+        return outputs + self._refresh_status(now_ms)
 
     def _act(self, now_ms: float, action: Action) -> list[Output]:
         if isinstance(action, Send):
@@ -255,7 +253,7 @@
             return [action]
         if isinstance(action, CommandResolved):
             # The data planes are told of the version before anybody waits for their acknowledgement.
-            told: list[Output] = self._refresh_standing(now_ms)
+            told: list[Output] = self._refresh_status(now_ms)
             return told + self._calls.command_resolved(now_ms, action.token, action.result)
         if isinstance(action, ReadResolved):
             return self._calls.read_resolved(now_ms, action.token, action.is_newest)
@@ -264,29 +262,29 @@
         assert isinstance(action, Report)
         return [LogLine(action.event, action.fields)]
 
-    def _refresh_standing(self, now_ms: float) -> list[Output]:
-        before, self._standing = self._standing, self._replica.standing(now_ms)
-        standing = self._standing
-        self._peers.set_members(standing.members)
+    def _refresh_status(self, now_ms: float) -> list[Output]:
+        before, self._status = self._status, self._replica.status(now_ms)
+        status = self._status
+        self._peers.set_members(status.members)
         self._calls.note_primary(now_ms)
         primary = self._published_primary(now_ms)
-        published = PublishedStanding(
-            epoch=standing.epoch,
-            fresh_age_ms=standing.fresh_age_ms,
-            is_primary=standing.is_primary,
+        published = PublishedStatus(
+            epoch=status.epoch,
+            fresh_age_ms=status.fresh_age_ms,
+            is_primary=status.is_primary,
             primary=primary,
-            members=standing.members,
+            members=status.members,
         )
         outputs: list[Output] = [*self._publisher.update(now_ms, published, self._replica.committed)]
-        if before.is_primary is not standing.is_primary or self._logged_primary != primary:
+        if before.is_primary is not status.is_primary or self._logged_primary != primary:
             self._logged_primary = primary
-            outputs.append(_standing_line(standing, primary))
+            outputs.append(_primary_line(status, primary))
         return outputs
 
     def _published_primary(self, now_ms: float) -> str:
         """The primary as others are told: the former until a new view's primary is heard."""
-        if self._standing.primary:
-            self._last_primary, self._last_primary_ms = self._standing.primary, now_ms
+        if self._status.primary:
+            self._last_primary, self._last_primary_ms = self._status.primary, now_ms
         elif now_ms - self._last_primary_ms > PRIMARY_UNKNOWN_AFTER_MS:
             self._last_primary = ""
         return self._last_primary
@@ -317,8 +315,8 @@
     )
 
 
-def _standing_line(standing: Standing, primary: str) -> LogLine:
+def _primary_line(status: ReplicaStatus, primary: str) -> LogLine:
     return LogLine(
         "primary changed",
-        {"is_primary": standing.is_primary, "primary": primary, "epoch": standing.epoch},
+        {"is_primary": status.is_primary, "primary": primary, "epoch": status.epoch},
     )
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -24,7 +24,7 @@
 from madderwind.metrics.exporter import start_exporter
 from madderwind.node_settings import CONTROL_PLANE_PORT, SETTINGS_VARIABLE, NodeSettings, read_settings
 from madderwind.registry.saved_copy import SavedCopy
-from madderwind.replication.api import Action, Event, Standing
+from madderwind.replication.api import Action, Event, ReplicaStatus
 from madderwind.replication.replica import Replica
 from madderwind.replication.times import ReplicationTimes
 from madderwind.settings_watch import SettingsWatch
@@ -54,9 +54,9 @@
         """Take an event; what comes back is to be carried out in order."""
         return self._replica.handle(now_ms, event)
 
-    def standing(self, now_ms: float) -> Standing:
+    def status(self, now_ms: float) -> ReplicaStatus:
         """How this replica stands."""
-        return self._replica.standing(now_ms)
+        return self._replica.status(now_ms)
 
 
 class ControlPlaneProcess:
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -81,7 +81,7 @@
         """What leads from a version to the committed one; None where the history does not reach back."""
 
 
-class PublishedStanding(msgspec.Struct, frozen=True):
+class PublishedStatus(msgspec.Struct, frozen=True):
     """What the replica of this control plane knows of the others."""
 
     epoch: int
@@ -146,7 +146,7 @@
             self.state = state
 
 
-_UNKNOWN_STANDING = PublishedStanding(0, None, False, "", ())
+_UNKNOWN_STATUS = PublishedStatus(0, None, False, "", ())
 
 
 class Publisher:
@@ -155,7 +155,7 @@
     def __init__(self, configuration: PublishedConfiguration, rng: Random) -> None:
         self._configuration = configuration
         self._rng = rng
-        self._standing = _UNKNOWN_STANDING
+        self._status = _UNKNOWN_STATUS
         self._told_version = configuration.version
         # What leads to the committed version, by the version that a data plane has: one message for all.
         self._answers: dict[int, ConfigurationDelta | ConfigurationSnapshot] = {}
@@ -167,19 +167,19 @@
     # --- what the control plane itself learns ---
 
     def update(
-        self, now_ms: float, standing: PublishedStanding, configuration: PublishedConfiguration
+        self, now_ms: float, status: PublishedStatus, configuration: PublishedConfiguration
     ) -> list[Delivery]:
         """Take what is committed and how the replica stands; changes are told at once."""
-        before, self._standing, self._configuration = self._standing, standing, configuration
-        if before.is_primary is not standing.is_primary:
+        before, self._status, self._configuration = self._status, status, configuration
+        if before.is_primary is not status.is_primary:
             self._restart_exchanges()
         deliveries: list[Delivery] = []
-        if (before.members, before.primary) != (standing.members, standing.primary):
+        if (before.members, before.primary) != (status.members, status.primary):
             deliveries.append(SendToAll(self._control_planes()))
         is_new_version = configuration.version != self._told_version
         if is_new_version:
             self._answers.clear()
-        if is_new_version or before.is_primary is not standing.is_primary:
+        if is_new_version or before.is_primary is not status.is_primary:
             deliveries.append(SendToAll(self._freshness(now_ms)))
         return deliveries if self._subscribers else []
 
@@ -195,10 +195,10 @@
         deliveries: list[Delivery] = []
         if now_ms >= self._freshness_due_ms and self._subscribers:
             deliveries.append(SendToAll(self._freshness(now_ms)))
-        if now_ms >= self._exchange_due_ms and self._standing.is_primary:
+        if now_ms >= self._exchange_due_ms and self._status.is_primary:
             self._exchange_due_ms = now_ms + EXCHANGE_INTERVAL_MS
             deliveries += self._exchange_usage()
-        if now_ms >= self._load_due_ms and self._standing.is_primary:
+        if now_ms >= self._load_due_ms and self._status.is_primary:
             self._load_due_ms = now_ms + self._load_interval_ms()
             deliveries += self._exchange_load(now_ms)
         if now_ms >= self._sample_due_ms:
@@ -348,19 +348,19 @@
         return self._freshness_message(now_ms)
 
     def _freshness_message(self, now_ms: float) -> Freshness:
-        age_ms = self._standing.fresh_age_ms
+        age_ms = self._status.fresh_age_ms
         return Freshness(
             version=self._configuration.version,
-            epoch=self._standing.epoch,
+            epoch=self._status.epoch,
             age_ms=round(age_ms) if age_ms is not None else None,
-            is_primary=self._standing.is_primary,
+            is_primary=self._status.is_primary,
             data_planes=self.data_planes(),
             clock_ms=round(now_ms),
         )
 
     def _control_planes(self) -> ControlPlanes:
-        primary = self._standing.primary
-        others = [member for member in self._standing.members if member != primary]
+        primary = self._status.primary
+        others = [member for member in self._status.members if member != primary]
         return ControlPlanes(tuple([primary, *others] if primary else others), primary)
 
     def _sample(self, connection: int) -> PeerSample:
--- a/madderwind/replication/api.py
+++ b/madderwind/replication/api.py
@@ -184,7 +184,7 @@
 Action = Send | Write | Rewrite | CommandResolved | ReadResolved | Committed | Report
 
 
-class Standing(msgspec.Struct, frozen=True):
+class ReplicaStatus(msgspec.Struct, frozen=True):
     """How a replica stands: `primary` is the internal address of the primary it follows, empty if unknown;
     `fresh_age_ms`: since a primary is known to have held its lease, with nothing acknowledged by then that is
     not committed here; `in_sync`: those whose word every commit needs; `is_needed`: it is the primary or one
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -7,7 +7,7 @@
 from madderwind.messages.replication import Member, View
 
 
-class PeerStanding(msgspec.Struct, frozen=True):
+class PeerHealth(msgspec.Struct, frozen=True):
     """What counts about another replica. `is_ready`: it holds all that is or may be committed and keeps up;
     `is_lost`: it holds commits up or is about to go; `is_replaceable`: away for so long, or for good, that
     another machine may take its place."""
@@ -38,7 +38,7 @@
 
 
 def next_view(
-    view: View, primary: Member, peers: dict[str, PeerStanding], rules: MembershipRules
+    view: View, primary: Member, peers: dict[str, PeerHealth], rules: MembershipRules
 ) -> View | None:
     """The view to propose, by the primary of the present one; None where that is as good as any."""
     members = _with_newcomer(view, primary, peers, rules)
@@ -66,13 +66,13 @@
 
 
 def _with_newcomer(
-    view: View, primary: Member, peers: dict[str, PeerStanding], rules: MembershipRules
+    view: View, primary: Member, peers: dict[str, PeerHealth], rules: MembershipRules
 ) -> tuple[Member, ...]:
     """The members, with at most one replica that is ready taken in."""
     newcomers = [
-        standing.member
-        for incarnation, standing in peers.items()
-        if standing.is_ready and not view.has_member(incarnation)
+        health.member
+        for incarnation, health in peers.items()
+        if health.is_ready and not view.has_member(incarnation)
     ]
     for newcomer in newcomers:
         replaced = _replaced_by(newcomer, view, primary, peers)
@@ -84,16 +84,16 @@
 
 
 def _replaced_by(
-    newcomer: Member, view: View, primary: Member, peers: dict[str, PeerStanding]
+    newcomer: Member, view: View, primary: Member, peers: dict[str, PeerHealth]
 ) -> Member | None:
     """The member whose place a newcomer takes: what it was before it lost its disk, else one that is away."""
     others = [member for member in view.members if member != primary]
     for member in others:
         if member.address == newcomer.address:
             return member
-    standings = [peers[member.incarnation] for member in others if member.incarnation in peers]
-    away = [standing for standing in standings if standing.is_replaceable]
-    longest = max(away, key=lambda standing: standing.silent_ms, default=None)
+    healths = [peers[member.incarnation] for member in others if member.incarnation in peers]
+    away = [health for health in healths if health.is_replaceable]
+    longest = max(away, key=lambda health: health.silent_ms, default=None)
     return longest.member if longest is not None else None
 
 
@@ -101,16 +101,16 @@
     view: View,
     primary: Member,
     members: tuple[Member, ...],
-    peers: dict[str, PeerStanding],
+    peers: dict[str, PeerHealth],
     rules: MembershipRules,
 ) -> tuple[str, ...]:
     """All that are ready, and those of the present set that are not lost. A set that would be too small to
     acknowledge anything keeps lost ones instead: nothing is gained without them."""
     candidates = [member.incarnation for member in members if member != primary]
-    standings = {name: peers[name] for name in candidates if name in peers}
+    healths = {name: peers[name] for name in candidates if name in peers}
     kept = [name for name in candidates if name in view.in_sync]
-    sound = [name for name in kept if name in standings and not standings[name].is_lost]
-    joining = [name for name in standings if name not in kept and standings[name].is_ready]
+    sound = [name for name in kept if name in healths and not healths[name].is_lost]
+    joining = [name for name in healths if name not in kept and healths[name].is_ready]
     wanted = [primary.incarnation, *sound, *joining]
     lost = [name for name in kept if name not in sound]
     missing = rules.smallest_in_sync - len(wanted)
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -28,7 +28,7 @@
 from madderwind.replication.core import ReplicaCore, command_of
 from madderwind.replication.known_peers import KnownPeer
 from madderwind.replication.log_shipping import LogShipping
-from madderwind.replication.membership import MembershipRules, PeerStanding, next_view
+from madderwind.replication.membership import MembershipRules, PeerHealth, next_view
 from madderwind.replication.peers import Peer, Progress
 from madderwind.replication.requests import UNCLEAR, WaitingRequests
 from madderwind.replication.rounds import HeartbeatRounds
@@ -89,8 +89,8 @@
     def wanted_view(self, now_ms: float) -> View | None:
         """What to propose; None where the present view is as good as any. From here on commits need those
         that are to join. Asked while no proposal is under way."""
-        standings = {name: self._standing(now_ms, peer) for name, peer in self.peers.items()}
-        wanted = next_view(self.view, self._core.me, standings, self._rules)
+        healths = {name: self._health_of(now_ms, peer) for name, peer in self.peers.items()}
+        wanted = next_view(self.view, self._core.me, healths, self._rules)
         if wanted is None and self._has_open_proposal():
             # Settled by a view like the present one, which leaves no doubt who is needed.
             wanted = structs.replace(self.view, epoch=self.view.epoch + 1)
@@ -346,7 +346,7 @@
         if self.view.has_member(incarnation):
             self.rounds.take_answer(number, incarnation, self.view.majority())
 
-    def _standing(self, now_ms: float, peer: Peer) -> PeerStanding:
+    def _health_of(self, now_ms: float, peer: Peer) -> PeerHealth:
         times = self._core.times
         is_sound = peer.is_sound(now_ms, times)
         is_ready = (
@@ -356,7 +356,7 @@
             and not (peer.is_on_probation(now_ms) and self._has_enough_in_sync(now_ms))
         )
         is_replaceable = peer.leaving or peer.silent_ms(now_ms) > times.replace_ms
-        return PeerStanding(peer.member, is_ready, not is_sound, is_replaceable, peer.silent_ms(now_ms))
+        return PeerHealth(peer.member, is_ready, not is_sound, is_replaceable, peer.silent_ms(now_ms))
 
     def _has_enough_in_sync(self, now_ms: float) -> bool:
         """Whether commands can be acknowledged with those of the in-sync set that are sound."""
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -35,9 +35,9 @@
     MessageReceived,
     ReadResolved,
     ReadSubmitted,
+    ReplicaStatus,
     ReplicatedState,
     SeedsChanged,
-    Standing,
     TimePassed,
     WriteCompleted,
     WriteFailed,
@@ -130,10 +130,10 @@
         actions, self._core.actions = self._core.actions, []
         return actions
 
-    def standing(self, now_ms: float) -> Standing:
+    def status(self, now_ms: float) -> ReplicaStatus:
         """How this replica stands."""
         view = self.view
-        return Standing(
+        return ReplicaStatus(
             is_primary=self._roles.is_primary,
             primary=self._followed_address(now_ms),
             epoch=self._core.epoch,
@@ -338,7 +338,7 @@
             self._was_in_trouble = is_in_trouble
             self._follower.answer(now_ms, 0, self._roles.is_leaving)
 
-    # --- standing ---
+    # --- status ---
 
     def _followed_address(self, now_ms: float) -> str:
         if self._roles.primary is not None:
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -250,10 +250,10 @@
 
 
 def _machine_is_current(machine: ControlMachine, newest: int) -> bool:
-    standing = machine.standing()
-    if standing is None or standing.committed_version != newest:
+    status = machine.status()
+    if status is None or status.committed_version != newest:
         return False
-    return standing.fresh_age_ms is not None and standing.fresh_age_ms < CURRENT_MS
+    return status.fresh_age_ms is not None and status.fresh_age_ms < CURRENT_MS
 
 
 @contextlib.contextmanager
--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -34,8 +34,8 @@
     CommandOutcome,
     CommandResult,
     LeaveRequested,
+    ReplicaStatus,
     Rewrite,
-    Standing,
     Write,
 )
 from madderwind.replication.replica import Replica
@@ -198,9 +198,9 @@
     def _now(self) -> float:
         return self.clock.now_ms
 
-    def standing(self) -> Standing | None:
+    def status(self) -> ReplicaStatus | None:
         """How its replica stands; None without a process that runs."""
-        return self.replica.standing(self._now) if self.replica is not None and self.is_running else None
+        return self.replica.status(self._now) if self.replica is not None and self.is_running else None
 
     @property
     def committed(self) -> ChainedHistory:
--- a/tests/campaign/fault_player.py
+++ b/tests/campaign/fault_player.py
@@ -132,9 +132,9 @@
             return self._machines()
         if victim is Victim.PRIMARY:
             return [primary]
-        standing = primary.standing()
-        in_sync = standing.in_sync if standing is not None else ()
-        members = standing.members if standing is not None else ()
+        status = primary.status()
+        in_sync = status.in_sync if status is not None else ()
+        members = status.members if status is not None else ()
         others = [machine for machine in self._machines() if machine is not primary]
         if victim is Victim.BACKUP:
             return [machine for machine in others if machine.address in in_sync]
--- a/tests/campaign/system.py
+++ b/tests/campaign/system.py
@@ -97,9 +97,9 @@
         """The machine that takes itself for the primary, in the newest epoch."""
         primaries: list[tuple[int, str]] = []
         for machine in self.machines.values():
-            standing = machine.standing()
-            if standing is not None and standing.is_primary:
-                primaries.append((standing.epoch, machine.address))
+            status = machine.status()
+            if status is not None and status.is_primary:
+                primaries.append((status.epoch, machine.address))
         return self.machines[max(primaries)[1]] if primaries else None
 
     def _list(self) -> Sequence[ControlMachine]:
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -84,7 +84,7 @@
 ) -> list[Output]:
     outputs = ordinary_call(calls, now_ms, caller, command)
     for call in list(calls._calls.values()):
-        is_placed = call.caller == caller and outputs and calls._standing().is_primary
+        is_placed = call.caller == caller and outputs and calls._status().is_primary
         if is_placed and isinstance(caller, PeerCaller) and command is not None:
             call.result = CommandResult(CommandOutcome.TAKEN, command.base_version + 1)
             return outputs + calls._end(call)
--- a/tests/controlplane/cut_scenarios.py
+++ b/tests/controlplane/cut_scenarios.py
@@ -146,10 +146,10 @@
         """Who is cut off, the one first that commands are pressed on."""
         primary = self.system.primary()
         assert primary is not None
-        standing = primary.standing()
-        assert standing is not None
+        status = primary.status()
+        assert status is not None
         machines = self.system.machines
-        backup = next(machines[address] for address in standing.in_sync if address != primary.address)
+        backup = next(machines[address] for address in status.in_sync if address != primary.address)
         match self._cut.role:
             case Role.PRIMARY:
                 return [primary]
@@ -158,7 +158,7 @@
             case Role.PRIMARY_AND_BACKUP:
                 return [primary, backup]
             case Role.LEARNER:
-                return [next(machine for a, machine in machines.items() if a not in standing.members)]
+                return [next(machine for a, machine in machines.items() if a not in status.members)]
 
     def _caller_of(self, victim: ControlMachine) -> Operator:
         """An operator whose calls all go to the machine that is cut off."""
@@ -242,12 +242,12 @@
 
     def _is_whole(self) -> bool:
         primary = self.system.primary()
-        standing = primary.standing() if primary is not None else None
-        if standing is None or set(standing.in_sync) != set(standing.members):
+        status = primary.status() if primary is not None else None
+        if status is None or set(status.in_sync) != set(status.members):
             return False
-        newest = standing.committed_version
-        others = [machine.standing() for machine in self.system.machines.values()]
-        if any(each is None or each.primary != standing.primary for each in others):
+        newest = status.committed_version
+        others = [machine.status() for machine in self.system.machines.values()]
+        if any(each is None or each.primary != status.primary for each in others):
             return False
         return all(self._is_current(data_plane, newest) for data_plane in self.system.data_planes)
 
--- a/tests/controlplane/scripted_replica.py
+++ b/tests/controlplane/scripted_replica.py
@@ -14,7 +14,7 @@
     Event,
     ReadResolved,
     ReadSubmitted,
-    Standing,
+    ReplicaStatus,
 )
 
 
@@ -45,9 +45,9 @@
             return [ReadResolved(event.token, self._is_primary())]
         return []
 
-    def standing(self, now_ms: float) -> Standing:
+    def status(self, now_ms: float) -> ReplicaStatus:
         """The role that the test set."""
-        return Standing(
+        return ReplicaStatus(
             is_primary=self._is_primary(),
             primary=self.primary,
             epoch=self.epoch,
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -13,7 +13,7 @@
     FRESHNESS_INTERVAL_MS,
     Close,
     Delivery,
-    PublishedStanding,
+    PublishedStatus,
     Publisher,
     SendTo,
     SendToAll,
@@ -40,8 +40,8 @@
 from tests.controlplane.configurations import replacement, update
 
 UPSTREAM = UpstreamRecord("i-1", "s", "10.0.0.1:80", "z", "v1", 4, "ready", 1, 0.0, 0.0)
-PRIMARY = PublishedStanding(3, 20.4, True, "10.0.0.1:7500", ("10.0.0.2:7500", "10.0.0.1:7500"))
-BACKUP = PublishedStanding(3, 20.4, False, "10.0.0.1:7500", ("10.0.0.2:7500", "10.0.0.1:7500"))
+PRIMARY = PublishedStatus(3, 20.4, True, "10.0.0.1:7500", ("10.0.0.2:7500", "10.0.0.1:7500"))
+BACKUP = PublishedStatus(3, 20.4, False, "10.0.0.1:7500", ("10.0.0.2:7500", "10.0.0.1:7500"))
 
 MessageType = TypeVar("MessageType", bound=ToDataPlane)
 
@@ -108,7 +108,7 @@
 
     def test_new_control_planes_are_told(self) -> None:
         self.subscribed(1, "front-1")
-        moved = PublishedStanding(4, None, False, "10.0.0.2:7500", PRIMARY.members)
+        moved = PublishedStatus(4, None, False, "10.0.0.2:7500", PRIMARY.members)
         told = sent(self.publisher.update(1.0, moved, self.history), ControlPlanes)
         self.assertEqual([message.primary for message in told], ["10.0.0.2:7500"])
 
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -229,7 +229,7 @@
         """How it stands, and what is on its disk."""
         assert self.replica is not None
         stored = self._stored()
-        standing = self.replica.standing(self.now_ms)
+        status = self.replica.status(self.now_ms)
         committed = self.replica.committed
         assert isinstance(committed, Register)
         register = Register.restore(stored.snapshot) if stored.snapshot is not None else Register()
@@ -241,7 +241,7 @@
             self.replica.incarnation,
             self.disk_number,
             self.replica.view,
-            standing.is_primary,
+            status.is_primary,
             tuple(committed.taken),
             self.life,
             _name(stored),
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -79,9 +79,9 @@
         """The machine that takes itself for the primary, in the newest epoch."""
         primaries = []
         for machine in self.running():
-            standing = machine.standing()
-            if standing is not None and standing.is_primary:
-                primaries.append((standing.epoch, machine.address))
+            status = machine.status()
+            if status is not None and status.is_primary:
+                primaries.append((status.epoch, machine.address))
         return self.machines[max(primaries)[1]] if primaries else None
 
     def settle(self, most_ms: float = 4_000.0) -> Machine:
@@ -89,8 +89,8 @@
 
         def is_settled() -> bool:
             primary = self.primary()
-            standing = primary.standing() if primary is not None else None
-            return standing is not None and (standing.fresh_age_ms or 1e9) < 300.0
+            status = primary.status() if primary is not None else None
+            return status is not None and (status.fresh_age_ms or 1e9) < 300.0
 
         self.run_until(is_settled, most_ms)
         primary = self.primary()
--- a/tests/fleet/freshness.py
+++ b/tests/fleet/freshness.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from madderwind.replication.api import Standing
+from madderwind.replication.api import ReplicaStatus
 from tests.fleet.clock import Clock
 from tests.fleet.history import Violation
 
@@ -18,7 +18,7 @@
 
     address: str
 
-    def standing(self) -> Standing | None:
+    def status(self) -> ReplicaStatus | None:
         """How its replica stands; None without a process that runs."""
 
 
@@ -63,9 +63,9 @@
 
     def _look(self) -> None:
         for machine in self._machines():
-            standing = machine.standing()
-            if standing is not None and standing.fresh_age_ms is not None:
-                self._check(machine.address, standing.committed_version, standing.fresh_age_ms)
+            status = machine.status()
+            if status is not None and status.fresh_age_ms is not None:
+                self._check(machine.address, status.committed_version, status.fresh_age_ms)
         self._clock.after(self._look_interval_ms, self._look)
 
     def _check(self, address: str, version: int, age_ms: float) -> None:
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -20,10 +20,10 @@
     MessageReceived,
     ReadResolved,
     ReadSubmitted,
+    ReplicaStatus,
     Report,
     Rewrite,
     Send,
-    Standing,
     TimePassed,
     Write,
     WriteCompleted,
@@ -192,9 +192,9 @@
         self._reads[self._last_token] = on_result
         self._event(ReadSubmitted(self._last_token))
 
-    def standing(self) -> Standing | None:
+    def status(self) -> ReplicaStatus | None:
         """How its replica stands; None without a process that runs."""
-        return self.replica.standing(self.clock.now_ms) if self.replica and not self._is_frozen else None
+        return self.replica.status(self.clock.now_ms) if self.replica and not self._is_frozen else None
 
     @property
     def register(self) -> Register:
--- a/tests/fleet/operators.py
+++ b/tests/fleet/operators.py
@@ -102,9 +102,9 @@
         if not machines:
             return None
         machine = self._rng.choice(machines)
-        standing = machine.standing()
-        if standing is not None and standing.primary in self.fleet.machines and self._rng.random() < 0.9:
-            return self.fleet.machines[standing.primary]
+        status = machine.status()
+        if status is not None and status.primary in self.fleet.machines and self._rng.random() < 0.9:
+            return self.fleet.machines[status.primary]
         return machine
 
 
@@ -128,8 +128,8 @@
         if not self._is_active:
             return
         for machine in list(self._fleet.machines.values()):
-            standing = machine.standing()
-            if standing is not None and standing.is_primary:
+            status = machine.status()
+            if status is not None and status.is_primary:
                 self._read(machine)
         self._fleet.clock.after(self._rng.uniform(20.0, 200.0), self._next)
 
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -145,7 +145,7 @@
     machine = ReplicaOnDisk(golden_folder(folder), tolerance=0, bootstrap=False)
     machine.run(3_000.0)
     committed = cast(ConfigurationHistory, machine.replica.committed)
-    assert machine.replica.standing(machine.now_ms).is_primary
+    assert machine.replica.status(machine.now_ms).is_primary
     assert committed.document is not None
     assert committed.document.raw == replacement_body(8, routes=2)
 
--- a/tests/replication/catch_up.py
+++ b/tests/replication/catch_up.py
@@ -148,11 +148,11 @@
             self._primaries.add(primary.address)
 
     def _is_current(self, machine: Machine) -> bool:
-        standing = machine.standing()
+        status = machine.status()
         return (
-            standing is not None
+            status is not None
             and self.fleet.primary() is not None
-            and standing.committed_version >= self.version
+            and status.committed_version >= self.version
             and machine.address in self.fleet.in_sync()
         )
 
--- a/tests/replication/story.py
+++ b/tests/replication/story.py
@@ -45,9 +45,9 @@
     def assert_all_follow(self, version: int) -> None:
         """All that run know the same primary and version, and all members are in sync."""
         for machine in self.fleet.running():
-            standing = machine.standing()
-            assert standing is not None
-            self.assertEqual((version, self.primary.address), (standing.committed_version, standing.primary))
-        members = self.primary.standing()
+            status = machine.status()
+            assert status is not None
+            self.assertEqual((version, self.primary.address), (status.committed_version, status.primary))
+        members = self.primary.status()
         assert members is not None
         self.assertEqual(set(members.members), self.fleet.in_sync())
--- a/tests/replication/test_commands.py
+++ b/tests/replication/test_commands.py
@@ -83,9 +83,9 @@
 
     def test_when_nothing_happens_then_all_know_that_they_are_fresh(self) -> None:
         for machine in self.fleet.running():
-            standing = machine.standing()
-            assert standing is not None and standing.fresh_age_ms is not None
-            self.assertLess(standing.fresh_age_ms, 250.0)
+            status = machine.status()
+            assert status is not None and status.fresh_age_ms is not None
+            self.assertLess(status.fresh_age_ms, 250.0)
 
 
 class APrimaryThatIsNoneAnyMore(FleetStory):
--- a/tests/replication/test_decisions.py
+++ b/tests/replication/test_decisions.py
@@ -103,9 +103,9 @@
         self.fleet.run_until(lambda: not proposer.is_running, 1_000.0)
         self.fleet.run(10.0)
         for machine in (other, newcomer):
-            standing = machine.standing()
-            assert standing is not None
-            self.assertIn("newcomer", standing.members, machine.address)
+            status = machine.status()
+            assert status is not None
+            self.assertIn("newcomer", status.members, machine.address)
 
     def test_given_a_lost_question_then_it_is_asked_again_within_the_proposal(self) -> None:
         self.loses_questions = True
--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -159,9 +159,9 @@
         self.fleet.run(350.0)
         primary.thaw()
         self.fleet.run(2_000.0)
-        standing = self.primary.standing()
-        assert standing is not None
-        self.assertEqual((primary, epoch), (self.primary, standing.epoch))
+        status = self.primary.status()
+        assert status is not None
+        self.assertEqual((primary, epoch), (self.primary, status.epoch))
 
 
 class LinksAreCut(FleetStory):
@@ -186,13 +186,13 @@
 
     def test_given_a_backup_that_stands_while_the_others_hear_the_primary_then_it_is_refused(self) -> None:
         primary, backup = self.primary, self.backups()[0]
-        before = primary.standing()
+        before = primary.status()
         assert backup.replica is not None
         backup.replica._roles.election.due_ms = self.fleet.clock.now_ms
         backup.tick()
         self.assertEqual("candidate", backup.reports[-1][1].fields.get("role"))
         self.fleet.run(1_050.0)
-        after = self.primary.standing()
+        after = self.primary.status()
         assert before is not None and after is not None
         self.assertEqual((primary, before.epoch), (self.primary, after.epoch))
 
--- a/tests/replication/test_founding.py
+++ b/tests/replication/test_founding.py
@@ -13,10 +13,10 @@
             fleet = Fleet(3, 1, seed=seed)
             fleet.start()
             fleet.run(1_000.0)
-            standings = [machine.standing() for machine in fleet.running()]
+            standings = [machine.status() for machine in fleet.running()]
             self.assertEqual(
                 {("m1", ("m1", "m2", "m3"))},
-                {(standing.primary, standing.members) for standing in standings if standing is not None},
+                {(status.primary, status.members) for status in standings if status is not None},
             )
 
     def test_given_seeds_that_start_late_then_nothing_is_founded_without_a_majority(self) -> None:
@@ -100,10 +100,10 @@
         fleet.settle()
         fleet.submit_and_commit(0, 1)
         fleet.run(500.0)
-        standing = fleet["m5"].standing()
-        assert standing is not None
-        self.assertEqual(("m1", "m2", "m3"), standing.members)
-        self.assertEqual(1, standing.committed_version)
+        status = fleet["m5"].status()
+        assert status is not None
+        self.assertEqual(("m1", "m2", "m3"), status.members)
+        self.assertEqual(1, status.committed_version)
 
     def test_given_one_machine_then_it_is_a_system_of_its_own(self) -> None:
         fleet = Fleet(1, 0)
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -32,9 +32,9 @@
         self.confirmed.confirm(version)
 
     def age_ms(self, machine: Machine) -> float:
-        standing = machine.standing()
-        assert standing is not None and standing.fresh_age_ms is not None
-        return standing.fresh_age_ms
+        status = machine.status()
+        assert status is not None and status.fresh_age_ms is not None
+        return status.fresh_age_ms
 
     def is_candidate(self, machine: Machine) -> bool:
         return machine.replica is not None and machine.replica.role is Role.CANDIDATE
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -18,13 +18,13 @@
 from madderwind.replication.view_proposals import ViewProposals
 from tests.replication import test_decisions, test_second_losses, test_times
 
-ordinary_standing = Replica.standing
+ordinary_standing = Replica.status
 ordinary_answer = Primary.take_answer
 
 
 def needed_as_primary_alone(replica: Replica, now_ms: float) -> object:
-    standing = ordinary_standing(replica, now_ms)
-    return structs.replace(standing, is_needed=standing.is_primary)
+    status = ordinary_standing(replica, now_ms)
+    return structs.replace(status, is_needed=status.is_primary)
 
 
 def leaving_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAck) -> None:
@@ -57,7 +57,7 @@
             )
 
     def test_a_leaving_member_that_is_dropped_first(self) -> None:
-        with patch.object(Replica, "standing", needed_as_primary_alone):
+        with patch.object(Replica, "status", needed_as_primary_alone):
             self.assert_found_by(
                 test_second_losses.MembersThatLeave(
                     "test_given_a_member_that_holds_one_of_two_copies_then_it_stays_until_there_is_another"
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -110,10 +110,10 @@
                 successor.start()
                 self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
                 self.fleet.run(3_000.0)
-                standing = self.primary.standing()
-                assert standing is not None
-                self.assertIn(successor.address, standing.members)
-                self.assertEqual(3, len(standing.members))
+                status = self.primary.status()
+                assert status is not None
+                self.assertIn(successor.address, status.members)
+                self.assertEqual(3, len(status.members))
                 self.assert_all_follow(version + 1)
 
     def test_given_all_replaced_one_after_the_other_then_what_was_acknowledged_is_still_there(self) -> None:
@@ -131,9 +131,9 @@
         self.fleet.run(3_000.0)
         member.start()
         self.fleet.run(2_000.0)
-        standing = member.standing()
-        assert standing is not None
-        self.assertNotIn(member.address, standing.members)
+        status = member.status()
+        assert status is not None
+        self.assertNotIn(member.address, status.members)
         self.fleet.submit_and_commit(3, 5)
         self.fleet.run(200.0)
         self.assertEqual(5, member.register.version)
@@ -145,9 +145,9 @@
         self.fleet.run(1_000.0)
         self.backups()[0].kill()
         self.fleet.run(2_500.0)
-        standing = self.primary.standing()
-        assert standing is not None
-        self.assertIn("spare", standing.members)
+        status = self.primary.status()
+        assert status is not None
+        self.assertIn("spare", status.members)
         self.assertEqual(3, len(self.fleet.in_sync()))
 
 
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -8,7 +8,7 @@
 
 from madderwind.replication.api import ReadResolved
 from madderwind.replication.core import ReplicaCore
-from madderwind.replication.membership import MembershipRules, PeerStanding
+from madderwind.replication.membership import MembershipRules, PeerHealth
 from madderwind.replication.peers import Peer
 from madderwind.replication.primary import Primary
 from madderwind.replication.roles import Roles
@@ -37,9 +37,9 @@
     return random.Random(machine.address)
 
 
-def ready_without_the_log(primary: Primary, now_ms: float, peer: Peer) -> PeerStanding:
+def ready_without_the_log(primary: Primary, now_ms: float, peer: Peer) -> PeerHealth:
     is_sound = peer.is_sound(now_ms, primary._core.times)
-    return PeerStanding(peer.member, is_sound, not is_sound, False)
+    return PeerHealth(peer.member, is_sound, not is_sound, False)
 
 
 def as_if_synced_everywhere(primary: Primary, incarnation: str) -> int:
@@ -79,7 +79,7 @@
             self.assert_found(likely_seed=4)
 
     def test_a_learner_taken_into_the_set_without_the_log(self) -> None:
-        with patch.object(Primary, "_standing", ready_without_the_log):
+        with patch.object(Primary, "_status", ready_without_the_log):
             self.assert_found()
 
     def test_members_that_only_grow(self) -> None:
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -4,17 +4,17 @@
 
 import unittest
 
-from madderwind.replication.api import Standing
+from madderwind.replication.api import ReplicaStatus
 from tests.fleet.machine import Machine
 from tests.replication.story import FAILOVER_MS, FleetStory
 
 SUCCESSOR_STARTS_MS = 667.0
 
 
-def standing_of(machine: Machine) -> Standing:
-    standing = machine.standing()
-    assert standing is not None
-    return standing
+def standing_of(machine: Machine) -> ReplicaStatus:
+    status = machine.status()
+    assert status is not None
+    return status
 
 
 class ALossAfterAReplacement(FleetStory):
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -40,7 +40,7 @@
     pause_ms = 350.0
 
     def test_given_each_process_paused_in_turn_at_any_moment_then_the_view_stays(self) -> None:
-        before = self.primary.standing()
+        before = self.primary.status()
         for machine in list(self.fleet.machines.values()):
             for offset_ms in range(0, 60, 10):
                 self.fleet.run(500.0 + offset_ms)
@@ -48,7 +48,7 @@
                 self.fleet.run(self.pause_ms)
                 machine.thaw()
         self.fleet.run(500.0)
-        after = self.primary.standing()
+        after = self.primary.status()
         assert before is not None and after is not None
         self.assertEqual(before.epoch, after.epoch)
 
