--- a/madderwind/cli/status_commands.py
+++ b/madderwind/cli/status_commands.py
@@ -55,7 +55,7 @@
     for upstream in sorted(best.upstreams, key=lambda upstream: (upstream.service, upstream.instance)):
         lines.append(
             f"{upstream.instance:24}{upstream.service:20}{upstream.zone:16}{upstream.address:24}"
-            f"{upstream.state:10}{upstream.silent_ms:10.0f}"
+            f"{upstream.state:10}{upstream.heartbeat_age_ms:10.0f}"
         )
     return "\n".join(lines)
 
--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -311,7 +311,7 @@
         address=record.address,
         zone=record.zone,
         state=record.state,
-        silent_ms=record.silent_ms,
+        heartbeat_age_ms=record.heartbeat_age_ms,
     )
 
 
--- a/madderwind/controlplane/upstreams.py
+++ b/madderwind/controlplane/upstreams.py
@@ -67,7 +67,9 @@
 
     def restore(self, now_ms: float, records: Sequence[UpstreamRecord]) -> None:
         """Know again what this process knew before its start, as if heard now; a hint until heard again."""
-        self._registry.restore(now_ms, (msgspec.structs.replace(record, silent_ms=0.0) for record in records))
+        self._registry.restore(
+            now_ms, (msgspec.structs.replace(record, heartbeat_age_ms=0.0) for record in records)
+        )
 
     def saved(self, records: Sequence[UpstreamRecord]) -> list[Effect]:
         """The registry's copy with these records is on disk: states that wait for that are confirmed."""
@@ -184,7 +186,7 @@
 
     def _take_liveness(self, now_ms: float, sender: str, message: LivenessReport) -> list[Effect]:
         self._peers.reported(now_ms, sender)
-        if self._registry.merge_liveness(now_ms, message.heard):
+        if self._registry.merge_liveness(now_ms, message.observed):
             return []
         return [SendToPeer(sender, RegistryRequest())]
 
--- a/madderwind/distribution/exchange.py
+++ b/madderwind/distribution/exchange.py
@@ -69,7 +69,7 @@
             if amount > 0 and (tenant in self._used or len(self._used) < MOST_TENANTS):
                 self._used[tenant] = self._used.get(tenant, 0.0) + amount
                 account.used[tenant] = account.used.get(tenant, 0.0) + amount
-        account.asked = {tenant: rate for tenant, rate in report.asked.items() if rate > 0}
+        account.asked = {tenant: rate for tenant, rate in report.demand_per_s.items() if rate > 0}
         self._sum_asked()
 
     def pause(self, participant: Hashable) -> None:
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -212,7 +212,7 @@
         self, now_ms: float, connection: int, message: Subscribe, upstreams: tuple[UpstreamRecord, ...]
     ) -> list[Delivery]:
         """A data plane's connection begins; it is told all there is."""
-        participant = Participant(message.node, message.life)
+        participant = Participant(message.node, message.incarnation)
         replaced = [Close(older) for older in self._connections_of(participant) if older != connection]
         for close in replaced:
             del self._subscribers[close.connection]
@@ -237,7 +237,7 @@
         if subscriber is None:
             return []
         if isinstance(message, FetchConfiguration):
-            return self._answer_fetch(now_ms, connection, subscriber, message.have)
+            return self._answer_fetch(now_ms, connection, subscriber, message.base_version)
         if isinstance(message, ConfigurationApplied):
             subscriber.applied_version = max(subscriber.applied_version, message.version)
             subscriber.enter(SubscriberState.FOLLOWING)
@@ -248,7 +248,7 @@
         elif isinstance(message, DispatchReport):
             self._sends.report(subscriber.participant, message)
         elif isinstance(message, ClockRequest):
-            return [SendTo(connection, ClockReading(message.asked_ms, round(now_ms)))]
+            return [SendTo(connection, ClockReading(message.requested_ms, round(now_ms)))]
         elif isinstance(message, Goodbye):
             self._leave(now_ms, subscriber)
         return []
--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -17,7 +17,8 @@
 
 
 class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One upstream as the registry knows it. `silent_ms`: since its last heartbeat, when this was sent."""
+    """One upstream as the registry knows it. `heartbeat_age_ms`: since its last heartbeat, when this was
+    sent."""
 
     instance: str
     service: str
@@ -27,8 +28,8 @@
     slots: int
     state: str  # ready, draining, gone
     sequence: int
-    cold_remaining_ms: float
-    silent_ms: float
+    slow_start_remaining_ms: float
+    heartbeat_age_ms: float
 
 
 class CommandRecord(msgspec.Struct, frozen=True, array_like=True):
@@ -44,19 +45,19 @@
 
 
 class Subscribe(Message, frozen=True, tag="Subscribe"):
-    """First message of a connection. `life` is drawn anew at each start of the process."""
+    """First message of a connection. `incarnation` is drawn anew at each start of the process."""
 
     node: str
-    life: str
+    incarnation: str
     address: str
     zone: str
     version: int
 
 
 class FetchConfiguration(Message, frozen=True, tag="FetchConfiguration"):
-    """Ask for what leads from `have` to the newest committed version."""
+    """Ask for what leads from `base_version` to the newest committed version."""
 
-    have: int
+    base_version: int
 
 
 class ConfigurationApplied(Message, frozen=True, tag="ConfigurationApplied"):
@@ -71,7 +72,7 @@
 
     sequence: int
     used: dict[str, float]
-    asked: dict[str, float]
+    demand_per_s: dict[str, float]
 
 
 class LoadReport(Message, frozen=True, tag="LoadReport"):
@@ -84,8 +85,8 @@
     """A prompt that went to an upstream: ids and tokens of its parts, in order."""
 
     instance: str
-    part_ids: tuple[str, ...]
-    part_tokens: tuple[int, ...]
+    chunk_ids: tuple[str, ...]
+    chunk_tokens: tuple[int, ...]
 
 
 class DispatchReport(Message, frozen=True, tag="SendReport"):
@@ -95,9 +96,9 @@
 
 
 class ClockRequest(Message, frozen=True, tag="ClockRequested"):
-    """Ask for the control plane's steady clock. `asked_ms`: the data plane's own, which comes back."""
+    """Ask for the control plane's steady clock. `requested_ms`: the data plane's own, which comes back."""
 
-    asked_ms: float
+    requested_ms: float
 
 
 class Goodbye(Message, frozen=True, tag="Farewell"):
@@ -121,9 +122,9 @@
 
 
 class ClockReading(Message, frozen=True, tag="ClockTold"):
-    """The control plane's steady clock when it read the question that was asked at `asked_ms`."""
+    """The control plane's steady clock when it read the question that was asked at `requested_ms`."""
 
-    asked_ms: float
+    requested_ms: float
     clock_ms: float
 
 
@@ -172,7 +173,7 @@
     what they ask for a second. From the primary alone."""
 
     used: dict[str, float]
-    asked: dict[str, float]
+    demand_per_s: dict[str, float]
 
 
 class PeerLoad(Message, frozen=True, tag="LoadOfOthers"):
--- a/madderwind/messages/peering.py
+++ b/madderwind/messages/peering.py
@@ -20,11 +20,11 @@
 
 
 class Liveness(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream heard by the sender itself, `silent_ms` before the message was sent."""
+    """An upstream heard by the sender itself, `heartbeat_age_ms` before the message was sent."""
 
     instance: str
     sequence: int
-    silent_ms: float
+    heartbeat_age_ms: float
 
 
 class Hello(PeeringMessageBase, frozen=True, tag="Hello"):
@@ -60,7 +60,7 @@
 class LivenessReport(PeeringMessageBase, frozen=True, tag="LivenessReport"):
     """Upstreams that the sender heard since its last report; sent also when there are none."""
 
-    heard: tuple[Liveness, ...]
+    observed: tuple[Liveness, ...]
 
 
 class ForwardCommand(PeeringMessageBase, frozen=True, tag="ForwardOrder"):
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -43,13 +43,13 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica knows of a member or learner. `silent_ms`: since that one was heard; `leaving`: its
-    process is about to end; `first_hand`: the sender would hear it if it spoke."""
+    """What a replica knows of a member or learner. `idle_ms`: since that one was heard; `stopping`: its
+    process is about to end; `is_direct`: the sender would hear it if it spoke."""
 
     member: Member
-    silent_ms: float
-    leaving: bool
-    first_hand: bool
+    idle_ms: float
+    stopping: bool
+    is_direct: bool
 
 
 class ProposalNumber(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -147,42 +147,42 @@
 
 
 class Rejected(Message, frozen=True, tag="Refused"):
-    """This witness does not go along. `promised` is the highest proposal number it knows; `hears_primary`:
+    """This witness does not go along. `promised` is the highest proposal number it knows; `primary_is_alive`:
     the primary is at work, as far as it can tell."""
 
     epoch: int
     number: ProposalNumber
     promised: ProposalNumber
-    hears_primary: bool
+    primary_is_alive: bool
 
 
 # --- the primary and the others ---
 
 
 class Heartbeat(Message, frozen=True, tag="Heartbeat"):
-    """The primary is at work. `committed`: index of the newest committed entry; `fresh_age_ms`: since the
-    start of its last round of heartbeats that a majority answered, None while it can't call that newest;
-    `answered_round`: the newest round of this epoch that the receiver answered, 0 where it answered none;
+    """The primary is at work. `committed_index`: index of the newest committed entry; `fresh_age_ms`: since
+    the start of its last round of heartbeats that a majority answered, None while it can't call that newest;
+    `acknowledged_round`: the newest round of this epoch that the receiver answered, 0 where it answered none;
     `peers`: all that it sends heartbeats to, for whoever is primary after it."""
 
     epoch: int
     round: int
-    committed: int
+    committed_index: int
     fresh_age_ms: float | None
-    answered_round: int
+    acknowledged_round: int
     peers: tuple[PeerStatus, ...]
 
 
 class HeartbeatAck(Message, frozen=True, tag="HeartbeatAnswer"):
     """Given by those that know the epoch. `accepted_epoch`: of the newest view that this witness accepted;
-    `matched`: up to where its synced log is the primary's. `round` is 0 where nothing was asked."""
+    `match_index`: up to where its synced log is the primary's. `round` is 0 where nothing was asked."""
 
     epoch: int
     round: int
     accepted_epoch: int
-    matched: int
-    disk_in_trouble: bool
-    leaving: bool
+    match_index: int
+    disk_faulty: bool
+    stopping: bool
 
 
 class AppendEntries(Message, frozen=True, tag="Append"):
@@ -192,22 +192,22 @@
     previous_index: int
     previous_epoch: int
     entries: tuple[LogEntry, ...]
-    committed: int
+    committed_index: int
 
 
 class AppendAck(Message, frozen=True, tag="Appended"):
-    """Up to `matched`, this replica's synced log is the primary's of `epoch`."""
+    """Up to `match_index`, this replica's synced log is the primary's of `epoch`."""
 
     epoch: int
-    matched: int
+    match_index: int
 
 
 class AppendRejected(Message, frozen=True, tag="AppendRefused"):
-    """The entry before these is not in this replica's log, which is sure up to `committed`."""
+    """The entry before these is not in this replica's log, which is sure up to `committed_index`."""
 
     epoch: int
     previous_index: int
-    committed: int
+    committed_index: int
 
 
 class InstallSnapshot(Message, frozen=True, tag="InstallSnapshot"):
--- a/madderwind/messages/status.py
+++ b/madderwind/messages/status.py
@@ -18,14 +18,14 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """An upstream as the registry here knows it. `silent_ms`: since its last heartbeat anywhere."""
+    """An upstream as the registry here knows it. `heartbeat_age_ms`: since its last heartbeat anywhere."""
 
     instance: str
     service: str
     address: str
     zone: str
     state: str
-    silent_ms: float
+    heartbeat_age_ms: float = msgspec.field(name="silent_ms")
 
 
 class ControlPlaneStatus(msgspec.Struct, frozen=True):
--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -127,7 +127,7 @@
         for prompt in prompts:
             if prompt.instance in self._zones:
                 upstream = self._upstream(prompt.instance)
-                parts = map(PromptPart, prompt.part_ids, prompt.part_tokens)
+                parts = map(PromptPart, prompt.chunk_ids, prompt.chunk_tokens)
                 upstream.kept.used(tuple(parts), upstream.kv_tokens)
 
     @property
--- a/madderwind/registry/heartbeats.py
+++ b/madderwind/registry/heartbeats.py
@@ -22,7 +22,7 @@
     zone: str = ""
     version: str = ""
     slots: float = 0
-    cold_remaining_ms: float = 0.0
+    slow_start_remaining_ms: float = msgspec.field(default=0.0, name="cold_remaining_ms")
 
 
 _decoder = msgspec.json.Decoder(Heartbeat)
--- a/madderwind/registry/registry.py
+++ b/madderwind/registry/registry.py
@@ -48,13 +48,13 @@
         mine = (self.service, self.address, self.zone, self.version, self.slots)
         theirs = (record.service, record.address, record.zone, record.version, record.slots)
         cold_remaining_ms = max(0.0, self.cold_until_ms - now_ms)
-        return mine == theirs and abs(cold_remaining_ms - record.cold_remaining_ms) < COLD_CHANGE_MS
+        return mine == theirs and abs(cold_remaining_ms - record.slow_start_remaining_ms) < COLD_CHANGE_MS
 
     def describe(self, now_ms: float, record: UpstreamRecord) -> None:
         """Take over what a newer record tells of the instance."""
         self.service, self.address, self.zone = record.service, record.address, record.zone
         self.version, self.slots = record.version, record.slots
-        self.sequence, self.cold_until_ms = record.sequence, now_ms + record.cold_remaining_ms
+        self.sequence, self.cold_until_ms = record.sequence, now_ms + record.slow_start_remaining_ms
 
     def enter(self, state: UpstreamState) -> bool:
         """Advance to a state; False where the instance has it or a later one."""
@@ -147,7 +147,7 @@
             if entry is None:
                 all_known = False
                 continue
-            entry.heard_ms = max(entry.heard_ms, now_ms - report.silent_ms)
+            entry.heard_ms = max(entry.heard_ms, now_ms - report.heartbeat_age_ms)
         return all_known
 
     def tick(self, now_ms: float, hears_all: bool) -> tuple[UpstreamRecord, ...]:
@@ -188,7 +188,7 @@
         state = state_named(record.state)
         if entry is None:
             return self._add(now_ms, record, state)
-        entry.heard_ms = max(entry.heard_ms, now_ms - record.silent_ms)
+        entry.heard_ms = max(entry.heard_ms, now_ms - record.heartbeat_age_ms)
         changed = False
         if record.sequence > entry.sequence:
             changed = not entry.described_as(now_ms, record)
@@ -196,7 +196,7 @@
         return entry.enter(state) or changed
 
     def _add(self, now_ms: float, record: UpstreamRecord, state: UpstreamState) -> bool:
-        if record.silent_ms > FORGET_AFTER_MS or len(self._entries) >= MOST_UPSTREAMS:
+        if record.heartbeat_age_ms > FORGET_AFTER_MS or len(self._entries) >= MOST_UPSTREAMS:
             return False
         self._entries[record.instance] = _Entry(
             service=record.service,
@@ -206,9 +206,9 @@
             slots=record.slots,
             state=state,
             sequence=record.sequence,
-            cold_until_ms=now_ms + record.cold_remaining_ms,
-            heard_ms=now_ms - record.silent_ms,
-            told_silent=record.silent_ms > self._silent_after_ms,
+            cold_until_ms=now_ms + record.slow_start_remaining_ms,
+            heard_ms=now_ms - record.heartbeat_age_ms,
+            told_silent=record.heartbeat_age_ms > self._silent_after_ms,
         )
         return True
 
@@ -223,8 +223,8 @@
             slots=entry.slots,
             state=entry.state.value,
             sequence=entry.sequence,
-            cold_remaining_ms=_rounded(entry.cold_until_ms - now_ms),
-            silent_ms=_rounded(now_ms - entry.heard_ms),
+            slow_start_remaining_ms=_rounded(entry.cold_until_ms - now_ms),
+            heartbeat_age_ms=_rounded(now_ms - entry.heard_ms),
         )
 
 
@@ -232,7 +232,7 @@
     described = msgspec.structs.asdict(heartbeat)
     described["state"] = heartbeat.state.value
     described["slots"] = int(heartbeat.slots)
-    return UpstreamRecord(instance=instance, silent_ms=0.0, **described)
+    return UpstreamRecord(instance=instance, heartbeat_age_ms=0.0, **described)
 
 
 def _rounded(duration_ms: float) -> int:
--- a/madderwind/registry/upstreams.py
+++ b/madderwind/registry/upstreams.py
@@ -112,7 +112,7 @@
         return self._enter(known, state) or changed
 
     def _is_silence(self, record: UpstreamRecord) -> bool:
-        return record.silent_ms > self._silent_after_ms
+        return record.heartbeat_age_ms > self._silent_after_ms
 
     def _add(self, now_ms: float, record: UpstreamRecord, state: UpstreamState) -> bool:
         known = KnownUpstream(
@@ -124,7 +124,7 @@
             slots=record.slots,
             state=state,
             sequence=record.sequence,
-            cold_until_ms=now_ms + record.cold_remaining_ms,
+            cold_until_ms=now_ms + record.slow_start_remaining_ms,
             silent=self._is_silence(record),
         )
         self._known[record.instance] = known
@@ -138,7 +138,7 @@
             self._by_service.setdefault(record.service, {})[record.instance] = known
         known.service, known.address, known.zone = record.service, record.address, record.zone
         known.version, known.slots = record.version, record.slots
-        known.sequence, known.cold_until_ms = record.sequence, now_ms + record.cold_remaining_ms
+        known.sequence, known.cold_until_ms = record.sequence, now_ms + record.slow_start_remaining_ms
         return before != (known.service, known.address, known.zone, known.version, known.slots)
 
     def _enter(self, known: KnownUpstream, state: UpstreamState) -> bool:
--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -62,7 +62,7 @@
         """The primary is at work, and tells what is committed."""
         self._hear(now_ms)
         self.known_peers.take(now_ms, message.peers)
-        self._core.commit_to(min(message.committed, self._matched))
+        self._core.commit_to(min(message.committed_index, self._matched))
         self._note_lease(message)
         self._answered_ms.setdefault(message.round, now_ms)
         if len(self._answered_ms) > KEPT_ANSWERS:
@@ -72,10 +72,10 @@
     def _note_lease(self, message: Heartbeat) -> None:
         """A heartbeat may have been held up on its way, or have waited here: it was sent no earlier than the
         answer that it names, and its age counts from there."""
-        sent_after_ms = self._answered_ms.get(message.answered_round)
+        sent_after_ms = self._answered_ms.get(message.acknowledged_round)
         if message.fresh_age_ms is None or sent_after_ms is None:
             return
-        if self._core.committed_index >= message.committed:
+        if self._core.committed_index >= message.committed_index:
             self.note_fresh(sent_after_ms - message.fresh_age_ms)
 
     def answer(self, now_ms: float, heartbeat_round: int, leaving: bool) -> None:
@@ -106,7 +106,7 @@
         for entry in entries:
             self._take_entry(entry)
         self._match(message.previous_index + len(message.entries))
-        self._core.commit_to(min(message.committed, self._matched))
+        self._core.commit_to(min(message.committed_index, self._matched))
 
     def take_snapshot(self, now_ms: float, message: InstallSnapshot) -> None:
         """A part of the whole state: once it is whole, the log begins anew after it, unless it leads there
--- a/madderwind/replication/known_peers.py
+++ b/madderwind/replication/known_peers.py
@@ -31,7 +31,7 @@
     def take(self, now_ms: float, statuses: tuple[PeerStatus, ...]) -> None:
         """The primary told how the others stand."""
         self._told = tuple(
-            KnownPeer(status.member, now_ms - status.silent_ms, status.leaving, first_hand=False)
+            KnownPeer(status.member, now_ms - status.idle_ms, status.stopping, first_hand=False)
             for status in statuses
         )
 
@@ -54,10 +54,10 @@
         """Another replica tells what it knows: whoever was heard later by that one, was heard later."""
         known = {peer.member.incarnation: peer for peer in self.all()}
         for status in statuses:
-            heard_ms = now_ms - status.silent_ms
+            heard_ms = now_ms - status.idle_ms
             before = known.get(status.member.incarnation)
             if before is None or heard_ms > before.heard_ms:
-                peer = KnownPeer(status.member, heard_ms, status.leaving, status.first_hand)
+                peer = KnownPeer(status.member, heard_ms, status.stopping, status.is_direct)
                 known[status.member.incarnation] = peer
         self._told, self._primary = tuple(known.values()), None
 
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -188,11 +188,11 @@
             return
         has_returned = peer.silent_ms(now_ms) > self._core.times.resend_ms + peer.allowance_ms()
         peer.heard_ms = now_ms
-        peer.disk_in_trouble, peer.leaving = answer.disk_in_trouble, answer.leaving
+        peer.disk_in_trouble, peer.leaving = answer.disk_faulty, answer.stopping
         if answer.epoch != self._core.epoch:
             return
         peer.answered_round = max(peer.answered_round, answer.round)
-        is_behind = answer.matched < peer.matched  # started anew, it is to be told what it may rely on
+        is_behind = answer.match_index < peer.matched  # started anew, it is to be told what it may rely on
         shipping = self._shipping
         if (is_behind and shipping.may_probe(now_ms, peer)) or (has_returned and shipping.lags(peer)):
             shipping.probe_again(now_ms, peer)
@@ -207,7 +207,7 @@
         if peer is None or message.epoch != self._core.epoch:
             return
         peer.heard_ms = now_ms
-        peer.note_matched(now_ms, message.matched, self._core.log.last_index)
+        peer.note_matched(now_ms, message.match_index, self._core.log.last_index)
         self._shipping.send_entries(now_ms, peer)
 
     def take_refused(self, now_ms: float, message: AppendRejected) -> None:
@@ -220,7 +220,7 @@
         if is_stale or peer.snapshot is not None:
             return  # the answer to an older probe
         peer.progress = Progress.PROBING
-        peer.next_index = max(peer.matched, min(message.committed, self._core.log.last_index)) + 1
+        peer.next_index = max(peer.matched, min(message.committed_index, self._core.log.last_index)) + 1
         self._shipping.probe(now_ms, peer)
 
     def take_snapshot_received(self, now_ms: float, message: SnapshotAck) -> None:
@@ -324,7 +324,7 @@
         number = self.rounds.start(now_ms)
         age_ms = self.fresh_age_ms(now_ms)
         statuses = tuple(
-            PeerStatus(peer.member, peer.silent_ms(now_ms), peer.leaving, first_hand=True)
+            PeerStatus(peer.member, peer.silent_ms(now_ms), peer.leaving, is_direct=True)
             for peer in self.peers.values()
         )
         for incarnation, peer in self.peers.items():
--- a/madderwind/replication/records.py
+++ b/madderwind/replication/records.py
@@ -36,10 +36,10 @@
 
 
 class EntryRecord(Record, frozen=True, tag="EntryRecord"):
-    """The next entry of the log. `committed`: how far the log was known to be committed then."""
+    """The next entry of the log. `committed_index`: how far the log was known to be committed then."""
 
     entry: LogEntry
-    committed: int
+    committed_index: int
 
 
 class TruncateRecord(Record, frozen=True, tag="TruncateRecord"):
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -211,7 +211,7 @@
         self.fleet.run(5000.0)
         self.assertEqual(self.states(), [["ready", "ready"]] * 3)
         last = told(self.first, 0, RegistryDelta)[-1].upstreams[0]
-        self.assertGreater(last.silent_ms, 3500.0)
+        self.assertGreater(last.heartbeat_age_ms, 3500.0)
 
     def test_a_control_plane_that_is_cut_off_tells_no_silence(self) -> None:
         self.fleet.heartbeat(self.second, 1)
--- a/tests/distribution/test_cut_off_sources.py
+++ b/tests/distribution/test_cut_off_sources.py
@@ -182,7 +182,7 @@
         sent, self.sent = self.sent, []
         for address, message in sent:
             if isinstance(message, ClockRequest):
-                self.hears(address, ClockReading(message.asked_ms, self.now_ms + self.ahead_ms))
+                self.hears(address, ClockReading(message.requested_ms, self.now_ms + self.ahead_ms))
 
     def test_given_clocks_that_drift_for_an_hour_then_the_version_is_still_current(self) -> None:
         drift = 0.0002  # the control planes' clocks lose a fifth of a second in a thousand
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -85,7 +85,7 @@
             self.happens(LinkOpened(address))
 
     def fetches(self) -> list[tuple[str, int]]:
-        return [(address, m.have) for address, m in self.sent if isinstance(m, FetchConfiguration)]
+        return [(address, m.base_version) for address, m in self.sent if isinstance(m, FetchConfiguration)]
 
     def dialled(self, actions: list[Action]) -> set[str]:
         return {action.address for action in actions if isinstance(action, Connect)}
--- a/tests/explore/graph.py
+++ b/tests/explore/graph.py
@@ -31,7 +31,7 @@
 
 
 def digest(value: object) -> Hashable:
-    """A value that is equal for graphs in the same state. The command within mappings counts."""
+    """A value that is equal for graphs in the same state. The order within mappings counts."""
     return _digest(value, {})
 
 
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -218,7 +218,7 @@
         if told is None:
             return
         quota = data_plane.quota
-        self._after(ONE_WAY_MS, lambda: quota.others(self._now_ms, told.used, told.asked))
+        self._after(ONE_WAY_MS, lambda: quota.others(self._now_ms, told.used, told.demand_per_s))
 
     def _kill(self, part: float, down_ms: float) -> None:
         for data_plane in self._rng.sample(self._data_planes, round(part * self._count)):
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -113,11 +113,11 @@
         heard(registry, 0.0, 1)
         told = self.ticked_until(registry, 0.0, SILENT_MS + 1000.0)
         self.assertEqual(len(told), 1)
-        self.assertGreater(told[0].silent_ms, 3500.0)
+        self.assertGreater(told[0].heartbeat_age_ms, 3500.0)
         self.assertEqual(told[0].state, "ready")
         heard(registry, 5000.0, 2)
         back = registry.tick(5000.0, True)
-        self.assertEqual([record.silent_ms for record in back], [0.0])
+        self.assertEqual([record.heartbeat_age_ms for record in back], [0.0])
 
     def test_who_does_not_hear_all_control_planes_tells_no_silence(self) -> None:
         registry = Registry(HEARTBEAT_MS)
@@ -145,7 +145,7 @@
         heard(registry, 0.0, 1)
         registry.tick(100.0, True)
         self.assertEqual(registry.tick(20_000.0, True), ())
-        self.assertLess(registry.snapshot(20_000.0)[0].silent_ms, 200.0)
+        self.assertLess(registry.snapshot(20_000.0)[0].heartbeat_age_ms, 200.0)
 
     def test_the_long_silent_is_forgotten_without_a_word(self) -> None:
         registry = Registry(HEARTBEAT_MS)
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -28,7 +28,7 @@
 
 
 def leaving_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAck) -> None:
-    ordinary_answer(primary, now_ms, structs.replace(answer, leaving=False))
+    ordinary_answer(primary, now_ms, structs.replace(answer, stopping=False))
 
 
 class StoriesFindMutants(unittest.TestCase):
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -79,7 +79,7 @@
             self.assert_found(likely_seed=4)
 
     def test_a_learner_taken_into_the_set_without_the_log(self) -> None:
-        with patch.object(Primary, "_status", ready_without_the_log):
+        with patch.object(Primary, "_health_of", ready_without_the_log):
             self.assert_found()
 
     def test_members_that_only_grow(self) -> None:
