--- a/madderwind/configuration/history.py
+++ b/madderwind/configuration/history.py
@@ -18,7 +18,7 @@
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration, MessageError
 from madderwind.messages.distribution import CommandRecord
-from madderwind.replication.api import Command, CommandKind, CommandOutcome, CommandResult
+from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
 
 KEPT_DIGESTS = 4_000
 KEPT_COMMANDS = 256
@@ -68,7 +68,7 @@
 
 
 class ConfigurationHistory:
-    """Implements replication.api.ReplicatedState."""
+    """Implements replication.commands.ReplicatedState."""
 
     def __init__(self) -> None:
         self.document: Document | None = None
@@ -82,7 +82,7 @@
         """The current version; 0 before the first configuration."""
         return NO_VERSION if self.document is None else self.document.version
 
-    def decide(self, command: Command) -> CommandResult | None:
+    def validate(self, command: Command) -> CommandResult | None:
         """None where the command is valid on top of the present state, else its result."""
         if command.base_version != self.version:
             return CommandResult(self._outcome_on_other_base(command), self.version)
@@ -93,7 +93,7 @@
         return None
 
     def apply(self, command: Command) -> None:
-        """Change the state by a command that `decide` let pass on the same state."""
+        """Change the state by a command that `validate` let pass on the same state."""
         document = self._prepared.document(self.document, command)
         record = CommandRecord(document.version, self.version, command.kind.value, command.body)
         self.document = document
@@ -148,9 +148,9 @@
         """What a command gets that does not build on the current version."""
         followed_by = self._digests.get(command.base_version)
         if followed_by is not None:
-            return CommandOutcome.TAKEN if followed_by == _digest(command) else CommandOutcome.STALE_BASE
+            return CommandOutcome.COMMITTED if followed_by == _digest(command) else CommandOutcome.STALE_BASE
         is_forgotten = NO_VERSION <= command.base_version < next(iter(self._digests), NO_VERSION)
-        return CommandOutcome.UNCLEAR if is_forgotten else CommandOutcome.STALE_BASE
+        return CommandOutcome.UNKNOWN if is_forgotten else CommandOutcome.STALE_BASE
 
     def _keep(self, record: CommandRecord) -> None:
         self._commands.append(record)
--- a/madderwind/controlplane/calls.py
+++ b/madderwind/controlplane/calls.py
@@ -14,17 +14,12 @@
 import attrs
 import msgspec
 
-from madderwind.controlplane.effects import CommandEnded, Effect, LogLine, ReadEnded, SendToPeer
+from madderwind.controlplane.effects import CommandEnded, Effect, ReadEnded, SendToPeer
+from madderwind.log_events.control_plane import DATA_PLANES_LAGGING
 from madderwind.messages.peering import CommandReply, ForwardCommand, ForwardRead, ReadReply
-from madderwind.replication.api import (
-    Command,
-    CommandKind,
-    CommandOutcome,
-    CommandResult,
-    CommandSubmitted,
-    ReadSubmitted,
-    ReplicaStatus,
-)
+from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
+from madderwind.replication.events import CommandSubmitted, ReadSubmitted
+from madderwind.replication.status import ReplicaStatus
 
 # The operator turns elsewhere after a second of silence, later with a large body.
 CALL_DEADLINE_MS = 800.0
@@ -37,7 +32,7 @@
 CUT_OFF_AFTER_MS, WAIT_WHEN_CUT_OFF_MS = 1_500.0, 150.0
 MOST_CALLS = 64
 
-_UNCLEAR = CommandResult(CommandOutcome.UNCLEAR)
+_UNCLEAR = CommandResult(CommandOutcome.UNKNOWN)
 
 
 class CallState(Enum):
@@ -177,10 +172,10 @@
         call = self._calls.get(token)
         if call is None or call.state is not CallState.AT_REPLICA:
             return []
-        if result.outcome is CommandOutcome.UNCLEAR:
+        if result.outcome is CommandOutcome.UNKNOWN:
             return self._wait_for_primary(now_ms, call)
         call.result = result
-        if result.outcome is not CommandOutcome.TAKEN:
+        if result.outcome is not CommandOutcome.COMMITTED:
             return self._end(call)
         call.wait_until_ms = min(now_ms + APPLY_WAIT_MS, call.deadline_ms)
         call.enter(CallState.WAITING_FOR_DATA_PLANES)
@@ -202,7 +197,7 @@
         if call is None or call.command is None or call.state is not CallState.FORWARDED:
             return []
         outcome = CommandOutcome(reply.outcome)
-        if outcome is CommandOutcome.UNCLEAR:
+        if outcome is CommandOutcome.UNKNOWN:
             return self._wait_for_primary(now_ms, call)
         call.result = CommandResult(outcome, reply.version, reply.field, reply.reason)
         return self._end(call)
@@ -275,7 +270,7 @@
         if now_ms < call.wait_until_ms:
             return []
         count = self._data_planes.stop_waiting_for(call.result.version)
-        line = LogLine("data planes lag", {"version": call.result.version, "count": count})
+        line = DATA_PLANES_LAGGING.line(version=call.result.version, count=count)
         return [line, *self._end(call)]
 
     def _end(self, call: _Call) -> list[Output]:
--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -18,10 +18,16 @@
     PeerCaller,
     forwarded_command,
 )
-from madderwind.controlplane.effects import Effect, LogLine, SendToPeer
+from madderwind.controlplane.effects import Effect, SendToPeer
 from madderwind.controlplane.peers import Peers
 from madderwind.controlplane.upstreams import Upstreams
 from madderwind.distribution.publisher import PublishedConfiguration, PublishedStatus, Publisher
+from madderwind.log_events.control_plane import (
+    CONFIGURATION_COMMITTED,
+    DATA_PLANE_SUBSCRIBED,
+    PRIMARY_CHANGED,
+)
+from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import Subscribe, ToControlPlane, UpstreamRecord
 from madderwind.messages.peering import (
     CommandReply,
@@ -33,27 +39,28 @@
     ReadReply,
 )
 from madderwind.messages.status import ControlPlaneStatus, UpstreamStatus
-from madderwind.replication.api import (
+from madderwind.replication.actions import (
     Action,
-    Command,
     CommandResolved,
-    CommandSubmitted,
     Committed,
+    ReadResolved,
+    Rewrite,
+    Send,
+    Write,
+)
+from madderwind.replication.commands import Command
+from madderwind.replication.events import (
+    CommandSubmitted,
     Event,
-    LeaveRequested,
     MessageReceived,
-    ReadResolved,
     ReadSubmitted,
-    ReplicaStatus,
-    Report,
-    Rewrite,
     SeedsChanged,
-    Send,
+    ShutdownRequested,
     TimePassed,
-    Write,
     WriteCompleted,
     WriteFailed,
 )
+from madderwind.replication.status import ReplicaStatus
 
 # How often the host calls `tick`.
 TICK_MS = 25.0
@@ -108,7 +115,7 @@
     # --- the replica ---
 
     def replica_event(
-        self, now_ms: float, event: WriteCompleted | WriteFailed | LeaveRequested
+        self, now_ms: float, event: WriteCompleted | WriteFailed | ShutdownRequested
     ) -> list[Effect]:
         """Something happened that concerns the replica alone."""
         return self._run(now_ms, self._handle(now_ms, event))
@@ -154,9 +161,7 @@
         """A data plane's connection begins."""
         outputs = self._refresh_status(now_ms)
         outputs += self._publisher.subscribe(now_ms, connection, message, self._upstreams.snapshot(now_ms))
-        outputs.append(
-            LogLine("data plane subscribed", {"data_plane": message.node, "version": message.version})
-        )
+        outputs.append(DATA_PLANE_SUBSCRIBED.line(data_plane=message.node, version=message.version))
         return self._run(now_ms, outputs)
 
     def data_plane_message(self, now_ms: float, connection: int, message: ToControlPlane) -> list[Effect]:
@@ -258,9 +263,8 @@
         if isinstance(action, ReadResolved):
             return self._calls.read_resolved(now_ms, action.token, action.is_newest)
         if isinstance(action, Committed):
-            return [LogLine("configuration committed", {"version": action.version})]
-        assert isinstance(action, Report)
-        return [LogLine(action.event, action.fields)]
+            return [CONFIGURATION_COMMITTED.line(version=action.version)]
+        return [action]
 
     def _refresh_status(self, now_ms: float) -> list[Output]:
         before, self._status = self._status, self._replica.status(now_ms)
@@ -316,7 +320,4 @@
 
 
 def _primary_line(status: ReplicaStatus, primary: str) -> LogLine:
-    return LogLine(
-        "primary changed",
-        {"is_primary": status.is_primary, "primary": primary, "epoch": status.epoch},
-    )
+    return PRIMARY_CHANGED.line(is_primary=status.is_primary, primary=primary, epoch=status.epoch)
--- a/madderwind/controlplane/disk_thread.py
+++ b/madderwind/controlplane/disk_thread.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from madderwind.errors import StorageError
-from madderwind.replication.api import Rewrite, Write, WriteCompleted, WriteFailed
+from madderwind.replication.actions import Rewrite, Write
+from madderwind.replication.events import WriteCompleted, WriteFailed
 from madderwind.storage.record_file import RecordFile
 
 Completion = WriteCompleted | WriteFailed
--- a/madderwind/controlplane/effects.py
+++ b/madderwind/controlplane/effects.py
@@ -5,8 +5,10 @@
 import msgspec
 
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.log_events.event import LogLine
 from madderwind.messages.peering import PeerFrame
-from madderwind.replication.api import CommandResult, Rewrite, Write
+from madderwind.replication.actions import Rewrite, Write
+from madderwind.replication.commands import CommandResult
 
 
 class SendToPeer(msgspec.Struct, frozen=True):
@@ -43,13 +45,6 @@
     """Save the registry's copy at once, and tell the core what it held when it is on disk."""
 
 
-class LogLine(msgspec.Struct, frozen=True):
-    """Something for the log."""
-
-    event: str
-    fields: dict[str, str | int | float | bool]
-
-
 Effect = (
     SendToPeer
     | SendTo
--- a/madderwind/controlplane/host.py
+++ b/madderwind/controlplane/host.py
@@ -10,7 +10,6 @@
 from madderwind.controlplane.effects import (
     CommandEnded,
     Effect,
-    LogLine,
     ReadEnded,
     SaveRegistry,
     SendToPeer,
@@ -20,13 +19,16 @@
 from madderwind.controlplane.registry_saver import SAVE_INTERVAL_S, RegistrySaver
 from madderwind.controlplane.subscriber_streams import SubscriberStreams
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import Subscribe, ToControlPlane, UpstreamRecord
 from madderwind.messages.peering import PeerFrame, peer_frames
 from madderwind.messages.status import ControlPlaneStatus
 from madderwind.registry.saved_copy import SavedCopy
-from madderwind.replication.api import Command, CommandResult, LeaveRequested, Rewrite, Write
+from madderwind.replication.actions import Rewrite, Write
+from madderwind.replication.commands import Command, CommandResult
+from madderwind.replication.events import ShutdownRequested
 from madderwind.storage.record_file import RecordFile
-from madderwind.structured_log import Log
+from madderwind.structured_log import Log, write_line
 
 UNUSED_LINKS_INTERVAL_S = 5.0
 
@@ -71,7 +73,7 @@
             SaveRegistry: self._save_registry,
             Write: self._disk.submit,
             Rewrite: self._disk.submit,
-            LogLine: self._write_log,
+            LogLine: self._log_line,
         }
 
     @property
@@ -148,7 +150,7 @@
 
     def leave(self) -> None:
         """The process is about to end."""
-        self._carry_out(self._core.replica_event(self._now_ms(), LeaveRequested()))
+        self._carry_out(self._core.replica_event(self._now_ms(), ShutdownRequested()))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """The settings file names other seeds."""
@@ -230,5 +232,5 @@
         if not answered.done():
             answered.set_result(effect.is_accepted)
 
-    def _write_log(self, effect: LogLine) -> None:
-        self._log.info(effect.event, **effect.fields)
+    def _log_line(self, line: LogLine) -> None:
+        write_line(self._log, line)
--- a/madderwind/controlplane/internal_server.py
+++ b/madderwind/controlplane/internal_server.py
@@ -10,10 +10,15 @@
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.controlplane.sockets import set_options
 from madderwind.errors import MessageError
+from madderwind.log_events.control_plane import (
+    DATA_PLANE_UNSUBSCRIBED,
+    INVALID_CONTROL_PLANE_MESSAGE,
+    INVALID_DATA_PLANE_MESSAGE,
+)
 from madderwind.messages.codec import LONGEST_MESSAGE, Codec
 from madderwind.messages.distribution import Subscribe, to_control_plane
 from madderwind.messages.peering import Hello, peer_frames
-from madderwind.structured_log import Log
+from madderwind.structured_log import Log, write_line
 
 FIRST_MESSAGE_WITHIN_S = 2.0
 CLOSE_TIMEOUT_S = 0.2
@@ -44,7 +49,8 @@
                 while (message := await _next_message(connection, peer_frames)) is not None:
                     self._host.peer_message(hello.sender, message)
         except MessageError as error:
-            self._log.warning("odd message of a control plane", peer=request.remote, reason=str(error))
+            line = INVALID_CONTROL_PLANE_MESSAGE.line(peer=request.remote, reason=str(error))
+            write_line(self._log, line)
         finally:
             await connection.close()
         return connection
@@ -63,7 +69,8 @@
             if isinstance(first, Subscribe):
                 await self._serve_data_plane(_transport(request), connection, first)
         except MessageError as error:
-            self._log.warning("odd message of a data plane", peer=request.remote, reason=str(error))
+            line = INVALID_DATA_PLANE_MESSAGE.line(peer=request.remote, reason=str(error))
+            write_line(self._log, line)
         finally:
             await connection.close()
         return connection
@@ -83,7 +90,7 @@
             await asyncio.gather(sending, return_exceptions=True)
             streams.forget(number)
             self._host.data_plane_closed(number)
-            self._log.info("data plane unsubscribed", data_plane=first.node)
+            write_line(self._log, DATA_PLANE_UNSUBSCRIBED.line(data_plane=first.node))
 
 
 async def _accepted(request: web.Request) -> web.WebSocketResponse:
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -21,16 +21,25 @@
 from madderwind.controlplane.public_server import PublicServer
 from madderwind.controlplane.status_handler import add_status
 from madderwind.errors import SettingsError, StorageError
+from madderwind.log_events.control_plane import (
+    CONTROL_PLANE_STARTED,
+    CONTROL_PLANE_STOPPED,
+    SETTINGS_RELOADED,
+    SHUTDOWN_REQUESTED,
+)
 from madderwind.metrics.exporter import start_exporter
 from madderwind.node_settings import CONTROL_PLANE_PORT, SETTINGS_VARIABLE, NodeSettings, read_settings
 from madderwind.registry.saved_copy import SavedCopy
-from madderwind.replication.api import Action, Event, ReplicaStatus
-from madderwind.replication.replica import Replica
+from madderwind.replication.actions import Action
+from madderwind.replication.events import Event
+from madderwind.replication.replica import Replica, ReplicaOptions
+from madderwind.replication.status import ReplicaStatus
+from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
 from madderwind.settings_watch import SettingsWatch
 from madderwind.storage.disk import FileDisk
 from madderwind.storage.record_file import RecordFile, RecoveredFile
-from madderwind.structured_log import BatchedOutput, Log, open_log
+from madderwind.structured_log import BatchedOutput, Log, open_log, write_line
 
 # What stays of the grace period for closing connections and for the start of the last write.
 END_RESERVE_S = 1.5
@@ -89,7 +98,7 @@
             self._settings.listen, lambda: control_plane_samples(host.status(node, zone))
         )
         watching = asyncio.create_task(watch.run())
-        self._log.info("control plane started", address=self._own_address())
+        write_line(self._log, CONTROL_PLANE_STARTED.line(address=self._own_address()))
         gc.collect()
         gc.freeze()
         await self._end_requested.wait()
@@ -111,18 +120,19 @@
         settings = self._settings
         rng = random.Random()
         replica = Replica(
-            identity_address=self._own_address(),
-            zone=settings.zone,
-            control_address=settings.listen["control"],
-            seeds=settings.seed_addresses(),
-            bootstrap=settings.bootstrap,
-            tolerance=settings.fault_tolerance.machines,
-            recovered=self._recovered,
-            empty_state=ConfigurationHistory,
-            restore_state=ConfigurationHistory.restore,
-            rng=rng,
-            now_ms=asyncio.get_running_loop().time() * 1000.0,
-            times=ReplicationTimes.from_bounds(settings.bounds.ack_ms),
+            ReplicaOptions(
+                address=self._own_address(),
+                control_address=settings.listen["control"],
+                zone=settings.zone,
+                seeds=settings.seed_addresses(),
+                bootstrap=settings.bootstrap,
+                tolerance=settings.fault_tolerance.machines,
+                times=ReplicationTimes.from_bounds(settings.bounds.ack_ms),
+            ),
+            self._recovered,
+            StateFactory(ConfigurationHistory, ConfigurationHistory.restore),
+            rng,
+            asyncio.get_running_loop().time() * 1000.0,
         )
         core = ControlPlaneCore(
             ConfigurationReplica(replica),
@@ -150,7 +160,7 @@
                 return
             self._settings = settings
             host.set_seeds(settings.seed_addresses())
-            self._log.info("settings read again", seeds=list(settings.seeds))
+            write_line(self._log, SETTINGS_RELOADED.line(seeds=settings.seeds))
 
         def log(event: str, /, **fields: object) -> None:
             self._log.warning(event, **fields)
@@ -160,7 +170,7 @@
     async def _transfer_leadership(self, host: ControlPlaneHost) -> None:
         """Give the primary's role up where it is held, answer the calls under way, and stay as long as the
         grace period allows while the in-sync set can't do without this replica."""
-        self._log.info("asked to end")
+        write_line(self._log, SHUTDOWN_REQUESTED.line())
         host.leave()
         grace_s = self._settings.bounds.grace_s - END_RESERVE_S
         deadline_s = asyncio.get_running_loop().time() + max(grace_s, 0.0)
@@ -172,7 +182,7 @@
         await host.stop()
         for runner in self._runners:
             await runner.cleanup()
-        self._log.info("control plane ended")
+        write_line(self._log, CONTROL_PLANE_STOPPED.line())
         self._output.flush()
 
 
--- a/madderwind/controlplane/public_server.py
+++ b/madderwind/controlplane/public_server.py
@@ -9,9 +9,10 @@
 
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.errors import InvalidHeartbeat
+from madderwind.log_events.control_plane import COMMAND_COMPLETED, INVALID_HEARTBEAT
 from madderwind.registry.heartbeats import LONGEST_HEARTBEAT_BYTES
-from madderwind.replication.api import Command, CommandKind, CommandOutcome, CommandResult
-from madderwind.structured_log import Log
+from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
+from madderwind.structured_log import Log, write_line
 
 LONGEST_COMMAND_BYTES = 4 * 1024 * 1024
 BASE_VERSION_HEADER = "X-Base-Version"
@@ -20,10 +21,10 @@
 RETRY_AFTER_S = "0.1"
 
 _STATUS = {
-    CommandOutcome.TAKEN: 200,
+    CommandOutcome.COMMITTED: 200,
     CommandOutcome.STALE_BASE: 412,
     CommandOutcome.INVALID: 400,
-    CommandOutcome.UNCLEAR: 503,
+    CommandOutcome.UNKNOWN: 503,
 }
 
 
@@ -57,7 +58,7 @@
         try:
             is_accepted = await self._host.heartbeat(instance, body)
         except InvalidHeartbeat as error:
-            self._log.warning("invalid heartbeat", instance=instance, reason=str(error))
+            write_line(self._log, INVALID_HEARTBEAT.line(instance=instance, reason=str(error)))
             return _json(400, {"error": str(error)})
         return _answer_to_upstream(is_accepted)
 
@@ -80,8 +81,7 @@
             return _json(400, {"error": "a whole number is expected", "field": BASE_VERSION_HEADER})
         body = await _body(request, LONGEST_COMMAND_BYTES, COMMAND_BODY_WITHIN_S)
         result = await self._host.command(Command(kind, int(base), body))
-        self._log.info(
-            "order ended",
+        line = COMMAND_COMPLETED.line(
             kind=kind.value,
             base_version=int(base),
             outcome=result.outcome.value,
@@ -89,6 +89,7 @@
             field=result.field,
             reason=result.reason,
         )
+        write_line(self._log, line)
         return _answer_to_command(result)
 
     async def _read(self, request: web.Request) -> web.Response:
@@ -121,9 +122,9 @@
 
 
 def _answer_to_command(result: CommandResult) -> web.Response:
-    if result.outcome is CommandOutcome.UNCLEAR:
+    if result.outcome is CommandOutcome.UNKNOWN:
         return _unavailable("no clear answer here and now")
-    if result.outcome is CommandOutcome.TAKEN:
+    if result.outcome is CommandOutcome.COMMITTED:
         return _json(200, {"version": result.version})
     return _json(
         _STATUS[result.outcome],
--- a/madderwind/controlplane/upstreams.py
+++ b/madderwind/controlplane/upstreams.py
@@ -7,9 +7,10 @@
 import msgspec
 
 from madderwind.controlplane.departures import Departures
-from madderwind.controlplane.effects import Effect, LogLine, SaveRegistry, SendToPeer, UpstreamAnswered
+from madderwind.controlplane.effects import Effect, SaveRegistry, SendToPeer, UpstreamAnswered
 from madderwind.controlplane.peers import Peers
 from madderwind.distribution.publisher import Delivery
+from madderwind.log_events.control_plane import UPSTREAM_CHANGED
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.messages.peering import (
     FinalStateConfirmed,
@@ -145,10 +146,7 @@
         """Tell data planes and peers of a change that was learned here."""
         if changed is None:
             return []
-        line = LogLine(
-            "upstream changed",
-            {"instance": changed.instance, "service": changed.service, "state": changed.state},
-        )
+        line = UPSTREAM_CHANGED.line(instance=changed.instance, service=changed.service, state=changed.state)
         return [*self._publish((changed,)), *self._to_peers(RegistryGossip((changed,))), line]
 
     def _answer(self, now_ms: float, call: int, instance: str) -> list[Effect]:
--- a/madderwind/distribution/reading_ahead.py
+++ b/madderwind/distribution/reading_ahead.py
@@ -7,7 +7,7 @@
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import InvalidConfiguration
 from madderwind.messages.distribution import ConfigurationDelta, ConfigurationSnapshot
-from madderwind.replication.api import CommandKind
+from madderwind.replication.commands import CommandKind
 
 # Reading this much takes about 10 ms of a busy core: shorter than the pauses that a stream's client notices.
 LONG_CONFIGURATION_BYTES = 256 * 1024
--- /dev/null
+++ b/madderwind/log_events/shared.py
@@ -0,0 +1,9 @@
+"""Events that both programs log."""
+
+from __future__ import annotations
+
+from madderwind.log_events.event import Level, LogEvent
+
+SETTINGS_RELOADED = LogEvent("settings_reloaded", ("seeds",))
+SETTINGS_UNUSABLE = LogEvent("settings_unusable", ("error",), Level.WARNING)
+LOG_LINES_DROPPED = LogEvent("log_lines_dropped", ("count",))
--- a/madderwind/replication/log.py
+++ b/madderwind/replication/log.py
@@ -1,27 +1,34 @@
-"""The log of commands in memory: recent entries after an anchor, the rest is in the state alone."""
+"""The replicated log in memory: recent entries after an anchor. What is older is in the state alone."""
 
 from __future__ import annotations
 
 from madderwind.messages.replication import LogEntry
 
-# Committed entries are kept for replicas that lag a little; one that lags more gets a snapshot.
-KEPT_ENTRIES = 256
-KEPT_BYTES = 8 * 1024 * 1024
-# For replicas that are on their way to the newest entry, more is kept: up to so many times as much.
-KEPT_LONGER = 4
+# Committed entries are retained for replicas that lag a little; one that lags more gets a snapshot.
+RETAINED_ENTRIES = 256
+RETAINED_BYTES = 8 * 1024 * 1024
+# While a replica catches up, up to so many times as much is retained for it.
+CATCH_UP_RETENTION_FACTOR = 4
 # One message carries at most this much, or a single entry.
 BATCH_BYTES = 512 * 1024
 BATCH_ENTRIES = 64
 
 
 class ReplicatedLog:
-    """Entries by index without gaps. `generation` changes whenever entries are taken back."""
+    """Entries by index without gaps. `generation` changes whenever entries are taken back.
+
+    Attributes:
+        anchor_index: Index of the last entry that is no longer in memory.
+        anchor_epoch: Epoch of that entry.
+        generation: Rises with each truncation and reset.
+        needed_after: Entries after this index are retained for replicas that catch up; None where none does.
+    """
 
     def __init__(self) -> None:
         self.anchor_index = 0
         self.anchor_epoch = 0
         self.generation = 0
-        self.needed_after: int | None = None  # entries after this one are kept for those on their way
+        self.needed_after: int | None = None
         self._entries: list[LogEntry] = []
         self._bytes = 0
 
@@ -31,7 +38,7 @@
         return self.anchor_index + len(self._entries)
 
     def epoch_at(self, index: int) -> int | None:
-        """The epoch of an entry; None where it is not held (any more)."""
+        """The epoch of an entry; None where it is not in memory (any more)."""
         if index == self.anchor_index:
             return self.anchor_epoch
         if not self.anchor_index < index <= self.last_index:
@@ -39,11 +46,15 @@
         return self.entry(index).epoch
 
     def entry(self, index: int) -> LogEntry:
-        """The entry of an index that is held."""
+        """The entry of an index that is in memory."""
         return self._entries[index - self.anchor_index - 1]
 
     def append(self, entry: LogEntry) -> None:
-        """Add the next entry."""
+        """Add the next entry.
+
+        Raises:
+            ValueError: Its index does not follow the last one.
+        """
         if entry.index != self.last_index + 1:
             raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
         self._entries.append(entry)
@@ -51,9 +62,9 @@
 
     def truncate(self, last_index: int) -> None:
         """Drop the entries after an index."""
-        kept = max(0, last_index - self.anchor_index)
-        self._bytes -= sum(len(entry.body) for entry in self._entries[kept:])
-        del self._entries[kept:]
+        remaining = max(0, last_index - self.anchor_index)
+        self._bytes -= sum(len(entry.body) for entry in self._entries[remaining:])
+        del self._entries[remaining:]
         self.generation += 1
 
     def reset(self, index: int, epoch: int) -> None:
@@ -64,10 +75,10 @@
         self.generation += 1
 
     def trim(self, committed_index: int) -> None:
-        """Let go of old committed entries beyond what is kept for others."""
+        """Drop old committed entries beyond what is retained for others."""
         dropped = 0
         droppable = committed_index - self.anchor_index
-        while dropped < droppable and self._is_long(dropped):
+        while dropped < droppable and self._exceeds_retention(dropped):
             self._bytes -= len(self._entries[dropped].body)
             dropped += 1
         if dropped:
@@ -87,7 +98,8 @@
             entries.append(entry)
         return tuple(entries)
 
-    def _is_long(self, dropped: int) -> bool:
+    def _exceeds_retention(self, dropped: int) -> bool:
         is_needed = self.needed_after is not None and self.anchor_index + dropped >= self.needed_after
-        times = KEPT_LONGER if is_needed else 1
-        return len(self._entries) - dropped > times * KEPT_ENTRIES or self._bytes > times * KEPT_BYTES
+        factor = CATCH_UP_RETENTION_FACTOR if is_needed else 1
+        remaining = len(self._entries) - dropped
+        return remaining > factor * RETAINED_ENTRIES or self._bytes > factor * RETAINED_BYTES
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -8,19 +8,30 @@
 
 
 class PeerHealth(msgspec.Struct, frozen=True):
-    """What counts about another replica. `is_ready`: it holds all that is or may be committed and keeps up;
-    `is_lost`: it holds commits up or is about to go; `is_replaceable`: away for so long, or for good, that
-    another machine may take its place."""
+    """What counts about another replica.
+
+    Attributes:
+        member: The replica.
+        is_ready: Whether it holds all that is or may be committed, and keeps up.
+        is_lost: Whether it holds commits up, or is about to stop.
+        is_replaceable: Whether another machine may take its place.
+        idle_ms: Time since its last message.
+    """
 
     member: Member
     is_ready: bool
     is_lost: bool
     is_replaceable: bool
-    silent_ms: float = 0.0
+    idle_ms: float = 0.0
 
 
 class MembershipRules(msgspec.Struct, frozen=True):
-    """`tolerance`: how many replicas may be lost; `goal`: how many members there are to be."""
+    """How large a group of replicas is to be.
+
+    Attributes:
+        tolerance: How many replicas may be lost at once.
+        goal: How many members there are to be.
+    """
 
     tolerance: int
     goal: int
@@ -33,8 +44,8 @@
 
 def membership_goal(tolerance: int, seeds: int) -> int:
     """How many members there are to be: enough for the tolerance, and never an even number."""
-    largest_odd = seeds if seeds % 2 else seeds - 1
-    return max(2 * tolerance + 1, largest_odd)
+    largest_odd_number = seeds if seeds % 2 else seeds - 1
+    return max(2 * tolerance + 1, largest_odd_number)
 
 
 def next_view(
@@ -49,15 +60,29 @@
 
 
 def takeover_view(
-    view: View, successor: Member, reachable: frozenset[str], is_transfer_target: bool, rules: MembershipRules
+    view: View,
+    successor: Member,
+    promised_by: frozenset[str],
+    is_transfer: bool,
+    rules: MembershipRules,
 ) -> View:
-    """The view under which a replica of the in-sync set takes the primary's place. The old primary stays in
-    the set only where it answered, or where the set would be too small without it."""
-    keeps_primary = view.primary in reachable and not is_transfer_target
-    kept = [name for name in view.in_sync if name != view.primary or keeps_primary]
-    if len(kept) < rules.smallest_in_sync or successor.incarnation not in kept:
-        kept = list(view.in_sync)
-    return View(view.epoch + 1, successor.incarnation, tuple(kept), view.members)
+    """The view under which a replica of the in-sync set takes the primary's place.
+
+    The old primary stays in the set only where it answered and did not transfer its role, or where the set
+    would be too small without it.
+
+    Args:
+        view: The present view.
+        successor: The replica that is to be primary.
+        promised_by: Incarnations of the members that promised.
+        is_transfer: Whether the old primary transferred its role.
+        rules: The sizes to keep.
+    """
+    keeps_primary = view.primary in promised_by and not is_transfer
+    in_sync = [name for name in view.in_sync if name != view.primary or keeps_primary]
+    if len(in_sync) < rules.smallest_in_sync or successor.incarnation not in in_sync:
+        in_sync = list(view.in_sync)
+    return View(view.epoch + 1, successor.incarnation, tuple(in_sync), view.members)
 
 
 def founding_view(founder: Member, members: tuple[Member, ...]) -> View:
@@ -86,15 +111,15 @@
 def _replaced_by(
     newcomer: Member, view: View, primary: Member, peers: dict[str, PeerHealth]
 ) -> Member | None:
-    """The member whose place a newcomer takes: what it was before it lost its disk, else one that is away."""
-    others = [member for member in view.members if member != primary]
-    for member in others:
+    """The member whose place a newcomer takes: its own before it lost its disk, else one that is away."""
+    candidates = [member for member in view.members if member != primary]
+    for member in candidates:
         if member.address == newcomer.address:
             return member
-    healths = [peers[member.incarnation] for member in others if member.incarnation in peers]
-    away = [health for health in healths if health.is_replaceable]
-    longest = max(away, key=lambda health: health.silent_ms, default=None)
-    return longest.member if longest is not None else None
+    healths = [peers[member.incarnation] for member in candidates if member.incarnation in peers]
+    replaceable = [health for health in healths if health.is_replaceable]
+    longest_idle = max(replaceable, key=lambda health: health.idle_ms, default=None)
+    return longest_idle.member if longest_idle is not None else None
 
 
 def _next_in_sync(
@@ -104,14 +129,17 @@
     peers: dict[str, PeerHealth],
     rules: MembershipRules,
 ) -> tuple[str, ...]:
-    """All that are ready, and those of the present set that are not lost. A set that would be too small to
-    acknowledge anything keeps lost ones instead: nothing is gained without them."""
+    """All that are ready, and those of the present set that are not lost.
+
+    A set that would be too small to acknowledge anything keeps lost ones instead: nothing is gained without
+    them.
+    """
     candidates = [member.incarnation for member in members if member != primary]
     healths = {name: peers[name] for name in candidates if name in peers}
-    kept = [name for name in candidates if name in view.in_sync]
-    sound = [name for name in kept if name in healths and not healths[name].is_lost]
-    joining = [name for name in healths if name not in kept and healths[name].is_ready]
-    wanted = [primary.incarnation, *sound, *joining]
-    lost = [name for name in kept if name not in sound]
-    missing = rules.smallest_in_sync - len(wanted)
-    return (*wanted, *lost[: max(0, missing)])
+    present = [name for name in candidates if name in view.in_sync]
+    healthy = [name for name in present if name in healths and not healths[name].is_lost]
+    joining = [name for name in healths if name not in present and healths[name].is_ready]
+    in_sync = [primary.incarnation, *healthy, *joining]
+    lost = [name for name in present if name not in healthy]
+    missing = rules.smallest_in_sync - len(in_sync)
+    return (*in_sync, *lost[: max(0, missing)])
--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -4,84 +4,106 @@
 
 import msgspec
 
-from madderwind.replication.api import Action, CommandOutcome, CommandResolved, CommandResult, ReadResolved
-from madderwind.replication.rounds import HeartbeatRounds
+from madderwind.replication.actions import Action, CommandResolved, ReadResolved
+from madderwind.replication.commands import UNKNOWN_RESULT, CommandResult
+from madderwind.replication.heartbeat_rounds import HeartbeatRounds
 
-UNCLEAR = CommandResult(CommandOutcome.UNCLEAR)
-# More at once are answered UNCLEAR: every one may hold a body of several MiB.
-MOST_WAITING = 64
+# More at once are answered UNKNOWN: every one may hold a body of several MiB.
+MAX_PENDING_COMMANDS = 64
 
 
-class _PendingCommand(msgspec.Struct, frozen=True):
-    """`index`: what must be committed first; `round`: what must be confirmed first (0: nothing)."""
+class Proof(msgspec.Struct, frozen=True):
+    """What must hold before a result may be told.
+
+    Attributes:
+        index: The entry that must be committed.
+        round: The heartbeat round that must be confirmed; 0 for none.
+        deadline_ms: When the wait for both ends, ms on the steady clock.
+    """
 
-    token: int
-    result: CommandResult
     index: int
     round: int
     deadline_ms: float
 
+    def is_given(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
+        """Whether the entry is committed and the round confirmed."""
+        return self.index <= committed_index and self.round <= rounds.last_confirmed
+
 
-class _WaitingRead(msgspec.Struct, frozen=True):
+class _PendingCommand(msgspec.Struct, frozen=True):
     token: int
-    index: int
-    round: int
-    deadline_ms: float
+    result: CommandResult
+    proof: Proof
+
 
+class _PendingRead(msgspec.Struct, frozen=True):
+    token: int
+    proof: Proof
 
-class WaitingRequests:
+
+class PendingRequests:
     """Every request gets exactly one end."""
 
     def __init__(self) -> None:
         self._commands: list[_PendingCommand] = []
-        self._reads: list[_WaitingRead] = []
+        self._reads: list[_PendingRead] = []
 
     @property
     def is_full(self) -> bool:
-        """Whether no further command may wait."""
-        return len(self._commands) >= MOST_WAITING
+        """Whether no further request may wait."""
+        return len(self._commands) >= MAX_PENDING_COMMANDS
 
     @property
     def needed_round(self) -> int:
         """The newest round that anything waits for."""
-        of_commands = max((command.round for command in self._commands), default=0)
-        of_reads = max((read.round for read in self._reads), default=0)
+        of_commands = max((command.proof.round for command in self._commands), default=0)
+        of_reads = max((read.proof.round for read in self._reads), default=0)
         return max(of_commands, of_reads)
 
-    def add_command(
-        self, token: int, result: CommandResult, index: int, needed_round: int, deadline_ms: float
-    ) -> None:
-        """A command whose result holds once an entry is committed and a round confirmed."""
-        self._commands.append(_PendingCommand(token, result, index, needed_round, deadline_ms))
+    def add_command(self, token: int, result: CommandResult, proof: Proof) -> None:
+        """A command whose result holds once the proof is given."""
+        self._commands.append(_PendingCommand(token, result, proof))
 
-    def add_read(self, token: int, index: int, needed_round: int, deadline_ms: float) -> None:
-        """A read that is the newest once an entry is committed and a round confirmed."""
-        self._reads.append(_WaitingRead(token, index, needed_round, deadline_ms))
+    def add_read(self, token: int, proof: Proof) -> None:
+        """A read that is the newest once the proof is given."""
+        self._reads.append(_PendingRead(token, proof))
 
     def resolve(self, now_ms: float, committed_index: int, rounds: HeartbeatRounds) -> list[Action]:
         """The ends of those that are proven or have waited for too long."""
-        actions: list[Action] = []
-        open_commands, open_reads = [], []
-        for command in self._commands:
-            if command.index <= committed_index and command.round <= rounds.last_confirmed:
-                actions.append(CommandResolved(command.token, command.result))
-            elif now_ms >= command.deadline_ms:
-                actions.append(CommandResolved(command.token, UNCLEAR))
-            else:
-                open_commands.append(command)
-        for read in self._reads:
-            if read.index <= committed_index and read.round <= rounds.last_confirmed:
-                actions.append(ReadResolved(read.token, is_newest=True))
-            elif now_ms >= read.deadline_ms:
-                actions.append(ReadResolved(read.token, is_newest=False))
-            else:
-                open_reads.append(read)
-        self._commands, self._reads = open_commands, open_reads
-        return actions
+        return [
+            *self._resolve_commands(now_ms, committed_index, rounds),
+            *self._resolve_reads(now_ms, committed_index, rounds),
+        ]
 
     def give_up(self) -> list[Action]:
         """The role is lost: nothing can be told any more."""
-        commands: list[Action] = [CommandResolved(command.token, UNCLEAR) for command in self._commands]
+        commands: list[Action] = [CommandResolved(each.token, UNKNOWN_RESULT) for each in self._commands]
         reads: list[Action] = [ReadResolved(read.token, is_newest=False) for read in self._reads]
         self._commands, self._reads = [], []
         return commands + reads
+
+    def _resolve_commands(self, now_ms: float, committed_index: int, rounds: HeartbeatRounds) -> list[Action]:
+        resolved: list[Action] = []
+        pending: list[_PendingCommand] = []
+        for command in self._commands:
+            if command.proof.is_given(committed_index, rounds):
+                resolved.append(CommandResolved(command.token, command.result))
+            elif now_ms >= command.proof.deadline_ms:
+                resolved.append(CommandResolved(command.token, UNKNOWN_RESULT))
+            else:
+                pending.append(command)
+        self._commands = pending
+        return resolved
+
+    def _resolve_reads(self, now_ms: float, committed_index: int, rounds: HeartbeatRounds) -> list[Action]:
+        resolved: list[Action] = []
+        pending: list[_PendingRead] = []
+        for read in self._reads:
+            if read.proof.is_given(committed_index, rounds):
+                resolved.append(ReadResolved(read.token, is_newest=True))
+            elif now_ms >= read.proof.deadline_ms:
+                resolved.append(ReadResolved(read.token, is_newest=False))
+            else:
+                pending.append(read)
+        self._reads = pending
+        return resolved
--- a/madderwind/replication/proposer.py
+++ b/madderwind/replication/proposer.py
@@ -19,11 +19,26 @@
     DECIDED = "decided"
 
 
+PHASE_TRANSITIONS = {
+    Phase.PREPARING: {Phase.ACCEPTING},
+    Phase.ACCEPTING: {Phase.DECIDED},
+    Phase.DECIDED: set[Phase](),
+}
+
+
 class Proposer:
     """Counts promises and acceptances of the members of `base`.
 
     Where a member has accepted another proposal already, that one may be decided, and is proposed again in
-    the own one's place.
+    place of the own one.
+
+    Attributes:
+        base: The view whose successor is to be decided.
+        number: The number of this attempt.
+        started_ms: When it began, ms on the steady clock.
+        phase: How far it is.
+        proposal: The proposed view; None while promises are collected.
+        is_own_proposal: Whether this replica built it, rather than another whose proposal is completed.
     """
 
     def __init__(self, base: View, number: ProposalNumber, build: ViewBuilder, now_ms: float) -> None:
@@ -40,38 +55,38 @@
 
     @property
     def unanswered(self) -> tuple[Member, ...]:
-        """The members of `base` whose answer to the present phase's question is still out."""
+        """The members of `base` that have not answered the present phase's question."""
         answered = self._promised if self.phase is Phase.PREPARING else self._accepted
         return tuple(member for member in self.base.members if member.incarnation not in answered)
 
-    def take_promise(self, sender: str, promise: Promise) -> bool:
+    def handle_promise(self, sender: str, promise: Promise) -> bool:
         """Whether this promise completes the majority, so that `proposal` is to be sent out."""
         if self.phase is not Phase.PREPARING or not self._concerns(sender, promise.epoch, promise.number):
             return False
         self._promised.add(sender)
         if promise.accepted_view is not None and promise.accepted_number > self._highest_accepted_number:
-            self._highest_accepted_number, self._accepted_view = (
-                promise.accepted_number,
-                promise.accepted_view,
-            )
+            self._highest_accepted_number = promise.accepted_number
+            self._accepted_view = promise.accepted_view
         if len(self._promised) < self.base.majority():
             return False
         self.is_own_proposal = self._accepted_view is None
         self.proposal = self._accepted_view or self._build(frozenset(self._promised))
-        self._become(Phase.ACCEPTING)
+        self._enter(Phase.ACCEPTING)
         return True
 
-    def take_accepted(self, sender: str, accepted: Accepted) -> bool:
+    def handle_accepted(self, sender: str, accepted: Accepted) -> bool:
         """Whether this acceptance completes the majority: `proposal` is decided."""
         if self.phase is not Phase.ACCEPTING or not self._concerns(sender, accepted.epoch, accepted.number):
             return False
         self._accepted.add(sender)
         if len(self._accepted) < self.base.majority():
             return False
-        self._become(Phase.DECIDED)
+        self._enter(Phase.DECIDED)
         return True
 
-    def _become(self, phase: Phase) -> None:
+    def _enter(self, phase: Phase) -> None:
+        """The one place where the phase changes."""
+        assert phase in PHASE_TRANSITIONS[self.phase], f"{self.phase} to {phase}"
         self.phase = phase
 
     def _concerns(self, sender: str, epoch: int, number: ProposalNumber) -> bool:
--- a/madderwind/replication/records.py
+++ b/madderwind/replication/records.py
@@ -15,7 +15,12 @@
 
 
 class IdentityRecord(Record, frozen=True, tag="IdentityRecord"):
-    """Who the file belongs to. `bootstrap`: founded at the very first start of the system."""
+    """Who the file belongs to.
+
+    Attributes:
+        incarnation: Drawn when the file was created; lasts as long as the disk.
+        bootstrap: Whether that was at the very first start of the system.
+    """
 
     incarnation: str
     bootstrap: bool
@@ -28,7 +33,7 @@
 
 
 class WitnessRecord(Record, frozen=True, tag="WitnessRecord"):
-    """What this witness promised and accepted about the epoch that follows the newest view."""
+    """What this witness promised and accepted for the epoch that follows the newest view."""
 
     promised: ProposalNumber
     accepted_number: ProposalNumber
@@ -36,7 +41,7 @@
 
 
 class EntryRecord(Record, frozen=True, tag="EntryRecord"):
-    """The next entry of the log. `committed_index`: how far the log was known to be committed then."""
+    """The next entry of the log; `committed_index`: how far the log was known to be committed then."""
 
     entry: LogEntry
     committed_index: int
@@ -62,7 +67,7 @@
 
 
 class StoredState:
-    """Everything that a replica's file tells. `snapshot` is the state at `snapshot_index`."""
+    """Everything that a replica's file tells; `snapshot` is the state at `snapshot_index`."""
 
     def __init__(self) -> None:
         self.identity: IdentityRecord | None = None
@@ -73,7 +78,7 @@
         self.snapshot_index = 0
         self.committed_index = 0
 
-    def take(self, record: StoredRecord) -> None:
+    def apply(self, record: StoredRecord) -> None:
         """Add the next record of the file."""
         match record:
             case IdentityRecord():
@@ -83,9 +88,9 @@
                 self.witness = WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None)
             case WitnessRecord():
                 self.witness = record
-            case EntryRecord(entry, committed):
+            case EntryRecord(entry, committed_index):
                 self.log.append(entry)
-                self.committed_index = max(self.committed_index, committed)
+                self.committed_index = max(self.committed_index, committed_index)
             case TruncateRecord(last_index):
                 self.log.truncate(last_index)
             case SnapshotRecord(index, epoch, state):
@@ -95,10 +100,14 @@
 
 
 def stored_state(records: tuple[bytes, ...]) -> StoredState:
-    """The state in a file's records; MessageError where one is of another kind."""
+    """The state in a file's records.
+
+    Raises:
+        MessageError: A record is of an unknown kind, or the file does not name its owner.
+    """
     state = StoredState()
     for record in records:
-        state.take(stored_records.decode(record))
+        state.apply(stored_records.decode(record))
     if records and state.identity is None:
-        raise MessageError("the file does not tell whose it is")
+        raise MessageError("the file has no identity record")
     return state
--- a/madderwind/replication/witness.py
+++ b/madderwind/replication/witness.py
@@ -1,4 +1,4 @@
-"""This replica as a witness: how it answers those who propose a view."""
+"""This replica as a witness: how it answers replicas that propose a view."""
 
 from __future__ import annotations
 
@@ -8,104 +8,107 @@
     AcceptedBroadcast,
     Prepare,
     Promise,
+    ProposalNumber,
     Rejected,
     View,
 )
-from madderwind.replication.core import ReplicaCore
+from madderwind.replication.context import ReplicaContext
 from madderwind.replication.follower import Follower
-from madderwind.replication.roles import Roles
+from madderwind.replication.role_machine import RoleMachine
 
 
-class WitnessRole:
-    """Promises and accepts on behalf of the register of views, and protects a primary that it hears."""
+class Witness:
+    """Promises and accepts on behalf of the register of views, and protects a primary that is at work."""
 
-    def __init__(self, core: ReplicaCore, follower: Follower, roles: Roles, now_ms: float) -> None:
-        self._core, self._follower, self._roles = core, follower, roles
-        self._started_ms, self._started_epoch = now_ms, core.epoch
+    def __init__(
+        self, context: ReplicaContext, follower: Follower, roles: RoleMachine, now_ms: float
+    ) -> None:
+        self._context = context
+        self._me, self._store, self._outbox = context.me, context.store, context.outbox
+        self._follower, self._roles = follower, roles
+        self._started_ms, self._started_epoch = now_ms, context.store.epoch
 
-    def take_prepare(self, now_ms: float, sender_address: str, message: Prepare) -> None:
-        """Promise to go along with no lower proposal number, once that is on disk, or refuse."""
+    def handle_prepare(self, now_ms: float, sender_address: str, message: Prepare) -> None:
+        """Promise to go along with no lower number, once that is on disk, or reject."""
         if not self._is_open(now_ms, sender_address, message.sender, message.base):
             return
-        core, witness, epoch = self._core, self._core.witness, message.base.epoch + 1
-        hears_primary = self._protects_primary(now_ms, message)
-        is_repeated = witness.promised == message.number  # the promise was lost, or is not on disk yet
-        if hears_primary or not (is_repeated or witness.promise(message.number)):
-            refusal = Rejected(
-                core.me.incarnation, message.sender, epoch, message.number, witness.promised, hears_primary
-            )
-            core.send(sender_address, refusal)
+        register = self._store.register
+        primary_is_alive = self._protects_primary(now_ms, message)
+        is_repeated = register.promised == message.number  # the promise was lost, or is not on disk yet
+        if primary_is_alive or not (is_repeated or register.promise(message.number)):
+            self._reject(sender_address, message, primary_is_alive)
             return
         if not is_repeated:
-            core.record_witness()
-            if message.sender != core.me.incarnation:
+            self._store.record_witness()
+            if message.sender != self._me.incarnation:
                 self._roles.give_way(now_ms)
         promise = Promise(
-            core.me.incarnation,
-            message.sender,
-            epoch,
-            message.number,
-            witness.accepted_number,
-            witness.accepted_view,
-            self._follower.known_peers.statuses(now_ms),
+            sender=self._me.incarnation,
+            target=message.sender,
+            epoch=message.base.epoch + 1,
+            number=message.number,
+            accepted_number=register.accepted_number,
+            accepted_view=register.accepted_view,
+            peers=self._follower.known_peers.statuses(now_ms),
         )
-        core.send_once_synced(sender_address, promise)
+        self._store.send_once_synced(sender_address, promise)
 
-    def take_accept(self, now_ms: float, sender_address: str, message: Accept) -> None:
-        """Accept a proposal, once that is on disk, or refuse."""
+    def handle_accept(self, now_ms: float, sender_address: str, message: Accept) -> None:
+        """Accept a proposal, once that is on disk, or reject."""
         epoch = message.base.epoch + 1
         if message.view.epoch != epoch:
             return
         if not self._is_open(now_ms, sender_address, message.sender, message.base):
             return
-        core, witness = self._core, self._core.witness
-        is_repeated = witness.accepted_number == message.number
-        if not witness.accept(message.number, message.view):
-            refusal = Rejected(
-                core.me.incarnation, message.sender, epoch, message.number, witness.promised, False
-            )
-            core.send(sender_address, refusal)
+        register = self._store.register
+        is_repeated = register.accepted_number == message.number
+        if not register.accept(message.number, message.view):
+            self._reject(sender_address, message, primary_is_alive=False)
             return
         if not is_repeated:
-            core.record_witness()
-        accepted = Accepted(core.me.incarnation, message.sender, epoch, message.number)
-        core.send_once_synced(sender_address, accepted)
-        self._broadcast_accepted(message)
+            self._store.record_witness()
+        accepted = Accepted(self._me.incarnation, message.sender, epoch, message.number)
+        self._store.send_once_synced(sender_address, accepted)
+        self._broadcast_accepted(message.sender, message.base, message.number, message.view)
 
-    def _broadcast_accepted(self, message: Accept) -> None:
-        """Tell all whom the decision concerns, this replica too: the proposer may be gone before it does."""
-        core = self._core
-        concerned = dict.fromkeys((*message.base.members, *message.view.members))
-        for member in concerned:
-            if member.incarnation != message.sender:
-                notice = AcceptedBroadcast(
-                    core.me.incarnation, member.incarnation, message.number, message.view
-                )
-                core.send_once_synced(member.address, notice)
+    def _reject(self, address: str, message: Prepare | Accept, primary_is_alive: bool) -> None:
+        rejection = Rejected(
+            sender=self._me.incarnation,
+            target=message.sender,
+            epoch=message.base.epoch + 1,
+            number=message.number,
+            promised=self._store.register.promised,
+            primary_is_alive=primary_is_alive,
+        )
+        self._outbox.send(address, rejection)
+
+    def _broadcast_accepted(self, proposer: str, base: View, number: ProposalNumber, view: View) -> None:
+        """Tell all whom the decision concerns, this replica too: the proposer may be lost before it does."""
+        for member in dict.fromkeys((*base.members, *view.members)):
+            if member.incarnation != proposer:
+                broadcast = AcceptedBroadcast(self._me.incarnation, member.incarnation, number, view)
+                self._store.send_once_synced(member.address, broadcast)
 
     def _is_open(self, now_ms: float, sender_address: str, sender: str, base: View) -> bool:
         """Whether the epoch after `base` is open as far as this witness knows, and it has a vote there."""
         self._roles.adopt(now_ms, base)
-        if self._core.epoch > base.epoch:
-            self._core.notify_view(sender_address, sender)
+        if self._store.epoch > base.epoch:
+            self._context.notify_view(sender_address, sender)
             return False
-        # The founding is begun by one replica alone, so what its base was in an earlier life does not matter.
-        is_same = self._core.view == base or base.epoch == 0
-        return is_same and base.has_member(self._core.me.incarnation)
+        # The founding is begun by one replica alone, so what its base was before a restart does not matter.
+        is_same = self._store.view == base or base.epoch == 0
+        return is_same and base.has_member(self._me.incarnation)
 
     def _protects_primary(self, now_ms: float, message: Prepare) -> bool:
         """Whether the primary is at work as far as can be told, so that nobody else is to take its place."""
-        core, view = self._core, self._core.view
-        if (
-            view is None
-            or core.epoch == 0
-            or message.leadership_transferred
-            or message.sender == view.primary
-        ):
+        store, times = self._store, self._context.times
+        if store.view is None or store.epoch == 0:
+            return False
+        if message.leadership_transferred or message.sender == store.view.primary:
             return False
         if self._roles.is_primary:
             return True
-        is_just_started = now_ms < self._started_ms + core.times.grace_ms
-        if is_just_started and core.epoch == self._started_epoch:
-            return True  # it may have heard that primary just before
-        return self._follower.hears_primary(now_ms, core.times.witness_lease_ms)
+        is_just_started = now_ms < self._started_ms + times.grace_ms
+        if is_just_started and store.epoch == self._started_epoch:
+            return True  # a message of that primary may have come just before
+        return self._follower.has_recent_message(now_ms, times.witness_lease_ms)
--- a/madderwind/structured_log.py
+++ b/madderwind/structured_log.py
@@ -13,6 +13,9 @@
 import msgspec
 import structlog
 
+from madderwind.log_events.event import Level, LogLine
+from madderwind.log_events.shared import LOG_LINES_DROPPED
+
 FLUSH_S = 0.2
 MOST_GATHERED_BYTES = 64 * 1024
 # While nobody reads the log, so much of it is kept; more is dropped and counted.
@@ -21,6 +24,12 @@
 Log = structlog.typing.FilteringBoundLogger
 
 
+def write_line(log: Log, line: LogLine) -> None:
+    """Write one line of a named event."""
+    write = log.warning if line.event.level is Level.WARNING else log.info
+    write(line.event.name, **line.fields)
+
+
 class BatchedOutput:
     """Gathers lines and writes them in one go, a few times a second."""
 
@@ -52,7 +61,7 @@
             self._plan()
         elif self._dropped:
             dropped, self._dropped = self._dropped, 0
-            self.write_line(msgspec.json.encode({"event": "log lines dropped", "count": dropped}))
+            self.write_line(msgspec.json.encode({"event": LOG_LINES_DROPPED.name, "count": dropped}))
 
     def _write(self, data: bytes) -> bytes:
         """Write as much as the reader takes; the rest."""
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -12,7 +12,7 @@
 from madderwind.controlplane.core import TICK_MS
 from madderwind.distribution.subscriber import CURRENT_MS
 from madderwind.errors import MadderwindError
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.data_plane import DataPlane
@@ -178,10 +178,10 @@
         record = CommandCall(intent, machine.address, self._clock.now_ms)
 
         def ended(result: CommandResult | None) -> None:
-            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
+            if result is not None and result.outcome is not CommandOutcome.UNKNOWN:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self.history.answered(record)
-                if result.outcome is not CommandOutcome.TAKEN:
+                if result.outcome is not CommandOutcome.COMMITTED:
                     raise Violation(f"a command in calm times is refused: {record}: {result}")
                 return
             others = list(self.system.machines.values())
@@ -260,9 +260,9 @@
 def keeping_little() -> Iterator[None]:
     """Logs and histories that let go of commands soon, and files that are rewritten often."""
     with (
-        patch("madderwind.replication.log.KEPT_ENTRIES", SHORT_KEPT),
+        patch("madderwind.replication.log.RETAINED_ENTRIES", SHORT_KEPT),
         patch("madderwind.configuration.history.KEPT_COMMANDS", SHORT_KEPT),
-        patch("madderwind.replication.journal.LONG_FILE_BYTES", SHORT_FILE_BYTES),
+        patch("madderwind.replication.journal.REWRITE_FROM_BYTES", SHORT_FILE_BYTES),
     ):
         yield
 
--- a/tests/campaign/chain.py
+++ b/tests/campaign/chain.py
@@ -9,7 +9,7 @@
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.configuration.reading import Document
 from madderwind.messages.distribution import CommandRecord
-from madderwind.replication.api import Command, CommandResult
+from madderwind.replication.commands import Command, CommandResult
 
 
 @attrs.frozen(eq=False)
@@ -58,8 +58,8 @@
     def commands_since(self, version: int) -> tuple[CommandRecord, ...] | None:
         return self.inner.commands_since(version)
 
-    def decide(self, command: Command) -> CommandResult | None:
-        return self.inner.decide(command)
+    def validate(self, command: Command) -> CommandResult | None:
+        return self.inner.validate(command)
 
     def apply(self, command: Command) -> None:
         self.inner.apply(command)
--- a/tests/campaign/control_disk.py
+++ b/tests/campaign/control_disk.py
@@ -8,7 +8,9 @@
 
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.errors import StorageError
-from madderwind.replication.api import Command, CommandOutcome, Rewrite, Write, WriteCompleted, WriteFailed
+from madderwind.replication.actions import Rewrite, Write
+from madderwind.replication.commands import Command, CommandOutcome
+from madderwind.replication.events import WriteCompleted, WriteFailed
 from madderwind.replication.records import stored_state
 from madderwind.storage.record_file import RecordFile, RecoveredFile
 from tests.campaign.process import Process
@@ -82,8 +84,8 @@
                 return True
         if stored.snapshot is None:
             return False
-        result = ConfigurationHistory.restore(stored.snapshot).decide(command)
-        return result is not None and result.outcome is CommandOutcome.TAKEN
+        result = ConfigurationHistory.restore(stored.snapshot).validate(command)
+        return result is not None and result.outcome is CommandOutcome.COMMITTED
 
     def _begin(self) -> None:
         self._batch = [self._queue.popleft()]
--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -10,7 +10,6 @@
 from madderwind.controlplane.effects import (
     CommandEnded,
     Effect,
-    LogLine,
     ReadEnded,
     SaveRegistry,
     SendToPeer,
@@ -18,6 +17,8 @@
 )
 from madderwind.controlplane.process import END_RESERVE_S, REST_CHECK_S, ConfigurationReplica
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.log_events.control_plane import VIEW_CHANGED
+from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import (
     Freshness,
     Subscribe,
@@ -29,16 +30,12 @@
 from madderwind.messages.peering import PeerFrame, peer_frames
 from madderwind.messages.replication import View
 from madderwind.node_settings import Bounds
-from madderwind.replication.api import (
-    Command,
-    CommandOutcome,
-    CommandResult,
-    LeaveRequested,
-    ReplicaStatus,
-    Rewrite,
-    Write,
-)
-from madderwind.replication.replica import Replica
+from madderwind.replication.actions import Rewrite, Write
+from madderwind.replication.commands import Command, CommandOutcome, CommandResult
+from madderwind.replication.events import ShutdownRequested
+from madderwind.replication.replica import Replica, ReplicaOptions
+from madderwind.replication.status import ReplicaStatus
+from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
 from tests.campaign.chain import ChainedHistory, Snapshots
 from tests.campaign.connections import Connection
@@ -54,7 +51,7 @@
 HEARTBEAT_MS = 1_000.0
 SYNC_MS = 1.0
 GRACE_S = Bounds().grace_s
-UNCLEAR = CommandResult(CommandOutcome.UNCLEAR)
+UNCLEAR = CommandResult(CommandOutcome.UNKNOWN)
 
 
 class Observer(Protocol):
@@ -132,18 +129,22 @@
 
     def _new_replica(self, bootstrap: bool, rng: random.Random) -> Replica:
         return Replica(
-            identity_address=self.address,
-            zone="zone",
-            control_address=f"control-{self.address}",
-            seeds=self.seeds,
-            bootstrap=bootstrap,
-            tolerance=self.tolerance,
-            recovered=self.disk.recover(),
-            empty_state=lambda: ChainedHistory(self._snapshots),
-            restore_state=lambda data: ChainedHistory.restore(self._snapshots, data),
-            rng=rng,
-            now_ms=self.clock.now_ms,
-            times=ReplicationTimes(),
+            ReplicaOptions(
+                address=self.address,
+                control_address=f"control-{self.address}",
+                zone="zone",
+                seeds=self.seeds,
+                bootstrap=bootstrap,
+                tolerance=self.tolerance,
+                times=ReplicationTimes(),
+            ),
+            self.disk.recover(),
+            StateFactory(
+                lambda: ChainedHistory(self._snapshots),
+                lambda data: ChainedHistory.restore(self._snapshots, data),
+            ),
+            rng,
+            self.clock.now_ms,
         )
 
     def kill(self, has_power: bool = True) -> None:
@@ -177,7 +178,9 @@
             return
         self.is_leaving = True
         deadline_ms = self.clock.now_ms + (GRACE_S - END_RESERVE_S) * MS_PER_S
-        self.post(self.life, lambda: self._do(lambda core: core.replica_event(self._now, LeaveRequested())))
+        self.post(
+            self.life, lambda: self._do(lambda core: core.replica_event(self._now, ShutdownRequested()))
+        )
         self.later(REST_CHECK_S * MS_PER_S, lambda: self._end_when_at_rest(deadline_ms))
 
     def _end_when_at_rest(self, deadline_ms: float) -> None:
@@ -365,12 +368,12 @@
 
     def _end_command(self, call: int, result: CommandResult) -> None:
         command, reply = self._commands.pop(call)
-        if result.outcome is CommandOutcome.TAKEN:
+        if result.outcome is CommandOutcome.COMMITTED:
             self._observer.command_taken(self, command)
         reply(result)
 
     def _note_line(self, line: LogLine) -> None:
-        if line.event == "view" and self.replica is not None and self.replica.view is not None:
+        if line.event is VIEW_CHANGED and self.replica is not None and self.replica.view is not None:
             self._observer.view_known(self, self.replica.view)
 
     def _send_to_peer(self, address: str, message: PeerFrame) -> None:
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -11,7 +11,7 @@
 from madderwind.messages.distribution import Freshness
 from madderwind.messages.replication import View
 from madderwind.registry.states import UpstreamState, furthest, state_named
-from madderwind.replication.api import Command, CommandOutcome
+from madderwind.replication.commands import Command, CommandOutcome
 from tests.campaign.chain import Link
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.data_plane import DataPlane
@@ -85,7 +85,7 @@
         assert call.ended_ms is not None and call.result is not None
         self.calls.append(call)
         intent = call.intent
-        if call.result.outcome is not CommandOutcome.TAKEN:
+        if call.result.outcome is not CommandOutcome.COMMITTED:
             is_final = call.result.version >= intent.command.base_version
             if intent.acknowledged_ms is not None and is_final:
                 raise Violation(f"acknowledged at {intent.acknowledged_ms:.0f} ms and refused: {call}")
@@ -244,7 +244,7 @@
 
 def _answered(call: CommandCall) -> linearizability.CommandCall:
     assert call.result is not None and call.ended_ms is not None
-    told_version = None if call.result.outcome is CommandOutcome.TAKEN else call.result.version
+    told_version = None if call.result.outcome is CommandOutcome.COMMITTED else call.result.version
     return attrs.evolve(
         _command_call(call.intent, call.began_ms),
         end_ms=call.ended_ms,
--- a/tests/campaign/operators.py
+++ b/tests/campaign/operators.py
@@ -8,7 +8,7 @@
 import attrs
 
 from madderwind.controlplane.effects import ReadEnded
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.history import History
@@ -101,7 +101,7 @@
         record = CommandCall(intent, machine.address, self._clock.now_ms)
 
         def ended(result: CommandResult | None) -> None:
-            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
+            if result is not None and result.outcome is not CommandOutcome.UNKNOWN:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self._history.answered(record)
                 self._base = max(self._base, result.version)
--- a/tests/campaign/records.py
+++ b/tests/campaign/records.py
@@ -8,7 +8,7 @@
 import attrs
 
 from madderwind.configuration.reading import Document
-from madderwind.replication.api import Command, CommandKind, CommandResult
+from madderwind.replication.commands import Command, CommandKind, CommandResult
 from tests.controlplane.configurations import replacement_body, route
 
 # Routes of the configurations; the first one's timeout tells which command was the last.
--- a/tests/campaign/stable_watch.py
+++ b/tests/campaign/stable_watch.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.losses import LossLedger
@@ -65,11 +65,11 @@
         record = CommandCall(intent, machine.address, self._clock.now_ms)
 
         def ended(result: CommandResult | None) -> None:
-            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
+            if result is not None and result.outcome is not CommandOutcome.UNKNOWN:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self._history.answered(record)
                 demand.is_answered = True
-                if result.outcome is CommandOutcome.TAKEN:
+                if result.outcome is CommandOutcome.COMMITTED:
                     self._clock.after(APPLIED_WITHIN_MS, lambda: self._demand_force(intent))
             elif self._is_active:
                 self._clock.after(RETRY_MS, lambda: self._call(machines, turn + 1, demand))
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -15,10 +15,12 @@
 from madderwind.controlplane.upstreams import Upstreams
 from madderwind.distribution.publisher import Publisher
 from madderwind.messages.distribution import Freshness
-from madderwind.replication.api import Command, CommandOutcome, CommandResolved, CommandResult
-from madderwind.replication.core import ReplicaCore
+from madderwind.replication.actions import CommandResolved
+from madderwind.replication.commands import Command, CommandOutcome, CommandResult
+from madderwind.replication.lease import Lease
 from madderwind.replication.primary import Primary
 from madderwind.replication.records import SnapshotRecord, StoredRecord
+from madderwind.replication.store import ReplicaStore
 from tests.campaign.campaign import Campaign, Schedule, draw_schedule
 from tests.campaign.faults import Fault, FaultKind, LossCount, Victim
 from tests.campaign.system import Plan
@@ -30,14 +32,14 @@
 ordinary_submit = Primary.submit
 ordinary_calls = OperatorCalls.__init__
 ordinary_call = OperatorCalls.submit
-ordinary_file = ReplicaCore._whole_file
+ordinary_records = ReplicaStore.all_records
 ordinary_freshness = Publisher._freshness_message
 
 
 def refuse_without_a_fence(primary: Primary, now_ms: float, token: int, command: Command) -> None:
-    result = primary._appended.decide(command)
-    if result is not None and result.outcome is not CommandOutcome.TAKEN:
-        primary._core.actions.append(CommandResolved(token, result))
+    result = primary._appended.validate(command)
+    if result is not None and result.outcome is not CommandOutcome.COMMITTED:
+        primary._outbox.add(CommandResolved(token, result))
     else:
         ordinary_submit(primary, now_ms, token, command)
 
@@ -61,10 +63,10 @@
     file.synced, file.writes = file.data(), []
 
 
-def file_with_an_older_snapshot(core: ReplicaCore) -> list[StoredRecord]:
-    records = ordinary_file(core)
-    known: bytes | None = getattr(core, "older_snapshot", None)
-    core.older_snapshot = core.committed.snapshot()  # type: ignore[attr-defined]
+def records_with_an_older_snapshot(store: ReplicaStore) -> list[StoredRecord]:
+    records = ordinary_records(store)
+    known: bytes | None = getattr(store, "older_snapshot", None)
+    store.older_snapshot = store.committed.snapshot()  # type: ignore[attr-defined]
     return [
         SnapshotRecord(record.index, record.epoch, known)
         if isinstance(record, SnapshotRecord) and known is not None
@@ -86,7 +88,7 @@
     for call in list(calls._calls.values()):
         is_placed = call.caller == caller and outputs and calls._status().is_primary
         if is_placed and isinstance(caller, PeerCaller) and command is not None:
-            call.result = CommandResult(CommandOutcome.TAKEN, command.base_version + 1)
+            call.result = CommandResult(CommandOutcome.COMMITTED, command.base_version + 1)
             return outputs + calls._end(call)
     return outputs
 
@@ -95,8 +97,8 @@
     ordinary_calls(calls, 0, *others)  # type: ignore[arg-type]
 
 
-def tail_called_fresh(primary: Primary) -> float | None:
-    return primary.rounds.confirmed_ms
+def tail_called_fresh(lease: Lease) -> float | None:
+    return lease.rounds.confirmed_ms
 
 
 def restarts_under_way(seed: int) -> Schedule:
@@ -150,7 +152,7 @@
             self.assert_found([27])
 
     def test_given_a_snapshot_older_than_the_log_then_it_is_found(self) -> None:
-        with patch.object(ReplicaCore, "_whole_file", file_with_an_older_snapshot):
+        with patch.object(ReplicaStore, "all_records", records_with_an_older_snapshot):
             self.assert_found([8])
 
     def test_given_a_forwarded_command_acknowledged_before_its_commit_then_it_is_found(self) -> None:
@@ -158,7 +160,7 @@
             self.assert_found([2])
 
     def test_given_a_tail_that_is_not_committed_called_fresh_then_it_is_found(self) -> None:
-        with patch.object(Primary, "fresh_ms", property(tail_called_fresh)):
+        with patch.object(Lease, "fresh_ms", property(tail_called_fresh)):
             self.assert_found([46])
 
     def test_given_freshness_without_its_age_then_it_is_found(self) -> None:
--- a/tests/configuration/cost_of_change.py
+++ b/tests/configuration/cost_of_change.py
@@ -16,7 +16,7 @@
 from madderwind.configuration.history import KEPT_DIGESTS, ConfigurationHistory
 from madderwind.configuration.reading import Document, read_document
 from madderwind.dataplane.admission import Admission
-from madderwind.replication.api import Command, CommandKind
+from madderwind.replication.commands import Command, CommandKind
 from tests.configuration.samples import encoded, route, tenant, whole
 
 SIZES = (100, 2_000, 16_000)
@@ -111,7 +111,7 @@
             command = Command(
                 CommandKind.UPDATE, version - 1, one_route_update(version, version % self._routes)
             )
-            assert appended.decide(command) is None
+            assert appended.validate(command) is None
             appended.apply(command)
             states[:] = [appended.copy()]
 
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -12,7 +12,7 @@
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.configuration.reading import Document
 from madderwind.errors import InvalidConfiguration, MessageError
-from madderwind.replication.api import Command, CommandKind, CommandOutcome, ReplicatedState
+from madderwind.replication.commands import Command, CommandKind, CommandOutcome, ReplicatedState
 from tests.configuration.samples import encoded, route, tenant, whole
 
 
@@ -29,12 +29,12 @@
         self.history = ConfigurationHistory()
 
     def outcome(self, command: Command) -> CommandOutcome | None:
-        result = self.history.decide(command)
+        result = self.history.validate(command)
         return None if result is None else result.outcome
 
     def take(self, *commands: Command) -> None:
         for command in commands:
-            self.assertIsNone(self.history.decide(command))
+            self.assertIsNone(self.history.validate(command))
             self.history.apply(command)
 
 
@@ -49,7 +49,7 @@
 
     def test_one_of_two_operators_on_the_same_base_wins(self) -> None:
         self.take(replacement(0, 7), replacement(7, 9))
-        loser = self.history.decide(replacement(7, 9, routes=[route("x")]))
+        loser = self.history.validate(replacement(7, 9, routes=[route("x")]))
         assert loser is not None
         self.assertEqual((loser.outcome, loser.version), (CommandOutcome.STALE_BASE, 9))
 
@@ -57,9 +57,9 @@
         commands = [replacement(0, 7), update(7, 9, delete={"routes": ["a"]}), replacement(9, 12)]
         self.take(*commands)
         for command in commands:
-            result = self.history.decide(command)
+            result = self.history.validate(command)
             assert result is not None
-            self.assertEqual((result.outcome, result.version), (CommandOutcome.TAKEN, 12))
+            self.assertEqual((result.outcome, result.version), (CommandOutcome.COMMITTED, 12))
 
     def test_the_same_body_on_another_base_or_of_another_kind_is_another_command(self) -> None:
         self.take(replacement(0, 7))
@@ -78,7 +78,7 @@
             (Command(CommandKind.REPLACE, 7, replacement(7, 9).body[:-9]), "document"),
         ):
             with self.subTest(field):
-                result = self.history.decide(command)
+                result = self.history.validate(command)
                 assert result is not None
                 self.assertEqual((result.outcome, result.field), (CommandOutcome.INVALID, field))
                 self.assertTrue(result.reason)
@@ -102,10 +102,10 @@
         self.take(replacement(0, 7))
         ahead = self.history.copy()
         command = update(7, 9, delete={"routes": ["a"]})
-        self.assertIsNone(ahead.decide(command))
+        self.assertIsNone(ahead.validate(command))
         ahead.apply(command)
         self.assertEqual((self.history.version, ahead.version), (7, 9))
-        self.assertIsNone(self.history.decide(command))
+        self.assertIsNone(self.history.validate(command))
         self.assertEqual(self.history.commands_since(7), ())
 
     def test_two_branches_on_the_same_number_are_told_apart(self) -> None:
@@ -114,11 +114,11 @@
         other = self.history.copy()
         self.take(replacement(7, 9))
         first = replacement(7, 9, routes=[route("a"), route("z")])
-        self.assertIsNone(other.decide(first))
+        self.assertIsNone(other.validate(first))
         other.apply(first)
         second = update(9, 11, delete={"routes": ["b"]})
         self.take(second)
-        self.assertIsNone(other.decide(second))
+        self.assertIsNone(other.validate(second))
         other.apply(second)
         self.assertEqual([r.name for r in _configuration(self.history).routes], ["a", "c"])
         self.assertEqual([r.name for r in _configuration(other).routes], ["a", "z"])
@@ -139,9 +139,9 @@
         restored = ConfigurationHistory.restore(self.history.snapshot())
         self.assertEqual(restored.version, 9)
         for command in commands:
-            result = restored.decide(command)
+            result = restored.validate(command)
             assert result is not None
-            self.assertEqual(result.outcome, CommandOutcome.TAKEN)
+            self.assertEqual(result.outcome, CommandOutcome.COMMITTED)
         self.assertEqual(_document(restored).raw, _document(self.history).raw)
         self.assertEqual(_configuration(restored), _configuration(self.history))
         self.assertEqual(restored.commands_since(7), self.history.commands_since(7))
@@ -162,8 +162,8 @@
         self.history = ConfigurationHistory.restore(first_form)
 
         self.assertEqual(self.history.version, 6)
-        self.assertEqual([self.outcome(command) for command in commands[:3]], [CommandOutcome.UNCLEAR] * 3)
-        self.assertEqual([self.outcome(command) for command in commands[3:]], [CommandOutcome.TAKEN] * 3)
+        self.assertEqual([self.outcome(command) for command in commands[:3]], [CommandOutcome.UNKNOWN] * 3)
+        self.assertEqual([self.outcome(command) for command in commands[3:]], [CommandOutcome.COMMITTED] * 3)
         self.assertEqual(self.outcome(replacement(5, 9)), CommandOutcome.STALE_BASE)
 
     def test_bytes_that_are_no_snapshot(self) -> None:
@@ -222,7 +222,7 @@
 
     def test_digests_are_kept_much_longer(self) -> None:
         self.grow(history_module.KEPT_COMMANDS + 10)
-        self.assertEqual(self.outcome(replacement(0, 1)), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(replacement(0, 1)), CommandOutcome.COMMITTED)
 
 
 class OrdersOlderThanAllDigests(HistoryCase):
@@ -235,18 +235,18 @@
 
     def test_given_a_command_whose_digest_is_kept_then_it_is_acknowledged_again(self) -> None:
         for command in self.commands[-4:]:
-            self.assertEqual(self.outcome(command), CommandOutcome.TAKEN)
+            self.assertEqual(self.outcome(command), CommandOutcome.COMMITTED)
 
     def test_given_a_taken_command_whose_digest_is_forgotten_then_it_is_not_refused(self) -> None:
         for command in self.commands[:-4]:
-            self.assertEqual(self.outcome(command), CommandOutcome.UNCLEAR)
+            self.assertEqual(self.outcome(command), CommandOutcome.UNKNOWN)
 
     def test_given_another_command_on_a_base_that_is_kept_then_it_is_refused(self) -> None:
         self.assertEqual(self.outcome(update(6, 99)), CommandOutcome.STALE_BASE)
         self.assertEqual(self.outcome(update(99, 100)), CommandOutcome.STALE_BASE)
 
     def test_given_a_command_on_a_base_that_is_forgotten_then_whether_it_was_taken_is_unclear(self) -> None:
-        self.assertEqual(self.outcome(update(2, 99)), CommandOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(update(2, 99)), CommandOutcome.UNKNOWN)
 
     def test_given_a_snapshot_then_the_same_is_known_and_the_same_forgotten(self) -> None:
         outcomes = [self.outcome(command) for command in self.commands]
--- a/tests/controlplane/configurations.py
+++ b/tests/controlplane/configurations.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from madderwind.replication.api import Command, CommandKind
+from madderwind.replication.commands import Command, CommandKind
 
 
 def route(number: int, timeout_ms: int = 1000) -> dict[str, Any]:
--- a/tests/controlplane/cut_scenarios.py
+++ b/tests/controlplane/cut_scenarios.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.campaign import Campaign, Schedule
 from tests.campaign.control_machine import ControlMachine
@@ -179,7 +179,7 @@
         record = CommandCall(intent, victim.address, self._clock.now_ms)
 
         def ended(result: CommandResult | None) -> None:
-            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
+            if result is not None and result.outcome is not CommandOutcome.UNKNOWN:
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self.history.answered(record)
 
--- a/tests/controlplane/fleet.py
+++ b/tests/controlplane/fleet.py
@@ -10,16 +10,16 @@
 from madderwind.controlplane.effects import (
     CommandEnded,
     Effect,
-    LogLine,
     ReadEnded,
     SaveRegistry,
     SendToPeer,
     UpstreamAnswered,
 )
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import Subscribe, ToControlPlane, ToDataPlane
 from madderwind.messages.peering import PeerFrame, peer_frames
-from madderwind.replication.api import Command
+from madderwind.replication.commands import Command
 from tests.controlplane.scripted_replica import ScriptedReplica
 
 HEARTBEAT_MS = 1000.0
--- a/tests/controlplane/scripted_replica.py
+++ b/tests/controlplane/scripted_replica.py
@@ -3,19 +3,10 @@
 from __future__ import annotations
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.replication.api import (
-    Action,
-    Command,
-    CommandOutcome,
-    CommandResolved,
-    CommandResult,
-    CommandSubmitted,
-    Committed,
-    Event,
-    ReadResolved,
-    ReadSubmitted,
-    ReplicaStatus,
-)
+from madderwind.replication.actions import Action, CommandResolved, Committed, ReadResolved
+from madderwind.replication.commands import Command, CommandOutcome, CommandResult
+from madderwind.replication.events import CommandSubmitted, Event, ReadSubmitted
+from madderwind.replication.status import ReplicaStatus
 
 
 class ScriptedReplica:
@@ -62,11 +53,11 @@
 
     def _command(self, token: int, command: Command) -> list[Action]:
         if not self._is_primary():
-            return [CommandResolved(token, CommandResult(CommandOutcome.UNCLEAR))]
-        result = self.history.decide(command)
+            return [CommandResolved(token, CommandResult(CommandOutcome.UNKNOWN))]
+        result = self.history.validate(command)
         if result is not None:
             return [CommandResolved(token, result)]
         self.history.apply(command)
         version = self.history.version
-        taken = CommandResult(CommandOutcome.TAKEN, version)
+        taken = CommandResult(CommandOutcome.COMMITTED, version)
         return [Committed(version), CommandResolved(token, taken)]
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -23,7 +23,7 @@
 )
 from madderwind.messages.peering import CommandReply
 from madderwind.registry.registry import FORGET_AFTER_MS
-from madderwind.replication.api import CommandOutcome
+from madderwind.replication.commands import CommandOutcome
 from tests.controlplane.configurations import replacement, replacement_body
 from tests.controlplane.fleet import ControlPlaneInMemory, FleetInMemory
 
@@ -47,14 +47,14 @@
     def test_the_primary_takes_a_command_and_a_read_gives_it_back(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.submit(self.first, 1, replacement(0, 5))
-        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.COMMITTED)
         self.fleet.submit(self.first, 2, None)
         self.assertEqual(self.first.reads[2].document, replacement_body(5))
 
     def test_another_forwards_the_command_and_the_read(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.COMMITTED)
         self.fleet.submit(self.third, 1, None)
         self.assertEqual(
             (self.third.reads[1].version, self.third.reads[1].document), (5, replacement_body(5))
@@ -73,7 +73,7 @@
         self.fleet.make_primary(self.first)
         for plane in self.fleet.planes:
             self.fleet.submit(plane, 1, replacement(0, 5))
-            self.assertEqual(self.outcome(plane, 1), CommandOutcome.TAKEN)
+            self.assertEqual(self.outcome(plane, 1), CommandOutcome.COMMITTED)
 
     def test_a_call_waits_for_a_primary(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
@@ -82,25 +82,25 @@
         self.assertEqual((self.second.commands, self.third.reads), ({}, {}))
         self.fleet.make_primary(self.first)
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.COMMITTED)
         self.assertIsNotNone(self.third.reads[1].document)
 
     def test_but_not_beyond_its_deadline(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.submit(self.second, 2, None)
         self.fleet.run(CALL_DEADLINE_MS + 25.0)
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
         self.assertIsNone(self.second.reads[2].document)
 
     def test_and_hardly_at_a_machine_that_is_cut_off(self) -> None:
         self.fleet.run(CUT_OFF_AFTER_MS + 25.0)
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.run(WAIT_WHEN_CUT_OFF_MS + 50.0)
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
         self.fleet.submit(self.second, 2, replacement(0, 5))
         self.fleet.make_primary(self.first)
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 2), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 2), CommandOutcome.COMMITTED)
 
     def test_a_large_body_is_given_longer(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5, routes=4000))
@@ -114,7 +114,7 @@
         self.fleet.run(200.0)
         self.fleet.make_primary(self.third, epoch=3)
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.COMMITTED)
 
     def test_a_call_forwarded_to_what_is_no_primary_tries_again(self) -> None:
         self.second.replica.primary = self.first.address
@@ -123,7 +123,7 @@
         self.fleet.run(100.0)
         self.first.replica.primary = self.first.address
         self.fleet.run(100.0)
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.COMMITTED)
 
     def test_a_call_at_a_primary_that_hangs_ends_unclear(self) -> None:
         self.fleet.make_primary(self.first)
@@ -131,8 +131,8 @@
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.run(CALL_DEADLINE_MS + 100.0)
-        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.UNCLEAR)
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNCLEAR)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.UNKNOWN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
 
     def test_a_reply_to_a_former_life_fits_no_call(self) -> None:
         self.fleet.make_primary(self.first)
@@ -159,21 +159,21 @@
         self.fleet.say(self.first, 1, FetchConfiguration(0))
         self.assertEqual(told(self.first, 1, ConfigurationSnapshot)[0].document, replacement_body(5))
         self.fleet.say(self.first, 1, ConfigurationApplied(5))
-        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.second, 1), CommandOutcome.COMMITTED)
 
     def test_at_most_for_a_while_and_once(self) -> None:
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.run(APPLY_WAIT_MS - 50.0)
         self.assertEqual(self.first.commands, {})
         self.fleet.run(75.0)
-        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.COMMITTED)
         self.fleet.submit(self.first, 2, replacement(5, 6))
-        self.assertEqual(self.outcome(self.first, 2), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 2), CommandOutcome.COMMITTED)
 
     def test_not_for_one_whose_connection_ends(self) -> None:
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.carry_out(self.first, self.first.core.data_plane_closed(self.fleet.now_ms, 1))
-        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.TAKEN)
+        self.assertEqual(self.outcome(self.first, 1), CommandOutcome.COMMITTED)
 
 
 class UpstreamsAreKnownEverywhere(FleetStory):
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -5,8 +5,8 @@
 import unittest
 from unittest.mock import patch
 
-from madderwind.replication.api import CommandResult
-from madderwind.replication.requests import WaitingRequests
+from madderwind.replication.commands import CommandResult
+from madderwind.replication.pending_requests import PendingRequests, Proof
 from tests.controlplane.cut_scenarios import Cut, CutScenario, Role, Shape
 from tests.fleet.history import Violation
 
@@ -59,24 +59,17 @@
         self.assert_holds(Role.LEARNER, Shape.ALL, 5_000.0)
 
 
-add_command, add_read = WaitingRequests.add_command, WaitingRequests.add_read
+add_command, add_read = PendingRequests.add_command, PendingRequests.add_read
 
 
 def add_command_without_a_fence(
-    requests: WaitingRequests,
-    token: int,
-    result: CommandResult,
-    index: int,
-    needed_round: int,
-    deadline_ms: float,
+    requests: PendingRequests, token: int, result: CommandResult, proof: Proof
 ) -> None:
-    add_command(requests, token, result, index, 0, deadline_ms)
+    add_command(requests, token, result, Proof(proof.index, 0, proof.deadline_ms))
 
 
-def add_read_without_a_fence(
-    requests: WaitingRequests, token: int, index: int, needed_round: int, deadline_ms: float
-) -> None:
-    add_read(requests, token, index, 0, deadline_ms)
+def add_read_without_a_fence(requests: PendingRequests, token: int, proof: Proof) -> None:
+    add_read(requests, token, Proof(proof.index, 0, proof.deadline_ms))
 
 
 class Mutants(unittest.TestCase):
@@ -91,12 +84,12 @@
         self.fail("no cut finds it")
 
     def test_a_refusal_without_a_fence(self) -> None:
-        mutant = patch.object(WaitingRequests, "add_command", add_command_without_a_fence)
+        mutant = patch.object(PendingRequests, "add_command", add_command_without_a_fence)
         with mutant, self.assertRaises(Violation):
             woken_primary().run_woken_primary()
 
     def test_a_read_without_a_fence(self) -> None:
-        with patch.object(WaitingRequests, "add_read", add_read_without_a_fence):
+        with patch.object(PendingRequests, "add_read", add_read_without_a_fence):
             self.assert_caught(*(Cut(Role.PRIMARY, Shape.FROZEN, 5_000.0, seed) for seed in range(1, 13)))
 
 
--- a/tests/controlplane/test_disk_thread.py
+++ b/tests/controlplane/test_disk_thread.py
@@ -8,7 +8,8 @@
 
 from madderwind.controlplane.disk_thread import Completion, DiskThread
 from madderwind.errors import StorageError
-from madderwind.replication.api import Rewrite, Write, WriteCompleted, WriteFailed
+from madderwind.replication.actions import Rewrite, Write
+from madderwind.replication.events import WriteCompleted, WriteFailed
 from madderwind.storage.record_file import RecordFile
 from madderwind.storage.records import decode_records
 
--- a/tests/controlplane/test_repeated_commands.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -8,7 +8,7 @@
 from unittest.mock import patch
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.replication.api import Command, CommandOutcome, CommandResult
+from madderwind.replication.commands import Command, CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.campaign import Campaign, Schedule, keeping_little
 from tests.campaign.control_machine import ControlMachine
@@ -63,7 +63,7 @@
         record = CommandCall(intent, machine.address, self.clock.now_ms)
 
         def ended(result: CommandResult | None) -> None:
-            if result is not None and result.outcome is not CommandOutcome.UNCLEAR:
+            if result is not None and result.outcome is not CommandOutcome.UNKNOWN:
                 record.ended_ms, record.result = self.clock.now_ms, result
                 self.history.answered(record)
                 answers.append(result)
@@ -92,7 +92,7 @@
         for number in range(count):
             make = update if number % 2 and self.base else replacement
             intent = self.intent(make, self.base, self.base + 1 + number % 3)
-            self.assertEqual(CommandOutcome.TAKEN, self.outcome(machines[number % len(machines)], intent))
+            self.assertEqual(CommandOutcome.COMMITTED, self.outcome(machines[number % len(machines)], intent))
             self.base = intent.version
             intents.append(intent)
         return intents
@@ -100,7 +100,7 @@
     def assert_taken_again(self, intents: list[Intent]) -> None:
         for machine in self.system.machines.values():
             for intent in intents:
-                self.assertEqual(CommandOutcome.TAKEN, self.outcome(machine, intent))
+                self.assertEqual(CommandOutcome.COMMITTED, self.outcome(machine, intent))
 
 
 class TheSameCommandAgain(CommandsStory):
@@ -162,7 +162,7 @@
         intent = self.intent(update, self.base, self.base + 1)
         answers = [self.send(machine, intent) for machine in self.system.machines.values()] * 2
         self.system.run(1_000.0)
-        self.assertEqual({CommandOutcome.TAKEN}, {answer[0].outcome for answer in answers})
+        self.assertEqual({CommandOutcome.COMMITTED}, {answer[0].outcome for answer in answers})
         self.finish()
 
 
@@ -178,7 +178,8 @@
             self.system.run(600.0)
             outcomes = [first[0].outcome, second[0].outcome]
             self.assertEqual(
-                sorted((CommandOutcome.TAKEN, CommandOutcome.STALE_BASE), key=str), sorted(outcomes, key=str)
+                sorted((CommandOutcome.COMMITTED, CommandOutcome.STALE_BASE), key=str),
+                sorted(outcomes, key=str),
             )
             again = [self.outcome(machines[(number + 2) % 3], rival) for rival in rivals]
             self.assertEqual(outcomes, again)
@@ -196,7 +197,7 @@
         self.system.run(2_000.0)
         other = self.others(old)[0]
         taken = self.intent(replacement, self.base, self.base + 1)
-        self.assertEqual(CommandOutcome.TAKEN, self.outcome(other, taken))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(other, taken))
         self.assertEqual([], answers)
         self.system.links.heal()
         self.system.run(2_000.0)
@@ -212,10 +213,10 @@
         self.cut_off(old)
         self.send(old, unclear)
         self.system.run(2_000.0)
-        self.assertEqual(CommandOutcome.TAKEN, self.outcome(self.others(old)[0], unclear))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[0], unclear))
         self.system.links.heal()
         self.system.run(2_000.0)
-        self.assertEqual(CommandOutcome.TAKEN, self.outcome(old, unclear))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(old, unclear))
         self.finish()
 
     def test_given_a_command_that_the_backups_hold_when_its_primary_dies_then_it_is_kept(self) -> None:
@@ -229,7 +230,7 @@
         self.system.run(2_000.0)
         rival = self.intent(update, self.base, self.base + 1)
         self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.others(old)[0], rival))
-        self.assertEqual(CommandOutcome.TAKEN, self.outcome(self.others(old)[1], kept))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[1], kept))
         old.start()
         self.finish()
 
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -10,7 +10,8 @@
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.messages.distribution import Freshness, ToDataPlane
 from madderwind.messages.peering import CommandReply, ForwardCommand
-from madderwind.replication.api import CommandOutcome, CommandSubmitted
+from madderwind.replication.commands import CommandOutcome
+from madderwind.replication.events import CommandSubmitted
 from tests.campaign.control_machine import ControlMachine
 from tests.controlplane import test_core
 from tests.controlplane.configurations import replacement
--- a/tests/explore/calm.py
+++ b/tests/explore/calm.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from madderwind.replication.api import Command, CommandOutcome
+from madderwind.replication.commands import Command, CommandOutcome
 from tests.explore.node import Ended, Node, Output, Sent
 from tests.explore.steps import Violation
 
@@ -101,7 +101,8 @@
                 asked.add((primary, len(self.ended)))
                 self.act(primary, lambda node, output: node.submit(command, output))
             return any(
-                ended.taken == (command.base_version, command.body) and ended.outcome is CommandOutcome.TAKEN
+                ended.taken == (command.base_version, command.body)
+                and ended.outcome is CommandOutcome.COMMITTED
                 for ended in self.ended
             )
 
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from madderwind.messages.replication import Accept, Accepted, Prepare, ProposalNumber, View
-from madderwind.replication.api import CommandOutcome
+from madderwind.replication.commands import CommandOutcome
 from tests.explore.node import Observation, Sent, Taken, Vote
 from tests.explore.steps import Step, Violation
 
@@ -219,7 +219,7 @@
 def _with_commands(history: History, moment: Moment) -> History:
     for ended in moment.step.ended:
         match ended.outcome:
-            case CommandOutcome.TAKEN:
+            case CommandOutcome.COMMITTED:
                 history = _acknowledged(history, moment, ended.taken)
             case outcome if outcome in REFUSALS:
                 if ended.taken in history.acknowledged or ended.taken in history.committed:
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -14,25 +14,21 @@
     ReplicationMessage,
     View,
 )
-from madderwind.replication.api import (
-    Command,
-    CommandOutcome,
-    CommandResolved,
+from madderwind.replication.actions import CommandResolved, ReadResolved, Rewrite, Send, Write
+from madderwind.replication.commands import Command, CommandOutcome
+from madderwind.replication.events import (
     CommandSubmitted,
     Event,
-    LeaveRequested,
     MessageReceived,
-    ReadResolved,
     ReadSubmitted,
-    Rewrite,
-    Send,
+    ShutdownRequested,
     TimePassed,
-    Write,
     WriteCompleted,
     WriteFailed,
 )
 from madderwind.replication.records import StoredState, WitnessRecord, stored_records, stored_state
-from madderwind.replication.replica import Replica
+from madderwind.replication.replica import Replica, ReplicaOptions
+from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
 from madderwind.storage.record_file import RecoveredFile
 from tests.explore.chance import FixedChance
@@ -138,18 +134,19 @@
         self.pending.clear()
         self._commands.clear()
         self.replica = Replica(
-            identity_address=self.address,
-            zone="zone",
-            control_address=f"control-{self.address}",
-            seeds=self.settings.seeds,
-            bootstrap=bootstrap,
-            tolerance=self.settings.tolerance,
-            recovered=RecoveredFile(self.synced + self.unsynced),
-            empty_state=Register,
-            restore_state=Register.restore,
-            rng=self.chance(),
-            now_ms=self.now_ms,
-            times=ReplicationTimes(),
+            ReplicaOptions(
+                address=self.address,
+                control_address=f"control-{self.address}",
+                zone="zone",
+                seeds=self.settings.seeds,
+                bootstrap=bootstrap,
+                tolerance=self.settings.tolerance,
+                times=ReplicationTimes(),
+            ),
+            RecoveredFile(self.synced + self.unsynced),
+            StateFactory(Register, Register.restore),
+            self.chance(),
+            self.now_ms,
         )
         self._handle(TimePassed(), output)
 
@@ -221,7 +218,7 @@
     def leave(self, output: Output) -> None:
         """The process is told that it will end."""
         self.is_leaving = True
-        self._handle(LeaveRequested(), output)
+        self._handle(ShutdownRequested(), output)
 
     # --- what the checks ask ---
 
--- a/tests/explore/scenarios.py
+++ b/tests/explore/scenarios.py
@@ -26,8 +26,8 @@
 REGISTER_MESSAGES = (JoinRequest, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedBroadcast, Rejected)
 # After which silence a follower stands, and after which one a primary gives up.
 TIMES = ReplicationTimes()
-STAND_MS = TIMES.election_max_ms + TIMES.heartbeat_ms
-GIVE_UP_MS = max(TIMES.step_down_ms, TIMES.proposal_ms) + TIMES.heartbeat_ms
+STAND_MS = TIMES.election_timeout_max_ms + TIMES.heartbeat_ms
+GIVE_UP_MS = max(TIMES.quorum_timeout_ms, TIMES.proposal_timeout_ms) + TIMES.heartbeat_ms
 HEARTBEAT_MS = TIMES.heartbeat_ms
 SETTLE_MS = 5_000.0
 
@@ -206,7 +206,7 @@
 
 
 # Just before the primary gives a silent member's place to another.
-REPLACED_AFTER_MS = TIMES.silence_ms - TIMES.heartbeat_ms
+REPLACED_AFTER_MS = TIMES.replica_timeout_ms - TIMES.heartbeat_ms
 
 
 def _founded(machines: int) -> CalmRun:
--- a/tests/explore/steps.py
+++ b/tests/explore/steps.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from madderwind.replication.api import Command
+from madderwind.replication.commands import Command
 from tests.explore.choices import (
     Choice,
     Deliver,
--- a/tests/explore/world.py
+++ b/tests/explore/world.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.replication.api import Command
+from madderwind.replication.commands import Command
 from tests.explore.choices import (
     Allowance,
     Choice,
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from madderwind.messages.replication import View
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.fleet.clock import Clock
 from tests.fleet.machine import Machine
 from tests.fleet.network import Network
@@ -119,7 +119,7 @@
         """Send a command to whoever is primary until it is acknowledged; how long that took."""
         state: list[CommandResult] = []
         began_ms = self.clock.now_ms
-        while not any(result.outcome is CommandOutcome.TAKEN for result in state):
+        while not any(result.outcome is CommandOutcome.COMMITTED for result in state):
             if self.clock.now_ms - began_ms > most_ms:
                 raise TimeoutError(f"not acknowledged after {most_ms} ms: {state[-3:]}")
             primary = self.primary()
--- a/tests/fleet/freshness.py
+++ b/tests/fleet/freshness.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from madderwind.replication.api import ReplicaStatus
+from madderwind.replication.status import ReplicaStatus
 from tests.fleet.clock import Clock
 from tests.fleet.history import Violation
 
--- a/tests/fleet/history.py
+++ b/tests/fleet/history.py
@@ -7,7 +7,7 @@
 import attrs
 
 from madderwind.messages.replication import View
-from madderwind.replication.api import Command, CommandOutcome
+from madderwind.replication.commands import Command, CommandOutcome
 from tests.fleet.machine import Machine
 from tests.fleet.register import Register, change_of
 
--- a/tests/fleet/linearizability.py
+++ b/tests/fleet/linearizability.py
@@ -28,7 +28,7 @@
 
 import attrs
 
-from madderwind.replication.api import CommandOutcome
+from madderwind.replication.commands import CommandOutcome
 from tests.fleet.history import Violation
 
 
@@ -144,9 +144,9 @@
         """Add what a call with a command tells."""
         first_ms = self._first_call_ms.get(call.identity, math.inf)
         self._first_call_ms[call.identity] = min(first_ms, call.start_ms)
-        if call.outcome is None or call.outcome is CommandOutcome.UNCLEAR:
+        if call.outcome is None or call.outcome is CommandOutcome.UNKNOWN:
             return
-        if call.outcome is CommandOutcome.TAKEN:
+        if call.outcome is CommandOutcome.COMMITTED:
             self._take_confirmation(call)
         else:
             self._take_refusal(call)
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -7,30 +7,25 @@
 from collections.abc import Callable
 
 from madderwind.errors import StorageError
+from madderwind.log_events.control_plane import VIEW_CHANGED
+from madderwind.log_events.event import LogLine
 from madderwind.messages.replication import View, replication_messages
-from madderwind.replication.api import (
-    Command,
-    CommandOutcome,
-    CommandResolved,
-    CommandResult,
+from madderwind.replication.actions import CommandResolved, Committed, ReadResolved, Rewrite, Send, Write
+from madderwind.replication.commands import Command, CommandOutcome, CommandResult
+from madderwind.replication.events import (
     CommandSubmitted,
-    Committed,
     Event,
-    LeaveRequested,
     MessageReceived,
-    ReadResolved,
     ReadSubmitted,
-    ReplicaStatus,
-    Report,
-    Rewrite,
-    Send,
+    ShutdownRequested,
     TimePassed,
-    Write,
     WriteCompleted,
     WriteFailed,
 )
 from madderwind.replication.records import stored_state
-from madderwind.replication.replica import Replica
+from madderwind.replication.replica import Replica, ReplicaOptions
+from madderwind.replication.status import ReplicaStatus
+from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
 from madderwind.storage.record_file import RecordFile
 from tests.fleet.clock import Clock
@@ -63,7 +58,7 @@
         self.sync_ms = SYNC_MS
         self.stalled_until_ms = 0.0
         self.replica: Replica | None = None
-        self.reports: list[tuple[float, Report]] = []
+        self.reports: list[tuple[float, LogLine]] = []
         self.on_committed: Callable[[Machine, Register], None] = lambda machine, register: None
         self.on_view: Callable[[View], None] = lambda view: None
         self.life = 0
@@ -95,18 +90,19 @@
         self._disk_queue.clear()
         self._inbox.clear()
         self.replica = Replica(
-            identity_address=self.address,
-            zone="zone",
-            control_address=f"control-{self.address}",
-            seeds=self.seeds,
-            bootstrap=bootstrap,
-            tolerance=self.tolerance,
-            recovered=self._file.recover(),
-            empty_state=Register,
-            restore_state=Register.restore,
-            rng=self.replica_rng(),
-            now_ms=self.clock.now_ms,
-            times=ReplicationTimes(),
+            ReplicaOptions(
+                address=self.address,
+                control_address=f"control-{self.address}",
+                zone="zone",
+                seeds=self.seeds,
+                bootstrap=bootstrap,
+                tolerance=self.tolerance,
+                times=ReplicationTimes(),
+            ),
+            self._file.recover(),
+            StateFactory(Register, Register.restore),
+            self.replica_rng(),
+            self.clock.now_ms,
         )
         self._tick(self.life)
 
@@ -124,7 +120,7 @@
         self._is_frozen = False
         self.life += 1
         for on_command in self._commands.values():
-            on_command(CommandResult(CommandOutcome.UNCLEAR))
+            on_command(CommandResult(CommandOutcome.UNKNOWN))
         for on_read in self._reads.values():
             on_read(None)
         self._commands.clear()
@@ -164,7 +160,7 @@
     def ask_to_leave(self) -> None:
         """SIGTERM: the process is to hand over; when it ends is up to the caller."""
         self.is_leaving = True
-        self._event(LeaveRequested())
+        self._event(ShutdownRequested())
 
     def leave(self) -> None:
         """SIGTERM: the process is to hand over, and ends a little later."""
@@ -177,7 +173,7 @@
     def submit(self, command: Command, on_result: OnCommand) -> None:
         """An operator's command; the end may never come where the machine is frozen."""
         if self.replica is None:
-            on_result(CommandResult(CommandOutcome.UNCLEAR))
+            on_result(CommandResult(CommandOutcome.UNKNOWN))
             return
         self._last_token += 1
         self._commands[self._last_token] = on_result
@@ -250,12 +246,12 @@
                     self._reads.pop(token)(self.register.copy() if is_newest else None)
                 case Committed():
                     self.on_committed(self, self.register)
-                case Report():
+                case LogLine():
                     self._take_report(action)
 
-    def _take_report(self, report: Report) -> None:
+    def _take_report(self, report: LogLine) -> None:
         self.reports.append((self.clock.now_ms, report))
-        if report.event == "view" and self.replica is not None and self.replica.view is not None:
+        if report.event is VIEW_CHANGED and self.replica is not None and self.replica.view is not None:
             self.on_view(self.replica.view)
 
     def _begin_write(self, life: int) -> None:
--- a/tests/fleet/operators.py
+++ b/tests/fleet/operators.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.fleet.fleet import Fleet
 from tests.fleet.history import Attempt, History, ProvenRead
 from tests.fleet.machine import Machine
@@ -60,14 +60,14 @@
 
         def on_result(result: CommandResult) -> None:
             now_ms = self.fleet.clock.now_ms
-            if result.outcome is CommandOutcome.TAKEN:
+            if result.outcome is CommandOutcome.COMMITTED:
                 self.history.acknowledge(now_ms, attempt, list(self.fleet.machines.values()))
                 self._base = max(self._base, version)
-            elif result.outcome is not CommandOutcome.UNCLEAR:
+            elif result.outcome is not CommandOutcome.UNKNOWN:
                 self.history.refuse(now_ms, attempt, result.outcome)
                 self._base = max(self._base, result.version)
             if call.end():
-                if result.outcome is CommandOutcome.UNCLEAR:
+                if result.outcome is CommandOutcome.UNKNOWN:
                     self._later(lambda: self._send(attempt, version, tries - 1))
                 else:
                     self._later(self._next)
--- a/tests/fleet/register.py
+++ b/tests/fleet/register.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from madderwind.replication.api import Command, CommandKind, CommandOutcome, CommandResult
+from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
@@ -31,7 +31,7 @@
 
 
 class Register:
-    """Implements madderwind.replication.api.ReplicatedState. `taken`: base version and body of all
+    """Implements madderwind.replication.commands.ReplicatedState. `taken`: base version and body of all
     commands."""
 
     def __init__(self) -> None:
@@ -41,9 +41,9 @@
     def version(self) -> int:
         return change_of(self.taken[-1][1]).version if self.taken else 0
 
-    def decide(self, command: Command) -> CommandResult | None:
+    def validate(self, command: Command) -> CommandResult | None:
         if (command.base_version, command.body) in self.taken:
-            return CommandResult(CommandOutcome.TAKEN, self.version)
+            return CommandResult(CommandOutcome.COMMITTED, self.version)
         if command.base_version != self.version:
             return CommandResult(CommandOutcome.STALE_BASE, self.version)
         if change_of(command.body).version <= self.version:
@@ -51,7 +51,7 @@
         return None
 
     def apply(self, command: Command) -> None:
-        if self.decide(command) is not None:
+        if self.validate(command) is not None:
             raise ValueError(f"{command} does not follow version {self.version}")
         self.taken.append((command.base_version, command.body))
 
--- a/tests/fleet/test_linearizability.py
+++ b/tests/fleet/test_linearizability.py
@@ -6,7 +6,7 @@
 import random
 import unittest
 
-from madderwind.replication.api import CommandOutcome
+from madderwind.replication.commands import CommandOutcome
 from tests.fleet.linearizability import (
     ChainEntry,
     CommandCall,
@@ -16,10 +16,10 @@
 )
 
 TAKEN, STALE, INVALID, UNCLEAR = (
-    CommandOutcome.TAKEN,
+    CommandOutcome.COMMITTED,
     CommandOutcome.STALE_BASE,
     CommandOutcome.INVALID,
-    CommandOutcome.UNCLEAR,
+    CommandOutcome.UNKNOWN,
 )
 
 
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -156,7 +156,7 @@
     machine = ReplicaOnDisk(golden_folder("restarted"), tolerance=0, bootstrap=False)
     machine.run(3_000.0)
     for command in (replacement(0, 3), update(3, 5), replacement(5, 8, routes=2)):
-        result = machine.replica.committed.decide(command)
+        result = machine.replica.committed.validate(command)
         assert result is not None
         assert (result.outcome.value, result.version) == ("taken", 8)
 
@@ -167,7 +167,7 @@
     history = ConfigurationHistory.restore(state.snapshot)
     assert history.document is not None
     assert history.document.raw == replacement_body(3)
-    result = history.decide(replacement(0, 3))
+    result = history.validate(replacement(0, 3))
     assert result is not None
     assert result.outcome.value == "taken"
 
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -31,19 +31,12 @@
     ViewNotice,
 )
 from madderwind.registry.saved_copy import SavedCopy
-from madderwind.replication.api import (
-    Action,
-    Command,
-    CommandSubmitted,
-    Event,
-    MessageReceived,
-    Rewrite,
-    TimePassed,
-    Write,
-    WriteCompleted,
-)
+from madderwind.replication.actions import Action, Rewrite, Write
+from madderwind.replication.commands import Command
+from madderwind.replication.events import CommandSubmitted, Event, MessageReceived, TimePassed, WriteCompleted
 from madderwind.replication.records import IdentityRecord, SnapshotRecord, StoredRecord, stored_records
-from madderwind.replication.replica import Replica
+from madderwind.replication.replica import Replica, ReplicaOptions
+from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
 from madderwind.storage.disk import FileDisk
 from madderwind.storage.record_file import RecordFile
@@ -63,18 +56,19 @@
         self._file = RecordFile(FileDisk(str(folder)))
         self.now_ms = 0.0
         self.replica = Replica(
-            identity_address=ADDRESS,
-            zone="zone-a",
-            control_address="10.0.0.9:7000",
-            seeds=(ADDRESS,),
-            bootstrap=bootstrap,
-            tolerance=tolerance,
-            recovered=self._file.recover(),
-            empty_state=ConfigurationHistory,
-            restore_state=ConfigurationHistory.restore,
-            rng=rng or random.Random(1),
-            now_ms=0.0,
-            times=ReplicationTimes(),
+            ReplicaOptions(
+                address=ADDRESS,
+                control_address="10.0.0.9:7000",
+                zone="zone-a",
+                seeds=(ADDRESS,),
+                bootstrap=bootstrap,
+                tolerance=tolerance,
+                times=ReplicationTimes(),
+            ),
+            self._file.recover(),
+            StateFactory(ConfigurationHistory, ConfigurationHistory.restore),
+            rng or random.Random(1),
+            0.0,
         )
 
     def run(self, duration_ms: float) -> None:
--- a/tests/replication/catch_up.py
+++ b/tests/replication/catch_up.py
@@ -14,7 +14,8 @@
 
 import attrs
 
-from madderwind.replication.api import Command, CommandOutcome, CommandResult
+from madderwind.log_events.control_plane import SNAPSHOT_SENT
+from madderwind.replication.commands import Command, CommandOutcome, CommandResult
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
 from tests.fleet.register import Register, change_of, command
@@ -26,7 +27,7 @@
 HANDLING_MS_PER_BYTE = 200.0 / 4_400_000
 # Three short commands a second, or one that replaces the whole state: three of these would fill the link.
 SHORT_ORDER_INTERVAL_MS, LONG_ORDER_INTERVAL_MS = 330.0, 1_000.0
-KEPT_ENTRIES = 4
+RETAINED_ENTRIES = 4
 SHORT_ORDER_BYTES, LONG_ORDER_BYTES = 200, 1_000
 AWAY_MS = 6_000.0
 LONGEST_MS = 20_000.0
@@ -60,7 +61,7 @@
     with ExitStack() as stack:
         stack.enter_context(patch("tests.fleet.machine.Register", LargeRegister))
         stack.enter_context(patch("madderwind.messages.codec.COMPRESSED_FROM_BYTES", 1 << 40))
-        stack.enter_context(patch("madderwind.replication.log.KEPT_ENTRIES", KEPT_ENTRIES))
+        stack.enter_context(patch("madderwind.replication.log.RETAINED_ENTRIES", RETAINED_ENTRIES))
         yield
 
 
@@ -139,7 +140,7 @@
         primary.submit(submitted, self._ended)
 
     def _ended(self, result: CommandResult) -> None:
-        if result.outcome is CommandOutcome.TAKEN:
+        if result.outcome is CommandOutcome.COMMITTED:
             self.version = max(self.version, result.version)
 
     def _observe(self) -> None:
@@ -158,7 +159,7 @@
 
     def _snapshots(self) -> int:
         return sum(
-            report.event == "snapshot_sent"
+            report.event is SNAPSHOT_SENT
             for machine in self.fleet.machines.values()
             for _, report in machine.reports
         )
--- a/tests/replication/full_set.py
+++ b/tests/replication/full_set.py
@@ -18,6 +18,6 @@
     needed = {member.incarnation for member in view.members}
     if not needed <= running or set(view.in_sync) != needed:
         return False
-    committed = replica._core.committed_index
+    committed = replica._store.committed_index
     others = [role.peers.get(incarnation) for incarnation in needed - {replica.incarnation}]
-    return all(peer is not None and peer.is_in_epoch and peer.matched >= committed for peer in others)
+    return all(peer is not None and peer.is_in_epoch and peer.match_index >= committed for peer in others)
--- a/tests/replication/loss_at_each_event.py
+++ b/tests/replication/loss_at_each_event.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.fleet.clock import Clock
 from tests.fleet.fleet import Fleet
 from tests.fleet.history import Violation
@@ -207,7 +207,7 @@
         return next((machine for machine in self.fleet.running() if machine not in others), None)
 
     def _check(self, case: Case) -> None:
-        taken = any(result.outcome is CommandOutcome.TAKEN for result in self._results)
+        taken = any(result.outcome is CommandOutcome.COMMITTED for result in self._results)
         version = self.fleet.take_read().version
         if version < (5 if taken else 3):
             raise Violation(f"{case}: an acknowledged command is lost, the version is {version}")
--- a/tests/replication/story.py
+++ b/tests/replication/story.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
 
@@ -37,10 +37,10 @@
         return [machine for machine in self.fleet.running() if machine is not self.primary]
 
     def assert_taken(self, results: list[CommandResult]) -> None:
-        self.assertEqual([CommandOutcome.TAKEN], [result.outcome for result in results])
+        self.assertEqual([CommandOutcome.COMMITTED], [result.outcome for result in results])
 
     def assert_unclear(self, results: list[CommandResult]) -> None:
-        self.assertEqual([CommandOutcome.UNCLEAR], [result.outcome for result in results])
+        self.assertEqual([CommandOutcome.UNKNOWN], [result.outcome for result in results])
 
     def assert_all_follow(self, version: int) -> None:
         """All that run know the same primary and version, and all members are in sync."""
--- a/tests/replication/test_commands.py
+++ b/tests/replication/test_commands.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.fleet.register import command
 from tests.replication.story import CALM_ACKNOWLEDGEMENT_MS, FleetStory
 
@@ -56,7 +56,7 @@
         self.primary.stalled_until_ms = self.fleet.clock.now_ms + 300.0
         results = [self.fleet.submit(self.primary, version, version + 1) for version in range(3, 103)]
         outcomes = [result[0].outcome for result in results if result]
-        self.assertEqual({CommandOutcome.UNCLEAR}, set(outcomes))
+        self.assertEqual({CommandOutcome.UNKNOWN}, set(outcomes))
         self.fleet.run(1_000.0)
         self.assertTrue(all(results))
 
--- a/tests/replication/test_decisions.py
+++ b/tests/replication/test_decisions.py
@@ -32,29 +32,29 @@
 class TheWatch(unittest.TestCase):
     def test_given_broadcasts_then_only_a_majority_under_one_proposal_number_is_a_decision(self) -> None:
         watch = DecisionLearner()
-        self.assertFalse(watch.take(BASE, notice("ann", 1)))
-        self.assertFalse(watch.take(BASE, notice("bob", 2)))
-        self.assertFalse(watch.take(BASE, notice("ann", 1)))
-        self.assertTrue(watch.take(BASE, notice("cat", 2)))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("ann", 1)))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("bob", 2)))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("ann", 1)))
+        self.assertTrue(watch.handle_broadcast(BASE, notice("cat", 2)))
 
     def test_given_notices_of_who_has_no_vote_or_of_another_epoch_then_they_do_not_count(self) -> None:
         watch = DecisionLearner()
         later = View(3, "bob", ("bob", "cat"), (ANN, BOB, CAT))
-        self.assertFalse(watch.take(BASE, notice("ann")))
-        self.assertFalse(watch.take(BASE, notice("stranger")))
-        self.assertFalse(watch.take(BASE, notice("bob", view=later)))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("ann")))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("stranger")))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("bob", view=later)))
 
     def test_given_another_epoch_then_earlier_notices_are_forgotten(self) -> None:
         watch = DecisionLearner()
-        watch.take(BASE, notice("ann"))
+        watch.handle_broadcast(BASE, notice("ann"))
         watch.begin_epoch()
-        self.assertFalse(watch.take(BASE, notice("bob")))
+        self.assertFalse(watch.handle_broadcast(BASE, notice("bob")))
 
     def test_given_notices_about_the_founding_then_they_do_not_count(self) -> None:
         """The founder may have begun anew with more members than are known here."""
         watch, known_base = DecisionLearner(), View(0, "", (), (ANN, BOB))
         for sender in ("ann", "bob"):
-            self.assertFalse(watch.take(known_base, notice(sender, view=BASE)))
+            self.assertFalse(watch.handle_broadcast(known_base, notice(sender, view=BASE)))
 
 
 class InterceptedStory(FleetStory):
--- a/tests/replication/test_disks_of_all.py
+++ b/tests/replication/test_disks_of_all.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest.mock import patch
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from madderwind.replication.primary import Primary
 from tests.fleet.disk import MemoryDisk
 from tests.fleet.fleet import Fleet
@@ -35,7 +35,7 @@
             for machine in self.fleet.running():
                 self.fleet.submit_into(machine, 3, version, "operator", results)
             self.fleet.run(500.0)
-        self.assertEqual({CommandOutcome.UNCLEAR}, {result.outcome for result in results})
+        self.assertEqual({CommandOutcome.UNKNOWN}, {result.outcome for result in results})
 
     def assert_serves_again(self, version: int) -> None:
         self.assertLess(self.fleet.submit_and_commit(3, version, most_ms=RECOVERY_MS), RECOVERY_MS)
@@ -154,7 +154,7 @@
         for step in range(24):
             results = self.command(self.version + 2)
             self.fleet.run(STEP_MS * step)
-            taken = [result for result in results if result.outcome is CommandOutcome.TAKEN]
+            taken = [result for result in results if result.outcome is CommandOutcome.COMMITTED]
             acknowledged_in_all += len(taken)
             self.lose_power_everywhere()
             self.start_all()
@@ -166,7 +166,7 @@
         for step in range(24):
             results = self.command(self.version + 2)
             self.fleet.run_until(lambda: bool(results), 1_000.0)  # noqa: B023
-            self.assertEqual([CommandOutcome.TAKEN], [result.outcome for result in results])
+            self.assertEqual([CommandOutcome.COMMITTED], [result.outcome for result in results])
             acknowledged = self.version + 2
             self.lose_power_everywhere()
             self.start_all()
@@ -198,7 +198,7 @@
 
     def test_a_machine_that_acknowledges_alone(self) -> None:
         def as_if_synced_everywhere(primary: Primary, incarnation: str) -> int:
-            return primary._core.synced_index
+            return primary._store.synced_index
 
         alone = patch.object(Primary, "_synced_by", as_if_synced_everywhere)
         with alone, self.assertRaises(AssertionError):
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -8,8 +8,8 @@
 
 from madderwind.messages.replication import AppendEntries, InstallSnapshot, replication_messages
 from madderwind.replication.follower import Follower
-from madderwind.replication.primary import Primary
-from madderwind.replication.roles import Role
+from madderwind.replication.lease import Lease
+from madderwind.replication.role_machine import Role
 from tests.fleet.freshness import Confirmations, FreshnessWatch
 from tests.fleet.machine import Machine
 from tests.replication.story import FleetStory
@@ -128,12 +128,12 @@
             self.assertLess(self.age_ms(machine), CURRENT_MS)
 
 
-def fresh_as_of_the_round(primary: Primary) -> float | None:
-    return primary.rounds.confirmed_ms
+def fresh_as_of_the_round(lease: Lease) -> float | None:
+    return lease.rounds.confirmed_ms
 
 
 def fresh_as_of_the_arrival(follower: Follower, message: object) -> None:
-    follower.note_fresh(follower.heard_ms or 0.0)
+    follower.record_fresh(follower.last_received_ms or 0.0)
 
 
 class Mutants(unittest.TestCase):
@@ -146,7 +146,7 @@
 
     def test_a_primary_that_calls_fresh_what_it_inherited(self) -> None:
         name = "test_given_a_new_primary_then_it_first_commits_what_the_old_one_may_have_confirmed"
-        with patch.object(Primary, "fresh_ms", property(fresh_as_of_the_round)):
+        with patch.object(Lease, "fresh_ms", property(fresh_as_of_the_round)):
             self.assert_caught(AReplicaThatLacksSomething(name))
 
     def test_freshness_that_counts_from_the_arrival(self) -> None:
@@ -154,11 +154,11 @@
             "test_given_a_frozen_backup_when_it_wakes_then_what_it_reads_is_old",
             "test_given_a_cut_that_holds_messages_when_it_ends_then_they_are_old",
         )
-        with patch.object(Follower, "_note_lease", fresh_as_of_the_arrival):
+        with patch.object(Follower, "_update_lease", fresh_as_of_the_arrival):
             for name in names:
                 self.assert_caught(MessagesThatWereHeldUp(name))
 
     def test_freshness_taken_from_a_heartbeat_ahead_of_its_commands(self) -> None:
         name = "test_given_heartbeats_without_their_commands_then_the_old_version_is_not_called_fresh"
-        with patch.object(Follower, "_note_lease", fresh_as_of_the_arrival):
+        with patch.object(Follower, "_update_lease", fresh_as_of_the_arrival):
             self.assert_caught(AReplicaThatLacksSomething(name))
--- a/tests/replication/test_large_states.py
+++ b/tests/replication/test_large_states.py
@@ -11,7 +11,7 @@
     replication_messages,
 )
 from madderwind.replication.log_shipping import LogShipping
-from madderwind.replication.peers import Peer
+from madderwind.replication.peer import Peer
 from madderwind.replication.snapshot_transfer import (
     CHUNK_BYTES,
     WINDOW_BYTES,
@@ -49,7 +49,7 @@
         self.assert_smooth(returned(MIDDLE_STATE, command_bytes=MIDDLE_STATE))
 
     def test_given_a_slow_link_and_quick_commands_then_one_snapshot_is_enough(self) -> None:
-        with large_states(), patch("madderwind.replication.log.KEPT_ENTRIES", 2):
+        with large_states(), patch("madderwind.replication.log.RETAINED_ENTRIES", 2):
             story = Return(LONG_STATE, 1, True, 200, interval_ms=100.0)
             story.fleet.network.bytes_per_ms = SLOW_LINK_BYTES_PER_MS
             catch_up = story.run()
@@ -168,10 +168,10 @@
     def pass_on(self, chunks: list[InstallSnapshot]) -> bytes | None:
         """The receiver takes them and answers; the state where it is whole."""
         for chunk in chunks:
-            state = self.receiver.take(chunk)
+            state = self.receiver.handle_chunk(chunk)
             if state is not None:
                 return state
-            self.sender.take_received(self.receiver.received)
+            self.sender.handle_ack(self.receiver.received)
         return None
 
     def test_given_no_acknowledgement_then_a_window_is_sent_and_no_more(self) -> None:
@@ -187,7 +187,7 @@
         self.sender.rewind()
         again = self.chunks()
         self.assertEqual(2 * CHUNK_BYTES, again[0].offset)
-        self.receiver.take(again[1])
+        self.receiver.handle_chunk(again[1])
         self.assertEqual(2 * CHUNK_BYTES, self.receiver.received)
 
     def test_given_chunks_that_come_twice_then_they_count_once(self) -> None:
@@ -207,22 +207,22 @@
     def test_given_another_primary_then_nothing_of_the_former_is_used(self) -> None:
         self.pass_on(self.chunks()[:4])
         other = InstallSnapshot("q", "r", 4, 4, 7, 2, 0, len(self.STATE), b"other")
-        self.receiver.take(other)
+        self.receiver.handle_chunk(other)
         self.assertEqual(len(b"other"), self.receiver.received)
 
     def test_given_a_receiver_that_began_anew_then_the_sender_does(self) -> None:
         self.pass_on(self.chunks()[:4])
-        self.assertFalse(self.sender.take_received(0))
+        self.assertFalse(self.sender.handle_ack(0))
         self.assertEqual(0, self.chunks()[0].offset)
 
 
 def resend_without_regard_to_progress(peer: Peer, now_ms: float, times: ReplicationTimes) -> bool:
     """As if each snapshot was one message, sent again from its beginning where it isn't installed in time."""
-    if peer.snapshot is None or peer.waiting_since is None:
+    if peer.snapshot is None or peer.waiting_since_ms is None:
         return now_ms - peer.sent_ms > times.resend_ms
-    if now_ms - peer.waiting_since <= times.resend_ms:
+    if now_ms - peer.waiting_since_ms <= times.resend_ms:
         return False
-    peer.snapshot, peer.waiting_since = None, now_ms
+    peer.snapshot, peer.waiting_since_ms = None, now_ms
     return True
 
 
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -18,17 +18,17 @@
 from madderwind.replication.view_proposals import ViewProposals
 from tests.replication import test_decisions, test_second_losses, test_times
 
-ordinary_standing = Replica.status
-ordinary_answer = Primary.take_answer
+ordinary_status = Replica.status
+ordinary_ack = Primary.handle_heartbeat_ack
 
 
 def needed_as_primary_alone(replica: Replica, now_ms: float) -> object:
-    status = ordinary_standing(replica, now_ms)
+    status = ordinary_status(replica, now_ms)
     return structs.replace(status, is_needed=status.is_primary)
 
 
 def leaving_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAck) -> None:
-    ordinary_answer(primary, now_ms, structs.replace(answer, stopping=False))
+    ordinary_ack(primary, now_ms, structs.replace(answer, stopping=False))
 
 
 class StoriesFindMutants(unittest.TestCase):
@@ -41,7 +41,7 @@
             )
 
     def test_a_swap_told_by_the_proposer_alone(self) -> None:
-        with patch.object(DecisionLearner, "take", return_value=False):
+        with patch.object(DecisionLearner, "handle_broadcast", return_value=False):
             self.assert_found_by(
                 test_decisions.AProposerThatIsLost(
                     "test_given_a_swap_when_the_proposer_is_lost_before_it_tells_then_all_know_the_choice"
@@ -73,7 +73,7 @@
             )
 
     def test_a_leaving_member_that_the_primary_does_not_let_go(self) -> None:
-        with patch.object(Primary, "take_answer", leaving_forgotten):
+        with patch.object(Primary, "handle_heartbeat_ack", leaving_forgotten):
             self.assert_found_by(
                 test_second_losses.MembersThatLeave(
                     "test_given_a_full_set_when_a_member_leaves_then_it_is_gone_at_once"
@@ -84,7 +84,7 @@
         def hasty(election: Election, now_ms: float) -> None:
             election.postpone(now_ms, 250.0, 300.0)
 
-        with patch.object(Election, "postpone_by_silence", hasty):
+        with patch.object(Election, "restart_timeout", hasty):
             self.assert_found_by(
                 test_times.PausesThatAreNoLoss(
                     "test_given_each_process_paused_in_turn_at_any_moment_then_the_view_stays"
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -6,13 +6,14 @@
 import unittest
 from unittest.mock import PropertyMock, patch
 
-from madderwind.replication.api import ReadResolved
-from madderwind.replication.core import ReplicaCore
+from madderwind.replication.actions import ReadResolved
 from madderwind.replication.membership import MembershipRules, PeerHealth
-from madderwind.replication.peers import Peer
+from madderwind.replication.peer import Peer
 from madderwind.replication.primary import Primary
-from madderwind.replication.roles import Roles
-from madderwind.replication.witness_role import WitnessRole
+from madderwind.replication.role_machine import RoleMachine
+from madderwind.replication.store import ReplicaStore
+from madderwind.replication.view_planner import ViewPlanner
+from madderwind.replication.witness import Witness
 from tests.fleet.campaign import Campaign
 from tests.fleet.disk import MemoryDisk
 from tests.fleet.history import Violation
@@ -22,11 +23,11 @@
 MOST_CAMPAIGNS = 40
 
 
-ordinary_promotion = Roles.promote_if_due
+ordinary_promotion = RoleMachine.promote_if_due
 
 
 def read_without_a_fence(primary: Primary, now_ms: float, token: int) -> None:
-    primary._core.actions.append(ReadResolved(token, is_newest=True))
+    primary._outbox.add(ReadResolved(token, is_newest=True))
 
 
 def append_without_a_sync(disk: MemoryDisk, name: str, data: bytes) -> None:
@@ -37,23 +38,23 @@
     return random.Random(machine.address)
 
 
-def ready_without_the_log(primary: Primary, now_ms: float, peer: Peer) -> PeerHealth:
-    is_sound = peer.is_sound(now_ms, primary._core.times)
-    return PeerHealth(peer.member, is_sound, not is_sound, False)
+def ready_without_the_log(planner: ViewPlanner, now_ms: float, peer: Peer) -> PeerHealth:
+    is_healthy = peer.is_healthy(now_ms, planner._times)
+    return PeerHealth(peer.member, is_healthy, not is_healthy, False)
 
 
 def as_if_synced_everywhere(primary: Primary, incarnation: str) -> int:
-    return primary._core.synced_index
+    return primary._store.synced_index
 
 
-def promote_after_a_restart(roles: Roles, now_ms: float) -> None:
+def promote_after_a_restart(roles: RoleMachine, now_ms: float) -> None:
     ordinary_promotion(roles, now_ms)
-    view = roles._core.view
+    view = roles._store.view
     if roles._won_epoch < 0:
         return
-    if view is not None and view.primary == roles._core.me.incarnation and roles.primary is None:
+    if view is not None and view.primary == roles._store.me.incarnation and roles.primary is None:
         roles._won_epoch = -1  # once a life
-        roles.primary = Primary(roles._core, view, roles._rules, now_ms)
+        roles.primary = Primary(roles._context, view, roles._rules, now_ms)
 
 
 class CampaignsFindMutants(unittest.TestCase):
@@ -79,7 +80,7 @@
             self.assert_found(likely_seed=4)
 
     def test_a_learner_taken_into_the_set_without_the_log(self) -> None:
-        with patch.object(Primary, "_health_of", ready_without_the_log):
+        with patch.object(ViewPlanner, "health_of", ready_without_the_log):
             self.assert_found()
 
     def test_members_that_only_grow(self) -> None:
@@ -95,13 +96,13 @@
             self.assert_found()
 
     def test_a_takeover_by_a_replica_that_is_not_in_sync(self) -> None:
-        with patch.object(ReplicaCore, "is_in_sync", PropertyMock(return_value=True)):
+        with patch.object(ReplicaStore, "is_in_sync", PropertyMock(return_value=True)):
             self.assert_found(likely_seed=20)
 
 
 class StoriesFindMutants(unittest.TestCase):
     def test_a_lease_that_is_not_looked_at(self) -> None:
-        with patch.object(WitnessRole, "_protects_primary", return_value=False):
+        with patch.object(Witness, "_protects_primary", return_value=False):
             self.assert_found_by(
                 test_failover.LinksAreCut(
                     "test_given_a_backup_that_stands_while_the_others_hear_the_primary_then_it_is_refused"
@@ -109,7 +110,7 @@
             )
 
     def test_promises_that_are_not_written(self) -> None:
-        with patch.object(ReplicaCore, "record_witness", lambda core: None):
+        with patch.object(ReplicaStore, "record_witness", lambda store: None):
             self.assert_found_by(
                 test_witness.PromisesOutlastRestarts(
                     "test_given_a_promise_when_power_is_lost_then_no_lower_proposal_number_is_accepted"
@@ -133,7 +134,7 @@
             )
 
     def test_a_restarted_primary_that_goes_on_in_its_epoch(self) -> None:
-        with patch.object(Roles, "promote_if_due", promote_after_a_restart):
+        with patch.object(RoleMachine, "promote_if_due", promote_after_a_restart):
             self.assert_found_by(
                 test_failover.ProcessesEnd(
                     "test_given_a_command_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds"
--- a/tests/replication/test_rewrites.py
+++ b/tests/replication/test_rewrites.py
@@ -6,13 +6,13 @@
 from unittest.mock import patch
 
 from madderwind.replication import journal
-from madderwind.replication.core import ReplicaCore
 from madderwind.replication.records import EntryRecord, SnapshotRecord, StoredRecord
+from madderwind.replication.store import ReplicaStore
 from tests.fleet.fleet import Fleet
 from tests.fleet.register import Register
 
 ORDERS = 40
-ordinary_whole_file = ReplicaCore._whole_file
+ordinary_records = ReplicaStore.all_records
 
 
 class FilesAreRewritten(unittest.TestCase):
@@ -20,7 +20,7 @@
     the midst of a write."""
 
     def setUp(self) -> None:
-        long_file = patch.object(journal, "LONG_FILE_BYTES", 300)
+        long_file = patch.object(journal, "REWRITE_FROM_BYTES", 300)
         long_file.start()
         self.addCleanup(long_file.stop)
         self.fleet = Fleet(3, 1, seed=23)
@@ -44,9 +44,9 @@
         self.assertEqual(ORDERS, len(register.taken))
 
 
-def whole_file_with_an_old_snapshot(core: ReplicaCore) -> list[StoredRecord]:
+def records_with_an_old_snapshot(store: ReplicaStore) -> list[StoredRecord]:
     """The state before the last command, under the index after it."""
-    records = ordinary_whole_file(core)
+    records = ordinary_records(store)
     return [_older(record) if isinstance(record, SnapshotRecord) else record for record in records]
 
 
@@ -56,9 +56,9 @@
     return SnapshotRecord(record.index, record.epoch, register.snapshot())
 
 
-def whole_file_without_the_tail(core: ReplicaCore) -> list[StoredRecord]:
+def records_without_the_tail(store: ReplicaStore) -> list[StoredRecord]:
     """Without the entries that are not known to be committed."""
-    return [record for record in ordinary_whole_file(core) if not isinstance(record, EntryRecord)]
+    return [record for record in ordinary_records(store) if not isinstance(record, EntryRecord)]
 
 
 class MutantsAreFound(unittest.TestCase):
@@ -70,11 +70,11 @@
         self.assertTrue(result.failures or result.errors)
 
     def test_a_snapshot_older_than_the_log(self) -> None:
-        with patch.object(ReplicaCore, "_whole_file", whole_file_with_an_old_snapshot):
+        with patch.object(ReplicaStore, "all_records", records_with_an_old_snapshot):
             self.assert_found()
 
     def test_a_rewrite_without_the_entries_after_the_snapshot(self) -> None:
-        with patch.object(ReplicaCore, "_whole_file", whole_file_without_the_tail):
+        with patch.object(ReplicaStore, "all_records", records_without_the_tail):
             self.assert_found()
 
 
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from madderwind.replication.api import ReplicaStatus
+from madderwind.replication.status import ReplicaStatus
 from tests.fleet.machine import Machine
 from tests.replication.story import FAILOVER_MS, FleetStory
 
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -19,14 +19,14 @@
     def test_given_one_time_that_does_not_fit_then_it_is_told(self) -> None:
         misfits = {
             "witness_lease_ms": 60.0,
-            "election_min_ms": 240.0,
+            "election_timeout_min_ms": 240.0,
             "grace_ms": 150.0,
-            "gap_ms": 350.0,
-            "election_max_ms": 420.0,
-            "replace_ms": 300.0,
-            "step_down_ms": 400.0,
-            "proposal_ms": 100.0,
-            "silence_ms": 90.0,
+            "stall_ms": 350.0,
+            "election_timeout_max_ms": 420.0,
+            "replacement_timeout_ms": 300.0,
+            "quorum_timeout_ms": 400.0,
+            "proposal_timeout_ms": 100.0,
+            "replica_timeout_ms": 90.0,
         }
         for name, value in misfits.items():
             with self.subTest(time=name):
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -20,21 +20,13 @@
     View,
     ViewNotice,
 )
-from madderwind.replication.api import (
-    Action,
-    Event,
-    MessageReceived,
-    Rewrite,
-    Send,
-    TimePassed,
-    Write,
-    WriteCompleted,
-    WriteFailed,
-)
+from madderwind.replication.actions import Action, Rewrite, Send, Write
+from madderwind.replication.events import Event, MessageReceived, TimePassed, WriteCompleted, WriteFailed
 from madderwind.replication.records import WitnessRecord
-from madderwind.replication.replica import Replica
+from madderwind.replication.replica import Replica, ReplicaOptions
+from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
-from madderwind.replication.witness import Witness
+from madderwind.replication.view_register import ViewRegister
 from madderwind.storage.record_file import RecoveredFile
 from tests.fleet.register import Register
 
@@ -55,18 +47,19 @@
         """Begin a life on what is on disk."""
         self.now_ms += 10_000.0
         self.replica = Replica(
-            identity_address="me:1",
-            zone="zone",
-            control_address="me:2",
-            seeds=("me:1",),
-            bootstrap=False,
-            tolerance=1,
-            recovered=RecoveredFile(self.records),
-            empty_state=Register,
-            restore_state=Register.restore,
-            rng=random.Random(3),
-            now_ms=self.now_ms,
-            times=ReplicationTimes(),
+            ReplicaOptions(
+                address="me:1",
+                control_address="me:2",
+                zone="zone",
+                seeds=("me:1",),
+                bootstrap=False,
+                tolerance=1,
+                times=ReplicationTimes(),
+            ),
+            RecoveredFile(self.records),
+            StateFactory(Register, Register.restore),
+            random.Random(3),
+            self.now_ms,
         )
         self.event(TimePassed())
         self.now_ms += 1_000.0  # a witness that was just started protects whoever is primary
@@ -194,7 +187,7 @@
 
 class TheRegisterOfOneWitness(unittest.TestCase):
     def test_given_a_newer_view_then_older_promises_are_of_no_matter(self) -> None:
-        witness = Witness(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
+        witness = ViewRegister(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
         one, two = (View(epoch, "a", ("a",), (ANN,)) for epoch in (1, 2))
         self.assertTrue(witness.adopt(one))
         self.assertTrue(witness.promise(ProposalNumber(3, "a", "x")))
@@ -205,7 +198,7 @@
         self.assertEqual((2, NO_PROPOSAL), (witness.accepted_epoch, witness.promised))
 
     def test_given_the_same_proposal_number_twice_then_it_is_promised_once(self) -> None:
-        witness = Witness(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
+        witness = ViewRegister(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
         self.assertTrue(witness.promise(ProposalNumber(1, "a", "x")))
         self.assertFalse(witness.promise(ProposalNumber(1, "a", "x")))
 
--- a/tests/replication/time_to_full_set.py
+++ b/tests/replication/time_to_full_set.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from madderwind.replication.api import CommandOutcome, CommandResult
+from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.fleet.clock import Clock
 from tests.fleet.fleet import Fleet
 from tests.fleet.history import Taken, Violation
@@ -158,7 +158,7 @@
         sent = command(version, version + 1, f"command-{self._commands}")
 
         def note(result: CommandResult) -> None:
-            if result.outcome is CommandOutcome.TAKEN:
+            if result.outcome is CommandOutcome.COMMITTED:
                 self._acknowledged.append((sent.base_version, sent.body))
 
         primary.submit(sent, note)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,6 +12,7 @@
 # The router fleet's packages from the ground up: each may import all those before it.
 FLEET_LAYERS = (
     "errors",
+    "log_events",
     "node_settings",
     "messages",
     "storage",
@@ -33,7 +34,7 @@
     # Free of all others.
     "early_signals": "",
     "eventlog": "",
-    "structured_log": "",
+    "structured_log": "log_events",
     # Shared by both programs.
     "metrics": "errors",
     "settings_watch": "errors eventlog node_settings",
