--- a/madderwind/controlplane/registry_saver.py
+++ b/madderwind/controlplane/checkpoint_writer.py
@@ -1,31 +1,43 @@
-"""Saves the registry's copy from a thread of its own, whenever the upstreams' descriptions have changed."""
+"""Writes the registry's checkpoint from a thread of its own, whenever the upstreams' descriptions have
+changed."""
 
 from __future__ import annotations
 
 import threading
 from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
 from madderwind.errors import StorageError
 from madderwind.messages.distribution import UpstreamRecord
-from madderwind.registry.saved_copy import SavedCopy
+from madderwind.registry.checkpoint import RegistryCheckpoint
 
 # How often the host offers what is known.
 SAVE_INTERVAL_S = 0.5
 
-Description = tuple[str, str, str, str]
 
+class _Description(NamedTuple):
+    """What is worth a write when it changes."""
 
-class RegistrySaver:
-    """Hands the newest descriptions to its thread; what is offered while a write runs is offered again.
-    `report` is called on the thread with what is on disk now; it must not wait."""
+    instance: str
+    service: str
+    address: str
+    state: str
 
-    def __init__(self, saved_copy: SavedCopy, report: Callable[[Sequence[UpstreamRecord]], None]) -> None:
-        self._saved_copy = saved_copy
+
+class CheckpointWriter:
+    """Hands the newest descriptions to its thread; what is offered while a write runs is to be offered
+    again."""
+
+    def __init__(
+        self, checkpoint: RegistryCheckpoint, report: Callable[[Sequence[UpstreamRecord]], None]
+    ) -> None:
+        """Begin idle; `report` is called on the thread with what is on disk now, and must not block."""
+        self._checkpoint = checkpoint
         self._report = report
-        self._described: frozenset[Description] = frozenset()
+        self._described: frozenset[_Description] = frozenset()
         self._offered: Sequence[UpstreamRecord] = ()
         self._wanted = threading.Event()
-        self._thread = threading.Thread(target=self._run, name="registry copy", daemon=True)
+        self._thread = threading.Thread(target=self._run, name="registry checkpoint", daemon=True)
 
     def start(self) -> None:
         """Begin to take offers."""
@@ -33,12 +45,15 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a write is under way."""
+        """Whether a write is in progress."""
         return self._wanted.is_set()
 
     def offer(self, upstreams: Sequence[UpstreamRecord]) -> bool:
         """Have these saved where they differ from what was; whether they are handed to the thread."""
-        described = frozenset(_description(record) for record in upstreams)
+        described = frozenset(
+            _Description(record.instance, record.service, record.address, record.state)
+            for record in upstreams
+        )
         if described == self._described or self._wanted.is_set():
             return False
         self._described, self._offered = described, upstreams
@@ -53,12 +68,8 @@
 
     def _save(self) -> None:
         try:
-            self._saved_copy.save(self._offered)
+            self._checkpoint.save(self._offered)
         except StorageError:
             self._described = frozenset()  # offered again, and tried again then
             return
         self._report(self._offered)
-
-
-def _description(record: UpstreamRecord) -> Description:
-    return record.instance, record.service, record.address, record.state
--- a/madderwind/controlplane/effects.py
+++ b/madderwind/controlplane/effects.py
@@ -1,4 +1,4 @@
-"""What the control plane's core asks of its host."""
+"""Effects: what the control plane's core asks of its host."""
 
 from __future__ import annotations
 
@@ -18,31 +18,36 @@
     message: PeerFrame
 
 
-class CommandEnded(msgspec.Struct, frozen=True):
+class RespondToCommand(msgspec.Struct, frozen=True):
     """Answer an operator's command that reached this machine."""
 
     call: int
     result: CommandResult
 
 
-class ReadEnded(msgspec.Struct, frozen=True):
-    """Answer an operator's read. `document` is None where no newest configuration could be proven; `version`
-    is 0 where there is none yet."""
+class RespondToRead(msgspec.Struct, frozen=True):
+    """Answer an operator's read.
+
+    Attributes:
+        call: The call to answer.
+        version: Of the configuration; 0 where there is none yet.
+        document: JSON; None where no newest configuration could be proven.
+    """
 
     call: int
     version: int
     document: bytes | None
 
 
-class UpstreamAnswered(msgspec.Struct, frozen=True):
+class RespondToUpstream(msgspec.Struct, frozen=True):
     """Answer an upstream's call: accepted, or to be made to another control plane."""
 
     call: int
     is_accepted: bool
 
 
-class SaveRegistry(msgspec.Struct, frozen=True):
-    """Save the registry's copy at once, and tell the core what it held when it is on disk."""
+class SaveCheckpoint(msgspec.Struct, frozen=True):
+    """Save the registry at once, and tell the core what was saved when it is on disk."""
 
 
 Effect = (
@@ -50,10 +55,10 @@
     | SendTo
     | SendToAll
     | Close
-    | CommandEnded
-    | ReadEnded
-    | UpstreamAnswered
-    | SaveRegistry
+    | RespondToCommand
+    | RespondToRead
+    | RespondToUpstream
+    | SaveCheckpoint
     | Write
     | Rewrite
     | LogLine
--- a/madderwind/controlplane/frames.py
+++ b/madderwind/controlplane/frames.py
@@ -15,35 +15,35 @@
 
 
 class ByteBudget:
-    """Bytes that may be under way at once; whoever would pass the bound waits, one alone never."""
+    """Bytes that may be in flight at once; whoever would pass the bound waits, one alone never."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self._most_bytes = most_bytes
-        self._taken_bytes = 0
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._reserved_bytes = 0
         self._changed = asyncio.Condition()
 
     @asynccontextmanager
-    async def taken(self, count: int) -> AsyncIterator[None]:
-        """Hold so many bytes of the budget."""
+    async def reserved(self, count: int) -> AsyncIterator[None]:
+        """Reserve so many bytes of the budget."""
         async with self._changed:
-            await self._changed.wait_for(lambda: self._has_room(count))
-            self._taken_bytes += count
+            await self._changed.wait_for(lambda: self._fits(count))
+            self._reserved_bytes += count
         try:
             yield
         finally:
-            self._taken_bytes -= count
+            self._reserved_bytes -= count
             async with self._changed:
                 self._changed.notify_all()
 
-    def _has_room(self, count: int) -> bool:
-        return not self._taken_bytes or self._taken_bytes + count <= self._most_bytes
+    def _fits(self, count: int) -> bool:
+        return not self._reserved_bytes or self._reserved_bytes + count <= self._max_bytes
 
 
 class FrameQueue:
-    """Frames in order, bounded in bytes; `offer` tells whether the bound is passed."""
+    """Frames in order, bounded in bytes."""
 
-    def __init__(self, most_bytes: int) -> None:
-        self._most_bytes = most_bytes
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
         self._frames: deque[_Frame] = deque()
         self._bytes = 0
         self._ready = asyncio.Event()
@@ -56,15 +56,15 @@
         self._frames.append(_Frame(data, now_s))
         self._bytes += len(data)
         self._ready.set()
-        return self._bytes <= self._most_bytes or len(self._frames) == 1
+        return self._bytes <= self._max_bytes or len(self._frames) == 1
 
     def drop_oldest(self) -> None:
-        """Give up on the frame that waited longest."""
+        """Drop the frame that waited longest."""
         if self._frames:
             self._bytes -= len(self._frames.popleft().data)
 
     def drop_older_than(self, offered_s: float) -> None:
-        """Give up on frames that were offered before that moment."""
+        """Drop frames that were offered before that moment."""
         while self._frames and self._frames[0].offered_s < offered_s:
             self.drop_oldest()
 
--- a/madderwind/controlplane/internal_server.py
+++ b/madderwind/controlplane/internal_server.py
@@ -15,12 +15,12 @@
     INVALID_CONTROL_PLANE_MESSAGE,
     INVALID_DATA_PLANE_MESSAGE,
 )
-from madderwind.messages.codec import LONGEST_MESSAGE, Codec
+from madderwind.messages.codec import MAX_MESSAGE_BYTES, Codec
 from madderwind.messages.distribution import Subscribe, to_control_plane
 from madderwind.messages.peering import Hello, peer_frames
 from madderwind.structured_log import Log, write_line
 
-FIRST_MESSAGE_WITHIN_S = 2.0
+FIRST_MESSAGE_TIMEOUT_S = 2.0
 CLOSE_TIMEOUT_S = 0.2
 
 MessageType = TypeVar("MessageType")
@@ -43,11 +43,11 @@
     async def _replica(self, request: web.Request) -> web.WebSocketResponse:
         connection = await _accepted(request)
         try:
-            hello = await _next_message(connection, peer_frames, FIRST_MESSAGE_WITHIN_S)
+            hello = await _next_message(connection, peer_frames, FIRST_MESSAGE_TIMEOUT_S)
             if isinstance(hello, Hello):
                 self._replace_connection(hello.sender, _transport(request))
                 while (message := await _next_message(connection, peer_frames)) is not None:
-                    self._host.peer_message(hello.sender, message)
+                    self._host.handle_peer_message(hello.sender, message)
         except MessageError as error:
             line = INVALID_CONTROL_PLANE_MESSAGE.line(peer=request.remote, reason=str(error))
             write_line(self._log, line)
@@ -65,7 +65,7 @@
     async def _subscribe(self, request: web.Request) -> web.WebSocketResponse:
         connection = await _accepted(request)
         try:
-            first = await _next_message(connection, to_control_plane, FIRST_MESSAGE_WITHIN_S)
+            first = await _next_message(connection, to_control_plane, FIRST_MESSAGE_TIMEOUT_S)
             if isinstance(first, Subscribe):
                 await self._serve_data_plane(_transport(request), connection, first)
         except MessageError as error:
@@ -84,12 +84,12 @@
         try:
             self._host.subscribe(number, first)
             while (message := await _next_message(connection, to_control_plane)) is not None:
-                self._host.data_plane_message(number, message)
+                self._host.handle_data_plane_message(number, message)
         finally:
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
-            streams.forget(number)
-            self._host.data_plane_closed(number)
+            streams.remove(number)
+            self._host.handle_data_plane_closed(number)
             write_line(self._log, DATA_PLANE_UNSUBSCRIBED.line(data_plane=first.node))
 
 
@@ -97,7 +97,9 @@
     tcp_socket = _transport(request).get_extra_info("socket")
     if tcp_socket is not None:
         set_options(tcp_socket)
-    connection = web.WebSocketResponse(compress=False, max_msg_size=LONGEST_MESSAGE, timeout=CLOSE_TIMEOUT_S)
+    connection = web.WebSocketResponse(
+        compress=False, max_msg_size=MAX_MESSAGE_BYTES, timeout=CLOSE_TIMEOUT_S
+    )
     await connection.prepare(request)
     return connection
 
--- a/madderwind/controlplane/peer_links.py
+++ b/madderwind/controlplane/peer_links.py
@@ -11,17 +11,17 @@
 
 from madderwind.controlplane.frames import FrameQueue
 from madderwind.controlplane.sockets import connecting_socket
-from madderwind.messages.codec import LONGEST_MESSAGE
+from madderwind.messages.codec import MAX_MESSAGE_BYTES
 from madderwind.messages.peering import Hello, peer_frames
 
 CONNECT_TIMEOUT_S = 0.3
 CLOSE_TIMEOUT_S = 0.2
-SHORTEST_BACKOFF_S, LONGEST_BACKOFF_S = 0.05, 0.4
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.4
 # A message that could not be sent within this is no longer of use: its sender sends anew.
 STALE_AFTER_S = 1.0
-# A link that nobody sends on for so long is given up.
+# A link that nobody sends on for so long is closed.
 UNUSED_AFTER_S = 15.0
-MOST_QUEUED_BYTES = 24 * 1024 * 1024
+MAX_QUEUED_BYTES = 24 * 1024 * 1024
 
 ConnectedHandler = Callable[[str], None]
 
@@ -31,13 +31,13 @@
 
     def __init__(self, address: str, session: aiohttp.ClientSession, hello: bytes) -> None:
         self._address, self._session, self._hello = address, session, hello
-        self._queue = FrameQueue(MOST_QUEUED_BYTES)
-        self._backoff_s = SHORTEST_BACKOFF_S
+        self._queue = FrameQueue(MAX_QUEUED_BYTES)
+        self._backoff_s = INITIAL_BACKOFF_S
         self._is_connected = False
         self.used_s = 0.0
 
     def send(self, now_s: float, frame: bytes) -> None:
-        """Queue a frame; the oldest give way where there are too many or no connection takes them."""
+        """Queue a frame; the oldest are dropped where there are too many or no connection takes them."""
         self.used_s = now_s
         if not self._is_connected:
             self._queue.drop_older_than(now_s - STALE_AFTER_S)
@@ -50,18 +50,18 @@
             with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
                 await self._connect_and_send(connected)
             await asyncio.sleep(self._backoff_s * random.uniform(0.5, 1.0))
-            self._backoff_s = min(self._backoff_s * 2, LONGEST_BACKOFF_S)
+            self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
 
     async def _connect_and_send(self, connected: ConnectedHandler) -> None:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             connection = await self._session.ws_connect(
                 f"http://{self._address}/replica",
                 compress=0,
-                max_msg_size=LONGEST_MESSAGE,
+                max_msg_size=MAX_MESSAGE_BYTES,
                 timeout=aiohttp.ClientWSTimeout(ws_close=CLOSE_TIMEOUT_S),
             )
         try:
-            self._backoff_s = SHORTEST_BACKOFF_S
+            self._backoff_s = INITIAL_BACKOFF_S
             await connection.send_bytes(self._hello)
             self._queue.drop_older_than(asyncio.get_running_loop().time() - STALE_AFTER_S)
             self._is_connected = True
@@ -109,7 +109,7 @@
         link.send(asyncio.get_running_loop().time(), frame)
 
     def drop_unused(self) -> None:
-        """Give up links that nobody sends on any more."""
+        """Close links that nobody sends on any more."""
         unused_since_s = asyncio.get_running_loop().time() - UNUSED_AFTER_S
         for address in [peer for peer, link in self._links.items() if link.used_s < unused_since_s]:
             del self._links[address]
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.controlplane.core import ControlPlaneCore
+from madderwind.controlplane.core import ControlPlaneCore, CoreOptions
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.controlplane.internal_server import InternalServer
 from madderwind.controlplane.metrics import control_plane_samples
@@ -29,7 +29,7 @@
 )
 from madderwind.metrics.exporter import start_exporter
 from madderwind.node_settings import CONTROL_PLANE_PORT, SETTINGS_VARIABLE, NodeSettings, read_settings
-from madderwind.registry.saved_copy import SavedCopy
+from madderwind.registry.checkpoint import RegistryCheckpoint
 from madderwind.replication.actions import Action
 from madderwind.replication.events import Event
 from madderwind.replication.replica import Replica, ReplicaOptions
@@ -42,8 +42,8 @@
 from madderwind.structured_log import BatchedOutput, Log, open_log, write_line
 
 # What stays of the grace period for closing connections and for the start of the last write.
-END_RESERVE_S = 1.5
-REST_CHECK_S = 0.05
+SHUTDOWN_RESERVE_S = 1.5
+SHUTDOWN_CHECK_S = 0.05
 CLOSE_TIMEOUT_S = 0.3
 BACKLOG = 1024
 
@@ -60,7 +60,7 @@
         return cast(ConfigurationHistory, self._replica.committed)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take an event; what comes back is to be carried out in order."""
+        """Handle an event; what comes back is to be carried out in order."""
         return self._replica.handle(now_ms, event)
 
     def status(self, now_ms: float) -> ReplicaStatus:
@@ -76,14 +76,14 @@
         self._record_file, self._recovered = record_file, recovered
         self._output = BatchedOutput()
         self._log: Log = open_log(settings.node, self._output)
-        self._end_requested = asyncio.Event()
+        self._shutdown_requested = asyncio.Event()
         self._runners: list[web.AppRunner] = []
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then hand over and end."""
+        """Serve until SIGTERM, then transfer leadership and end."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self.request_end)
-        loop.add_signal_handler(signal.SIGINT, self.request_end)
+        loop.add_signal_handler(signal.SIGTERM, self.request_shutdown)
+        loop.add_signal_handler(signal.SIGINT, self.request_shutdown)
         host = self._host()
         watch = self._settings_watch(host)
         loop.add_signal_handler(signal.SIGHUP, watch.read_again)
@@ -101,17 +101,17 @@
         write_line(self._log, CONTROL_PLANE_STARTED.line(address=self._own_address()))
         gc.collect()
         gc.freeze()
-        await self._end_requested.wait()
+        await self._shutdown_requested.wait()
         watching.cancel()
-        public_server.refuse_new_calls()
+        public_server.reject_new_calls()
         await self._transfer_leadership(host)
         if exporter is not None:
             await exporter.close()
         await self._close(host)
 
-    def request_end(self) -> None:
-        """Hand over and end, as SIGTERM asks for."""
-        self._end_requested.set()
+    def request_shutdown(self) -> None:
+        """Transfer leadership and end, as on SIGTERM."""
+        self._shutdown_requested.set()
 
     def _own_address(self) -> str:
         return self._settings.internal_address(CONTROL_PLANE_PORT)
@@ -136,14 +136,16 @@
         )
         core = ControlPlaneCore(
             ConfigurationReplica(replica),
-            self._own_address(),
-            settings.seed_addresses(),
-            settings.heartbeat_ms,
-            settings.fault_tolerance.machines,
+            CoreOptions(
+                self._own_address(),
+                settings.seed_addresses(),
+                settings.heartbeat_ms,
+                settings.fault_tolerance.machines,
+            ),
             rng,
         )
-        saved_registry = SavedCopy(FileDisk(settings.data_dir or ""))
-        return ControlPlaneHost(core, self._record_file, saved_registry, self._own_address(), self._log)
+        checkpoint = RegistryCheckpoint(FileDisk(settings.data_dir or ""))
+        return ControlPlaneHost(core, self._record_file, checkpoint, self._own_address(), self._log)
 
     async def _serve(self, application: web.Application, address: str) -> None:
         runner = web.AppRunner(
@@ -155,7 +157,7 @@
         await web.TCPSite(runner, ip, int(port), backlog=BACKLOG, reuse_address=True).start()
 
     def _settings_watch(self, host: ControlPlaneHost) -> SettingsWatch:
-        def take(settings: NodeSettings) -> None:
+        def apply(settings: NodeSettings) -> None:
             if settings == self._settings:
                 return
             self._settings = settings
@@ -165,18 +167,20 @@
         def log(event: str, /, **fields: object) -> None:
             self._log.warning(event, **fields)
 
-        return SettingsWatch(Path(os.environ.get(SETTINGS_VARIABLE, "")), take, log)
+        return SettingsWatch(Path(os.environ.get(SETTINGS_VARIABLE, "")), apply, log)
 
     async def _transfer_leadership(self, host: ControlPlaneHost) -> None:
-        """Give the primary's role up where it is held, answer the calls under way, and stay as long as the
-        grace period allows while the in-sync set can't do without this replica."""
+        """Transfer leadership where it is held and answer the calls in progress.
+
+        Stays as long as the grace period allows while the in-sync set can't do without this replica.
+        """
         write_line(self._log, SHUTDOWN_REQUESTED.line())
-        host.leave()
-        grace_s = self._settings.bounds.grace_s - END_RESERVE_S
+        host.request_shutdown()
+        grace_s = self._settings.bounds.grace_s - SHUTDOWN_RESERVE_S
         deadline_s = asyncio.get_running_loop().time() + max(grace_s, 0.0)
-        while not host.is_at_rest and asyncio.get_running_loop().time() < deadline_s:
-            await asyncio.sleep(REST_CHECK_S)
-        await asyncio.sleep(REST_CHECK_S)  # the last messages leave
+        while not host.can_stop and asyncio.get_running_loop().time() < deadline_s:
+            await asyncio.sleep(SHUTDOWN_CHECK_S)
+        await asyncio.sleep(SHUTDOWN_CHECK_S)  # the last messages leave
 
     async def _close(self, host: ControlPlaneHost) -> None:
         await host.stop()
@@ -202,5 +206,5 @@
         print(f"control plane: {error}", file=sys.stderr)
         sys.exit(1)
     asyncio.run(_run(settings, record_file, recovered))
-    # Threads that wait for a disk in trouble must not hold the end up.
+    # Threads that wait for a faulty disk must not delay the exit.
     os._exit(0)
--- a/madderwind/controlplane/public_server.py
+++ b/madderwind/controlplane/public_server.py
@@ -10,14 +10,14 @@
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.errors import InvalidHeartbeat
 from madderwind.log_events.control_plane import COMMAND_COMPLETED, INVALID_HEARTBEAT
-from madderwind.registry.heartbeats import LONGEST_HEARTBEAT_BYTES
+from madderwind.registry.heartbeats import MAX_HEARTBEAT_BYTES
 from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
 from madderwind.structured_log import Log, write_line
 
-LONGEST_COMMAND_BYTES = 4 * 1024 * 1024
+MAX_COMMAND_BYTES = 4 * 1024 * 1024
 BASE_VERSION_HEADER = "X-Base-Version"
 # An upstream takes its heartbeat elsewhere after a second, an operator's large body takes longer.
-HEARTBEAT_BODY_WITHIN_S, COMMAND_BODY_WITHIN_S = 1.0, 10.0
+HEARTBEAT_BODY_TIMEOUT_S, COMMAND_BODY_TIMEOUT_S = 1.0, 10.0
 RETRY_AFTER_S = "0.1"
 
 _STATUS = {
@@ -33,11 +33,11 @@
 
     def __init__(self, host: ControlPlaneHost, log: Log) -> None:
         self._host, self._log = host, log
-        self._is_leaving = False
+        self._is_shutting_down = False
 
     def application(self) -> web.Application:
         """The application to be served."""
-        application = web.Application(client_max_size=LONGEST_COMMAND_BYTES)
+        application = web.Application(client_max_size=MAX_COMMAND_BYTES)
         router = application.router
         router.add_post("/instances/{instance}/heartbeat", self._heartbeat)
         router.add_post("/instances/{instance}/deregister", self._deregister)
@@ -46,41 +46,41 @@
         router.add_get("/config/read", self._read)
         return application
 
-    def refuse_new_calls(self) -> None:
+    def reject_new_calls(self) -> None:
         """From now on callers are sent elsewhere: this process is about to end."""
-        self._is_leaving = True
+        self._is_shutting_down = True
 
     async def _heartbeat(self, request: web.Request) -> web.Response:
-        if self._is_leaving:
+        if self._is_shutting_down:
             return _unavailable("this process is about to end")
-        body = await _body(request, LONGEST_HEARTBEAT_BYTES, HEARTBEAT_BODY_WITHIN_S)
+        body = await _body(request, MAX_HEARTBEAT_BYTES, HEARTBEAT_BODY_TIMEOUT_S)
         instance = request.match_info["instance"]
         try:
-            is_accepted = await self._host.heartbeat(instance, body)
+            is_accepted = await self._host.handle_heartbeat(instance, body)
         except InvalidHeartbeat as error:
             write_line(self._log, INVALID_HEARTBEAT.line(instance=instance, reason=str(error)))
             return _json(400, {"error": str(error)})
-        return _answer_to_upstream(is_accepted)
+        return _upstream_response(is_accepted)
 
     async def _deregister(self, request: web.Request) -> web.Response:
-        if self._is_leaving:
+        if self._is_shutting_down:
             return _unavailable("this process is about to end")
-        return _answer_to_upstream(await self._host.deregister(request.match_info["instance"]))
+        return _upstream_response(await self._host.deregister(request.match_info["instance"]))
 
     async def _replace(self, request: web.Request) -> web.Response:
-        return await self._command(request, CommandKind.REPLACE)
+        return await self._submit(request, CommandKind.REPLACE)
 
     async def _update(self, request: web.Request) -> web.Response:
-        return await self._command(request, CommandKind.UPDATE)
+        return await self._submit(request, CommandKind.UPDATE)
 
-    async def _command(self, request: web.Request, kind: CommandKind) -> web.Response:
-        if self._is_leaving:
+    async def _submit(self, request: web.Request, kind: CommandKind) -> web.Response:
+        if self._is_shutting_down:
             return _unavailable("this process is about to end")
         base = request.headers.get(BASE_VERSION_HEADER, "")
         if not (base.isascii() and base.isdigit()):
             return _json(400, {"error": "a whole number is expected", "field": BASE_VERSION_HEADER})
-        body = await _body(request, LONGEST_COMMAND_BYTES, COMMAND_BODY_WITHIN_S)
-        result = await self._host.command(Command(kind, int(base), body))
+        body = await _body(request, MAX_COMMAND_BYTES, COMMAND_BODY_TIMEOUT_S)
+        result = await self._host.submit(Command(kind, int(base), body))
         line = COMMAND_COMPLETED.line(
             kind=kind.value,
             base_version=int(base),
@@ -90,10 +90,10 @@
             reason=result.reason,
         )
         write_line(self._log, line)
-        return _answer_to_command(result)
+        return _command_response(result)
 
     async def _read(self, request: web.Request) -> web.Response:
-        if self._is_leaving:
+        if self._is_shutting_down:
             return _unavailable("this process is about to end")
         ended = await self._host.read()
         if ended.document is None:
@@ -103,25 +103,25 @@
         return web.Response(body=ended.document, content_type="application/json")
 
 
-async def _body(request: web.Request, most_bytes: int, within_s: float) -> bytes:
-    """The whole body; answers 413 where it is too long and 408 where it does not come."""
-    if (request.content_length or 0) > most_bytes:
-        raise web.HTTPRequestEntityTooLarge(most_bytes, request.content_length or 0)
+async def _body(request: web.Request, max_bytes: int, timeout_s: float) -> bytes:
+    """The complete body; responds with 413 where it is too long and 408 where it does not come."""
+    if (request.content_length or 0) > max_bytes:
+        raise web.HTTPRequestEntityTooLarge(max_bytes, request.content_length or 0)
     try:
-        async with asyncio.timeout(within_s):
+        async with asyncio.timeout(timeout_s):
             body = await request.read()
     except TimeoutError:
         raise web.HTTPRequestTimeout from None
-    if len(body) > most_bytes:
-        raise web.HTTPRequestEntityTooLarge(most_bytes, len(body))
+    if len(body) > max_bytes:
+        raise web.HTTPRequestEntityTooLarge(max_bytes, len(body))
     return body
 
 
-def _answer_to_upstream(is_accepted: bool) -> web.Response:
+def _upstream_response(is_accepted: bool) -> web.Response:
     return _json(200, {}) if is_accepted else _unavailable("no other control plane has confirmed it")
 
 
-def _answer_to_command(result: CommandResult) -> web.Response:
+def _command_response(result: CommandResult) -> web.Response:
     if result.outcome is CommandOutcome.UNKNOWN:
         return _unavailable("no clear answer here and now")
     if result.outcome is CommandOutcome.COMMITTED:
--- a/madderwind/controlplane/subscriber_streams.py
+++ b/madderwind/controlplane/subscriber_streams.py
@@ -1,4 +1,4 @@
-"""The connections of subscribed data planes, each with a bounded queue; one that does not read is dropped."""
+"""The connections of subscribed data planes, each with a bounded queue; one that does not read is closed."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from madderwind.messages.distribution import ToDataPlane, to_data_plane
 
 # A whole configuration and what comes beside it.
-MOST_QUEUED_BYTES = 12 * 1024 * 1024
+MAX_QUEUED_BYTES = 12 * 1024 * 1024
 # Frames from this length on are copied into sockets' buffers only within a budget over all connections.
 LARGE_FRAME_BYTES = 64 * 1024
-MOST_LARGE_BYTES_SENDING = 64 * 1024 * 1024
+MAX_LARGE_BYTES_IN_FLIGHT = 64 * 1024 * 1024
 
 
 @attrs.define
@@ -32,15 +32,15 @@
         self._last_connection = 0
         self._encoded_message: ToDataPlane | None = None
         self._encoded = b""
-        self._large_frames = ByteBudget(MOST_LARGE_BYTES_SENDING)
+        self._large_frames = ByteBudget(MAX_LARGE_BYTES_IN_FLIGHT)
 
     def open(self, transport: asyncio.BaseTransport) -> int:
         """A new connection's number."""
         self._last_connection += 1
-        self._streams[self._last_connection] = _Stream(transport, FrameQueue(MOST_QUEUED_BYTES))
+        self._streams[self._last_connection] = _Stream(transport, FrameQueue(MAX_QUEUED_BYTES))
         return self._last_connection
 
-    def forget(self, connection: int) -> None:
+    def remove(self, connection: int) -> None:
         """The connection ended."""
         self._streams.pop(connection, None)
 
@@ -51,7 +51,7 @@
             if len(frame) < LARGE_FRAME_BYTES:
                 await socket.send_bytes(frame)
                 return
-            async with self._large_frames.taken(len(frame)):
+            async with self._large_frames.reserved(len(frame)):
                 await socket.send_bytes(frame)
 
         await self._streams[connection].queue.send_all(send)
--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -11,7 +11,7 @@
 from madderwind.dataplane.upstream_health import UpstreamHealth
 from madderwind.placement.placement import Placement
 from madderwind.placement.prompts import Generation
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 
 
 class UpstreamChooser:
@@ -70,7 +70,7 @@
 
     def _silent(self, now_ms: float, candidates: tuple[str, ...]) -> frozenset[str]:
         """Those that no control plane hears, or none of whose streams goes on: hints, no proof."""
-        unheard = frozenset(instance for instance in candidates if self._upstreams.is_silent(instance))
+        unheard = frozenset(instance for instance in candidates if self._upstreams.is_timed_out(instance))
         return unheard | self.streams.silent(now_ms, candidates)
 
     def _pick(
@@ -118,7 +118,7 @@
         """The upstream answered something."""
         self._idle_first.heard(instance)
         self.health.succeeded(instance)
-        self._upstreams.answered(instance)
+        self._upstreams.mark_answered(instance)
 
     def ended(
         self, now_ms: float, key: str, generation: Generation | None, instance: str, served: bool
--- a/madderwind/dataplane/forwarding.py
+++ b/madderwind/dataplane/forwarding.py
@@ -26,7 +26,7 @@
 from madderwind.dataplane.upstream_heads import INSTANCE, REQUEST_ID, Head, read_head, tells_its_end
 from madderwind.dataplane.upstream_pool import UpstreamPool
 from madderwind.eventlog import EventLog
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 from madderwind.transport.answering import Addressee
 from madderwind.transport.unread import has_left
 from madderwind.transport.upstreams import EncodedRequest
@@ -315,7 +315,7 @@
         shared.counters[f"head {head.value}"] += 1
         if head is Head.MISDIRECTED:
             is_another = response.headers.get(INSTANCE) != attempt.instance
-            if is_another and shared.upstreams.prove_gone(self._now_ms(), attempt.instance):
+            if is_another and shared.upstreams.mark_deregistered(self._now_ms(), attempt.instance):
                 shared.chooser.changed((attempt.instance,))
                 shared.pool.forget(attempt.instance)
                 shared.log("upstream_replaced", instance=attempt.instance)
--- a/madderwind/dataplane/metrics.py
+++ b/madderwind/dataplane/metrics.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from madderwind.metrics.samples import Sample, SampleKind
-from madderwind.registry.upstreams import KnownUpstream
+from madderwind.registry.known_upstreams import KnownUpstream
 
 
 @dataclass(frozen=True)
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -44,7 +44,7 @@
 from madderwind.metrics.exporter import start_exporter
 from madderwind.node_settings import DATA_PLANE_PORT, NodeSettings
 from madderwind.placement.placement import Placement
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 from madderwind.settings_watch import SettingsWatch
 from madderwind.transport.listening import CallerTimes, Listener
 
@@ -59,7 +59,7 @@
 # The platform asks every second and needs two misses, so new connections still come for a while.
 STILL_ACCEPTING_S = 2.5
 # What is kept of `grace_s` for the process's own end.
-END_RESERVE_S = 0.7
+SHUTDOWN_RESERVE_S = 0.7
 # Of a short `grace_s` neither takes more than these parts: most of it is for requests that run.
 STILL_ACCEPTING_PART, END_RESERVE_PART = 1 / 3, 0.1
 END_LOOK_S = 0.02
@@ -182,7 +182,7 @@
         self._listener.begin_ending()
         await asyncio.sleep(min(self._still_accepting_s, STILL_ACCEPTING_PART * grace_s))
         self._change_phase(Phase.FINISHING)
-        until_s = began_s + grace_s - min(END_RESERVE_S, END_RESERVE_PART * grace_s)
+        until_s = began_s + grace_s - min(SHUTDOWN_RESERVE_S, END_RESERVE_PART * grace_s)
         left_open = await self._listener.finish(until_s - self._loop.time())
         self._log("ended", left_open=left_open, **_plain(self.counters))
         await self.close()
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -32,7 +32,7 @@
 )
 from madderwind.errors import InvalidConfiguration, MessageError
 from madderwind.eventlog import EventLog
-from madderwind.messages.codec import LONGEST_MESSAGE
+from madderwind.messages.codec import MAX_MESSAGE_BYTES
 from madderwind.messages.distribution import ToControlPlane, to_control_plane, to_data_plane
 
 SUBSCRIBE_PATH = "/subscribe"
@@ -136,7 +136,7 @@
             socket = await self._session.ws_connect(
                 f"http://{address}{SUBSCRIBE_PATH}",
                 compress=0,
-                max_msg_size=LONGEST_MESSAGE,
+                max_msg_size=MAX_MESSAGE_BYTES,
                 timeout=aiohttp.ClientWSTimeout(ws_close=CLOSE_TIMEOUT_S),
             )
         outgoing = self._outgoing[address] = asyncio.Queue()
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -183,7 +183,7 @@
             deliveries.append(SendToAll(self._freshness(now_ms)))
         return deliveries if self._subscribers else []
 
-    def upstreams_changed(self, records: Sequence[UpstreamRecord]) -> list[Delivery]:
+    def publish_upstreams(self, records: Sequence[UpstreamRecord]) -> list[Delivery]:
         """Tell all of changed upstreams."""
         if not records or not self._subscribers:
             return []
--- a/madderwind/messages/codec.py
+++ b/madderwind/messages/codec.py
@@ -14,11 +14,11 @@
 from madderwind.errors import MessageError
 
 # A whole configuration is at most 4 MiB; a snapshot holds it with its history.
-LONGEST_MESSAGE = 16 * 1024 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 # From this length on the transfer costs more than the compression.
-COMPRESSED_FROM_BYTES = 16 * 1024
+MIN_COMPRESSED_BYTES = 16 * 1024
 COMPRESSION_LEVEL = 1
-COMPRESSED_MARK = b"\xc1"  # never used by MessagePack
+COMPRESSED_PREFIX = b"\xc1"  # never used by MessagePack
 
 MessageType = TypeVar("MessageType")
 
@@ -33,15 +33,15 @@
     def encode(self, message: MessageType) -> bytes:
         """The message's bytes."""
         data = self._encoder.encode(message)
-        if len(data) < COMPRESSED_FROM_BYTES:
+        if len(data) < MIN_COMPRESSED_BYTES:
             return data
-        return COMPRESSED_MARK + zlib.compress(data, COMPRESSION_LEVEL)
+        return COMPRESSED_PREFIX + zlib.compress(data, COMPRESSION_LEVEL)
 
     def decode(self, data: bytes) -> MessageType:
         """The message; MessageError where the bytes are none."""
-        if data[:1] == COMPRESSED_MARK:
+        if data[:1] == COMPRESSED_PREFIX:
             data = _decompressed(data[1:])
-        if len(data) > LONGEST_MESSAGE:
+        if len(data) > MAX_MESSAGE_BYTES:
             raise MessageError(f"{len(data)} bytes are more than a message may hold")
         try:
             return self._decoder.decode(data)
@@ -53,9 +53,9 @@
     """The bytes before compression; MessageError where these are none, or more than a message may hold."""
     decompressor = zlib.decompressobj()
     try:
-        whole = decompressor.decompress(data, LONGEST_MESSAGE + 1)
+        whole = decompressor.decompress(data, MAX_MESSAGE_BYTES + 1)
     except zlib.error as error:
         raise MessageError(f"a compressed message: {error}") from None
-    if len(whole) <= LONGEST_MESSAGE and not decompressor.eof:
+    if len(whole) <= MAX_MESSAGE_BYTES and not decompressor.eof:
         raise MessageError("a compressed message that is not whole")
     return whole
--- a/madderwind/registry/saved_copy.py
+++ b/madderwind/registry/checkpoint.py
@@ -20,17 +20,17 @@
 FILE_NAMES = ("registry-0.copy", "registry-1.copy")
 
 
-class _Copy(msgspec.Struct, frozen=True, array_like=True):
+class _File(msgspec.Struct, frozen=True, array_like=True):
     """What one file holds."""
 
     generation: int
     upstreams: tuple[UpstreamRecord, ...]
 
 
-_decoder = msgspec.msgpack.Decoder(_Copy)
+_decoder = msgspec.msgpack.Decoder(_File)
 
 
-class SavedCopy:
+class RegistryCheckpoint:
     """The two files. `save` waits for the disk, and is called from a thread."""
 
     def __init__(self, disk: Disk) -> None:
@@ -38,20 +38,24 @@
         self._generation = 0
 
     def load(self) -> tuple[UpstreamRecord, ...]:
-        """The newest whole copy; nothing where there is none or the disk can't be read."""
-        copies = [copy for name in FILE_NAMES if (copy := self._read(name)) is not None]
-        newest = max(copies, key=lambda copy: copy.generation, default=_Copy(0, ()))
+        """The newest complete copy; nothing where there is none or the disk can't be read."""
+        files = [file for name in FILE_NAMES if (file := self._read(name)) is not None]
+        newest = max(files, key=lambda file: file.generation, default=_File(0, ()))
         self._generation = newest.generation
         return newest.upstreams
 
     def save(self, upstreams: Sequence[UpstreamRecord]) -> None:
-        """Write and sync a new copy; raises StorageError."""
-        copy = _Copy(self._generation + 1, tuple(upstreams))
-        name = FILE_NAMES[copy.generation % len(FILE_NAMES)]
-        self._disk.create(name, encode_record(msgspec.msgpack.encode(copy)))
-        self._generation = copy.generation
+        """Write and sync a new copy.
 
-    def _read(self, name: str) -> _Copy | None:
+        Raises:
+            StorageError: The disk refused it; the copy before it stays.
+        """
+        file = _File(self._generation + 1, tuple(upstreams))
+        name = FILE_NAMES[file.generation % len(FILE_NAMES)]
+        self._disk.create(name, encode_record(msgspec.msgpack.encode(file)))
+        self._generation = file.generation
+
+    def _read(self, name: str) -> _File | None:
         with contextlib.suppress(StorageError, msgspec.MsgspecError):
             if name in self._disk.names():
                 records = decode_records(self._disk.read(name)).records
--- a/madderwind/registry/heartbeats.py
+++ b/madderwind/registry/heartbeats.py
@@ -7,13 +7,24 @@
 from madderwind.errors import InvalidHeartbeat
 from madderwind.registry.states import UpstreamState
 
-LONGEST_HEARTBEAT_BYTES = 4 * 1024
-LONGEST_INSTANCE_CHARACTERS = 200
-HIGHEST_PORT = 65535
+MAX_HEARTBEAT_BYTES = 4 * 1024
+MAX_INSTANCE_CHARACTERS = 200
+MAX_PORT = 65535
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The body of a heartbeat, as far as the system uses it; further fields are passed over."""
+    """The body of a heartbeat, as far as the system uses it; further fields are ignored.
+
+    Attributes:
+        service: The service that the instance belongs to.
+        address: Where it listens, ip:port.
+        state: Ready or draining.
+        sequence: Rises with each call, so that a late one can be known.
+        zone: Its zone.
+        version: Of its software.
+        slots: How many requests it runs at once.
+        slow_start_remaining_ms: How much longer it is slow from its start.
+    """
 
     service: str
     address: str
@@ -29,11 +40,15 @@
 
 
 def read_heartbeat(instance: str, body: bytes) -> Heartbeat:
-    """The heartbeat in a body; InvalidHeartbeat where it is none."""
-    if not 0 < len(instance) <= LONGEST_INSTANCE_CHARACTERS:
+    """Read the body of a heartbeat.
+
+    Raises:
+        InvalidHeartbeat: It is too long, is no JSON of this form, or names no service or address.
+    """
+    if not 0 < len(instance) <= MAX_INSTANCE_CHARACTERS:
         raise InvalidHeartbeat("the instance's id is empty or too long")
-    if len(body) > LONGEST_HEARTBEAT_BYTES:
-        raise InvalidHeartbeat(f"more than {LONGEST_HEARTBEAT_BYTES} bytes")
+    if len(body) > MAX_HEARTBEAT_BYTES:
+        raise InvalidHeartbeat(f"more than {MAX_HEARTBEAT_BYTES} bytes")
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -45,4 +60,4 @@
 
 def _is_address(address: str) -> bool:
     host, _, port = address.rpartition(":")
-    return bool(host) and port.isascii() and port.isdigit() and 0 < int(port) <= HIGHEST_PORT
+    return bool(host) and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT
--- a/madderwind/registry/states.py
+++ b/madderwind/registry/states.py
@@ -6,19 +6,19 @@
 
 
 class UpstreamState(Enum):
-    """`READY` takes requests, `DRAINING` takes no new ones, `GONE` has deregistered."""
+    """The values are those on the wire."""
 
-    READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
+    READY = "ready"  # takes requests
+    DRAINING = "draining"  # takes no new ones
+    DEREGISTERED = "gone"  # takes none; its address may belong to another instance
 
 
-_ORDER = {UpstreamState.READY: 0, UpstreamState.DRAINING: 1, UpstreamState.GONE: 2}
+_RANKS = {UpstreamState.READY: 0, UpstreamState.DRAINING: 1, UpstreamState.DEREGISTERED: 2}
 
 
 def furthest(first: UpstreamState, second: UpstreamState) -> UpstreamState:
     """The later of two states: an instance never goes back to an earlier one."""
-    return first if _ORDER[first] >= _ORDER[second] else second
+    return first if _RANKS[first] >= _RANKS[second] else second
 
 
 def state_named(name: str) -> UpstreamState:
--- a/madderwind/storage/records.py
+++ b/madderwind/storage/records.py
@@ -14,7 +14,7 @@
 
 _HEADER = struct.Struct("<II")  # length of the payload, checksum
 # Longer than any record; a torn length must not lead to a read beyond reason.
-LONGEST_RECORD = 64 * 1024 * 1024
+MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
 class DecodedRecords(msgspec.Struct, frozen=True):
@@ -49,7 +49,7 @@
     if start > len(data):
         return None
     length, checksum = _HEADER.unpack_from(data, position)
-    if length > LONGEST_RECORD or start + length > len(data):
+    if length > MAX_RECORD_BYTES or start + length > len(data):
         return None
     payload = data[start : start + length]
     return payload if _checksum(payload) == checksum else None
--- a/tests/campaign/connections.py
+++ b/tests/campaign/connections.py
@@ -6,7 +6,12 @@
 from collections.abc import Callable
 from enum import Enum
 
-from madderwind.controlplane.sockets import PROBE_AFTER_S, PROBE_INTERVAL_S, PROBES, UNACKNOWLEDGED_MS
+from madderwind.controlplane.sockets import (
+    ACKNOWLEDGEMENT_TIMEOUT_MS,
+    PROBE_AFTER_S,
+    PROBE_INTERVAL_S,
+    PROBES,
+)
 from tests.campaign.links import Links
 from tests.campaign.process import Process, ProcessState
 
@@ -103,7 +108,7 @@
         if self._is_blocked(sender, receiver):
             if sender.blocked_since_ms is None:
                 sender.blocked_since_ms = now_ms
-            if now_ms - sender.blocked_since_ms >= UNACKNOWLEDGED_MS:
+            if now_ms - sender.blocked_since_ms >= ACKNOWLEDGEMENT_TIMEOUT_MS:
                 self._notice_loss(sender)
             else:
                 self._clock.after(RETRANSMIT_MS, lambda: self._transmit(sender))
--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Protocol, cast
 
-from madderwind.controlplane.core import TICK_MS, ControlPlaneCore
+from madderwind.controlplane.core import TICK_MS, ControlPlaneCore, CoreOptions
 from madderwind.controlplane.effects import (
-    CommandEnded,
     Effect,
-    ReadEnded,
-    SaveRegistry,
+    RespondToCommand,
+    RespondToRead,
+    RespondToUpstream,
+    SaveCheckpoint,
     SendToPeer,
-    UpstreamAnswered,
 )
-from madderwind.controlplane.process import END_RESERVE_S, REST_CHECK_S, ConfigurationReplica
+from madderwind.controlplane.process import SHUTDOWN_CHECK_S, SHUTDOWN_RESERVE_S, ConfigurationReplica
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
 from madderwind.log_events.control_plane import VIEW_CHANGED
 from madderwind.log_events.event import LogLine
@@ -98,7 +98,7 @@
 
     def _start_calls(self) -> None:
         self._commands: dict[int, tuple[Command, Callable[[CommandResult], None]]] = {}
-        self._reads: dict[int, Callable[[ReadEnded], None]] = {}
+        self._reads: dict[int, Callable[[RespondToRead], None]] = {}
         self._upstream_calls: dict[int, Callable[[bool], None]] = {}
         self._last_call = 0
         self._peer_links: dict[str, PeerLink] = {}
@@ -121,7 +121,9 @@
         replica = self._new_replica(bootstrap, rng)
         self.replica = replica
         self.core = ControlPlaneCore(
-            ConfigurationReplica(replica), self.address, self.seeds, HEARTBEAT_MS, self.tolerance, rng
+            ConfigurationReplica(replica),
+            CoreOptions(self.address, self.seeds, HEARTBEAT_MS, self.tolerance),
+            rng,
         )
         self._registry_copy = RegistryCopy(self, self.disk, self._registry_saved)
         self.core.restore_upstreams(self.clock.now_ms, self._registry_copy.load())
@@ -177,18 +179,19 @@
         if not self.is_up or self.is_leaving:
             return
         self.is_leaving = True
-        deadline_ms = self.clock.now_ms + (GRACE_S - END_RESERVE_S) * MS_PER_S
+        deadline_ms = self.clock.now_ms + (GRACE_S - SHUTDOWN_RESERVE_S) * MS_PER_S
         self.post(
-            self.life, lambda: self._do(lambda core: core.replica_event(self._now, ShutdownRequested()))
+            self.life,
+            lambda: self._do(lambda core: core.handle_replica_event(self._now, ShutdownRequested())),
         )
-        self.later(REST_CHECK_S * MS_PER_S, lambda: self._end_when_at_rest(deadline_ms))
+        self.later(SHUTDOWN_CHECK_S * MS_PER_S, lambda: self._stop_when_idle(deadline_ms))
 
-    def _end_when_at_rest(self, deadline_ms: float) -> None:
+    def _stop_when_idle(self, deadline_ms: float) -> None:
         assert self.core is not None
-        if self.core.is_at_rest or self._now >= deadline_ms:
-            self.later(REST_CHECK_S * MS_PER_S, self.kill)
+        if self.core.can_stop or self._now >= deadline_ms:
+            self.later(SHUTDOWN_CHECK_S * MS_PER_S, self.kill)
         else:
-            self.later(REST_CHECK_S * MS_PER_S, lambda: self._end_when_at_rest(deadline_ms))
+            self.later(SHUTDOWN_CHECK_S * MS_PER_S, lambda: self._stop_when_idle(deadline_ms))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """The settings file names other seeds."""
@@ -222,7 +225,7 @@
         self._commands[call] = (command, reply)
         self._do(lambda core: core.submit(self._now, call, command))
 
-    def read(self, reply: Callable[[ReadEnded | None], None]) -> None:
+    def read(self, reply: Callable[[RespondToRead | None], None]) -> None:
         """An operator's read; None where the process is about to end."""
         if self.is_leaving:
             reply(None)
@@ -233,7 +236,7 @@
 
     def heartbeat(self, instance: str, body: bytes, reply: Callable[[bool | None], None]) -> None:
         """An upstream's heartbeat; None where the process is about to end."""
-        self._upstream_call(reply, lambda core, call: core.heartbeat(self._now, call, instance, body))
+        self._upstream_call(reply, lambda core, call: core.handle_heartbeat(self._now, call, instance, body))
 
     def deregister(self, instance: str, reply: Callable[[bool | None], None]) -> None:
         """An upstream ends; None where the process is about to end."""
@@ -271,7 +274,7 @@
 
     def _peer_frame(self, sender: str, data: bytes) -> None:
         message: PeerFrame = peer_frames.decode(data)
-        self._do(lambda core: core.peer_message(self._now, sender, message))
+        self._do(lambda core: core.handle_peer_message(self._now, sender, message))
 
     def _data_plane_frame(self, number: int, connection: Connection, data: bytes) -> None:
         message = to_control_plane.decode(data)
@@ -279,11 +282,11 @@
             self._subscribers[number] = connection
             self._do(lambda core: core.subscribe(self._now, number, message))
         else:
-            self._do(lambda core: core.data_plane_message(self._now, number, message))
+            self._do(lambda core: core.handle_data_plane_message(self._now, number, message))
 
     def _data_plane_closed(self, number: int) -> None:
         self._subscribers.pop(number, None)
-        self._do(lambda core: core.data_plane_closed(self._now, number))
+        self._do(lambda core: core.handle_data_plane_closed(self._now, number))
 
     def _dial(
         self,
@@ -298,7 +301,7 @@
         dial.start(CONNECT_TIMEOUT_MS)
 
     def _peer_connected(self, address: str) -> None:
-        self._do(lambda core: core.peer_connected(self._now, address))
+        self._do(lambda core: core.handle_peer_connected(self._now, address))
 
     # --- inside ---
 
@@ -307,7 +310,7 @@
         return self._last_call
 
     def _write_ended(self, completion: Completion) -> None:
-        self._do(lambda core: core.replica_event(self._now, completion))
+        self._do(lambda core: core.handle_replica_event(self._now, completion))
 
     def _tick(self, life: int) -> None:
         if life != self.life:
@@ -323,7 +326,7 @@
             self._registry_copy.offer(lambda: core.upstreams(self._now))
 
     def _registry_saved(self, upstreams: Sequence[UpstreamRecord]) -> None:
-        self._do(lambda core: core.registry_saved(self._now, upstreams))
+        self._do(lambda core: core.handle_checkpoint_saved(self._now, upstreams))
 
     def _do(self, event: Callable[[ControlPlaneCore], list[Effect]]) -> None:
         """Hand an event to the core and carry out what follows."""
@@ -354,13 +357,13 @@
                 case Close(connection):
                     if (closed := self._subscribers.pop(connection, None)) is not None:
                         closed.close(closed.server)
-                case CommandEnded(call, result):
+                case RespondToCommand(call, result):
                     self._end_command(call, result)
-                case ReadEnded(call):
+                case RespondToRead(call):
                     self._reads.pop(call)(effect)
-                case UpstreamAnswered(call, is_accepted):
+                case RespondToUpstream(call, is_accepted):
                     self._upstream_calls.pop(call)(is_accepted)
-                case SaveRegistry():
+                case SaveCheckpoint():
                     self._registry_copy.urge()
                     self._save_registry()
                 case LogLine():
--- a/tests/campaign/data_plane.py
+++ b/tests/campaign/data_plane.py
@@ -28,7 +28,7 @@
     to_control_plane,
     to_data_plane,
 )
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 from tests.campaign.connections import Connection
 from tests.campaign.control_machine import HEARTBEAT_MS, MS_PER_S, ControlMachine
 from tests.campaign.dialling import Dial
--- a/tests/campaign/operators.py
+++ b/tests/campaign/operators.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from madderwind.controlplane.effects import ReadEnded
+from madderwind.controlplane.effects import RespondToRead
 from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
 from tests.campaign.control_machine import ControlMachine
@@ -122,7 +122,7 @@
         machine = self._pick()
         began_ms = self._clock.now_ms
 
-        def ended(answer: ReadEnded | None) -> None:
+        def ended(answer: RespondToRead | None) -> None:
             if answer is not None and answer.document is not None:
                 marker = marker_in_json(answer.document) if answer.version else 0
                 read = ReadCall(began_ms, self._clock.now_ms, answer.version, marker)
@@ -130,7 +130,7 @@
                 self._base = max(self._base, answer.version)
             self._pause()
 
-        call: HttpCall[ReadEnded] = HttpCall(self._links, self.name, machine, machine.read, ended)
+        call: HttpCall[RespondToRead] = HttpCall(self._links, self.name, machine, machine.read, ended)
         call.start(self._rng, self._habits.answer_loss)
 
     def _pick(self) -> ControlMachine:
--- a/tests/campaign/peer_link.py
+++ b/tests/campaign/peer_link.py
@@ -9,8 +9,8 @@
 
 from madderwind.controlplane.peer_links import (
     CONNECT_TIMEOUT_S,
-    LONGEST_BACKOFF_S,
-    SHORTEST_BACKOFF_S,
+    INITIAL_BACKOFF_S,
+    MAX_BACKOFF_S,
     STALE_AFTER_S,
 )
 from tests.campaign.connections import Connection
@@ -49,7 +49,7 @@
         self._queue: deque[tuple[float, bytes]] = deque()
         self._state = PeerLinkState.IDLE
         self._connection: Connection | None = None
-        self._backoff_ms = SHORTEST_BACKOFF_S * MS_PER_S
+        self._backoff_ms = INITIAL_BACKOFF_S * MS_PER_S
         self._connect()
 
     def send(self, frame: bytes) -> None:
@@ -66,7 +66,7 @@
 
     def _opened(self, connection: Connection) -> None:
         self._state, self._connection = PeerLinkState.OPEN, connection
-        self._backoff_ms = SHORTEST_BACKOFF_S * MS_PER_S
+        self._backoff_ms = INITIAL_BACKOFF_S * MS_PER_S
         self._drop_stale()
         frames, self._queue = self._queue, deque()
         for _, frame in frames:
@@ -80,7 +80,7 @@
     def _failed(self) -> None:
         self._state = PeerLinkState.IDLE
         self._owner.later(self._backoff_ms * self._rng.uniform(0.5, 1.0), self._connect)
-        self._backoff_ms = min(2 * self._backoff_ms, LONGEST_BACKOFF_S * MS_PER_S)
+        self._backoff_ms = min(2 * self._backoff_ms, MAX_BACKOFF_S * MS_PER_S)
 
     def _drop_stale(self) -> None:
         oldest_ms = self._owner.clock.now_ms - STALE_AFTER_MS
--- a/tests/campaign/registry_copy.py
+++ b/tests/campaign/registry_copy.py
@@ -1,13 +1,13 @@
-"""The registry's copy on a control machine's disk, saved as RegistrySaver saves it."""
+"""The registry's copy on a control machine's disk, saved as CheckpointWriter saves it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 
-from madderwind.controlplane.registry_saver import SAVE_INTERVAL_S
+from madderwind.controlplane.checkpoint_writer import SAVE_INTERVAL_S
 from madderwind.errors import StorageError
 from madderwind.messages.distribution import UpstreamRecord
-from madderwind.registry.saved_copy import SavedCopy
+from madderwind.registry.checkpoint import RegistryCheckpoint
 from tests.campaign.control_disk import SYNC_MS, ControlDisk
 from tests.campaign.process import Process
 
@@ -21,7 +21,7 @@
         self, process: Process, disk: ControlDisk, saved: Callable[[Sequence[UpstreamRecord]], None]
     ) -> None:
         self._process, self._disk, self._saved = process, disk, saved
-        self._copy = SavedCopy(disk.memory)
+        self._copy = RegistryCheckpoint(disk.memory)
         self._described: object = None
         self._offered_ms = 0.0
         self._is_urgent = False
--- a/tests/campaign/test_connections.py
+++ b/tests/campaign/test_connections.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from madderwind.controlplane.sockets import UNACKNOWLEDGED_MS
+from madderwind.controlplane.sockets import ACKNOWLEDGEMENT_TIMEOUT_MS
 from tests.campaign.connections import PROBES_END_MS, RETRANSMIT_MS, Connection, End
 from tests.campaign.links import MOST_DELAY_MS, Links
 from tests.campaign.process import Process
@@ -37,7 +37,7 @@
     def test_given_a_short_cut_then_frames_come_late_and_in_order(self) -> None:
         self.links.cut("client", "server")
         self.send(b"1", b"2", b"3")
-        self.run_for(UNACKNOWLEDGED_MS / 2)
+        self.run_for(ACKNOWLEDGEMENT_TIMEOUT_MS / 2)
         self.assertEqual(self.received, [])
 
         self.links.join("client", "server")
@@ -49,7 +49,7 @@
     def test_given_a_long_cut_then_the_connection_breaks_and_nothing_comes(self) -> None:
         self.links.cut("client", "server")
         self.send(b"1")
-        self.run_for(UNACKNOWLEDGED_MS + 2 * RETRANSMIT_MS)
+        self.run_for(ACKNOWLEDGEMENT_TIMEOUT_MS + 2 * RETRANSMIT_MS)
         self.assertEqual(self.closed, ["client"])
 
         self.links.join("client", "server")
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -10,9 +10,10 @@
 import msgspec
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.controlplane.calls import LocalCaller, OperatorCalls, Output, PeerCaller
-from madderwind.controlplane.effects import Effect, UpstreamAnswered
-from madderwind.controlplane.upstreams import Upstreams
+from madderwind.controlplane.effects import Effect, RespondToUpstream
+from madderwind.controlplane.operator_call import LocalCaller, PeerCaller
+from madderwind.controlplane.operator_calls import OperatorCalls, Output
+from madderwind.controlplane.registry_service import RegistryService
 from madderwind.distribution.publisher import Publisher
 from madderwind.messages.distribution import Freshness
 from madderwind.replication.actions import CommandResolved
@@ -53,8 +54,8 @@
 ordinary_snapshot = ConfigurationHistory.snapshot
 
 
-def answer_alone(upstreams: Upstreams, now_ms: float, call: int, instance: str) -> list[Effect]:
-    return [UpstreamAnswered(call, is_accepted=True)]
+def answer_alone(upstreams: RegistryService, now_ms: float, call: int, instance: str) -> list[Effect]:
+    return [RespondToUpstream(call, is_accepted=True)]
 
 
 def create_without_the_folder(disk: MemoryDisk, name: str, data: bytes) -> None:
@@ -144,7 +145,7 @@
             self.assert_found([27])
 
     def test_given_a_drain_acknowledged_alone_then_it_is_found(self) -> None:
-        with patch.object(Upstreams, "_answer", answer_alone):
+        with patch.object(RegistryService, "_respond", answer_alone):
             self.assert_found([4])
 
     def test_given_a_rewrite_without_the_folders_sync_then_it_is_found(self) -> None:
--- a/tests/campaign/upstream.py
+++ b/tests/campaign/upstream.py
@@ -66,7 +66,7 @@
         if intention is Intention.DRAIN:
             self._tell(self._heartbeat_body("draining"), UpstreamState.DRAINING)
         elif intention is Intention.DEREGISTER:
-            self._tell(None, UpstreamState.GONE)
+            self._tell(None, UpstreamState.DEREGISTERED)
 
     def _beat(self) -> None:
         if self.intention is not Intention.BEAT and self.intention is not Intention.DRAIN:
--- a/tests/controlplane/fleet.py
+++ b/tests/controlplane/fleet.py
@@ -6,14 +6,14 @@
 from collections import deque
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.controlplane.core import TICK_MS, ControlPlaneCore
+from madderwind.controlplane.core import TICK_MS, ControlPlaneCore, CoreOptions
 from madderwind.controlplane.effects import (
-    CommandEnded,
     Effect,
-    ReadEnded,
-    SaveRegistry,
+    RespondToCommand,
+    RespondToRead,
+    RespondToUpstream,
+    SaveCheckpoint,
     SendToPeer,
-    UpstreamAnswered,
 )
 from madderwind.distribution.publisher import Close, SendTo, SendToAll
 from madderwind.log_events.event import LogLine
@@ -41,10 +41,10 @@
         self.address = address
         self.replica = ScriptedReplica(address, members, history)
         self.core = ControlPlaneCore(
-            self.replica, address, members, HEARTBEAT_MS, TOLERANCE, random.Random(address)
+            self.replica, CoreOptions(address, members, HEARTBEAT_MS, TOLERANCE), random.Random(address)
         )
-        self.commands: dict[int, CommandEnded] = {}
-        self.reads: dict[int, ReadEnded] = {}
+        self.commands: dict[int, RespondToCommand] = {}
+        self.reads: dict[int, RespondToRead] = {}
         self.accepted: dict[int, bool] = {}  # upstreams' calls
         self.has_stalled_disk = False
         self.told: dict[int, list[ToDataPlane]] = {}
@@ -65,7 +65,7 @@
         for plane in self.planes:
             for peer in members:
                 if peer != plane.address:
-                    self.carry_out(plane, plane.core.peer_connected(self.now_ms, peer))
+                    self.carry_out(plane, plane.core.handle_peer_connected(self.now_ms, peer))
         self.deliver()
 
     def make_primary(self, plane: ControlPlaneInMemory | None, epoch: int = 2) -> None:
@@ -92,7 +92,7 @@
     def heartbeat(self, plane: ControlPlaneInMemory, sequence: int, state: str = "ready") -> None:
         """The upstream i-1 calls a control plane; its sequence is the number of the call."""
         body = heartbeat(sequence, state)
-        self.carry_out(plane, plane.core.heartbeat(self.now_ms, sequence, "i-1", body))
+        self.carry_out(plane, plane.core.handle_heartbeat(self.now_ms, sequence, "i-1", body))
         self.deliver()
 
     def deregister(self, plane: ControlPlaneInMemory, call: int) -> None:
@@ -108,14 +108,14 @@
 
     def say(self, plane: ControlPlaneInMemory, connection: int, message: ToControlPlane) -> None:
         """A data plane sends a message."""
-        self.carry_out(plane, plane.core.data_plane_message(self.now_ms, connection, message))
+        self.carry_out(plane, plane.core.handle_data_plane_message(self.now_ms, connection, message))
         self.deliver()
 
     def save_registry(self, plane: ControlPlaneInMemory) -> None:
         """Have the registry's copy on disk, unless that stalls."""
         if not plane.has_stalled_disk:
             upstreams = plane.core.upstreams(self.now_ms)
-            self.carry_out(plane, plane.core.registry_saved(self.now_ms, upstreams))
+            self.carry_out(plane, plane.core.handle_checkpoint_saved(self.now_ms, upstreams))
 
     def deliver(self) -> None:
         """Carry all messages between control planes, those they cause included."""
@@ -125,7 +125,7 @@
             if plane is None or sender in self.cut or receiver in self.cut:
                 continue
             message: PeerFrame = peer_frames.decode(frame)
-            self.carry_out(plane, plane.core.peer_message(self.now_ms, sender, message))
+            self.carry_out(plane, plane.core.handle_peer_message(self.now_ms, sender, message))
 
     def carry_out(self, plane: ControlPlaneInMemory, effects: list[Effect]) -> None:
         """Be the host of a control plane."""
@@ -140,13 +140,13 @@
                     told.append(effect.message)
             elif isinstance(effect, Close):
                 del plane.told[effect.connection]
-            elif isinstance(effect, CommandEnded):
+            elif isinstance(effect, RespondToCommand):
                 plane.commands[effect.call] = effect
-            elif isinstance(effect, ReadEnded):
+            elif isinstance(effect, RespondToRead):
                 plane.reads[effect.call] = effect
-            elif isinstance(effect, UpstreamAnswered):
+            elif isinstance(effect, RespondToUpstream):
                 plane.accepted[effect.call] = effect.is_accepted
-            elif isinstance(effect, SaveRegistry):
+            elif isinstance(effect, SaveCheckpoint):
                 self.save_registry(plane)
             elif isinstance(effect, LogLine):
                 plane.log.append(effect)
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -5,13 +5,13 @@
 import unittest
 from typing import TypeVar
 
-from madderwind.controlplane.calls import (
-    APPLY_WAIT_MS,
-    CALL_DEADLINE_MS,
+from madderwind.controlplane.drain_tracker import CONFIRMATION_TIMEOUT_MS
+from madderwind.controlplane.operator_calls import (
+    APPLY_TIMEOUT_MS,
+    CALL_TIMEOUT_MS,
     CUT_OFF_AFTER_MS,
-    WAIT_WHEN_CUT_OFF_MS,
+    CUT_OFF_WAIT_MS,
 )
-from madderwind.controlplane.departures import CONFIRM_WITHIN_MS
 from madderwind.messages.distribution import (
     ConfigurationApplied,
     ConfigurationSnapshot,
@@ -22,7 +22,7 @@
     ToDataPlane,
 )
 from madderwind.messages.peering import CommandReply
-from madderwind.registry.registry import FORGET_AFTER_MS
+from madderwind.registry.registry import DROP_AFTER_MS
 from madderwind.replication.commands import CommandOutcome
 from tests.controlplane.configurations import replacement, replacement_body
 from tests.controlplane.fleet import ControlPlaneInMemory, FleetInMemory
@@ -78,7 +78,7 @@
     def test_a_call_waits_for_a_primary(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.submit(self.third, 1, None)
-        self.fleet.run(CALL_DEADLINE_MS / 2)
+        self.fleet.run(CALL_TIMEOUT_MS / 2)
         self.assertEqual((self.second.commands, self.third.reads), ({}, {}))
         self.fleet.make_primary(self.first)
         self.fleet.run(100.0)
@@ -88,14 +88,14 @@
     def test_but_not_beyond_its_deadline(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.submit(self.second, 2, None)
-        self.fleet.run(CALL_DEADLINE_MS + 25.0)
+        self.fleet.run(CALL_TIMEOUT_MS + 25.0)
         self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
         self.assertIsNone(self.second.reads[2].document)
 
     def test_and_hardly_at_a_machine_that_is_cut_off(self) -> None:
         self.fleet.run(CUT_OFF_AFTER_MS + 25.0)
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.fleet.run(WAIT_WHEN_CUT_OFF_MS + 50.0)
+        self.fleet.run(CUT_OFF_WAIT_MS + 50.0)
         self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
         self.fleet.submit(self.second, 2, replacement(0, 5))
         self.fleet.make_primary(self.first)
@@ -104,7 +104,7 @@
 
     def test_a_large_body_is_given_longer(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5, routes=4000))
-        self.fleet.run(CALL_DEADLINE_MS + 25.0)
+        self.fleet.run(CALL_TIMEOUT_MS + 25.0)
         self.assertEqual(self.second.commands, {})
 
     def test_a_call_goes_on_at_the_next_primary(self) -> None:
@@ -130,7 +130,7 @@
         self.first.replica.mute = True
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.fleet.run(CALL_DEADLINE_MS + 100.0)
+        self.fleet.run(CALL_TIMEOUT_MS + 100.0)
         self.assertEqual(self.outcome(self.first, 1), CommandOutcome.UNKNOWN)
         self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
 
@@ -140,7 +140,7 @@
         self.fleet.submit(self.second, 1, replacement(0, 5))
         for token in range(100):
             reply = CommandReply(token, "taken", 5, "", "")
-            effects = self.second.core.peer_message(self.fleet.now_ms, self.first.address, reply)
+            effects = self.second.core.handle_peer_message(self.fleet.now_ms, self.first.address, reply)
             self.fleet.carry_out(self.second, effects)
         self.assertEqual(self.second.commands, {})
 
@@ -163,7 +163,7 @@
 
     def test_at_most_for_a_while_and_once(self) -> None:
         self.fleet.submit(self.first, 1, replacement(0, 5))
-        self.fleet.run(APPLY_WAIT_MS - 50.0)
+        self.fleet.run(APPLY_TIMEOUT_MS - 50.0)
         self.assertEqual(self.first.commands, {})
         self.fleet.run(75.0)
         self.assertEqual(self.outcome(self.first, 1), CommandOutcome.COMMITTED)
@@ -172,7 +172,7 @@
 
     def test_not_for_one_whose_connection_ends(self) -> None:
         self.fleet.submit(self.first, 1, replacement(0, 5))
-        self.fleet.carry_out(self.first, self.first.core.data_plane_closed(self.fleet.now_ms, 1))
+        self.fleet.carry_out(self.first, self.first.core.handle_data_plane_closed(self.fleet.now_ms, 1))
         self.assertEqual(self.outcome(self.first, 1), CommandOutcome.COMMITTED)
 
 
@@ -260,7 +260,7 @@
         self.assertNotIn(2, self.first.accepted)
         self.fleet.cut.clear()
         self.fleet.cut.update({self.second.address, self.third.address})
-        self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+        self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.assertEqual(self.first.accepted[2], False)
         self.fleet.cut.clear()
         self.fleet.heartbeat(self.first, 3, "draining")
@@ -270,10 +270,10 @@
         self.fleet.cut.update({self.second.address, self.third.address})
         self.fleet.heartbeat(self.first, 2, "draining")
         self.fleet.cut.clear()
-        self.assertFalse(self.first.core.is_at_rest)
+        self.assertFalse(self.first.core.can_stop)
         self.fleet.run(200.0)
         self.assertEqual(self.first.accepted[2], True)
-        self.assertTrue(self.first.core.is_at_rest)
+        self.assertTrue(self.first.core.can_stop)
 
     def test_a_confirmed_drain_confirms_no_end(self) -> None:
         self.fleet.heartbeat(self.first, 2, "draining")
@@ -294,7 +294,7 @@
     def test_a_drain_that_is_on_one_disk_alone_is_not_acknowledged(self) -> None:
         self.second.has_stalled_disk = self.third.has_stalled_disk = True
         self.fleet.heartbeat(self.first, 2, "draining")
-        self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+        self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.assertEqual(self.first.accepted[2], False)
 
     def test_two_other_disks_stand_in_for_a_stalled_one(self) -> None:
@@ -319,31 +319,31 @@
 
     def test_an_unconfirmed_instance_that_is_forgotten_leaves_nothing_behind(self) -> None:
         self.fleet.heartbeat(self.first, 2, "draining")
-        self.fleet.run(FORGET_AFTER_MS + 1_000.0)
+        self.fleet.run(DROP_AFTER_MS + 1_000.0)
         for plane in self.fleet.planes:
             self.assertEqual(plane.core.upstreams(self.fleet.now_ms), ())
-            self.assertFalse(plane.core._upstreams._departures._departures)
+            self.assertFalse(plane.core._registry._drains._drains)
 
 
 class TheEndOfAProcess(FleetStory):
     def test_it_may_end_once_it_is_no_primary_and_all_are_answered(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.run(25.0)
-        self.assertFalse(self.first.core.is_at_rest)
-        self.assertTrue(self.second.core.is_at_rest)
+        self.assertFalse(self.first.core.can_stop)
+        self.assertTrue(self.second.core.can_stop)
         self.fleet.make_primary(None)
         self.fleet.submit(self.second, 1, None)
         self.fleet.run(25.0)
-        self.assertTrue(self.first.core.is_at_rest)
-        self.assertFalse(self.second.core.is_at_rest)
+        self.assertTrue(self.first.core.can_stop)
+        self.assertFalse(self.second.core.can_stop)
 
     def test_it_stays_while_the_in_sync_set_needs_it(self) -> None:
         self.second.replica.is_needed = True
         self.fleet.run(25.0)
-        self.assertFalse(self.second.core.is_at_rest)
+        self.assertFalse(self.second.core.can_stop)
         self.second.replica.is_needed = False
         self.fleet.run(25.0)
-        self.assertTrue(self.second.core.is_at_rest)
+        self.assertTrue(self.second.core.can_stop)
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_cut_off_upstreams.py
+++ b/tests/controlplane/test_cut_off_upstreams.py
@@ -5,10 +5,10 @@
 import unittest
 from unittest import mock
 
-from madderwind.controlplane.core import IN_TOUCH_MS
-from madderwind.controlplane.departures import CONFIRM_WITHIN_MS, Departures
-from madderwind.controlplane.effects import UpstreamAnswered
-from madderwind.controlplane.upstreams import Upstreams
+from madderwind.controlplane.core import CONNECTED_MS
+from madderwind.controlplane.drain_tracker import CONFIRMATION_TIMEOUT_MS, DrainTracker
+from madderwind.controlplane.effects import RespondToUpstream
+from madderwind.controlplane.registry_service import RegistryService
 from madderwind.messages.distribution import RegistryDelta
 from madderwind.registry.registry import Registry
 from tests.controlplane.fleet import ControlPlaneInMemory, FleetInMemory
@@ -24,7 +24,7 @@
 
     def cut(self) -> None:
         self.fleet.cut.update({self.second.address, self.third.address})
-        self.cut_off.replica.fresh_age_ms = IN_TOUCH_MS + 1.0
+        self.cut_off.replica.fresh_age_ms = CONNECTED_MS + 1.0
         self.fleet.run(25.0)
 
     def heal(self) -> None:
@@ -51,7 +51,7 @@
         self.cut()
         for call in range(2, 10):
             self.fleet.heartbeat(self.cut_off, call, "draining")
-            self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+            self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
             self.assertEqual(False, self.cut_off.accepted[call])
         self.heal()
         self.fleet.heartbeat(self.cut_off, 10, "draining")
@@ -61,26 +61,26 @@
         self.fleet.heartbeat(self.cut_off, 1)
         self.cut()
         self.fleet.heartbeat(self.cut_off, 2, "draining")
-        self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+        self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.restart()
         self.fleet.heartbeat(self.cut_off, 3, "draining")
-        self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+        self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.assertEqual({3: False}, self.cut_off.accepted)
         self.heal()
         self.fleet.deregister(self.cut_off, 4)
         self.assertEqual(True, self.cut_off.accepted[4])
 
     def test_given_a_registry_that_takes_no_more_then_nothing_is_acknowledged(self) -> None:
-        with mock.patch("madderwind.registry.registry.MOST_UPSTREAMS", 0):
+        with mock.patch("madderwind.registry.registry.MAX_UPSTREAMS", 0):
             self.fleet.heartbeat(self.cut_off, 1, "draining")
             self.fleet.deregister(self.cut_off, 2)
         self.assertEqual({1: False, 2: False}, self.cut_off.accepted)
 
     def test_given_peers_that_hear_but_are_not_heard_then_it_is_not_acknowledged(self) -> None:
         self.fleet.heartbeat(self.cut_off, 1)
-        with mock.patch.object(Upstreams, "_note_final_state", return_value=[]):
+        with mock.patch.object(RegistryService, "_handle_final_state", return_value=[]):
             self.fleet.heartbeat(self.cut_off, 2, "draining")
-            self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+            self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.assertEqual(False, self.cut_off.accepted[2])
 
 
@@ -116,8 +116,10 @@
         self.assertEqual(True, self.cut_off.accepted[3])
 
 
-def accept_alone(upstreams: Upstreams, now_ms: float, call: int, instance: str) -> list[UpstreamAnswered]:
-    return [UpstreamAnswered(call, is_accepted=True)]
+def accept_alone(
+    upstreams: RegistryService, now_ms: float, call: int, instance: str
+) -> list[RespondToUpstream]:
+    return [RespondToUpstream(call, is_accepted=True)]
 
 
 class Mutants(unittest.TestCase):
@@ -129,17 +131,17 @@
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
     def test_a_drain_acknowledged_alone(self) -> None:
-        with mock.patch.object(Upstreams, "_answer", accept_alone):
+        with mock.patch.object(RegistryService, "_respond", accept_alone):
             self.assert_caught(
                 AnUpstreamThatLeaves("test_given_a_cut_then_no_call_makes_one_machine_acknowledge_alone")
             )
 
     def test_a_drain_confirmed_by_the_own_disk(self) -> None:
-        def by_one(departures: Departures, needed: int) -> None:
+        def by_one(departures: DrainTracker, needed: int) -> None:
             confirmed_by(departures, 1)
 
-        confirmed_by = Departures.__init__
-        with mock.patch.object(Departures, "__init__", by_one):
+        confirmed_by = DrainTracker.__init__
+        with mock.patch.object(DrainTracker, "__init__", by_one):
             self.assert_caught(
                 AnUpstreamThatLeaves(
                     "test_given_a_restart_inside_the_cut_then_what_the_disk_holds_is_no_confirmation"
@@ -153,7 +155,7 @@
             )
 
     def test_a_new_upstream_acknowledged_alone(self) -> None:
-        with mock.patch.object(Upstreams, "_keeps_known", return_value=True):
+        with mock.patch.object(RegistryService, "_is_known_to_others", return_value=True):
             self.assert_caught(
                 AnUpstreamThatBegins("test_given_a_cut_when_it_is_new_then_it_is_sent_to_another_machine")
             )
--- a/tests/controlplane/test_hosts.py
+++ b/tests/controlplane/test_hosts.py
@@ -16,10 +16,10 @@
 from aiohttp import web
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.controlplane.core import ControlPlaneCore
+from madderwind.controlplane.core import ControlPlaneCore, CoreOptions
 from madderwind.controlplane.host import ControlPlaneHost
 from madderwind.controlplane.internal_server import InternalServer
-from madderwind.controlplane.public_server import LONGEST_COMMAND_BYTES, PublicServer
+from madderwind.controlplane.public_server import MAX_COMMAND_BYTES, PublicServer
 from madderwind.messages.distribution import (
     ConfigurationApplied,
     ConfigurationSnapshot,
@@ -33,7 +33,7 @@
     to_control_plane,
     to_data_plane,
 )
-from madderwind.registry.saved_copy import SavedCopy
+from madderwind.registry.checkpoint import RegistryCheckpoint
 from madderwind.storage.disk import FileDisk
 from madderwind.storage.record_file import RecordFile
 from madderwind.structured_log import BatchedOutput, open_log
@@ -100,10 +100,16 @@
         folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         log = open_log(f"core-{number}", BatchedOutput(self.written))
         core = ControlPlaneCore(
-            self.replicas[number], self.internal[number], self.internal, 1000.0, 1, random.Random(number)
+            self.replicas[number],
+            CoreOptions(self.internal[number], self.internal, 1000.0, 1),
+            random.Random(number),
         )
         host = ControlPlaneHost(
-            core, RecordFile(FileDisk(folder)), SavedCopy(FileDisk(folder)), self.internal[number], log
+            core,
+            RecordFile(FileDisk(folder)),
+            RegistryCheckpoint(FileDisk(folder)),
+            self.internal[number],
+            log,
         )
         public = PublicServer(host, log)
         self.servers.append(public)
@@ -163,7 +169,7 @@
             self.assertEqual((await self.command(1, "/config/replace", base, replacement_body(5)))[0], 400)
 
     async def test_a_body_over_the_limit_is_refused(self) -> None:
-        too_long = b" " * (LONGEST_COMMAND_BYTES + 1)
+        too_long = b" " * (MAX_COMMAND_BYTES + 1)
         self.assertEqual((await self.command(1, "/config/replace", "0", too_long))[0], 413)
 
     async def test_a_long_body_is_passed_on_to_the_primary(self) -> None:
@@ -182,7 +188,7 @@
             self.assertIn("Retry-After", response.headers)
 
     async def test_who_is_about_to_end_sends_callers_elsewhere(self) -> None:
-        self.servers[1].refuse_new_calls()
+        self.servers[1].reject_new_calls()
         self.assertEqual((await self.command(1, "/config/replace", "0", replacement_body(5)))[0], 503)
         self.assertEqual((await self.read(1))[0], 503)
         self.assertEqual(await self.call(1, "i-1/heartbeat", heartbeat(1)), 503)
--- a/tests/controlplane/test_process.py
+++ b/tests/controlplane/test_process.py
@@ -70,7 +70,7 @@
         self.tasks[number] = asyncio.create_task(process.run())
 
     async def end(self, number: int) -> None:
-        self.processes[number].request_end()
+        self.processes[number].request_shutdown()
         async with asyncio.timeout(DEADLINE_S):
             await self.tasks.pop(number)
 
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -6,8 +6,9 @@
 import unittest
 from unittest.mock import patch
 
-from madderwind.controlplane.calls import OperatorCalls, Output, _Call
 from madderwind.controlplane.host import ControlPlaneHost
+from madderwind.controlplane.operator_call import OperatorCall
+from madderwind.controlplane.operator_calls import OperatorCalls, Output
 from madderwind.messages.distribution import Freshness, ToDataPlane
 from madderwind.messages.peering import CommandReply, ForwardCommand
 from madderwind.replication.commands import CommandOutcome
@@ -65,22 +66,22 @@
         self.second.replica.epoch += 1
         self.fleet.run(100.0)
         reply = CommandReply(forwarded[0].token, "stale base", 7, "", "")
-        answered = self.second.core.peer_message(self.fleet.now_ms, self.third.address, reply)
+        answered = self.second.core.handle_peer_message(self.fleet.now_ms, self.third.address, reply)
         self.fleet.carry_out(self.second, answered)
         self.assertIn(1, self.second.commands)
         self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.second, 1))
 
 
-place = OperatorCalls._place
+bring_to_primary = OperatorCalls._bring_to_primary
 
 
-def place_under_a_new_token(calls: OperatorCalls, now_ms: float, call: _Call) -> list[Output]:
+def bring_under_a_new_token(calls: OperatorCalls, now_ms: float, call: OperatorCall) -> list[Output]:
     if call.destination is not None:
         del calls._calls[call.token]
         calls._last_token += 1
         call.token = calls._last_token
         calls._calls[call.token] = call
-    return place(calls, now_ms, call)
+    return bring_to_primary(calls, now_ms, call)
 
 
 begin = OperatorCalls.__init__
@@ -107,7 +108,7 @@
             "test_given_a_new_epoch_of_the_same_primary_then_the_call_is_under_way_there_once",
             "test_given_it_was_sent_again_then_the_answer_to_the_first_sending_ends_it",
         )
-        with patch.object(OperatorCalls, "_place", place_under_a_new_token):
+        with patch.object(OperatorCalls, "_bring_to_primary", bring_under_a_new_token):
             for name in names:
                 self.assert_caught(CallsThatAreSentAgain(name))
 
--- a/tests/controlplane/test_upstream_calls.py
+++ b/tests/controlplane/test_upstream_calls.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 from madderwind.controlplane import public_server
-from madderwind.controlplane.departures import CONFIRM_WITHIN_MS
-from madderwind.controlplane.effects import UpstreamAnswered
-from madderwind.controlplane.upstreams import Upstreams
+from madderwind.controlplane.drain_tracker import CONFIRMATION_TIMEOUT_MS
+from madderwind.controlplane.effects import RespondToUpstream
+from madderwind.controlplane.registry_service import RegistryService
 from madderwind.messages.distribution import RegistryDelta
 from tests.controlplane.fleet import ControlPlaneInMemory, FleetInMemory, heartbeat
 from tests.controlplane.test_hosts import HostsStory
@@ -44,13 +44,15 @@
 
     async def test_that_cannot_come_in_time_is_a_refusal_in_time(self) -> None:
         self.assertEqual(await self.call(1, "i-1/heartbeat", heartbeat(1)), 200)
-        with mock.patch.object(Upstreams, "_note_final_state", lambda *_: []):  # no peer confirms anything
+        with mock.patch.object(
+            RegistryService, "_handle_final_state", lambda *_: []
+        ):  # no peer confirms anything
             for call, body in (("heartbeat", heartbeat(2, "draining")), ("deregister", b"")):
                 async with asyncio.timeout(ACKNOWLEDGED_WITHIN_MS / 1000.0):
                     self.assertEqual(await self.call(1, f"i-1/{call}", body), 503)
 
     async def test_of_a_heartbeat_whose_body_does_not_come_is_none(self) -> None:
-        with mock.patch.object(public_server, "HEARTBEAT_BODY_WITHIN_S", 0.05):
+        with mock.patch.object(public_server, "HEARTBEAT_BODY_TIMEOUT_S", 0.05):
             ip, _, port = self.public[1].rpartition(":")
             reader, writer = await asyncio.open_connection(ip, int(port))
             writer.write(b"POST /instances/i-1/heartbeat HTTP/1.1\r\nHost: x\r\nContent-Length: 90\r\n\r\n{")
@@ -81,7 +83,7 @@
     def test_is_refused_in_time_by_a_machine_alone_which_tells_it_later(self) -> None:
         self.fleet.cut.update({self.second.address, self.third.address})
         self.fleet.deregister(self.first, 2)
-        self.fleet.run(CONFIRM_WITHIN_MS + 25.0)
+        self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.assertEqual(self.first.accepted[2], False)
         self.fleet.cut.clear()
         self.fleet.deregister(self.second, 3)
@@ -98,7 +100,7 @@
 
     def test_that_one_machine_acknowledges_alone_would_be_noticed(self) -> None:
         at_once = mock.patch.object(
-            Upstreams, "_answer", lambda _, __, call, ___: [UpstreamAnswered(call, True)]
+            RegistryService, "_respond", lambda _, __, call, ___: [RespondToUpstream(call, True)]
         )
         with at_once, self.assertRaises(AssertionError):
             self.test_is_refused_in_time_by_a_machine_alone_which_tells_it_later()
--- a/tests/dataplane/forwarder.py
+++ b/tests/dataplane/forwarder.py
@@ -21,7 +21,7 @@
 from madderwind.limits.budget import FleetRetryBudget
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.placement.placement import Placement
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 from madderwind.transport.listening import CallerTimes, Listener
 from tests.dataplane.fleet import document
 from tests.examples import HOST
--- a/tests/dataplane/test_choosing.py
+++ b/tests/dataplane/test_choosing.py
@@ -9,7 +9,7 @@
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.placement.placement import Placement
 from madderwind.placement.prompts import Generation, PromptPart
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 
 GENERATION = Generation("app", (PromptPart("aa", 900), PromptPart("bb", 100)), 1000, 40, 1, 800.0, 9000.0)
 
--- a/tests/dataplane/test_metrics.py
+++ b/tests/dataplane/test_metrics.py
@@ -6,15 +6,15 @@
 
 from madderwind.dataplane.metrics import DataPlaneFigures, data_plane_samples
 from madderwind.metrics.samples import Sample
+from madderwind.registry.known_upstreams import KnownUpstream
 from madderwind.registry.states import UpstreamState
-from madderwind.registry.upstreams import KnownUpstream
 from tests.dataplane.fleet import Fleet, document, served
 from tests.standins import run
 
 
 def upstream(instance: str, state: UpstreamState) -> KnownUpstream:
     """An instance of the service `stock`."""
-    return KnownUpstream(instance, "stock", "u:1", "z", "1", 4, state, 1, 0.0, silent=False)
+    return KnownUpstream(instance, "stock", "u:1", "z", "1", 4, state, 1, 0.0, timed_out=False)
 
 
 def value(samples: list[Sample], name: str, **labels: str) -> float | None:
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -100,10 +100,10 @@
         self.assertEqual(self.publisher.data_planes(), 1)
 
     def test_changed_upstreams_go_to_all_at_once(self) -> None:
-        self.assertEqual(self.publisher.upstreams_changed([UPSTREAM]), [])
+        self.assertEqual(self.publisher.publish_upstreams([UPSTREAM]), [])
         self.subscribed(1, "front-1")
         self.assertEqual(
-            self.publisher.upstreams_changed([UPSTREAM]), [SendToAll(RegistryDelta((UPSTREAM,)))]
+            self.publisher.publish_upstreams([UPSTREAM]), [SendToAll(RegistryDelta((UPSTREAM,)))]
         )
 
     def test_new_control_planes_are_told(self) -> None:
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -17,7 +17,7 @@
 from madderwind.messages.distribution import ToControlPlane, ToDataPlane, to_control_plane, to_data_plane
 from madderwind.messages.peering import PeerFrame, peer_frames
 from madderwind.messages.status import ControlPlaneStatus
-from madderwind.registry.saved_copy import SavedCopy
+from madderwind.registry.checkpoint import RegistryCheckpoint
 from madderwind.replication.records import (
     EntryRecord,
     IdentityRecord,
@@ -173,13 +173,13 @@
 
 
 def test_registry_is_read_from_golden_files(golden_folder: Callable[[str], Path]) -> None:
-    copy = SavedCopy(FileDisk(str(golden_folder("registry"))))
+    copy = RegistryCheckpoint(FileDisk(str(golden_folder("registry"))))
     second = msgspec.structs.replace(samples.UPSTREAM, instance="i-2", state="ready")
     assert copy.load() == (samples.UPSTREAM, second)
 
 
 def test_registry_is_written_as_golden_bytes(tmp_path: Path) -> None:
-    copy = SavedCopy(FileDisk(str(tmp_path)))
+    copy = RegistryCheckpoint(FileDisk(str(tmp_path)))
     copy.load()
     copy.save([samples.UPSTREAM])
     written = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -30,7 +30,7 @@
     View,
     ViewNotice,
 )
-from madderwind.registry.saved_copy import SavedCopy
+from madderwind.registry.checkpoint import RegistryCheckpoint
 from madderwind.replication.actions import Action, Rewrite, Write
 from madderwind.replication.commands import Command
 from madderwind.replication.events import CommandSubmitted, Event, MessageReceived, TimePassed, WriteCompleted
@@ -152,7 +152,7 @@
 
 def write_registry(folder: Path) -> None:
     """The registry's two copies, the second the newer."""
-    copy = SavedCopy(FileDisk(str(folder)))
+    copy = RegistryCheckpoint(FileDisk(str(folder)))
     copy.load()
     copy.save([samples.UPSTREAM])
     copy.save([samples.UPSTREAM, msgspec.structs.replace(samples.UPSTREAM, instance="i-2", state="ready")])
--- a/tests/messages/test_codec.py
+++ b/tests/messages/test_codec.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from madderwind.errors import MessageError
-from madderwind.messages.codec import COMPRESSED_FROM_BYTES, COMPRESSED_MARK, LONGEST_MESSAGE
+from madderwind.messages.codec import COMPRESSED_PREFIX, MAX_MESSAGE_BYTES, MIN_COMPRESSED_BYTES
 from madderwind.messages.distribution import ConfigurationSnapshot, to_control_plane, to_data_plane
 from madderwind.messages.peering import peer_frames
 
@@ -23,26 +23,26 @@
         self.assertEqual(to_data_plane.decode(data), message)
 
     def test_ones_that_compress_badly_come_back_too(self) -> None:
-        noise = random.Random(1).randbytes(COMPRESSED_FROM_BYTES)
+        noise = random.Random(1).randbytes(MIN_COMPRESSED_BYTES)
         message = ConfigurationSnapshot(7, noise)
         self.assertEqual(to_data_plane.decode(to_data_plane.encode(message)), message)
 
     def test_short_ones_are_plain(self) -> None:
         data = to_data_plane.encode(ConfigurationSnapshot(7, b"x" * 100))
-        self.assertNotEqual(data[:1], COMPRESSED_MARK)
+        self.assertNotEqual(data[:1], COMPRESSED_PREFIX)
 
 
 class OddBytesAreATypedError(unittest.TestCase):
     @given(st.binary(max_size=200))
     def test_whatever_they_are(self, data: bytes) -> None:
         for codec in (to_data_plane, to_control_plane, peer_frames):
-            for frame in (data, COMPRESSED_MARK + data, COMPRESSED_MARK + zlib.compress(data)):
+            for frame in (data, COMPRESSED_PREFIX + data, COMPRESSED_PREFIX + zlib.compress(data)):
                 with self.assertRaises(MessageError):
                     codec.decode(frame + b"\xc1")
 
     def test_what_would_grow_beyond_the_limit(self) -> None:
-        bomb = COMPRESSED_MARK + zlib.compress(b"\x00" * (4 * LONGEST_MESSAGE))
-        self.assertLess(len(bomb), LONGEST_MESSAGE)
+        bomb = COMPRESSED_PREFIX + zlib.compress(b"\x00" * (4 * MAX_MESSAGE_BYTES))
+        self.assertLess(len(bomb), MAX_MESSAGE_BYTES)
         with self.assertRaises(MessageError):
             to_data_plane.decode(bomb)
 
--- a/tests/registry/test_saved_copy.py
+++ b/tests/registry/test_checkpoint.py
@@ -5,11 +5,11 @@
 import unittest
 from collections.abc import Sequence
 
-from madderwind.controlplane.registry_saver import RegistrySaver
+from madderwind.controlplane.checkpoint_writer import CheckpointWriter
 from madderwind.errors import StorageError
 from madderwind.messages.distribution import UpstreamRecord
+from madderwind.registry.checkpoint import RegistryCheckpoint
 from madderwind.registry.registry import Registry
-from madderwind.registry.saved_copy import SavedCopy
 
 HEARTBEAT_MS = 1_000.0
 
@@ -47,50 +47,50 @@
 class SavingAndLoading(unittest.TestCase):
     def test_given_two_saves_then_a_start_reads_the_newer(self) -> None:
         folder = FolderInMemory()
-        copy = SavedCopy(folder)
+        copy = RegistryCheckpoint(folder)
         copy.save([upstream("i-1")])
         copy.save([upstream("i-1"), upstream("i-2")])
-        self.assertEqual(SavedCopy(folder).load(), (upstream("i-1"), upstream("i-2")))
+        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-1"), upstream("i-2")))
 
     def test_given_a_torn_write_then_a_start_reads_the_copy_before_it(self) -> None:
         folder = FolderInMemory()
-        copy = SavedCopy(folder)
+        copy = RegistryCheckpoint(folder)
         copy.save([upstream("i-1")])
         folder.is_full = True
         with self.assertRaises(StorageError):
             copy.save([upstream("i-2")])
-        self.assertEqual(SavedCopy(folder).load(), (upstream("i-1"),))
+        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-1"),))
 
     def test_given_every_prefix_of_a_file_then_it_reads_as_nothing_or_whole(self) -> None:
         folder = FolderInMemory()
-        SavedCopy(folder).save([upstream("i-1")])
+        RegistryCheckpoint(folder).save([upstream("i-1")])
         (name,) = folder.files
         whole = folder.files[name]
         for length in range(len(whole)):
             folder.files[name] = whole[:length]
-            self.assertEqual(SavedCopy(folder).load(), ())
+            self.assertEqual(RegistryCheckpoint(folder).load(), ())
         folder.files[name] = whole
-        self.assertEqual(SavedCopy(folder).load(), (upstream("i-1"),))
+        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-1"),))
 
     def test_given_a_load_then_the_next_save_is_newer_than_what_was_loaded(self) -> None:
         folder = FolderInMemory()
-        SavedCopy(folder).save([upstream("i-1")])
-        again = SavedCopy(folder)
+        RegistryCheckpoint(folder).save([upstream("i-1")])
+        again = RegistryCheckpoint(folder)
         again.load()
         again.save([upstream("i-2")])
-        self.assertEqual(SavedCopy(folder).load(), (upstream("i-2"),))
+        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-2"),))
 
 
 class OfferingToTheThread(unittest.TestCase):
     def test_given_what_is_saved_already_then_it_is_not_handed_over_again(self) -> None:
-        saver = RegistrySaver(SavedCopy(FolderInMemory()), lambda records: None)
+        saver = CheckpointWriter(RegistryCheckpoint(FolderInMemory()), lambda records: None)
         self.assertTrue(saver.offer([upstream("i-1")]))
         saver._wanted.clear()  # as the thread does after its write
         self.assertFalse(saver.offer([upstream("i-1", sequence=9)]))
         self.assertTrue(saver.offer([upstream("i-1", "draining")]))
 
     def test_given_a_write_under_way_then_an_offer_waits_for_the_next(self) -> None:
-        saver = RegistrySaver(SavedCopy(FolderInMemory()), lambda records: None)
+        saver = CheckpointWriter(RegistryCheckpoint(FolderInMemory()), lambda records: None)
         self.assertTrue(saver.offer([upstream("i-1")]))
         self.assertFalse(saver.offer([upstream("i-2")]))
         saver._wanted.clear()
@@ -100,7 +100,7 @@
         folder = FolderInMemory()
         folder.is_full = True
         told: list[Sequence[UpstreamRecord]] = []
-        saver = RegistrySaver(SavedCopy(folder), told.append)
+        saver = CheckpointWriter(RegistryCheckpoint(folder), told.append)
         saver.offer([upstream("i-1")])
         saver._save()
         saver._wanted.clear()
@@ -117,8 +117,10 @@
         registry.merge(0.0, [upstream("i-1"), upstream("i-2", "draining")])
         known = {record.instance: record.state for record in registry.snapshot(10.0)}
         self.assertEqual(known, {"i-1": "ready", "i-2": "draining"})
-        registry.tick(500.0, hears_all=True)
-        silent = [record for now in range(1000, 5000, 500) for record in registry.tick(now, hears_all=True)]
+        registry.tick(500.0, all_peers_reported=True)
+        silent = [
+            record for now in range(1000, 5000, 500) for record in registry.tick(now, all_peers_reported=True)
+        ]
         self.assertEqual({record.instance for record in silent}, {"i-1", "i-2"})
 
     def test_given_an_old_ready_copy_then_a_peers_draining_prevails(self) -> None:
--- a/tests/registry/test_upstreams.py
+++ b/tests/registry/test_known_upstreams.py
@@ -5,7 +5,7 @@
 import unittest
 
 from madderwind.messages.distribution import UpstreamRecord
-from madderwind.registry.upstreams import KnownUpstreams
+from madderwind.registry.known_upstreams import KnownUpstreams
 
 
 def record(
@@ -52,10 +52,10 @@
     def test_silence_is_a_hint_that_an_answer_clears(self) -> None:
         self.upstreams.merge(0.0, [record()])
         self.upstreams.merge(5000.0, [record(silent_ms=4000.0)])
-        self.assertTrue(self.upstreams.is_silent("i-1"))
+        self.assertTrue(self.upstreams.is_timed_out("i-1"))
         self.assertTrue(self.upstreams.takes_new("i-1"))
-        self.upstreams.answered("i-1")
-        self.assertFalse(self.upstreams.is_silent("i-1"))
+        self.upstreams.mark_answered("i-1")
+        self.assertFalse(self.upstreams.is_timed_out("i-1"))
 
     def test_a_moved_service_is_found_under_its_new_name(self) -> None:
         self.upstreams.merge(0.0, [record()])
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -8,8 +8,8 @@
 
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.registry.heartbeats import read_heartbeat
+from madderwind.registry.known_upstreams import KnownUpstreams
 from madderwind.registry.registry import Registry
-from madderwind.registry.upstreams import KnownUpstreams
 
 HEARTBEAT_MS = 1000.0
 # "Seconds late": as late as anything is expected to come.
@@ -37,7 +37,7 @@
         self, number: int, sequence: int, state: str = "ready", address: str = "10.0.0.1:80"
     ) -> None:
         heartbeat = read_heartbeat(INSTANCE, body(sequence, state, address))
-        self._tell(number, self.registries[number].heartbeat(self.now_ms, INSTANCE, heartbeat))
+        self._tell(number, self.registries[number].handle_heartbeat(self.now_ms, INSTANCE, heartbeat))
 
     def deregister(self, number: int) -> None:
         self._tell(number, self.registries[number].deregister(self.now_ms, INSTANCE))
@@ -124,13 +124,13 @@
     def test_is_told_to_nobody(self) -> None:
         self.fleet.heartbeat(0, 5)
         for registry in self.fleet.registries:
-            self.assertIsNone(registry.heartbeat(1.0, INSTANCE, read_heartbeat(INSTANCE, body(3))))
+            self.assertIsNone(registry.handle_heartbeat(1.0, INSTANCE, read_heartbeat(INSTANCE, body(3))))
 
     def test_that_is_heard_of_without_its_description_hides_no_description(self) -> None:
         """A peer's liveness report may overtake what changed, where that was lost on its way."""
         first, second, _ = self.fleet.registries
-        first.heartbeat(10.0, INSTANCE, read_heartbeat(INSTANCE, body(7, address="10.0.0.7:80")))
-        second.merge_liveness(11.0, first.liveness(11.0))
+        first.handle_heartbeat(10.0, INSTANCE, read_heartbeat(INSTANCE, body(7, address="10.0.0.7:80")))
+        second.merge_liveness(11.0, first.take_liveness(11.0))
         second.merge(12.0, first.snapshot(12.0))
         self.assertEqual(second.snapshot(12.0)[0].address, "10.0.0.7:80")
 
@@ -145,14 +145,14 @@
 
     def test_in_the_data_plane(self) -> None:
         with (
-            mock.patch("madderwind.registry.upstreams.furthest", lambda first, second: second),
+            mock.patch("madderwind.registry.known_upstreams.furthest", lambda first, second: second),
             self.assertRaises(AssertionError),
         ):
             ALateHeartbeat(AT_A_NEW_LIFE).debug()
 
     def test_where_the_gone_are_not_remembered(self) -> None:
         with (
-            mock.patch("madderwind.registry.upstreams.REMEMBER_GONE_MS", -1.0),
+            mock.patch("madderwind.registry.known_upstreams.DEREGISTERED_RETENTION_MS", -1.0),
             self.assertRaises(AssertionError),
         ):
             ALateHeartbeat(AT_A_NEW_LIFE).debug()
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -6,8 +6,8 @@
 
 from madderwind.errors import InvalidHeartbeat
 from madderwind.messages.distribution import UpstreamRecord
-from madderwind.registry.heartbeats import LONGEST_HEARTBEAT_BYTES, read_heartbeat
-from madderwind.registry.registry import FORGET_AFTER_MS, Registry
+from madderwind.registry.heartbeats import MAX_HEARTBEAT_BYTES, read_heartbeat
+from madderwind.registry.registry import DROP_AFTER_MS, Registry
 
 HEARTBEAT_MS = 1000.0
 SILENT_MS = 3501.0
@@ -21,7 +21,7 @@
 
 
 def heard(registry: Registry, now_ms: float, sequence: int, state: str = "ready") -> UpstreamRecord | None:
-    return registry.heartbeat(now_ms, "i-1", read_heartbeat("i-1", body(sequence, state)))
+    return registry.handle_heartbeat(now_ms, "i-1", read_heartbeat("i-1", body(sequence, state)))
 
 
 class HeartbeatsAreRead(unittest.TestCase):
@@ -29,7 +29,7 @@
         self.assertEqual(read_heartbeat("i-1", body(4)).sequence, 4)
 
     def test_what_is_no_heartbeat_has_a_typed_error(self) -> None:
-        too_long = body(1)[:-1] + b',"more":"' + b"x" * LONGEST_HEARTBEAT_BYTES + b'"}'
+        too_long = body(1)[:-1] + b',"more":"' + b"x" * MAX_HEARTBEAT_BYTES + b'"}'
         odd = [
             b"",
             b"{",
@@ -59,7 +59,7 @@
     def test_a_moved_address_is_told_and_a_late_heartbeat_changes_nothing(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
-        moved = registry.heartbeat(1.0, "i-1", read_heartbeat("i-1", body(3, address="10.0.0.2:80")))
+        moved = registry.handle_heartbeat(1.0, "i-1", read_heartbeat("i-1", body(3, address="10.0.0.2:80")))
         assert moved is not None
         self.assertEqual(moved.address, "10.0.0.2:80")
         self.assertIsNone(heard(registry, 2.0, 2))
@@ -131,14 +131,14 @@
         here.merge(0.0, [record])
         for second in range(1, 9):
             heard(there, second * 1000.0, 1 + second)
-            self.assertTrue(here.merge_liveness(second * 1000.0, there.liveness(second * 1000.0)))
+            self.assertTrue(here.merge_liveness(second * 1000.0, there.take_liveness(second * 1000.0)))
             self.assertEqual(here.tick(second * 1000.0, True), ())
-        self.assertEqual(there.liveness(9000.0), ())
+        self.assertEqual(there.take_liveness(9000.0), ())
 
     def test_an_unknown_instance_in_a_report_asks_for_all(self) -> None:
         here, there = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
         heard(there, 0.0, 1)
-        self.assertFalse(here.merge_liveness(1.0, there.liveness(1.0)))
+        self.assertFalse(here.merge_liveness(1.0, there.take_liveness(1.0)))
 
     def test_a_pause_of_this_process_is_no_silence(self) -> None:
         registry = Registry(HEARTBEAT_MS)
@@ -150,13 +150,13 @@
     def test_the_long_silent_is_forgotten_without_a_word(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
-        told = self.ticked_until(registry, 0.0, FORGET_AFTER_MS + 500.0)
+        told = self.ticked_until(registry, 0.0, DROP_AFTER_MS + 500.0)
         self.assertEqual([record.state for record in told], ["ready"])
         self.assertEqual(len(registry), 0)
 
     def test_an_old_record_of_a_peer_is_not_taken_up_again(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        old = UpstreamRecord("i-1", "s", "10.0.0.1:80", "z", "v1", 4, "ready", 1, 0.0, FORGET_AFTER_MS + 1.0)
+        old = UpstreamRecord("i-1", "s", "10.0.0.1:80", "z", "v1", 4, "ready", 1, 0.0, DROP_AFTER_MS + 1.0)
         self.assertEqual(registry.merge(0.0, [old]), ())
         self.assertEqual(len(registry), 0)
 
--- a/tests/replication/catch_up.py
+++ b/tests/replication/catch_up.py
@@ -60,7 +60,7 @@
     """Long states, and messages as long as they are: nothing is compressed, nothing has to be."""
     with ExitStack() as stack:
         stack.enter_context(patch("tests.fleet.machine.Register", LargeRegister))
-        stack.enter_context(patch("madderwind.messages.codec.COMPRESSED_FROM_BYTES", 1 << 40))
+        stack.enter_context(patch("madderwind.messages.codec.MIN_COMPRESSED_BYTES", 1 << 40))
         stack.enter_context(patch("madderwind.replication.log.RETAINED_ENTRIES", RETAINED_ENTRIES))
         yield
 
