--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -22,7 +22,8 @@
 from madderwind.controlplane.operator_calls import OperatorCalls, Output
 from madderwind.controlplane.peers import Peers
 from madderwind.controlplane.registry_service import RegistryService
-from madderwind.distribution.publisher import PublishedConfiguration, PublishedStatus, Publisher
+from madderwind.distribution.deliveries import PublishedConfiguration, PublishedStatus
+from madderwind.distribution.publisher import Publisher
 from madderwind.log_events.control_plane import (
     CONFIGURATION_COMMITTED,
     DATA_PLANE_SUBSCRIBED,
--- a/madderwind/controlplane/effects.py
+++ b/madderwind/controlplane/effects.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.distribution.deliveries import Close, SendTo, SendToAll
 from madderwind.log_events.event import LogLine
 from madderwind.messages.peering import PeerFrame
 from madderwind.replication.actions import Rewrite, Write
--- a/madderwind/controlplane/host.py
+++ b/madderwind/controlplane/host.py
@@ -18,7 +18,7 @@
 )
 from madderwind.controlplane.peer_links import PeerLinks
 from madderwind.controlplane.subscriber_streams import SubscriberStreams
-from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.distribution.deliveries import Close, SendTo, SendToAll
 from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import Subscribe, ToControlPlane, UpstreamRecord
 from madderwind.messages.peering import PeerFrame, peer_frames
--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -9,7 +9,7 @@
 from madderwind.controlplane.drain_tracker import DrainTracker
 from madderwind.controlplane.effects import Effect, RespondToUpstream, SaveCheckpoint, SendToPeer
 from madderwind.controlplane.peers import Peers
-from madderwind.distribution.publisher import Delivery
+from madderwind.distribution.deliveries import Delivery
 from madderwind.log_events.control_plane import UPSTREAM_CHANGED
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.messages.peering import (
--- a/madderwind/controlplane/subscriber_streams.py
+++ b/madderwind/controlplane/subscriber_streams.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from madderwind.controlplane.frames import ByteBudget, FrameQueue
-from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.distribution.deliveries import Close, SendTo, SendToAll
 from madderwind.messages.distribution import ToDataPlane, to_data_plane
 
 # A whole configuration and what comes beside it.
--- a/madderwind/dataplane/reports.py
+++ b/madderwind/dataplane/reports.py
@@ -38,7 +38,7 @@
 
     def share_limits(self, now_ms: float) -> bool:
         """Tell all limits how many share them; whether the primary hears of what is used here."""
-        fleet, in_touch = self._subscriber.data_planes, self._subscriber.is_in_touch(now_ms)
+        fleet, in_touch = self._subscriber.data_planes, self._subscriber.is_connected(now_ms)
         if in_touch != self._was_in_touch:
             self._was_in_touch = in_touch
             self._log("in_touch_with_primary" if in_touch else "out_of_touch_with_primary")
@@ -69,7 +69,7 @@
             )
             prompts, load = self._placement.take_sent(), LoadReport(self._placement.load())
             primary = self._subscriber.primary
-            if not self._subscriber.is_in_touch(self._now_ms()):
+            if not self._subscriber.is_connected(self._now_ms()):
                 told_to = ""
                 continue
             if prompts:
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -21,13 +21,13 @@
 from madderwind.dataplane.retrying import Retries
 from madderwind.dataplane.subscriber_links import SubscriberLinks
 from madderwind.dataplane.upstream_pool import UpstreamPool
-from madderwind.distribution.subscriber import (
+from madderwind.distribution.subscriber import Subscriber
+from madderwind.distribution.subscriber_events import (
+    ApplyConfiguration,
     Deliver,
     Identity,
-    Leaving,
-    PutInForce,
     SeedsChanged,
-    Subscriber,
+    ShutdownRequested,
 )
 from madderwind.errors import SettingsError
 from madderwind.eventlog import EventLog, Sparing
@@ -191,7 +191,7 @@
         """Let go of everything, at once."""
         for task in self._tasks:
             task.cancel()
-        self.links.handle(Leaving())
+        self.links.handle(ShutdownRequested())
         await asyncio.sleep(END_LOOK_S)
         await self.links.close()
         await self.pool.close()
@@ -204,7 +204,7 @@
 
     # --- what comes from control planes ---
 
-    def _put_in_force(self, action: PutInForce) -> None:
+    def _put_in_force(self, action: ApplyConfiguration) -> None:
         before, document = self._in_force, action.document
         self._in_force = document
         now_ms = self._now_ms()
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -14,8 +14,10 @@
     document_after,
     is_long,
 )
-from madderwind.distribution.subscriber import (
+from madderwind.distribution.subscriber import Subscriber
+from madderwind.distribution.subscriber_events import (
     Action,
+    ApplyConfiguration,
     ConfigurationArrived,
     Connect,
     Deliver,
@@ -24,14 +26,12 @@
     LinkClosed,
     LinkOpened,
     MessageReceived,
-    PutInForce,
-    Report,
     Send,
-    Subscriber,
     TimePassed,
 )
 from madderwind.errors import InvalidConfiguration, MessageError
 from madderwind.eventlog import EventLog
+from madderwind.log_events.event import LogLine
 from madderwind.messages.codec import MAX_MESSAGE_BYTES
 from madderwind.messages.distribution import ToControlPlane, to_control_plane, to_data_plane
 
@@ -50,7 +50,7 @@
         self,
         subscriber: Subscriber,
         log: EventLog,
-        on_configuration: Callable[[PutInForce], None],
+        on_configuration: Callable[[ApplyConfiguration], None],
         on_message: Callable[[Deliver], None],
     ) -> None:
         self._subscriber, self._log = subscriber, log
@@ -104,12 +104,12 @@
                 self._end(address)
             case Send(address, message):
                 self.send(address, message)
-            case PutInForce():
+            case ApplyConfiguration():
                 self._on_configuration(action)
             case Deliver():
                 self._on_message(action)
-            case Report(event, fields):
-                self._log(event, **fields)
+            case LogLine(event, fields):
+                self._log(event.name, **fields)
 
     def _end(self, address: str) -> None:
         self._outgoing.pop(address, None)
--- a/madderwind/distribution/remote_clock.py
+++ b/madderwind/distribution/remote_clock.py
@@ -2,13 +2,13 @@
 
 A message may be held up by a cut, or wait in a process that does not run. So its arrival tells nothing about
 the age of what it says. The sender's clock does, once a round trip has bound it to the own one: a reading
-that was asked for was taken after the question went out.
+that was requested was taken after the request went out.
 """
 
 from __future__ import annotations
 
 # Two steady clocks differ in their rates by no more than this part.
-MOST_DRIFT = 0.001
+MAX_DRIFT = 0.001
 
 
 class RemoteClock:
@@ -18,9 +18,9 @@
         self._lead_ms: float | None = None  # own time less the other's, at the least
         self._read_ms = 0.0  # when that was known
 
-    def take_reading(self, now_ms: float, asked_ms: float, clock_ms: float) -> None:
-        """The other's clock showed `clock_ms` at some moment since `asked_ms`."""
-        lead_ms = asked_ms - clock_ms
+    def handle_reading(self, now_ms: float, requested_ms: float, clock_ms: float) -> None:
+        """The other's clock showed `clock_ms` at some moment since `requested_ms`."""
+        lead_ms = requested_ms - clock_ms
         known_ms = self._lead_at(now_ms)
         self._lead_ms = lead_ms if known_ms is None else max(lead_ms, known_ms)
         self._read_ms = now_ms
@@ -33,4 +33,4 @@
     def _lead_at(self, now_ms: float) -> float | None:
         if self._lead_ms is None:
             return None
-        return self._lead_ms - MOST_DRIFT * (now_ms - self._read_ms)
+        return self._lead_ms - MAX_DRIFT * (now_ms - self._read_ms)
--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -16,7 +16,7 @@
     SendToPeer,
 )
 from madderwind.controlplane.process import SHUTDOWN_CHECK_S, SHUTDOWN_RESERVE_S, ConfigurationReplica
-from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.distribution.deliveries import Close, SendTo, SendToAll
 from madderwind.log_events.control_plane import VIEW_CHANGED
 from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import (
--- a/tests/campaign/data_plane.py
+++ b/tests/campaign/data_plane.py
@@ -7,8 +7,10 @@
 from typing import Protocol
 
 from madderwind.dataplane.subscriber_links import CONNECT_TIMEOUT_S, TICK_S
-from madderwind.distribution.subscriber import (
+from madderwind.distribution.subscriber import Subscriber
+from madderwind.distribution.subscriber_events import (
     Action,
+    ApplyConfiguration,
     Connect,
     Deliver,
     Disconnect,
@@ -17,9 +19,7 @@
     LinkClosed,
     LinkOpened,
     MessageReceived,
-    PutInForce,
     Send,
-    Subscriber,
     TimePassed,
 )
 from madderwind.messages.distribution import (
@@ -116,7 +116,7 @@
             case Send(address, message):
                 if (connection := self._connections.get(address)) is not None:
                     connection.send(connection.client, to_control_plane.encode(message))
-            case PutInForce(document):
+            case ApplyConfiguration(document):
                 before, self.version = self.version, document.version
                 self._observer.put_in_force(self, before)
             case Deliver(message=RegistrySnapshot(records) | RegistryDelta(records)):
--- a/tests/controlplane/fleet.py
+++ b/tests/controlplane/fleet.py
@@ -15,7 +15,7 @@
     SaveCheckpoint,
     SendToPeer,
 )
-from madderwind.distribution.publisher import Close, SendTo, SendToAll
+from madderwind.distribution.deliveries import Close, SendTo, SendToAll
 from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import Subscribe, ToControlPlane, ToDataPlane
 from madderwind.messages.peering import PeerFrame, peer_frames
--- a/tests/dataplane/test_log_page.py
+++ b/tests/dataplane/test_log_page.py
@@ -9,11 +9,11 @@
 ROOT = Path(__file__).parents[2]
 SOURCES = (
     *(ROOT / "madderwind" / "dataplane").glob("*.py"),
-    ROOT / "madderwind" / "distribution" / "subscriber.py",
+    ROOT / "madderwind" / "log_events" / "data_plane_links.py",
     ROOT / "madderwind" / "settings_watch.py",
 )
-# Calls that write a line: the log itself, the subscriber's reports, a request's note.
-SAYING = re.compile(r"\b(?:_?log|Report|_note)\(\s*(.*?)[,)]", re.DOTALL)
+# What names an event: a call of the log, the constants of the subscriber's events, a request's note.
+SAYING = re.compile(r"\b(?:_?log|LogEvent|_note)\(\s*(.*?)[,)]", re.DOTALL)
 EVENT = re.compile(r"\"([a-z_]+)\"")
 
 
--- a/tests/distribution/test_cut_off_sources.py
+++ b/tests/distribution/test_cut_off_sources.py
@@ -6,9 +6,10 @@
 import unittest
 from unittest.mock import patch
 
-from madderwind.distribution.control_plane_link import CLOCK_INTERVAL_MS, Link
+from madderwind.distribution.link import MAX_CLOCK_INTERVAL_MS, ControlPlaneLink
 from madderwind.distribution.remote_clock import RemoteClock
-from madderwind.distribution.subscriber import CURRENT_MS, LinkClosed, LinkOpened, Send, TimePassed
+from madderwind.distribution.subscriber import CURRENT_MS
+from madderwind.distribution.subscriber_events import LinkClosed, LinkOpened, Send, TimePassed
 from madderwind.messages.distribution import (
     ClockReading,
     ClockRequest,
@@ -60,7 +61,7 @@
 
     @property
     def is_in_touch(self) -> bool:
-        return self.subscriber.is_in_touch(self.now_ms)
+        return self.subscriber.is_connected(self.now_ms)
 
 
 class WhatIsCurrent(CutOffStory):
@@ -156,7 +157,7 @@
     def test_given_a_connection_that_stands_then_the_clock_is_asked_for_less_and_less(self) -> None:
         asked_ms = [0.0]
         opened_ms = self.now_ms
-        while self.now_ms - opened_ms < 3 * CLOCK_INTERVAL_MS:
+        while self.now_ms - opened_ms < 3 * MAX_CLOCK_INTERVAL_MS:
             self.told(FIRST, 5)
             for action in self.happens(TimePassed(), 50.0):
                 if isinstance(action, Send) and action.address == FIRST:
@@ -187,8 +188,8 @@
     def test_given_clocks_that_drift_for_an_hour_then_the_version_is_still_current(self) -> None:
         drift = 0.0002  # the control planes' clocks lose a fifth of a second in a thousand
         for _ in range(4 * 60 * 12):
-            self.now_ms += CLOCK_INTERVAL_MS / 16
-            self.ahead_ms -= CLOCK_INTERVAL_MS / 16 * drift
+            self.now_ms += MAX_CLOCK_INTERVAL_MS / 16
+            self.ahead_ms -= MAX_CLOCK_INTERVAL_MS / 16 * drift
             for address in SEEDS:
                 self.told(address, 5)
             self.answer_clocks()
@@ -209,14 +210,14 @@
     def test_given_a_reading_that_was_held_up_then_it_binds_no_later_than_the_question(self) -> None:
         clock = RemoteClock()
         self.assertIsNone(clock.sent_after_ms(10.0, 5.0))
-        clock.take_reading(now_ms=900.0, asked_ms=100.0, clock_ms=5_000.0)
+        clock.handle_reading(now_ms=900.0, requested_ms=100.0, clock_ms=5_000.0)
         self.assertAlmostEqual(100.0, clock.sent_after_ms(900.0, 5_000.0) or 0.0)
         self.assertAlmostEqual(350.0, clock.sent_after_ms(900.0, 5_250.0) or 0.0)
 
     def test_given_a_slower_round_trip_later_then_the_closer_bound_holds(self) -> None:
         clock = RemoteClock()
-        clock.take_reading(now_ms=110.0, asked_ms=100.0, clock_ms=5_005.0)
-        clock.take_reading(now_ms=1_600.0, asked_ms=1_100.0, clock_ms=6_500.0)
+        clock.handle_reading(now_ms=110.0, requested_ms=100.0, clock_ms=5_005.0)
+        clock.handle_reading(now_ms=1_600.0, requested_ms=1_100.0, clock_ms=6_500.0)
         self.assertAlmostEqual(1_595.0, clock.sent_after_ms(1_600.0, 6_500.0) or 0.0, delta=2.0)
 
 
@@ -229,11 +230,11 @@
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
     def test_freshness_that_is_not_aged(self) -> None:
-        def told_age_ms(link: Link, now_ms: float) -> float | None:
+        def told_age_ms(link: ControlPlaneLink, now_ms: float) -> float | None:
             return None if link.freshness is None else link.freshness.age_ms
 
         name = "test_given_a_primary_that_is_cut_off_then_the_named_one_counts_once_its_word_is_old"
-        with patch.object(Link, "age_ms", told_age_ms):
+        with patch.object(ControlPlaneLink, "age_ms", told_age_ms):
             self.assert_caught(WhoIsPrimary(name))
 
     def test_freshness_that_counts_from_the_arrival(self) -> None:
--- a/tests/distribution/test_exchange.py
+++ b/tests/distribution/test_exchange.py
@@ -45,14 +45,14 @@
         self.assertEqual(self.exchange.owed("d"), PeerUsage({}, {"t": 3.0}))
 
     def test_who_comes_back_gets_what_it_missed(self) -> None:
-        self.exchange.pause("b")
+        self.exchange.suspend("b")
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {}))
         self.exchange.join("b")
         self.assertEqual(self.used("b"), {"t": 10.0})
 
     def test_what_one_used_stays_owed_after_it_is_forgotten(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {"t": 4.0}))
-        self.exchange.forget("a")
+        self.exchange.remove("a")
         self.assertEqual(self.exchange.owed("b"), PeerUsage({"t": 10.0}, {}))
 
     def test_rates_of_demand_are_told_when_they_change(self) -> None:
@@ -62,7 +62,7 @@
         self.assertIsNone(self.exchange.owed("b"))
         self.exchange.report("a", UsageReport(3, {}, {"t": 150.0}))
         self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {"t": 150.0}))
-        self.exchange.pause("a")
+        self.exchange.suspend("a")
         self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {}))
         self.assertIsNone(self.exchange.owed("a"))
 
@@ -84,7 +84,7 @@
     def test_who_is_away_has_nothing_at_upstreams(self) -> None:
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.assertIsNotNone(self.exchange.owed("b"))
-        self.exchange.pause("a")
+        self.exchange.suspend("a")
         self.assertEqual(self.exchange.owed("b"), PeerLoad({}))
 
     def test_who_comes_back_is_told_the_whole_sum(self) -> None:
@@ -133,7 +133,7 @@
         self.assertLessEqual(len(told.prompts), 2_000)
 
     def test_who_is_forgotten_is_not_heard(self) -> None:
-        self.exchange.forget("a")
+        self.exchange.remove("a")
         self.exchange.report("a", DispatchReport((prompt("1"),)))
         self.assertEqual(self.exchange.owed(0.0, "b"), PeerDispatches(()))
 
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -7,17 +7,9 @@
 from typing import TypeVar
 
 from madderwind.configuration.history import ConfigurationHistory
-from madderwind.distribution.exchange import FORGET_AFTER_MS
-from madderwind.distribution.publisher import (
-    FETCH_REPEAT_MS,
-    FRESHNESS_INTERVAL_MS,
-    Close,
-    Delivery,
-    PublishedStatus,
-    Publisher,
-    SendTo,
-    SendToAll,
-)
+from madderwind.distribution.deliveries import Close, Delivery, PublishedStatus, SendTo, SendToAll
+from madderwind.distribution.exchange import REMOVE_AFTER_MS
+from madderwind.distribution.publisher import FETCH_REPEAT_MS, FRESHNESS_INTERVAL_MS, Publisher
 from madderwind.messages.distribution import (
     ConfigurationApplied,
     ConfigurationDelta,
@@ -97,7 +89,7 @@
         self.subscribed(1, "front-1")
         self.assertIn(Close(1), self.subscribed(2, "front-1"))
         self.publisher.disconnect(1.0, 1)
-        self.assertEqual(self.publisher.data_planes(), 1)
+        self.assertEqual(self.publisher.data_plane_count(), 1)
 
     def test_changed_upstreams_go_to_all_at_once(self) -> None:
         self.assertEqual(self.publisher.publish_upstreams([UPSTREAM]), [])
@@ -188,19 +180,19 @@
         self.subscribed(1, "front-1")
         self.publisher.disconnect(100.0, 1)
         self.publisher.tick(200.0)
-        self.assertEqual(self.publisher.data_planes(), 1)
-        self.publisher.tick(101.0 + FORGET_AFTER_MS)
-        self.assertEqual(self.publisher.data_planes(), 0)
+        self.assertEqual(self.publisher.data_plane_count(), 1)
+        self.publisher.tick(101.0 + REMOVE_AFTER_MS)
+        self.assertEqual(self.publisher.data_plane_count(), 0)
 
     def test_a_restarted_one_counts_once_and_one_that_said_farewell_not(self) -> None:
         self.subscribed(1, "front-1", life="1")
         self.publisher.disconnect(100.0, 1)
         self.subscribed(2, "front-1", life="2", now_ms=200.0)
-        self.assertEqual(self.publisher.data_planes(), 1)
+        self.assertEqual(self.publisher.data_plane_count(), 1)
         self.publisher.receive(300.0, 2, Goodbye())
         self.publisher.disconnect(400.0, 2)
-        self.publisher.tick(101.0 + FORGET_AFTER_MS)
-        self.assertEqual(self.publisher.data_planes(), 0)
+        self.publisher.tick(101.0 + REMOVE_AFTER_MS)
+        self.assertEqual(self.publisher.data_plane_count(), 0)
 
 
 class TheOthersUsageIsPassedOn(PublisherStory):
--- a/tests/distribution/test_reading_ahead.py
+++ b/tests/distribution/test_reading_ahead.py
@@ -10,12 +10,11 @@
     document_after,
     is_long,
 )
-from madderwind.distribution.subscriber import (
-    FETCH_TIMEOUT_MS,
-    READING_TIMEOUT_MS,
+from madderwind.distribution.subscriber import FETCH_TIMEOUT_MS, READING_TIMEOUT_MS
+from madderwind.distribution.subscriber_events import (
+    ApplyConfiguration,
     ConfigurationArrived,
     MessageReceived,
-    PutInForce,
     TimePassed,
 )
 from madderwind.messages.distribution import (
@@ -52,14 +51,14 @@
     def test_given_one_that_was_read_then_it_is_put_in_force_as_it_is(self) -> None:
         document = document_after(None, SNAPSHOT)
         actions = self.happens(MessageReceived(self.asked, SNAPSHOT, ReadAhead(None, document)))
-        put = [action.document for action in actions if isinstance(action, PutInForce)]
+        put = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
         self.assertIs(document, put[0])
 
     def test_given_another_document_in_force_meanwhile_then_it_is_read_on_top_of_that(self) -> None:
         early = document_after(None, SNAPSHOT)
         self.hears(FIRST, ConfigurationSnapshot(4, body(4)))
         actions = self.happens(MessageReceived(SECOND, SNAPSHOT, ReadAhead(None, early)))
-        put = [action.document for action in actions if isinstance(action, PutInForce)]
+        put = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
         self.assertIsNot(early, put[0])
         self.assertEqual([4, 5], self.in_force)
 
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -7,24 +7,21 @@
 import unittest
 from typing import Any
 
-from madderwind.distribution.subscriber import (
-    CURRENT_MS,
-    FETCH_TIMEOUT_MS,
-    MOST_SILENCE_MS,
+from madderwind.distribution.subscriber import CURRENT_MS, FETCH_TIMEOUT_MS, LINK_TIMEOUT_MS, Subscriber
+from madderwind.distribution.subscriber_events import (
     Action,
+    ApplyConfiguration,
     Connect,
     Deliver,
     Disconnect,
     Event,
     Identity,
-    Leaving,
     LinkClosed,
     LinkOpened,
     MessageReceived,
-    PutInForce,
     SeedsChanged,
     Send,
-    Subscriber,
+    ShutdownRequested,
     TimePassed,
 )
 from madderwind.messages.distribution import (
@@ -68,7 +65,9 @@
         self.now_ms += after_ms
         actions = self.subscriber.handle(self.now_ms, event)
         self.sent += [(action.address, action.message) for action in actions if isinstance(action, Send)]
-        self.in_force += [action.document.version for action in actions if isinstance(action, PutInForce)]
+        self.in_force += [
+            action.document.version for action in actions if isinstance(action, ApplyConfiguration)
+        ]
         return actions
 
     def hears(self, address: str, message: ToDataPlane, after_ms: float = 0.0) -> list[Action]:
@@ -115,7 +114,7 @@
     def test_a_silent_one_is_closed_and_dialled_again(self) -> None:
         self.happens(TimePassed())
         self.connects(FIRST)
-        self.assertNotIn(Disconnect(FIRST), self.happens(TimePassed(), MOST_SILENCE_MS))
+        self.assertNotIn(Disconnect(FIRST), self.happens(TimePassed(), LINK_TIMEOUT_MS))
         self.assertIn(Disconnect(FIRST), self.happens(TimePassed(), 10.0))
         self.assertIn(FIRST, self.dialled(self.happens(TimePassed(), 200.0)))
 
@@ -128,7 +127,7 @@
         registry = RegistrySnapshot(())
         self.happens(TimePassed())
         self.connects(FIRST)
-        self.happens(TimePassed(), MOST_SILENCE_MS + 10.0)
+        self.happens(TimePassed(), LINK_TIMEOUT_MS + 10.0)
         while FIRST not in self.dialled(self.happens(TimePassed(), 10.0)):
             self.assertEqual(self.hears(FIRST, registry), [])
         self.assertEqual(self.hears(FIRST, registry), [])
@@ -158,7 +157,7 @@
     def test_leaving_is_told_to_all_and_nothing_is_dialled_any_more(self) -> None:
         self.happens(TimePassed())
         self.connects(FIRST, SECOND)
-        actions = self.happens(Leaving())
+        actions = self.happens(ShutdownRequested())
         self.assertIn(Send(FIRST, Goodbye()), actions)
         self.assertIn(Send(SECOND, Goodbye()), actions)
         self.happens(LinkClosed(FIRST))
@@ -276,17 +275,17 @@
 
     def test_being_in_touch_is_about_the_primary(self) -> None:
         self.hears_freshness(SECOND, 5)
-        self.assertFalse(self.subscriber.is_in_touch(self.now_ms))
+        self.assertFalse(self.subscriber.is_connected(self.now_ms))
         self.hears_freshness(FIRST, 5)
-        self.assertTrue(self.subscriber.is_in_touch(self.now_ms))
+        self.assertTrue(self.subscriber.is_connected(self.now_ms))
         self.assertEqual(self.subscriber.data_planes, 6)
-        self.assertFalse(self.subscriber.is_in_touch(self.now_ms + CURRENT_MS))
+        self.assertFalse(self.subscriber.is_connected(self.now_ms + CURRENT_MS))
 
     def test_being_alone_is_told_to_the_host(self) -> None:
         for address in SEEDS:
             self.happens(LinkClosed(address))
-        self.assertFalse(self.subscriber.is_alone(self.now_ms + 1000.0))
-        self.assertTrue(self.subscriber.is_alone(self.now_ms + 4000.0))
+        self.assertFalse(self.subscriber.is_isolated(self.now_ms + 1000.0))
+        self.assertTrue(self.subscriber.is_isolated(self.now_ms + 4000.0))
 
 
 if __name__ == "__main__":
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -222,7 +222,7 @@
 
     def _kill(self, part: float, down_ms: float) -> None:
         for data_plane in self._rng.sample(self._data_planes, round(part * self._count)):
-            self._exchange.pause(data_plane.participant)
+            self._exchange.suspend(data_plane.participant)
             data_plane.is_running = False
             self._after(down_ms, partial(self._start, data_plane))
 
@@ -236,7 +236,7 @@
     def _disconnect(self, lost: list[DataPlane]) -> None:
         for data_plane in lost:
             data_plane.is_connected = False
-            self._exchange.pause(data_plane.participant)
+            self._exchange.suspend(data_plane.participant)
             self._after(NOTICED_AFTER_MS, partial(self._notice, data_plane))
 
     def _notice(self, data_plane: DataPlane) -> None:
