--- a/madderwind/balancing/estimates.py
+++ b/madderwind/balancing/estimates.py
@@ -1,6 +1,7 @@
 """Smoothed estimates of answer times and rates. They hold what was seen and decide nothing.
 
-Gains are as in TCP's estimate of round trips (RFC 6298); times are milliseconds."""
+Gains are as in TCP's estimate of round trips (RFC 6298); times are milliseconds.
+"""
 
 from __future__ import annotations
 
--- a/madderwind/balancing/idle_first.py
+++ b/madderwind/balancing/idle_first.py
@@ -2,7 +2,8 @@
 
 Source: the project's design page. A balancer picks at random among upstreams where it has nothing in flight;
 failing that, among those at or under its own mean in flight. One that it has not heard from counts as at the
-mean. A retry avoids the upstreams just tried."""
+mean. A retry avoids the upstreams just tried.
+"""
 
 from __future__ import annotations
 
--- a/madderwind/balancing/retry_quota.py
+++ b/madderwind/balancing/retry_quota.py
@@ -1,5 +1,7 @@
 """The design's retry quota: a token bucket that bounds retries, and the full-jitter waits before them.
-Source: "Retries are Multipliers" (Failover Weekly No. 21), with the figures of the project's design page."""
+
+Source: "Retries are Multipliers" (Failover Weekly No. 21), with the figures of the project's design page.
+"""
 
 import random
 
--- a/madderwind/cli/config_commands.py
+++ b/madderwind/cli/config_commands.py
@@ -13,7 +13,7 @@
 
 from madderwind.configuration.documents import Configuration
 from madderwind.configuration.reading import Document, read_document
-from madderwind.errors import InvalidConfiguration, InvalidFile, OperatorCallFailed
+from madderwind.errors import ConfigurationError, FileFormatError, OperatorCallError
 from madderwind.testing.local_fleet.operator_client import Answer, OperatorClient
 from madderwind.testing.local_fleet.status_client import NodeStatus, read_status
 from madderwind.testing.local_fleet.yaml_files import line_of, steps_of
@@ -22,7 +22,7 @@
 
 
 def check(file: str) -> None:
-    """Say that a configuration is valid; InvalidFile names field and line where it is not."""
+    """Say that a configuration is valid; FileFormatError names field and line where it is not."""
     configuration = read_configuration_file(Path(file)).configuration
     print(
         f"{file}: version {configuration.version}, {len(configuration.routes)} routes, "
@@ -35,12 +35,12 @@
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise InvalidFile(str(path), 0, "", str(error)) from None
+        raise FileFormatError(str(path), 0, "", str(error)) from None
     try:
         return read_document(_as_json(text, path))
-    except InvalidConfiguration as error:
+    except ConfigurationError as error:
         line = line_of(text, steps_of(error.field))
-        raise InvalidFile(str(path), line, error.field, error.reason) from None
+        raise FileFormatError(str(path), line, error.field, error.reason) from None
 
 
 def _as_json(text: str, path: Path) -> bytes:
@@ -51,7 +51,7 @@
         raw = yaml.safe_load(text)
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + 1 if error.problem_mark else 0
-        raise InvalidFile(str(path), line, "", error.problem or "is no YAML") from None
+        raise FileFormatError(str(path), line, "", error.problem or "is no YAML") from None
     return msgspec.json.encode(raw)
 
 
@@ -117,7 +117,7 @@
 
 
 def apply(file: str, control: Sequence[str], status: Sequence[str], wait_s: float) -> int:
-    """Send a configuration and show who has taken it; 1 where some lack it. OperatorCallFailed: refused."""
+    """Send a configuration and show who has taken it; 1 where some lack it. OperatorCallError: refused."""
     return asyncio.run(_apply(read_configuration_file(Path(file)), control, status, wait_s))
 
 
@@ -131,7 +131,7 @@
         answer = await client.replace(base, document.raw)
     if not answer.is_taken:
         told = answer.body.decode(errors="replace")
-        raise OperatorCallFailed(f"version {document.version} on top of {base}: {answer.status} {told}")
+        raise OperatorCallError(f"version {document.version} on top of {base}: {answer.status} {told}")
     print(f"version {document.version} is acknowledged, on top of {base}")
     if not status:
         print("which data planes have taken it is told with --status")
@@ -153,7 +153,7 @@
             break
         await asyncio.sleep(LOOK_S)
     if not planes:
-        raise OperatorCallFailed(f"no control plane told of data planes at {', '.join(status)}")
+        raise OperatorCallError(f"no control plane told of data planes at {', '.join(status)}")
     for node, applied in sorted(planes.items()):
         print(f"  {node:24}{'has taken it' if applied >= version else f'still has {applied}'}")
     return int(bool(lacking))
--- a/madderwind/cli/local_commands.py
+++ b/madderwind/cli/local_commands.py
@@ -111,7 +111,7 @@
 
 
 def check_file(file: str) -> None:
-    """Say that a fleet file can be used; InvalidFile where it can't."""
+    """Say that a fleet file can be used; FileFormatError where it can't."""
     fleet = read_fleet_file(Path(file))
     upstreams = sum(group.count for group in fleet.upstreams)
     print(
--- a/madderwind/cli/status_commands.py
+++ b/madderwind/cli/status_commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from madderwind.errors import OperatorCallFailed
+from madderwind.errors import OperatorCallError
 from madderwind.messages.status import ControlPlaneStatus
 from madderwind.testing.local_fleet.status_client import NodeStatus, read_status
 
@@ -17,7 +17,7 @@
     found = asyncio.run(_with_members(addresses))
     told = [each.status for each in found if each.status is not None]
     if not told:
-        raise OperatorCallFailed(f"no control plane answered at {', '.join(addresses)}")
+        raise OperatorCallError(f"no control plane answered at {', '.join(addresses)}")
     if as_json:
         print(msgspec.json.format(msgspec.json.encode(found)).decode())
     else:
--- a/madderwind/configuration/documents.py
+++ b/madderwind/configuration/documents.py
@@ -1,7 +1,7 @@
 """What an operator's configuration says, typed. Each class checks its own values as it is made.
 
 A field that is absent or null takes its default. Fields that are not known here are kept in the document's
-raw form and are not looked at. Checks raise InvalidConfiguration, whose field is relative to the object.
+raw form and are not looked at. Checks raise ConfigurationError, whose field is relative to the object.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import attrs
 
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 
 DEFAULT_MAX_HEADER_BYTES = 16 * 1024
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -25,27 +25,27 @@
 
 def _above_zero(name: str, value: float) -> None:
     if value <= 0:
-        raise InvalidConfiguration(name, f"must be above 0, not {value:g}")
+        raise ConfigurationError(name, f"must be above 0, not {value:g}")
 
 
 def _not_negative(name: str, value: float) -> None:
     if value < 0:
-        raise InvalidConfiguration(name, f"must not be negative, not {value:g}")
+        raise ConfigurationError(name, f"must not be negative, not {value:g}")
 
 
 def _not_empty(name: str, value: str) -> None:
     if not value:
-        raise InvalidConfiguration(name, "must not be empty")
+        raise ConfigurationError(name, "must not be empty")
 
 
 def _one_of(name: str, value: str, allowed: frozenset[str]) -> None:
     if value not in allowed:
-        raise InvalidConfiguration(name, f"must be one of {', '.join(sorted(allowed))}, not {value!r}")
+        raise ConfigurationError(name, f"must be one of {', '.join(sorted(allowed))}, not {value!r}")
 
 
 def _between_slashes(name: str, value: str) -> None:
     if not (value.startswith("/") and value.endswith("/")):
-        raise InvalidConfiguration(name, f"must start and end with a slash, not {value!r}")
+        raise ConfigurationError(name, f"must start and end with a slash, not {value!r}")
 
 
 @attrs.frozen
@@ -91,9 +91,9 @@
         _not_negative("gap_aim_ms", self.gap_aim_ms)
         if self.backends:
             if math.fsum(backend.weight for backend in self.backends) <= 0:
-                raise InvalidConfiguration("backends", "the weights sum to 0")
+                raise ConfigurationError("backends", "the weights sum to 0")
         elif not self.service:
-            raise InvalidConfiguration("service", "names neither a service nor backends with a weight")
+            raise ConfigurationError("service", "names neither a service nor backends with a weight")
 
     @property
     def service_names(self) -> tuple[str, ...]:
@@ -163,7 +163,7 @@
         _not_negative("burst", self.burst)
         for index, key in enumerate(self.api_keys):
             if not key:
-                raise InvalidConfiguration(f"api_keys[{index}]", "must not be empty")
+                raise ConfigurationError(f"api_keys[{index}]", "must not be empty")
 
 
 @attrs.frozen
--- a/madderwind/configuration/history.py
+++ b/madderwind/configuration/history.py
@@ -1,10 +1,10 @@
 """The replicated state machine of the configuration: the document in force and the commands that led to it.
 
-The digests of commands that were taken are part of the state, so that a command whose answer was lost is
+The digests of commands that were committed are part of the state, so that a command whose answer was lost is
 acknowledged again by whichever replica it reaches. Each version was followed by one command alone, so they
 are kept by the version that they built on. A command older than all of them can't be told from one that lost
-a race: it gets no clear answer, as a command that was taken must never be refused. Recent commands are kept
-whole for data planes that lag.
+a race: its outcome is unknown, as a command that was committed must never be rejected. Recent commands are
+retained for data planes that lag.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 import msgspec
 
 from madderwind.configuration.reading import Document, read_document
-from madderwind.errors import InvalidConfiguration, MessageError
+from madderwind.errors import ConfigurationError, MessageError
 from madderwind.messages.distribution import CommandRecord
 from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
 
-KEPT_DIGESTS = 4_000
-KEPT_COMMANDS = 256
-KEPT_COMMAND_BYTES = 2 * 1024 * 1024
+RETAINED_DIGESTS = 4_000
+RETAINED_COMMANDS = 256
+RETAINED_COMMAND_BYTES = 2 * 1024 * 1024
 DIGEST_BYTES = 16
 NO_VERSION = 0
 
@@ -34,12 +34,17 @@
     commands: tuple[CommandRecord, ...]
 
     def digests_by_base(self) -> dict[int, bytes]:
-        """The digests by base version. Of a snapshot of the first form those whose commands are kept are
-        known; older commands count as forgotten."""
+        """The digests by base version.
+
+        Of a snapshot of the first form those whose commands are kept are known; older commands count as
+        forgotten.
+        """
         pairs = [digest for digest in self.digests if not isinstance(digest, bytes)]
         if len(pairs) == len(self.digests):
             return dict(pairs)
-        commands = (Command(CommandKind(kept.kind), kept.base_version, kept.body) for kept in self.commands)
+        commands = (
+            Command(CommandKind(record.kind), record.base_version, record.body) for record in self.commands
+        )
         return {command.base_version: _digest(command) for command in commands}
 
 
@@ -51,15 +56,17 @@
     document: Document
 
 
-class _LastPrepared:
-    """The last command's document, shared by a history and its copies: a replica checks a command, appends it
-    and commits it, each on a copy of its own."""
+class _PreparationCache:
+    """The last command's document, shared by a history and its copies.
+
+    A replica checks a command, appends it and commits it, each on a copy of its own.
+    """
 
     def __init__(self) -> None:
         self._last: _Prepared | None = None
 
     def document(self, base: Document | None, command: Command) -> Document:
-        """What the command makes of the base; raises InvalidConfiguration."""
+        """What the command makes of the base; raises ConfigurationError."""
         last = self._last
         if last is None or last.base is not base or last.command != command:
             last = _Prepared(base, command, _ordered(base, command))
@@ -75,7 +82,7 @@
         self._digests: dict[int, bytes] = {}  # by base version, which rises
         self._commands: deque[CommandRecord] = deque()
         self._command_bytes = 0
-        self._prepared = _LastPrepared()
+        self._prepared = _PreparationCache()
 
     @property
     def version(self) -> int:
@@ -88,7 +95,7 @@
             return CommandResult(self._outcome_on_other_base(command), self.version)
         try:
             self._prepared.document(self.document, command)
-        except InvalidConfiguration as error:
+        except ConfigurationError as error:
             return CommandResult(CommandOutcome.INVALID, self.version, error.field, error.reason)
         return None
 
@@ -98,13 +105,15 @@
         record = CommandRecord(document.version, self.version, command.kind.value, command.body)
         self.document = document
         self._digests[command.base_version] = _digest(command)
-        if len(self._digests) > KEPT_DIGESTS:
+        if len(self._digests) > RETAINED_DIGESTS:
             del self._digests[next(iter(self._digests))]
-        self._keep(record)
+        self._retain(record)
 
     def commands_since(self, version: int) -> tuple[CommandRecord, ...] | None:
-        """The commands that lead from a version to the current one; None where they are no longer all
-        kept."""
+        """The commands that lead from a version to the current one.
+
+        None where they are no longer all record.
+        """
         if version == self.version:
             return ()
         for index, record in enumerate(self._commands):
@@ -131,7 +140,7 @@
             history.document = read_document(snapshot.document)
         history._digests = snapshot.digests_by_base()
         for record in snapshot.commands:
-            history._keep(record)
+            history._retain(record)
         return history
 
     def copy(self) -> ConfigurationHistory:
@@ -152,10 +161,10 @@
         is_forgotten = NO_VERSION <= command.base_version < next(iter(self._digests), NO_VERSION)
         return CommandOutcome.UNKNOWN if is_forgotten else CommandOutcome.STALE_BASE
 
-    def _keep(self, record: CommandRecord) -> None:
+    def _retain(self, record: CommandRecord) -> None:
         self._commands.append(record)
         self._command_bytes += len(record.body)
-        while len(self._commands) > KEPT_COMMANDS or self._command_bytes > KEPT_COMMAND_BYTES:
+        while len(self._commands) > RETAINED_COMMANDS or self._command_bytes > RETAINED_COMMAND_BYTES:
             self._command_bytes -= len(self._commands.popleft().body)
 
 
@@ -167,12 +176,12 @@
 
 
 def _ordered(base: Document | None, command: Command) -> Document:
-    """The document that a command makes of the present one; raises InvalidConfiguration."""
+    """The document that a command makes of the present one; raises ConfigurationError."""
     if command.kind is CommandKind.UPDATE:
         if base is None:
-            raise InvalidConfiguration("document", "there is no configuration yet that could be updated")
+            raise ConfigurationError("document", "there is no configuration yet that could be updated")
         return base.updated(command.body)
     document = read_document(command.body, base)
     if base is not None and document.version <= base.version:
-        raise InvalidConfiguration("version", f"{document.version} is not above {base.version}")
+        raise ConfigurationError("version", f"{document.version} is not above {base.version}")
     return document
--- a/madderwind/configuration/index.py
+++ b/madderwind/configuration/index.py
@@ -15,7 +15,7 @@
 Prefixes = PersistentMap[str, Route]
 
 
-class PartsClash(Exception):
+class ConflictingPartsError(Exception):
     """Two routes share host and prefix, two tenants share a key, or a route names an unknown service."""
 
 
@@ -56,14 +56,14 @@
     tenant_count: int = 0
 
     def changed(self, change: ConfigurationChange) -> ConfigurationIndex:
-        """The index after a change; raises PartsClash."""
-        gone = [service.name for service in change.services.removed]
-        come = {service.name: service for service in change.services.added}
-        services = self.services.changed(come, gone)
+        """The index after a change; raises ConflictingPartsError."""
+        removed = [service.name for service in change.services.removed]
+        added = {service.name: service for service in change.services.added}
+        services = self.services.changed(added, removed)
         uses = self._changed_uses(change.routes)
-        for name in (*uses, *gone):
+        for name in (*uses, *removed):
             if name not in services and (uses[name] if name in uses else self.uses_of_service.get(name)):
-                raise PartsClash
+                raise ConflictingPartsError
         return ConfigurationIndex(
             self._hosts_after(change.routes),
             services,
@@ -73,40 +73,42 @@
         )
 
     def _hosts_after(self, routes: Difference[Route]) -> PersistentMap[str, Prefixes]:
-        places: dict[str, dict[str, Route | None]] = {}
+        changed_prefixes: dict[str, dict[str, Route | None]] = {}
         for route in routes.removed:
-            places.setdefault(route.host.lower(), {})[route.path_prefix] = None
+            changed_prefixes.setdefault(route.host.lower(), {})[route.path_prefix] = None
         for route in routes.added:
             host, prefix = route.host.lower(), route.path_prefix
-            of_host = places.setdefault(host, {})
+            of_host = changed_prefixes.setdefault(host, {})
             if (of_host[prefix] if prefix in of_host else self._route_at(host, prefix)) is not None:
-                raise PartsClash
+                raise ConflictingPartsError
             of_host[prefix] = route
-        changed = {host: self._prefixes_after(host, of_host) for host, of_host in places.items()}
-        kept = {host: prefixes for host, prefixes in changed.items() if len(prefixes)}
-        return self.prefixes_of_host.changed(kept, changed.keys() - kept.keys())
+        changed = {host: self._prefixes_after(host, of_host) for host, of_host in changed_prefixes.items()}
+        remaining = {host: prefixes for host, prefixes in changed.items() if len(prefixes)}
+        return self.prefixes_of_host.changed(remaining, changed.keys() - remaining.keys())
 
     def _route_at(self, host: str, prefix: str) -> Route | None:
         prefixes = self.prefixes_of_host.get(host)
         return None if prefixes is None else prefixes.get(prefix)
 
     def _prefixes_after(self, host: str, changed: dict[str, Route | None]) -> Prefixes:
-        come = {prefix: route for prefix, route in changed.items() if route is not None}
+        added = {prefix: route for prefix, route in changed.items() if route is not None}
         prefixes = self.prefixes_of_host.get(host)
         return (
-            PersistentMap(come) if prefixes is None else prefixes.changed(come, changed.keys() - come.keys())
+            PersistentMap(added)
+            if prefixes is None
+            else prefixes.changed(added, changed.keys() - added.keys())
         )
 
     def _keys_after(self, tenants: Difference[Tenant]) -> PersistentMap[str, Tenant]:
-        gone = {key for tenant in tenants.removed for key in tenant.api_keys}
-        come: dict[str, Tenant] = {}
+        removed = {key for tenant in tenants.removed for key in tenant.api_keys}
+        added: dict[str, Tenant] = {}
         for tenant in tenants.added:
             for key in tenant.api_keys:
-                holder = come.get(key) or (None if key in gone else self.tenant_of_key.get(key))
-                if holder is not None and holder is not tenant:
-                    raise PartsClash
-                come[key] = tenant
-        return self.tenant_of_key.changed(come, gone)
+                owner = added.get(key) or (None if key in removed else self.tenant_of_key.get(key))
+                if owner is not None and owner is not tenant:
+                    raise ConflictingPartsError
+                added[key] = tenant
+        return self.tenant_of_key.changed(added, removed)
 
     def _changed_uses(self, routes: Difference[Route]) -> dict[str, int]:
         """How often services are named after a change, those that are named otherwise than before."""
--- a/madderwind/configuration/json_parts.py
+++ b/madderwind/configuration/json_parts.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 
 PartType = TypeVar("PartType")
 
@@ -37,11 +37,11 @@
 
 
 def check_text(data: bytes, path: str) -> None:
-    """Raises InvalidConfiguration where the bytes are no UTF-8, in parts that nobody looks at as well."""
+    """Raises ConfigurationError where the bytes are no UTF-8, in parts that nobody looks at as well."""
     try:
         data.decode()
     except UnicodeDecodeError as error:
-        raise InvalidConfiguration(path, f"is no JSON: {error}") from None
+        raise ConfigurationError(path, f"is no JSON: {error}") from None
 
 
 def write(value: object) -> bytes:
@@ -55,6 +55,6 @@
     try:
         return decoder.decode(data)
     except msgspec.ValidationError:
-        raise InvalidConfiguration(path, reason) from None
+        raise ConfigurationError(path, reason) from None
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise InvalidConfiguration(path, f"is no JSON: {error}") from None
+        raise ConfigurationError(path, f"is no JSON: {error}") from None
--- a/madderwind/configuration/lookup.py
+++ b/madderwind/configuration/lookup.py
@@ -21,8 +21,11 @@
         return cls(ConfigurationIndex().changed(ConfigurationChange.from_nothing(configuration)))
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path, among those of the host. `host` is the Host
-        header, in any case, with or without a port; `path` may carry a query string, which doesn't count."""
+        """The route with the longest prefix that begins the path, among those of the host.
+
+        `host` is the Host header, in any case, with or without a port; `path` may carry a query string, which
+        doesn't count.
+        """
         prefixes = self._prefixes_of_host.get(without_port(host).lower())
         if prefixes is None:
             return None
@@ -51,14 +54,14 @@
         assert route.service is not None  # checked as the route was made
         return route.service
     remaining = random_number * sum(backend.weight for backend in route.backends)
-    chosen = ""
+    service = ""
     for backend in route.backends:
         if backend.weight > 0:
-            chosen = backend.service
+            service = backend.service
             if remaining < backend.weight:
                 break
             remaining -= backend.weight
-    return chosen
+    return service
 
 
 def without_port(host: str) -> str:
--- a/madderwind/configuration/persistent_map.py
+++ b/madderwind/configuration/persistent_map.py
@@ -9,13 +9,16 @@
 ValueType = TypeVar("ValueType")
 
 # A change copies a bucket and the list of buckets: together they stay short at this many entries a bucket.
-MOST_PER_BUCKET = 32
+MAX_PER_BUCKET = 32
 _GROWTH = 4
 
 
 class PersistentMap(Generic[KeyType, ValueType]):
-    """A map of hashable keys. A change costs by what it changes and by the square root of the map's length at
-    most; the map before it stays as it was. Iteration follows no command that means anything."""
+    """A map of hashable keys.
+
+    A change costs by what it changes and by the square root of the map's length at most; the map before it
+    stays as it was. Iteration follows no command that means anything.
+    """
 
     __slots__ = ("_buckets", "_length", "_mask")
 
@@ -23,7 +26,7 @@
         """A map of these entries; empty without any."""
         entries = entries or {}
         count = 1
-        while count * MOST_PER_BUCKET < len(entries):
+        while count * MAX_PER_BUCKET < len(entries):
             count *= _GROWTH
         self._fill(entries.items(), count)
 
@@ -55,7 +58,7 @@
             changed._own_bucket(key, copied)[key] = value
         grown = sum(len(changed._buckets[number]) - len(self._buckets[number]) for number in copied)
         changed._length = self._length + grown
-        if changed._length > len(changed._buckets) * MOST_PER_BUCKET:
+        if changed._length > len(changed._buckets) * MAX_PER_BUCKET:
             changed._fill(list(changed.items()), len(changed._buckets) * _GROWTH)
         return changed
 
--- a/madderwind/configuration/reading.py
+++ b/madderwind/configuration/reading.py
@@ -14,7 +14,7 @@
 
 from madderwind.configuration.consistency import check_consistency
 from madderwind.configuration.documents import ClientLimits, Configuration, Route, Service, Tenant
-from madderwind.configuration.index import ConfigurationChange, ConfigurationIndex, PartsClash
+from madderwind.configuration.index import ConfigurationChange, ConfigurationIndex, ConflictingPartsError
 from madderwind.configuration.json_parts import (
     check_text,
     read_list,
@@ -26,10 +26,10 @@
 from madderwind.configuration.lookup import RoutingTable
 from madderwind.configuration.sections import Section, SectionChange
 from madderwind.configuration.structuring import structure
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 
 # The name of the place where nothing in particular of a document is wrong.
-WHOLE_DOCUMENT = "document"
+ENTIRE_DOCUMENT = "document"
 
 ROUTES, SERVICES, TENANTS, LIMITS = "routes", "services", "tenants", "limits"
 _ITEM_TYPES: Mapping[str, type[Any]] = {ROUTES: Route, SERVICES: Service, TENANTS: Tenant}
@@ -50,8 +50,11 @@
         change: ConfigurationChange,
         previous: Document | None,
     ) -> None:
-        """Checked as it is made. `members` holds all of the top level but `version`; those that are in
-        `sections` are taken from there. `change`: since the previous document, or since nothing."""
+        """Checked as it is made.
+
+        `members` holds all of the top level but `version`; those that are in `sections` are taken from there.
+        `change`: since the previous document, or since nothing.
+        """
         self.version = version
         self._members = members
         self._sections = sections
@@ -87,8 +90,10 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """All routes in their order; the same tuple as in the document before where none changed, and so with
-        services and tenants."""
+        """All routes in their order.
+
+        The same tuple as in the document before where none changed, and so with services and tenants.
+        """
         return self.section(ROUTES).typed
 
     @property
@@ -102,8 +107,10 @@
         return self.section(TENANTS).typed
 
     def updated(self, body: bytes) -> Document:
-        """This document with an update applied to it. Raises InvalidConfiguration, also where the update's
-        version isn't above the present one."""
+        """This document with an update applied to it.
+
+        Raises ConfigurationError, also where the update's version isn't above the present one.
+        """
         return _Update(body).applied_to(self)
 
     def section(self, name: str) -> Section[Any]:
@@ -144,22 +151,25 @@
         index = ConfigurationIndex() if previous is None else previous._index
         try:
             return index.changed(change)
-        except PartsClash:
+        except ConflictingPartsError:
             check_consistency(self.configuration)
-            raise InvalidConfiguration(WHOLE_DOCUMENT, "its parts do not fit together") from None
+            raise ConfigurationError(ENTIRE_DOCUMENT, "its parts do not fit together") from None
 
 
 def read_document(body: bytes, previous: Document | None = None) -> Document:
-    """The document that a whole configuration's JSON describes. Items that `previous` holds in the same words
-    are taken from it. Raises InvalidConfiguration; the version is not compared with that of `previous`."""
-    check_text(body, WHOLE_DOCUMENT)
-    members = read_object(body, WHOLE_DOCUMENT)
-    version = _take_version(members)
+    """The document that a whole configuration's JSON describes.
+
+    Items that `previous` holds in the same words are taken from it. Raises ConfigurationError; the version
+    is not compared with that of `previous`.
+    """
+    check_text(body, ENTIRE_DOCUMENT)
+    members = read_object(body, ENTIRE_DOCUMENT)
+    version = _read_version(members)
     changes = {}
     for name in _ITEM_TYPES:
         is_absent = _is_absent(members, name)
         if is_absent and name in _REQUIRED:
-            raise InvalidConfiguration(name, "is missing")
+            raise ConfigurationError(name, "is missing")
         before = _EMPTY_SECTIONS[name] if previous is None else previous.section(name)
         changes[name] = before.replaced([] if is_absent else read_list(members[name], name), name)
     for name in members.keys() - _ITEM_TYPES.keys():
@@ -179,23 +189,23 @@
     """A change of named items: lists to upsert and lists of names to delete, by section."""
 
     def __init__(self, body: bytes) -> None:
-        check_text(body, WHOLE_DOCUMENT)
-        members = read_object(body, WHOLE_DOCUMENT)
-        self.version = _take_version(members)
+        check_text(body, ENTIRE_DOCUMENT)
+        members = read_object(body, ENTIRE_DOCUMENT)
+        self.version = _read_version(members)
         self._upsert = _optional_object(members, "upsert")
         self._delete = _optional_object(members, "delete")
         for name in (*_ITEM_TYPES, LIMITS):
             if name in members:
-                raise InvalidConfiguration(name, "in an update this stands under upsert or delete")
+                raise ConfigurationError(name, "in an update this stands under upsert or delete")
 
     def applied_to(self, document: Document) -> Document:
         if self.version <= document.version:
-            raise InvalidConfiguration("version", f"{self.version} is not above {document.version}")
+            raise ConfigurationError("version", f"{self.version} is not above {document.version}")
         members = dict(document.members)
         changes = {}
         for name in dict.fromkeys((*self._upsert, *self._delete)):
             if name == "version":
-                raise InvalidConfiguration("upsert.version", "is no list of named items")
+                raise ConfigurationError("upsert.version", "is no list of named items")
             if name == LIMITS:
                 members[LIMITS] = self._changed_limits(members)
             else:
@@ -221,12 +231,12 @@
         return read_names(self._delete[name], f"delete.{name}") if name in self._delete else []
 
 
-def _take_version(members: dict[str, msgspec.Raw]) -> int:
+def _read_version(members: dict[str, msgspec.Raw]) -> int:
     if "version" not in members:
-        raise InvalidConfiguration("version", "is missing")
+        raise ConfigurationError("version", "is missing")
     version = read_value(members.pop("version"), "version")
     if type(version) is not int or version <= 0:
-        raise InvalidConfiguration("version", "must be a whole number above 0")
+        raise ConfigurationError("version", "must be a whole number above 0")
     return version
 
 
--- a/madderwind/configuration/sections.py
+++ b/madderwind/configuration/sections.py
@@ -17,7 +17,7 @@
 from madderwind.configuration.index import Difference
 from madderwind.configuration.persistent_map import PersistentMap
 from madderwind.configuration.structuring import ItemType, read_item, read_name
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 
 ITEMS_PER_CHUNK = 128
 
@@ -76,12 +76,14 @@
         return SectionChange(after, Difference(_missing(before, read), _missing(read, before)))
 
     def changed(self, upsert: list[msgspec.Raw], delete: list[str], path: str) -> SectionChange[ItemType]:
-        """The section with items replaced in place or appended, and others removed. Deleting a name that
-        isn't there changes nothing; a name that is both upserted and deleted is refused."""
+        """The section with items replaced in field or appended, and others removed.
+
+        Deleting a name that isn't there changes nothing; a name that is both upserted and deleted is refused.
+        """
         read = self._read(upsert, path, self)
         for name in delete:
             if name in read:
-                raise InvalidConfiguration(path, f"{name!r} is to be both upserted and deleted")
+                raise ConfigurationError(path, f"{name!r} is to be both upserted and deleted")
         before = {name: item for name in (*read, *delete) if (item := self.get(name)) is not None}
         after = self._with(read, [name for name in dict.fromkeys(delete) if name in before])
         return SectionChange(after, Difference(_missing(before, read), _missing(read, self)))
@@ -101,8 +103,8 @@
             chunk = after._own_chunk(self._chunk_number(name), own)
             after.raw_bytes += len(item.raw) - len(chunk[name].raw)
             chunk[name] = item
-        places = after._append(appended, own)
-        after._chunk_of = self._chunk_of.changed(places, delete)
+        chunk_numbers = after._append(appended, own)
+        after._chunk_of = self._chunk_of.changed(chunk_numbers, delete)
         if len(after._chunks) * ITEMS_PER_CHUNK > 4 * (len(after) + ITEMS_PER_CHUNK):
             after._close_gaps()
         return after
@@ -123,17 +125,17 @@
         """Put items after all others; the chunks that they are in."""
         own = set() if own is None else own
         remaining = iter(items.items())
-        places: dict[str, int] = {}
-        while len(places) < len(items):
+        chunk_numbers: dict[str, int] = {}
+        while len(chunk_numbers) < len(items):
             if not self._chunks or len(self._chunks[-1]) >= ITEMS_PER_CHUNK:
                 self._chunks.append({})
             last = len(self._chunks) - 1
             chunk = self._own_chunk(last, own)
             more = dict(islice(remaining, ITEMS_PER_CHUNK - len(chunk)))
             chunk.update(more)
-            places.update(dict.fromkeys(more, last))
+            chunk_numbers.update(dict.fromkeys(more, last))
         self.raw_bytes += sum(len(item.raw) for item in items.values())
-        return places
+        return chunk_numbers
 
     def _close_gaps(self) -> None:
         """Fill the chunks anew where deletions have left too many of them nearly empty."""
@@ -153,26 +155,26 @@
         read: dict[str, SectionItem[ItemType]] = {}
         in_command = iter(before.values())
         for index, raw in enumerate(items):
-            place = f"{path}[{index}]"
-            likely = next(in_command, None)  # the same one, where nothing came or went before it
-            if likely is not None and likely.raw == raw:
-                item = SectionItem(likely.name, raw, likely.typed)
+            field = f"{path}[{index}]"
+            candidate = next(in_command, None)  # the same one, where nothing came or went before it
+            if candidate is not None and candidate.raw == raw:
+                item = SectionItem(candidate.name, raw, candidate.typed)
             else:
-                item = self._read_item(raw, place, before)
+                item = self._read_item(raw, field, before)
             if item.name in read:
-                raise InvalidConfiguration(f"{place}.name", f"{item.name!r} is there twice")
+                raise ConfigurationError(f"{field}.name", f"{item.name!r} is there twice")
             read[item.name] = item
         return read
 
-    def _read_item(self, raw: msgspec.Raw, place: str, before: _Items[ItemType]) -> SectionItem[ItemType]:
+    def _read_item(self, raw: msgspec.Raw, field: str, before: _Items[ItemType]) -> SectionItem[ItemType]:
         if self.item_type is None:
-            return SectionItem(read_name(raw, place), raw, None)
+            return SectionItem(read_name(raw, field), raw, None)
         if len(before):
-            name = read_name(raw, place)
+            name = read_name(raw, field)
             known = before.get(name)
             if known is not None and known.raw == raw:
                 return SectionItem(name, raw, known.typed)
-        typed = read_item(raw, self.item_type, place)
+        typed = read_item(raw, self.item_type, field)
         return SectionItem(typed.name, raw, typed)
 
 
--- a/madderwind/controlplane/checkpoint_writer.py
+++ b/madderwind/controlplane/checkpoint_writer.py
@@ -1,5 +1,4 @@
-"""Writes the registry's checkpoint from a thread of its own, whenever the upstreams' descriptions have
-changed."""
+"""Writes the registry's checkpoint from a thread of its own, whenever descriptions have changed."""
 
 from __future__ import annotations
 
@@ -25,8 +24,10 @@
 
 
 class CheckpointWriter:
-    """Hands the newest descriptions to its thread; what is offered while a write runs is to be offered
-    again."""
+    """Hands the newest descriptions to its thread.
+
+    What is offered while a write runs is to be offered again.
+    """
 
     def __init__(
         self, checkpoint: RegistryCheckpoint, report: Callable[[Sequence[UpstreamRecord]], None]
--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -80,7 +80,7 @@
 
 
 class CoreOptions(msgspec.Struct, frozen=True):
-    """What a control plane is told at its start.
+    """The options of a control plane at its start.
 
     Attributes:
         own_address: Its internal address, ip:port.
@@ -202,7 +202,7 @@
         """An upstream's heartbeat, answered under the number `call`.
 
         Raises:
-            InvalidHeartbeat: The body is none.
+            HeartbeatError: The body is none.
         """
         return self._registry.handle_heartbeat(now_ms, call, instance, body)
 
@@ -310,7 +310,7 @@
         return outputs
 
     def _published_primary(self, now_ms: float) -> str:
-        """The primary as others are told: the former until a message of a new view's primary comes."""
+        """The primary as others see it: the former until a message of a new view's primary comes."""
         if self._status.primary:
             self._last_primary, self._last_primary_ms = self._status.primary, now_ms
         elif now_ms - self._last_primary_ms > PRIMARY_UNKNOWN_AFTER_MS:
--- a/madderwind/controlplane/drain_tracker.py
+++ b/madderwind/controlplane/drain_tracker.py
@@ -1,5 +1,6 @@
-"""Acknowledgements of upstreams that drain or deregister, delayed until enough control planes have the state
-on disk.
+"""Acknowledgements of upstreams that drain or deregister.
+
+They are delayed until enough control planes have the state on disk.
 
 Such an acknowledgement binds all data planes. A control plane confirms a state once it has published it to
 its data planes and has it on its disk. With one confirmation more than machines may be lost, its own
@@ -58,8 +59,10 @@
         return any(drain.deadlines_ms for drain in self._drains.values())
 
     def begin(self, now_ms: float, call: int, record: UpstreamRecord) -> FinalStateNotice | RespondToUpstream:
-        """Take an upstream's call: its acknowledgement, or what the peers are to be notified of before
-        that."""
+        """Take an upstream's call.
+
+        Its acknowledgement, or what the peers are to be notified of before that.
+        """
         drain = self._drains.get(record.instance)
         if drain is None:
             drain = self._drains[record.instance] = _Drain(record, now_ms + RESEND_INTERVAL_MS)
--- a/madderwind/controlplane/host.py
+++ b/madderwind/controlplane/host.py
@@ -120,7 +120,7 @@
         self._carry_out(self._core.handle_data_plane_closed(self._now_ms(), connection))
 
     async def handle_heartbeat(self, instance: str, body: bytes) -> bool:
-        """An upstream's heartbeat; whether it is accepted. Raises InvalidHeartbeat."""
+        """An upstream's heartbeat; whether it is accepted. Raises HeartbeatError."""
         call = self._draw_call()
         return await self._answered(call, self._core.handle_heartbeat(self._now_ms(), call, instance, body))
 
@@ -181,7 +181,7 @@
         if self._is_save_urgent or self._loop.time() - self._checkpoint_offered_s > SAVE_INTERVAL_S:
             self._offer_checkpoint()
 
-    def _save_checkpoint(self, effect: SaveCheckpoint) -> None:
+    def _save_checkpoint(self, _effect: SaveCheckpoint) -> None:
         self._is_save_urgent = True
         self._offer_checkpoint()
 
--- a/madderwind/controlplane/operator_calls.py
+++ b/madderwind/controlplane/operator_calls.py
@@ -65,7 +65,8 @@
 
         Args:
             first_token: Drawn at random at each start: a reply to an earlier process must not fit a call of
-            this one. status: The own replica's status.
+                this one.
+            status: The own replica's status.
             data_planes: What the connected data planes have applied.
             newest: The configuration committed here.
         """
--- a/madderwind/controlplane/peers.py
+++ b/madderwind/controlplane/peers.py
@@ -12,8 +12,10 @@
 
 
 class Peers:
-    """The other control planes by internal address: members of the view, else seeds, and whoever sent a
-    message."""
+    """The other control planes by internal address.
+
+    Members of the view, else seeds, and whoever sent a message.
+    """
 
     def __init__(self, own_address: str, seeds: Iterable[str]) -> None:
         self._own_address = own_address
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -178,7 +178,7 @@
         host.request_shutdown()
         grace_s = self._settings.bounds.grace_s - SHUTDOWN_RESERVE_S
         deadline_s = asyncio.get_running_loop().time() + max(grace_s, 0.0)
-        while not host.can_stop and asyncio.get_running_loop().time() < deadline_s:
+        while not host.can_stop and asyncio.get_running_loop().time() < deadline_s:  # noqa: ASYNC110 - decided by the core at its ticks
             await asyncio.sleep(SHUTDOWN_CHECK_S)
         await asyncio.sleep(SHUTDOWN_CHECK_S)  # the last messages leave
 
@@ -194,13 +194,19 @@
     await ControlPlaneProcess(settings, record_file, recovered).run()
 
 
+def _control_plane_settings() -> NodeSettings:
+    """The settings file's content; raises SettingsError where it describes no control plane."""
+    settings = read_settings()
+    if "control" not in settings.listen or not settings.data_dir:
+        raise SettingsError("listen.control, data_dir", "a control plane needs both")
+    return settings
+
+
 def main() -> None:
     """Run the control plane that the settings file describes; exits with 1 where it can't be used."""
     try:
-        settings = read_settings()
-        if "control" not in settings.listen or not settings.data_dir:
-            raise SettingsError("listen.control, data_dir", "a control plane needs both")
-        record_file = RecordFile(FileDisk(settings.data_dir))
+        settings = _control_plane_settings()
+        record_file = RecordFile(FileDisk(settings.data_dir or ""))
         recovered = record_file.recover()
     except (SettingsError, StorageError) as error:
         print(f"control plane: {error}", file=sys.stderr)
--- a/madderwind/controlplane/public_server.py
+++ b/madderwind/controlplane/public_server.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from madderwind.controlplane.host import ControlPlaneHost
-from madderwind.errors import InvalidHeartbeat
+from madderwind.errors import HeartbeatError
 from madderwind.log_events.control_plane import COMMAND_COMPLETED, INVALID_HEARTBEAT
 from madderwind.registry.heartbeats import MAX_HEARTBEAT_BYTES
 from madderwind.replication.commands import Command, CommandKind, CommandOutcome, CommandResult
@@ -57,7 +57,7 @@
         instance = request.match_info["instance"]
         try:
             is_accepted = await self._host.handle_heartbeat(instance, body)
-        except InvalidHeartbeat as error:
+        except HeartbeatError as error:
             write_line(self._log, INVALID_HEARTBEAT.line(instance=instance, reason=str(error)))
             return _json(400, {"error": str(error)})
         return _upstream_response(is_accepted)
@@ -92,7 +92,7 @@
         write_line(self._log, line)
         return _command_response(result)
 
-    async def _read(self, request: web.Request) -> web.Response:
+    async def _read(self, _request: web.Request) -> web.Response:
         if self._is_shutting_down:
             return _unavailable("this process is about to end")
         ended = await self._host.read()
--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -102,7 +102,7 @@
         """An upstream's heartbeat.
 
         Raises:
-            InvalidHeartbeat: The body is none.
+            HeartbeatError: The body is none.
         """
         heartbeat = read_heartbeat(instance, body)
         changed = self._registry.handle_heartbeat(now_ms, instance, heartbeat)
@@ -174,7 +174,7 @@
             return [RespondToUpstream(call, is_accepted=False)]
         record = self._registry.final_record(now_ms, instance)
         if record is None:
-            return [RespondToUpstream(call, is_accepted=self._is_known_to_others(instance))]
+            return [RespondToUpstream(call, is_accepted=self._is_known_to_peers(instance))]
         begun = self._drains.begin(now_ms, call, record)
         if isinstance(begun, RespondToUpstream):
             return [begun]
@@ -189,7 +189,7 @@
         saved = self._saved_states.get(record.instance, UpstreamState.READY)
         return furthest(saved, state_named(record.state)) is saved
 
-    def _is_known_to_others(self, instance: str) -> bool:
+    def _is_known_to_peers(self, instance: str) -> bool:
         """Whether an instance that is ready is known elsewhere, or others are reached to learn of it.
 
         Else it is to call another control plane, though what it says is stored here, too.
--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -26,8 +26,10 @@
         has_room: Callable[[str, str], bool],
         keeps: Callable[[str], bool],
     ) -> None:
-        """`has_room`: whether another connection to this instance of this service may be used; `keeps`:
-        whether one to it stands idle."""
+        """`has_room`: whether another connection to this instance of this service may be used.
+
+        `keeps`: whether one to it stands idle.
+        """
         self._upstreams, self._zone = upstreams, zone
         self._has_room, self._keeps = has_room, keeps
         self.placement = placement
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -29,7 +29,7 @@
     Send,
     TimePassed,
 )
-from madderwind.errors import InvalidConfiguration, MessageError
+from madderwind.errors import ConfigurationError, MessageError
 from madderwind.eventlog import EventLog
 from madderwind.log_events.event import LogLine
 from madderwind.messages.codec import MAX_MESSAGE_BYTES
@@ -156,12 +156,14 @@
             await socket.close()
 
     async def _take_long_configuration(self, address: str, message: ConfigurationMessage) -> None:
-        """Have it read by a thread, so that requests and streams go on meanwhile. What else comes on this
-        connection waits for it."""
+        """Have it read by a thread, so that requests and streams go on meanwhile.
+
+        What else comes on this connection waits for it.
+        """
         self.handle(ConfigurationArrived(address))
         base = self._subscriber.document
         read_ahead = None
-        with contextlib.suppress(InvalidConfiguration):  # which the subscriber finds and tells
+        with contextlib.suppress(ConfigurationError):  # which the subscriber finds and tells
             read_ahead = ReadAhead(base, await asyncio.to_thread(document_after, base, message))
         self.handle(MessageReceived(address, message, read_ahead))
 
--- a/madderwind/distribution/deliveries.py
+++ b/madderwind/distribution/deliveries.py
@@ -1,5 +1,7 @@
-"""What the publisher is given and gives back: the committed configuration, the replica's status,
-deliveries."""
+"""What the publisher is given and gives back.
+
+The committed configuration, the replica's status, deliveries.
+"""
 
 from __future__ import annotations
 
--- a/madderwind/distribution/exchange.py
+++ b/madderwind/distribution/exchange.py
@@ -165,9 +165,9 @@
     def _sum(self) -> None:
         total: Load = {}
         for account in self._accounts.values():
-            for instance, (waiting, sequences, held) in account.own.items():
+            for instance, (waiting, sequences, tokens) in account.own.items():
                 before = total.get(instance, (0.0, 0.0, 0.0))
-                total[instance] = (before[0] + waiting, before[1] + sequences, before[2] + held)
+                total[instance] = (before[0] + waiting, before[1] + sequences, before[2] + tokens)
         self._total = total
         self._stale = False
 
--- a/madderwind/distribution/link.py
+++ b/madderwind/distribution/link.py
@@ -74,6 +74,8 @@
         return 0 if self.freshness is None else self.freshness.version
 
     def age_ms(self, now_ms: float) -> float | None:
-        """Since a primary was last known to hold its lease, as was published last; None where that is
-        unknown."""
+        """Since a primary was last known to hold its lease, as was published last.
+
+        None where that is unknown.
+        """
         return None if self._fresh_ms is None else now_ms - self._fresh_ms
--- a/madderwind/distribution/peer_exchanges.py
+++ b/madderwind/distribution/peer_exchanges.py
@@ -1,5 +1,7 @@
-"""What data planes learn of each other through the primary: usage, load and dispatched prompts, kept
-together."""
+"""What data planes learn of each other through the primary.
+
+Usage, load and dispatched prompts, kept together.
+"""
 
 from __future__ import annotations
 
--- a/madderwind/distribution/reading_ahead.py
+++ b/madderwind/distribution/reading_ahead.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from madderwind.configuration.reading import Document, read_document
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 from madderwind.messages.distribution import ConfigurationDelta, ConfigurationSnapshot
 from madderwind.replication.commands import CommandKind
 
@@ -30,8 +30,10 @@
 
 
 def document_after(base: Document | None, message: ConfigurationMessage) -> Document:
-    """The document that a message makes of one, which stays as it is: any thread may read. Raises
-    InvalidConfiguration."""
+    """The document that a message makes of one, which stays as it is: any thread may read.
+
+    Raises ConfigurationError.
+    """
     if isinstance(message, ConfigurationSnapshot):
         return read_document(message.document, base)
     document = base
@@ -41,5 +43,5 @@
         else:
             document = document.updated(command.body)
     if document is None or document.version != message.version:
-        raise InvalidConfiguration("version", f"the commands do not lead to {message.version}")
+        raise ConfigurationError("version", f"the commands do not lead to {message.version}")
     return document
--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -1,5 +1,7 @@
-"""The data plane's side of distribution as a state machine: which control planes to be connected to, which to
-fetch a configuration from, what is in force and whether that is known to be current.
+"""The data plane's side of distribution as a state machine.
+
+Which control planes to be connected to, which to fetch a configuration from, what is in force and whether
+that is known to be current.
 
 It does no input or output: `handle` takes an event and gives actions back, which the host carries out in
 turn. Times are milliseconds of the steady clock.
@@ -32,7 +34,7 @@
     ShutdownRequested,
     TimePassed,
 )
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 from madderwind.log_events.data_plane_links import (
     CONFIGURATION_UNUSABLE,
     CONTROL_PLANE_CONNECTED,
@@ -271,7 +273,7 @@
                 document = read_ahead.document
             else:
                 document = document_after(self.document, message)
-        except InvalidConfiguration as error:
+        except ConfigurationError as error:
             actions.append(CONFIGURATION_UNUSABLE.line(address=address, error=str(error)))
             actions.append(Send(address, FetchConfiguration(0)))
             self._fetch = _Fetch(address, now_ms)
--- a/madderwind/errors.py
+++ b/madderwind/errors.py
@@ -23,7 +23,7 @@
     """A file of the system's own state cannot be written or read."""
 
 
-class InvalidConfiguration(MadderwindError):
+class ConfigurationError(MadderwindError):
     """An operator's configuration breaks a rule. `field` names the place, such as `routes[3].timeout_ms`."""
 
     def __init__(self, field: str, reason: str) -> None:
@@ -31,11 +31,11 @@
         self.field, self.reason = field, reason
 
 
-class InvalidHeartbeat(MadderwindError):
+class HeartbeatError(MadderwindError):
     """An upstream's heartbeat cannot be read."""
 
 
-class InvalidFile(MadderwindError):
+class FileFormatError(MadderwindError):
     """A file that somebody wrote cannot be used. `line` counts from 1, 0 where none can be named."""
 
     def __init__(self, path: str, line: int, field: str, reason: str) -> None:
@@ -48,5 +48,5 @@
     """A fleet on this machine cannot be started, or is not in the state that a command needs."""
 
 
-class OperatorCallFailed(MadderwindError):
+class OperatorCallError(MadderwindError):
     """A control plane refused an operator's call, or none answered it."""
--- a/madderwind/eventlog.py
+++ b/madderwind/eventlog.py
@@ -11,6 +11,8 @@
 
 
 class EventLog(Protocol):
+    """Takes an event's name and its fields."""
+
     def __call__(self, event: str, /, **fields: object) -> None:
         """One event, with its fields."""
 
--- a/madderwind/limits/isolated_bucket.py
+++ b/madderwind/limits/isolated_bucket.py
@@ -22,9 +22,12 @@
 
 
 class IsolatedBucket:
-    """Lives from the loss of touch until all is settled again. `share`: this data plane's part of the
-    fleet; `used_unnoticed`: what it admitted since touch was lost, before that was noticed;
-    `others_unnoticed`: what is assumed of the others for that time, and drawn already."""
+    """Lives from the loss of touch until all is settled again.
+
+    `share`: this data plane's part of the fleet; `used_unnoticed`: what it admitted since touch was lost,
+    before that was noticed; `others_unnoticed`: what is assumed of the others for that time, and drawn
+    already.
+    """
 
     def __init__(
         self,
--- a/madderwind/limits/quota.py
+++ b/madderwind/limits/quota.py
@@ -93,8 +93,11 @@
 
 
 class TenantQuota:
-    """All tenants' quotas at one data plane. `is_founding`: this is the first start of the whole system, so
-    that nothing was spent before; any other process starts with little, as it can't know what was spent."""
+    """All tenants' quotas at one data plane.
+
+    `is_founding`: this is the first start of the whole system, so that nothing was spent before; any other
+    process starts with little, as it can't know what was spent.
+    """
 
     def __init__(self, bounds: Bounds, rng: random.Random, *, is_founding: bool = False) -> None:
         self._bounds = bounds
@@ -105,8 +108,11 @@
         self._is_heard = False
 
     def configure(self, now_ms: float, tenants: Iterable[Tenant]) -> None:
-        """Take the limits of a configuration. A tenant that is new to a running process is new to all and
-        starts full; one that was removed keeps its level, so that removing and adding refills nothing."""
+        """Take the limits of a configuration.
+
+        A tenant that is new to a running process is new to all and starts full; one that was removed keeps
+        its level, so that removing and adding refills nothing.
+        """
         for state in self._tenants.values():
             state.is_configured = False
         for tenant in tenants:
@@ -134,8 +140,10 @@
             state.give_back(now_ms, amount)
 
     def drain_usage(self, now_ms: float) -> Usage:
-        """What to report to the others; what was used counts as reported. Not to be called while there is
-        nobody to report to: what was used meanwhile is reported later."""
+        """What to report to the others; what was used counts as reported.
+
+        Not to be called while there is nobody to report to: what was used meanwhile is reported later.
+        """
         drained = {name: state.drain(now_ms) for name, state in self._tenants.items()}
         used = {name: amount for name, amount in drained.items() if amount}
         demands = {name: state.shared.own_demand(now_ms) for name, state in self._tenants.items()}
--- a/madderwind/messages/codec.py
+++ b/madderwind/messages/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages: tagged structs as MessagePack, bounded in length, odd ones a typed error.
+"""Encoding of messages: tagged structs as MessagePack, bounded in length, invalid ones a typed error.
 
 Long messages (whole configurations, which repeat the same names) are compressed: to a tenth, as measured.
 They begin with a byte that no MessagePack begins with.
@@ -53,9 +53,9 @@
     """The bytes before compression; MessageError where these are none, or more than a message may hold."""
     decompressor = zlib.decompressobj()
     try:
-        whole = decompressor.decompress(data, MAX_MESSAGE_BYTES + 1)
+        data = decompressor.decompress(data, MAX_MESSAGE_BYTES + 1)
     except zlib.error as error:
         raise MessageError(f"a compressed message: {error}") from None
-    if len(whole) <= MAX_MESSAGE_BYTES and not decompressor.eof:
-        raise MessageError("a compressed message that is not whole")
-    return whole
+    if len(data) <= MAX_MESSAGE_BYTES and not decompressor.eof:
+        raise MessageError("a compressed message that is incomplete")
+    return data
--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -17,8 +17,10 @@
 
 
 class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One upstream as the registry knows it. `heartbeat_age_ms`: since its last heartbeat, when this was
-    sent."""
+    """One upstream as the registry knows it.
+
+    `heartbeat_age_ms`: since its last heartbeat, when this was sent.
+    """
 
     instance: str
     service: str
@@ -67,8 +69,13 @@
 
 
 class UsageReport(Message, frozen=True, tag="UsageReport"):
-    """Tokens (or requests) that this data plane admitted, by tenant, since its last report, and its rate of
-    demand by tenant. Sent to the primary alone."""
+    """What tenants used at this data plane, sent to the primary alone.
+
+    Attributes:
+        sequence: Rises with each report.
+        used: Tokens (or requests) admitted since the last report, by tenant.
+        demand_per_s: The rate at which each tenant asks for more.
+    """
 
     sequence: int
     used: dict[str, float]
@@ -109,9 +116,12 @@
 
 
 class Freshness(Message, frozen=True, tag="Freshness"):
-    """What is committed. `age_ms`: since the primary of `epoch` was last known to hold its lease; None where
-    that is unknown. `data_planes`: how many there are, as far as is known. `clock_ms`: the sender's steady
-    clock when this was said."""
+    """What is committed.
+
+    `age_ms`: since the primary of `epoch` was last known to hold its lease; None where that is unknown.
+    `data_planes`: how many there are, as far as is known. `clock_ms`: the sender's steady clock when this was
+    said.
+    """
 
     version: int
     epoch: int
@@ -169,8 +179,12 @@
 
 
 class PeerUsage(Message, frozen=True, tag="UsageOfOthers"):
-    """What all other data planes used, by tenant, since the last message of this kind on this connection, and
-    what they ask for a second. From the primary alone."""
+    """What tenants used at all other data planes, sent by the primary alone.
+
+    Attributes:
+        used: Tokens (or requests) since the last message of this kind on this connection, by tenant.
+        demand_per_s: The rate at which each tenant asks for more there.
+    """
 
     used: dict[str, float]
     demand_per_s: dict[str, float]
--- a/madderwind/messages/peering.py
+++ b/madderwind/messages/peering.py
@@ -20,7 +20,7 @@
 
 
 class Liveness(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream heard by the sender itself, `heartbeat_age_ms` before the message was sent."""
+    """An upstream whose heartbeat the sender itself received, `heartbeat_age_ms` before this was sent."""
 
     instance: str
     sequence: int
@@ -40,32 +40,36 @@
 
 
 class FinalStateNotice(PeeringMessageBase, frozen=True, tag="FinalStateNotice"):
-    """An upstream drains or is gone. Its acknowledgement waits until the receiver has told its data planes
-    and has the state on disk."""
+    """An upstream drains or is gone.
+
+    Its acknowledgement waits until the receiver has notified its data planes and has the state on disk.
+    """
 
     upstream: UpstreamRecord
 
 
 class FinalStateConfirmed(PeeringMessageBase, frozen=True, tag="FinalStateNoted"):
-    """The sender's data planes were told that the instance has this state, and its disk holds it."""
+    """The sender's data planes were notified that the instance has this state, and its disk holds it."""
 
     instance: str
     state: Literal["draining", "gone"]
 
 
 class RegistryRequest(PeeringMessageBase, frozen=True, tag="RegistryRequested"):
-    """The sender lacks some upstream: all are to be told again."""
+    """The sender lacks some upstream: all are to be sent again."""
 
 
 class LivenessReport(PeeringMessageBase, frozen=True, tag="LivenessReport"):
-    """Upstreams that the sender heard since its last report; sent also when there are none."""
+    """Upstreams whose heartbeats the sender received since its last report; sent also when there are none."""
 
     observed: tuple[Liveness, ...]
 
 
 class ForwardCommand(PeeringMessageBase, frozen=True, tag="ForwardOrder"):
-    """An operator's command that reached a control plane which is not the primary. `token` is unique over the
-    sender's lives."""
+    """An operator's command that reached a control plane which is not the primary.
+
+    `token` is unique over the sender's lives.
+    """
 
     token: int
     kind: Literal["replace", "update"]
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -43,8 +43,11 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True, array_like=True):
-    """What a replica knows of a member or learner. `idle_ms`: since that one was heard; `stopping`: its
-    process is about to end; `is_direct`: the sender would hear it if it spoke."""
+    """What a replica knows of a member or learner.
+
+    `idle_ms`: since the last message of that one; `stopping`: its process is about to end; `is_direct`: the
+    sender would receive its messages.
+    """
 
     member: Member
     idle_ms: float
@@ -53,8 +56,10 @@
 
 
 class ProposalNumber(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Orders proposals for one epoch. `life` is drawn at each start, so that no proposal number is ever used
-    twice."""
+    """Orders proposals for one epoch.
+
+    `life` is drawn at each start, so that no proposal number is ever used twice.
+    """
 
     round: int
     incarnation: str
@@ -85,8 +90,11 @@
 
 
 class JoinRequest(Message, frozen=True, tag="Announce"):
-    """Told to known addresses by a replica that follows no primary. `epoch` is the newest it knows (0: none);
-    `bootstrap`: its file was founded at the very first start of the system."""
+    """Told to known addresses by a replica that follows no primary.
+
+    `epoch` is the newest it knows (0: none); `bootstrap`: its file was founded at the very first start of the
+    system.
+    """
 
     member: Member
     epoch: int
@@ -104,7 +112,9 @@
 
 class Prepare(Message, frozen=True, tag="Prepare"):
     """Asks the members of `base`, the newest decided view, for a promise about the epoch that follows it.
-    `leadership_transferred`: the primary of `base` gave its role up."""
+
+    `leadership_transferred`: the primary of `base` gave its role up.
+    """
 
     base: View
     number: ProposalNumber
@@ -113,7 +123,9 @@
 
 class Promise(Message, frozen=True, tag="Promise"):
     """No lower proposal number will be accepted for this epoch; with what was accepted for it so far.
-    `peers`: what this witness knows of the others, of no matter to the decision."""
+
+    `peers`: what this witness knows of the others, of no matter to the decision.
+    """
 
     epoch: int
     number: ProposalNumber
@@ -138,17 +150,22 @@
 
 
 class AcceptedBroadcast(Message, frozen=True, tag="AcceptedNotice"):
-    """`view` is on the sender's disk under this proposal number. Told to all members of the base and of
-    `view` but the proposer, so that a decision is known without it: with a majority of the base under one
-    proposal number."""
+    """`view` is on the sender's disk under this proposal number.
+
+    Told to all members of the base and of `view` but the proposer, so that a decision is known without it:
+    with a majority of the base under one proposal number.
+    """
 
     number: ProposalNumber
     view: View
 
 
 class Rejected(Message, frozen=True, tag="Refused"):
-    """This witness does not go along. `promised` is the highest proposal number it knows; `primary_is_alive`:
-    the primary is at work, as far as it can tell."""
+    """This witness does not go along.
+
+    `promised` is the highest proposal number it knows; `primary_is_alive`: the primary is at work, as far as
+    it can tell.
+    """
 
     epoch: int
     number: ProposalNumber
@@ -160,10 +177,13 @@
 
 
 class Heartbeat(Message, frozen=True, tag="Heartbeat"):
-    """The primary is at work. `committed_index`: index of the newest committed entry; `fresh_age_ms`: since
-    the start of its last round of heartbeats that a majority answered, None while it can't call that newest;
-    `acknowledged_round`: the newest round of this epoch that the receiver answered, 0 where it answered none;
-    `peers`: all that it sends heartbeats to, for whoever is primary after it."""
+    """The primary is at work.
+
+    `committed_index`: index of the newest committed entry; `fresh_age_ms`: since the start of its last round
+    of heartbeats that a majority answered, None while it can't call that newest; `acknowledged_round`: the
+    newest round of this epoch that the receiver answered, 0 where it answered none; `peers`: all that it
+    sends heartbeats to, for whoever is primary after it.
+    """
 
     epoch: int
     round: int
@@ -174,8 +194,11 @@
 
 
 class HeartbeatAck(Message, frozen=True, tag="HeartbeatAnswer"):
-    """Given by those that know the epoch. `accepted_epoch`: of the newest view that this witness accepted;
-    `match_index`: up to where its synced log is the primary's. `round` is 0 where nothing was asked."""
+    """Given by those that know the epoch.
+
+    `accepted_epoch`: of the newest view that this witness accepted; `match_index`: up to where its synced log
+    is the primary's. `round` is 0 where nothing was asked.
+    """
 
     epoch: int
     round: int
@@ -211,8 +234,10 @@
 
 
 class InstallSnapshot(Message, frozen=True, tag="InstallSnapshot"):
-    """A part of the state as it is after the committed entry `index`, which has `entry_epoch`: bytes from
-    `offset` on, of `size` in all. `begun_epoch`: the sender's when it began with this snapshot."""
+    """A part of the state as it is after the committed entry `index`, which has `entry_epoch`.
+
+    Bytes from `offset` on, of `size` in all. `begun_epoch`: the sender's when it began with this snapshot.
+    """
 
     epoch: int
     begun_epoch: int
--- a/madderwind/messages/status.py
+++ b/madderwind/messages/status.py
@@ -6,8 +6,11 @@
 
 
 class DataPlaneStatus(msgspec.Struct, frozen=True):
-    """A data plane that is subscribed here. `lag`: how many versions were committed after the one it has in
-    force, as far as the history here tells; None where it does not reach back."""
+    """A data plane that is subscribed here.
+
+    `lag`: how many versions were committed after the one it has in force, as far as the history here tells;
+    None where it does not reach back.
+    """
 
     node: str
     address: str
@@ -29,8 +32,11 @@
 
 
 class ControlPlaneStatus(msgspec.Struct, frozen=True):
-    """One control plane. `primary`, `members` and `in_sync` are internal addresses; `fresh_age_ms`: since the
-    primary was last known to hold its lease, None where that is unknown."""
+    """One control plane.
+
+    `primary`, `members` and `in_sync` are internal addresses; `fresh_age_ms`: since the primary was last
+    known to hold its lease, None where that is unknown.
+    """
 
     node: str
     address: str
--- a/madderwind/node_settings.py
+++ b/madderwind/node_settings.py
@@ -66,8 +66,11 @@
 
 @attrs.frozen
 class NodeSettings:
-    """One process's settings. Addresses are `ip:port`. `bind_ip` is where to listen for other processes where
-    that is not `ip`, the one they connect to: behind a relay or an address translation."""
+    """One process's settings.
+
+    Addresses are `ip:port`. `bind_ip` is where to listen for other processes where that is not `ip`, the one
+    they connect to: behind a relay or an address translation.
+    """
 
     node: str
     ip: str
--- a/madderwind/registry/heartbeats.py
+++ b/madderwind/registry/heartbeats.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from madderwind.errors import InvalidHeartbeat
+from madderwind.errors import HeartbeatError
 from madderwind.registry.states import UpstreamState
 
 MAX_HEARTBEAT_BYTES = 4 * 1024
@@ -43,18 +43,18 @@
     """Read the body of a heartbeat.
 
     Raises:
-        InvalidHeartbeat: It is too long, is no JSON of this form, or names no service or address.
+        HeartbeatError: It is too long, is no JSON of this form, or names no service or address.
     """
     if not 0 < len(instance) <= MAX_INSTANCE_CHARACTERS:
-        raise InvalidHeartbeat("the instance's id is empty or too long")
+        raise HeartbeatError("the instance's id is empty or too long")
     if len(body) > MAX_HEARTBEAT_BYTES:
-        raise InvalidHeartbeat(f"more than {MAX_HEARTBEAT_BYTES} bytes")
+        raise HeartbeatError(f"more than {MAX_HEARTBEAT_BYTES} bytes")
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise InvalidHeartbeat(str(error)) from None
+        raise HeartbeatError(str(error)) from None
     if not heartbeat.service or not _is_address(heartbeat.address):
-        raise InvalidHeartbeat("no service, or an address that is not ip:port")
+        raise HeartbeatError("no service, or an address that is not ip:port")
     return heartbeat
 
 
--- a/madderwind/registry/registry.py
+++ b/madderwind/registry/registry.py
@@ -32,8 +32,8 @@
     """One instance. Times are ms on the steady clock of this process.
 
     Attributes:
-        known_elsewhere: Whether another control plane knows it, or is being told within its lease.
-        published_as_timed_out: Whether the data planes were last told that it timed out.
+        known_elsewhere: Whether another control plane knows it, or is being notified within its lease.
+        published_as_timed_out: Whether the data planes were last notified that it timed out.
         reported_here: Whether it called this control plane since the last liveness report.
     """
 
@@ -51,7 +51,7 @@
     reported_here: bool = False
 
     def is_described_by(self, now_ms: float, record: UpstreamRecord) -> bool:
-        """Whether a record's description is the present one, so that nobody has to be told."""
+        """Whether a record's description is the present one, so that nobody has to be notified."""
         mine = (self.service, self.address, self.zone, self.version, self.slots)
         theirs = (record.service, record.address, record.zone, record.version, record.slots)
         remaining_ms = max(0.0, self.slow_start_until_ms - now_ms)
@@ -92,14 +92,14 @@
     # --- upstreams call ---
 
     def handle_heartbeat(self, now_ms: float, instance: str, heartbeat: Heartbeat) -> UpstreamRecord | None:
-        """Take an upstream's own heartbeat; the record where others have to be told."""
+        """Take an upstream's own heartbeat; the record where others have to be notified."""
         changed = self._merge_record(now_ms, _record_of(instance, heartbeat))
         if (entry := self._entries.get(instance)) is not None:
             entry.reported_here = True
         return self._record(now_ms, instance) if changed else None
 
     def deregister(self, now_ms: float, instance: str) -> UpstreamRecord | None:
-        """The upstream says that it ends; the record where others have to be told."""
+        """The upstream says that it ends; the record where others have to be notified."""
         entry = self._entries.get(instance)
         if entry is None:
             state = UpstreamState.DEREGISTERED.value
@@ -140,14 +140,14 @@
             self._merge_record(now_ms, record)
 
     def mark_known_elsewhere(self, instance: str) -> None:
-        """Another control plane knows the instance, or is being told of it and can be reached."""
+        """Another control plane knows the instance, or is being notified of it and can be reached."""
         if (entry := self._entries.get(instance)) is not None:
             entry.known_elsewhere = True
 
     # --- what is known ---
 
     def is_known_elsewhere(self, instance: str) -> bool:
-        """Whether the instance is known, as far as can be told, to another control plane."""
+        """Whether the instance is known, as far as is known, to another control plane."""
         entry = self._entries.get(instance)
         return entry is not None and entry.known_elsewhere
 
@@ -198,7 +198,7 @@
         return tuple(changed)
 
     def _update_timeout(self, entry: _Entry, age_ms: float, all_peers_reported: bool) -> bool:
-        """Whether an upstream timed out or came back since the data planes were last told."""
+        """Whether an upstream timed out or came back since the data planes were last notified."""
         is_timed_out = age_ms > self._heartbeat_timeout_ms
         is_unchanged = is_timed_out is entry.published_as_timed_out
         is_unsure = is_timed_out and not all_peers_reported
--- a/madderwind/replication/actions.py
+++ b/madderwind/replication/actions.py
@@ -27,8 +27,9 @@
 
 
 class Rewrite(msgspec.Struct, frozen=True):
-    """Replace the replica's file by one with just these records, atomically; then WriteCompleted or
-    WriteFailed.
+    """Replace the replica's file by one with just these records, atomically.
+
+    Then WriteCompleted or WriteFailed.
 
     Also the way back after a failed write.
     """
--- a/madderwind/replication/appended_state.py
+++ b/madderwind/replication/appended_state.py
@@ -1,5 +1,7 @@
-"""The state after all entries that the primary appended, committed or not: commands are validated on top of
-it."""
+"""The state after all entries that the primary appended, committed or not.
+
+Commands are validated on top of it.
+"""
 
 from __future__ import annotations
 
--- a/madderwind/replication/dispatch.py
+++ b/madderwind/replication/dispatch.py
@@ -29,6 +29,9 @@
 from madderwind.replication.role_machine import RoleMachine
 from madderwind.replication.witness import Witness
 
+# Messages about views, which concern a replica whatever its role is.
+_RoleMessage = ViewNotice | Promise | Accepted | AcceptedBroadcast | Rejected | TransferLeadership
+
 
 class MessageDispatcher:
     """Hands each message to the part that it concerns, and drops what is meant for nobody here."""
@@ -63,12 +66,25 @@
         match message:
             case JoinRequest():
                 self._handle_join_request(now_ms, message)
-            case ViewNotice(view=view):
-                self._roles.adopt(now_ms, view)
             case Prepare():
                 self._witness.handle_prepare(now_ms, sender_address, message)
             case Accept():
                 self._witness.handle_accept(now_ms, sender_address, message)
+            case Heartbeat() | AppendEntries() | InstallSnapshot():
+                if self._is_from_primary(sender_address, message):
+                    self._handle_as_follower(now_ms, message)
+            case HeartbeatAck() | AppendAck() | AppendRejected() | SnapshotAck():
+                if self._roles.primary is not None:
+                    _handle_as_primary(now_ms, self._roles.primary, message)
+            case _:
+                self._handle_in_any_role(now_ms, message)
+
+    # --- any role ---
+
+    def _handle_in_any_role(self, now_ms: float, message: _RoleMessage) -> None:
+        match message:
+            case ViewNotice(view=view):
+                self._roles.adopt(now_ms, view)
             case Promise():
                 self._roles.handle_promise(now_ms, message)
             case Accepted():
@@ -79,14 +95,6 @@
                 self._roles.handle_rejection(now_ms, message)
             case TransferLeadership():
                 self._roles.handle_transfer(now_ms, message)
-            case Heartbeat() | AppendEntries() | InstallSnapshot():
-                if self._is_from_primary(sender_address, message):
-                    self._handle_as_follower(now_ms, message)
-            case HeartbeatAck() | AppendAck() | AppendRejected() | SnapshotAck():
-                if self._roles.primary is not None:
-                    _handle_as_primary(now_ms, self._roles.primary, message)
-
-    # --- any role ---
 
     def _handle_join_request(self, now_ms: float, request: JoinRequest) -> None:
         store, member = self._store, request.member
@@ -114,7 +122,7 @@
     def _is_from_primary(
         self, sender_address: str, message: Heartbeat | AppendEntries | InstallSnapshot
     ) -> bool:
-        """Whether a message is of the newest view's primary; who knows less is told more, either way."""
+        """Whether a message is of the newest view's primary; the side that knows less is sent more."""
         store = self._store
         if message.epoch > store.epoch:
             self._outbox.send(sender_address, store.join_request)
--- a/madderwind/replication/known_peers.py
+++ b/madderwind/replication/known_peers.py
@@ -30,8 +30,7 @@
 
 
 class KnownPeers:
-    """Collects what the primary's heartbeats say of the others, and when the primary itself was heard
-    from."""
+    """Collects what heartbeats say of the others, and when the primary itself was heard from."""
 
     def __init__(self) -> None:
         self._reported: tuple[KnownPeer, ...] = ()
--- a/madderwind/replication/lease.py
+++ b/madderwind/replication/lease.py
@@ -25,8 +25,9 @@
 
     @property
     def fresh_ms(self) -> float | None:
-        """When the last round began that a majority answered: whatever was acknowledged before is committed
-        here.
+        """When the last round began that a majority answered.
+
+        Whatever was acknowledged before is committed here.
 
         None while entries of earlier primaries, which may have acknowledged them, are not.
         """
--- a/madderwind/replication/peer_table.py
+++ b/madderwind/replication/peer_table.py
@@ -1,5 +1,7 @@
-"""The other replicas that a primary knows: members of its view, and learners on their way to become
-members."""
+"""The other replicas that a primary knows.
+
+Members of its view, and learners on their way to become members.
+"""
 
 from __future__ import annotations
 
--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -13,7 +13,7 @@
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """What must hold before a result may be told.
+    """What must hold before a result may be given.
 
     Attributes:
         index: The entry that must be committed.
@@ -76,7 +76,7 @@
         ]
 
     def give_up(self) -> list[Action]:
-        """The role is lost: nothing can be told any more."""
+        """The role is lost: no result can be given any more."""
         commands: list[Action] = [CommandResolved(each.token, UNKNOWN_RESULT) for each in self._commands]
         reads: list[Action] = [ReadResolved(read.token, is_newest=False) for read in self._reads]
         self._commands, self._reads = [], []
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -1,5 +1,7 @@
-"""The primary's role: validates and appends commands, commits them, proves reads, brings its log to the
-others."""
+"""The primary's role.
+
+Validates and appends commands, commits them, proves reads, brings its log to the others.
+"""
 
 from __future__ import annotations
 
@@ -213,8 +215,10 @@
         self._outbox.extend(resolved)
 
     def reset_timeouts(self, now_ms: float, stall_ms: float) -> None:
-        """The process did not run for a while: what did not come in that time is no time-out of the
-        others."""
+        """The process did not run for a while.
+
+        What did not come in that time is no time-out of the others.
+        """
         self.lease.grant_grace(now_ms)
         for peer in self.peers.values():
             peer.reset_timeouts(now_ms, stall_ms, self._times)
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -46,7 +46,7 @@
 
 
 class ReplicaOptions(msgspec.Struct, frozen=True):
-    """What a replica is told at its start.
+    """The options of a replica at its start.
 
     Attributes:
         address: Its internal address, ip:port.
@@ -85,7 +85,7 @@
         """Start on what the disk holds.
 
         Args:
-            options: What the replica is told.
+            options: Its options.
             recovered: The records of its file; none on an empty disk.
             states: How the replicated state begins.
             rng: The only source of chance.
--- a/madderwind/replication/role_machine.py
+++ b/madderwind/replication/role_machine.py
@@ -1,5 +1,7 @@
-"""The role of a replica: follower, candidate or primary. Each change of role and of view goes through
-here."""
+"""The role of a replica: follower, candidate or primary.
+
+Each change of role and of view goes through here.
+"""
 
 from __future__ import annotations
 
@@ -131,12 +133,14 @@
         """Have the members of a base of epoch 0 decide the first view, with this replica as primary."""
         me = self._store.me
         self.proposals.begin(
-            now_ms, base, lambda promised: founding_view(me, base.members), is_transfer=False
+            now_ms, base, lambda _promised: founding_view(me, base.members), is_transfer=False
         )
 
     def stand_if_due(self, now_ms: float) -> None:
-        """Stand for election once the primary timed out: only a replica that holds all that is committed
-        may."""
+        """Stand for election once the primary timed out.
+
+        Only a replica that holds all that is committed may.
+        """
         view = self._store.view
         if view is None or self.proposals.is_in_progress:
             return
@@ -162,7 +166,7 @@
             return
         wanted = primary.planner.wanted_view(now_ms)
         if wanted is not None:
-            self.proposals.begin(now_ms, primary.view, lambda promised: wanted, is_transfer=False)
+            self.proposals.begin(now_ms, primary.view, lambda _promised: wanted, is_transfer=False)
 
     def handle_promise(self, now_ms: float, promise: Promise) -> None:
         """Count a promise, and learn what that witness knows of the others."""
@@ -192,8 +196,10 @@
             self._abandon_proposal(now_ms, self.election.draw_backoff_ms())
 
     def give_way(self, now_ms: float) -> None:
-        """This replica promised to a rival: its own attempt can't succeed, and a new one would end the
-        rival's."""
+        """This replica promised to a rival.
+
+        Its own attempt can't succeed, and a new one would end the rival's.
+        """
         backoff_ms = self.election.draw_backoff_ms()
         if self.role is Role.CANDIDATE:
             self._abandon_proposal(now_ms, backoff_ms)
@@ -213,8 +219,10 @@
     # --- the primary's role ---
 
     def promote_if_due(self, now_ms: float) -> None:
-        """Be primary of a view that was won, once it is on the own disk: a restart must not forget that it
-        was."""
+        """Be primary of a view that was won, once it is on the own disk.
+
+        A restart must not forget that it was.
+        """
         store, view = self._store, self._store.view
         if view is None or store.epoch == 0 or self._won_epoch != view.epoch or self.primary is not None:
             return
--- a/madderwind/replication/snapshot_transfer.py
+++ b/madderwind/replication/snapshot_transfer.py
@@ -49,8 +49,10 @@
         self._sent = min(self._sent, self._received)
 
     def next_chunk(self) -> slice | None:
-        """The next chunk to send, which then counts as sent; None where the window is full or all was
-        sent."""
+        """The next chunk to send, which then counts as sent.
+
+        None where the window is full or all was sent.
+        """
         if self._sent == len(self.state) or self._sent - self._received >= WINDOW_BYTES:
             return None
         chunk = slice(self._sent, min(self._sent + CHUNK_BYTES, len(self.state)))
--- a/madderwind/replication/view_proposals.py
+++ b/madderwind/replication/view_proposals.py
@@ -31,7 +31,7 @@
         self._proposer: Proposer | None = None
         self._last_round = 0
         self._next_ms = now_ms
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
         self._is_transfer = False
         self._built: list[View] = []
 
@@ -65,7 +65,7 @@
         It was lost, they were not there, or a lease that they kept may have ended by now.
         """
         proposer = self._proposer
-        if proposer is not None and now_ms - self._asked_ms >= self._times.proposal_retry_ms:
+        if proposer is not None and now_ms - self._requested_ms >= self._times.proposal_retry_ms:
             self._ask(now_ms, proposer)
 
     def handle_promise(self, now_ms: float, promise: Promise) -> None:
@@ -119,7 +119,7 @@
 
     def _ask(self, now_ms: float, proposer: Proposer) -> None:
         """Put the present phase's question to those that have not answered it."""
-        self._asked_ms = now_ms
+        self._requested_ms = now_ms
         sender, base, number = self._store.me.incarnation, proposer.base, proposer.number
         for member in proposer.unanswered:
             message: Prepare | Accept
--- a/madderwind/settings_watch.py
+++ b/madderwind/settings_watch.py
@@ -22,8 +22,10 @@
         self._seen = self._mark()
 
     async def run(self) -> None:
-        """Look at the file from time to time. It is read at once, as it may have changed while the process
-        started."""
+        """Look at the file from time to time.
+
+        It is read at once, as it may have changed while the process started.
+        """
         self.read_again()
         while True:
             await asyncio.sleep(WATCH_S)
--- a/madderwind/standalone/agreement/table.py
+++ b/madderwind/standalone/agreement/table.py
@@ -86,8 +86,10 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One setting that a file would change; `tighter` None: neither it nor the old forbids what the other
-    does."""
+    """One setting that a file would change.
+
+    `tighter` None: neither it nor the old forbids what the other does.
+    """
 
     at: str
     old: str
@@ -114,9 +116,11 @@
 
 
 def _resent(a: RequestClass, b: RequestClass) -> tuple[Effect, Group, float]:
-    """Effect, group and window of the meet. A request that may run twice only within its zone by one and only
-    within its cell by the other may by both only where zone and cell are alike: no setting says that, so it
-    is not sent again at all."""
+    """Effect, group and window of the meet.
+
+    A request that may run twice only within its zone by one and only within its cell by the other may by both
+    only where zone and cell are alike: no setting says that, so it is not sent again at all.
+    """
     if Effect.UNSAFE in (a.effect, b.effect):
         return Effect.UNSAFE, Group.ALL, 0.0
     keyed = [c for c in (a, b) if c.effect is Effect.KEYED]
--- a/madderwind/storage/disk.py
+++ b/madderwind/storage/disk.py
@@ -85,7 +85,7 @@
             raise StorageError(f"{name}: {error}") from error
 
     def close(self) -> None:
-        """Let go of the file that is held open."""
+        """Close the file that is open."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
         self._open_name, self._descriptor = "", -1
--- a/madderwind/storage/record_file.py
+++ b/madderwind/storage/record_file.py
@@ -1,9 +1,9 @@
-"""A replica's file: records appended and synced, rewritten whole when it gets long or after a failed write.
+"""A replica's file: records appended and synced, rewritten when it gets long or after a failed write.
 
 Each rewrite is a new file of the next generation: its records, a mark of completeness, then what is appended.
-Only when that is synced are older generations removed, so at every moment one whole file is there. Recovery
-takes the newest complete generation. What it reads may not be on disk yet (a killed process leaves unsynced
-bytes to the system), so the file takes nothing before it was rewritten.
+Only when that is synced are older generations removed, so at every moment one complete file is there.
+Recovery takes the newest complete generation. What it reads may not be on disk yet (a killed process leaves
+unsynced bytes to the system), so the file takes nothing before it was rewritten.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
     def __init__(self, disk: Disk) -> None:
         self._disk = disk
         self._number = 0  # the highest that was ever there
-        self._complete_number = 0  # of the whole file that a start would find; 0 without one
+        self._complete_number = 0  # of the complete file that a start would find; 0 without one
         self.state = FileState.NEEDS_REWRITE
 
     def recover(self) -> RecoveredFile:
@@ -66,8 +66,11 @@
         return RecoveredFile(records, newest.torn_bytes)
 
     def append(self, records: tuple[bytes, ...]) -> None:
-        """Add records and sync. After a failure everything but a rewrite fails: what a failed sync left on
-        disk is unknown, and a repeated one may claim what is not so."""
+        """Add records and sync.
+
+        After a failure everything but a rewrite fails: what a failed sync left on disk is unknown, and a
+        repeated one may claim what is not so.
+        """
         if self.state is not FileState.READY:
             raise StorageError("the file has to be rewritten first")
         try:
@@ -77,8 +80,11 @@
             raise
 
     def rewrite(self, records: tuple[bytes, ...]) -> None:
-        """Replace the file by one with just these records. On failure the old one stays, and what the attempt
-        left is removed, so that its room comes back; so is what an attempt of a former life left."""
+        """Replace the file by one with just these records.
+
+        On failure the old one stays, and what the attempt left is removed, so that its disk space comes back;
+        so is what an attempt of a former life left.
+        """
         self._remove_all_but(self._complete_number)
         number = self._number + 1
         try:
@@ -107,7 +113,7 @@
         return [int(match[1]) for match in matches if match is not None]
 
     def _remove_all_but(self, number: int) -> None:
-        """Best effort: a file of another generation does no harm but take room."""
+        """Best effort: a file of another generation does no harm but take disk space."""
         try:
             for other in self._numbers():
                 if other != number:
--- a/madderwind/storage/records.py
+++ b/madderwind/storage/records.py
@@ -1,4 +1,4 @@
-"""Encoding of records in a file: length, checksum, payload. Decoding stops at the first that is not whole.
+"""Encoding of records in a file: length, checksum, payload. Decoding stops at the first that is incomplete.
 
 After a loss of power, what was written after the last sync may be present, missing or torn. The checksum
 covers the length as well, so that neither a run of zeros nor half a record is taken for one.
@@ -18,7 +18,7 @@
 
 
 class DecodedRecords(msgspec.Struct, frozen=True):
-    """The whole records at the start of some bytes, and how many bytes they take."""
+    """The complete records at the start of some bytes, and how many bytes they take."""
 
     records: tuple[bytes, ...]
     length: int
--- a/madderwind/testing/engine_emulator/server.py
+++ b/madderwind/testing/engine_emulator/server.py
@@ -349,8 +349,11 @@
 
 
 class _Stream(msgspec.Struct, frozen=True):
-    """One generation. Its text is its prompt's own part and the number of the event, so that whoever reads
-    it can tell a gap, a repeat, or another's answer."""
+    """One generation.
+
+    Its text is its prompt's own part and the number of the event, so that whoever reads it can tell a gap, a
+    repeat, or another's answer.
+    """
 
     work: EngineRequest
     subject: str
--- a/madderwind/testing/engine_emulator/upstream_settings.py
+++ b/madderwind/testing/engine_emulator/upstream_settings.py
@@ -20,8 +20,10 @@
 
 
 class Mishaps(msgspec.Struct, frozen=True):
-    """Shares of requests that this upstream spoils: streams broken off within an event, own 500s, and answers
-    after which it closes the connection."""
+    """Shares of requests that this upstream spoils.
+
+    Streams broken off within an event, own 500s, and answers after which it closes the connection.
+    """
 
     break_off: float = 0.0
     error: float = 0.0
@@ -29,8 +31,11 @@
 
 
 class UpstreamSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One stand-in upstream. `listen` is where it listens, `address` what it registers: they differ where a
-    relay stands before it. Exactly one of `engine` and `plain` is set."""
+    """One stand-in upstream.
+
+    `listen` is where it listens, `address` what it registers: they differ where a relay stands before it.
+    Exactly one of `engine` and `plain` is set.
+    """
 
     service: str
     zone: str
--- a/madderwind/testing/local_fleet/cache_figures.py
+++ b/madderwind/testing/local_fleet/cache_figures.py
@@ -12,8 +12,11 @@
 
 
 class CacheFigures(msgspec.Struct, frozen=True):
-    """Tokens of shared parts: in all prompts that ran, prefilled, and prefilled again within the time after
-    their last use in which that counts."""
+    """Tokens of shared parts.
+
+    In all prompts that ran, prefilled, and prefilled again within the time after their last use in which that
+    counts.
+    """
 
     asked_tokens: int
     prefilled_tokens: int
--- a/madderwind/testing/local_fleet/field_checks.py
+++ b/madderwind/testing/local_fleet/field_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single fields in the files of local fleets. InvalidConfiguration names the field."""
+"""Checks of single fields in the files of local fleets. ConfigurationError names the field."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import attrs
 
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 
 Check = Callable[[Any, "attrs.Attribute[Any]", Any], None]
 
@@ -18,7 +18,7 @@
     def check(_: Any, attribute: attrs.Attribute[Any], value: float) -> None:
         if not least <= value <= most:
             wanted = f"at least {least:g}" if most == float("inf") else f"from {least:g} to {most:g}"
-            raise InvalidConfiguration(attribute.name, f"must be {wanted}, not {value:g}")
+            raise ConfigurationError(attribute.name, f"must be {wanted}, not {value:g}")
 
     return check
 
@@ -26,7 +26,7 @@
 def above_zero(_: Any, attribute: attrs.Attribute[Any], value: float) -> None:
     """A number above 0."""
     if value <= 0:
-        raise InvalidConfiguration(attribute.name, f"must be above 0, not {value:g}")
+        raise ConfigurationError(attribute.name, f"must be above 0, not {value:g}")
 
 
 def one_of(options: Collection[str]) -> Check:
@@ -34,7 +34,7 @@
 
     def check(_: Any, attribute: attrs.Attribute[Any], value: str) -> None:
         if value not in options:
-            raise InvalidConfiguration(attribute.name, f"must be one of {', '.join(options)}, not {value!r}")
+            raise ConfigurationError(attribute.name, f"must be one of {', '.join(options)}, not {value!r}")
 
     return check
 
@@ -42,4 +42,4 @@
 def not_empty(_: Any, attribute: attrs.Attribute[Any], value: Collection[Any]) -> None:
     """At least one."""
     if not value:
-        raise InvalidConfiguration(attribute.name, "at least one is needed")
+        raise ConfigurationError(attribute.name, "at least one is needed")
--- a/madderwind/testing/local_fleet/fleet_file.py
+++ b/madderwind/testing/local_fleet/fleet_file.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from madderwind.configuration.reading import Document, read_document
-from madderwind.errors import InvalidConfiguration, InvalidFile
+from madderwind.errors import ConfigurationError, FileFormatError
 from madderwind.testing.engine_emulator.engine import EngineSettings
 from madderwind.testing.engine_emulator.upstream_settings import Mishaps, PlainWork
 from madderwind.testing.local_fleet.fault_file import Fault, Operator
@@ -22,8 +22,10 @@
 
 @attrs.frozen
 class UpstreamGroup:
-    """The stand-in upstreams of one service: `engine` for a model's, `plain` for any other; their fields are
-    those of `standin.engine.EngineSettings` and `standin.upstream_settings.PlainWork`."""
+    """The stand-in upstreams of one service: `engine` for a model's, `plain` for any other.
+
+    Their fields are those of `standin.engine.EngineSettings` and `standin.upstream_settings.PlainWork`.
+    """
 
     service: str
     count: int = attrs.field(default=2, validator=between(1, MOST_PROCESSES_OF_A_KIND))
@@ -51,9 +53,12 @@
 
 @attrs.frozen
 class FleetFile:
-    """The whole file. `configuration` is the operator's, as it is sent; `bounds` and `limits` go into the
-    settings files as they are. With `relays`, what lies between the processes can be cut; with `metrics`,
-    they serve figures for Prometheus."""
+    """The whole file.
+
+    `configuration` is the operator's, as it is sent; `bounds` and `limits` go into the settings files as they
+    are. With `relays`, what lies between the processes can be cut; with `metrics`, they serve figures for
+    Prometheus.
+    """
 
     name: str
     configuration: dict[str, Any]
@@ -77,7 +82,7 @@
 
 
 def read_fleet_file(path: Path) -> FleetFile:
-    """The fleet in a file; InvalidFile names the field and the line at fault."""
+    """The fleet in a file; FileFormatError names the field and the line at fault."""
     fleet = read_yaml(path, FleetFile)
     _check_configuration(path, fleet)
     for index, group in enumerate(fleet.upstreams):
@@ -88,7 +93,7 @@
 def _check_configuration(path: Path, fleet: FleetFile) -> None:
     try:
         fleet.document()
-    except InvalidConfiguration as error:
+    except ConfigurationError as error:
         raise _invalid(path, f"configuration.{error.field}", error.reason) from None
 
 
@@ -110,5 +115,5 @@
             raise _invalid(path, f"{place}.{name}", str(error)) from None
 
 
-def _invalid(path: Path, field: str, reason: str) -> InvalidFile:
-    return InvalidFile(str(path), line_of(path.read_text(), steps_of(field)), field, reason)
+def _invalid(path: Path, field: str, reason: str) -> FileFormatError:
+    return FileFormatError(str(path), line_of(path.read_text(), steps_of(field)), field, reason)
--- a/madderwind/testing/local_fleet/operator_client.py
+++ b/madderwind/testing/local_fleet/operator_client.py
@@ -8,7 +8,7 @@
 import aiohttp
 import msgspec
 
-from madderwind.errors import OperatorCallFailed
+from madderwind.errors import OperatorCallError
 
 MOST_REDIRECTS = 2
 # A control plane that has not answered by then is given up for the next one.
@@ -58,10 +58,10 @@
         return await self._until_clear("GET", "/config/read", {}, b"")
 
     async def read_at(self, address: str) -> Answer:
-        """The newest configuration as one control plane gives it; OperatorCallFailed where it can't."""
+        """The newest configuration as one control plane gives it; OperatorCallError where it can't."""
         answer = await self._call("GET", f"http://{address}/config/read", {}, b"")
         if answer is None:
-            raise OperatorCallFailed(f"{address} gave no clear answer")
+            raise OperatorCallError(f"{address} gave no clear answer")
         return answer
 
     async def _command(self, path: str, base_version: int, body: bytes) -> Answer:
@@ -77,7 +77,7 @@
                 return answer
             if loop.time() + pause_s > give_up_s:
                 tried = ", ".join(sorted(self._addresses))
-                raise OperatorCallFailed(f"no clear answer within {self._within_s:g} s from {tried}")
+                raise OperatorCallError(f"no clear answer within {self._within_s:g} s from {tried}")
             self._addresses.append(self._addresses.pop(0))
             await asyncio.sleep(pause_s)
             pause_s = min(pause_s * 2, MOST_PAUSE_S)
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from madderwind.configuration.reading import Document, read_document
-from madderwind.errors import InvalidConfiguration, OperatorCallFailed
+from madderwind.errors import ConfigurationError, OperatorCallError
 from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead
 from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind
 from madderwind.testing.local_fleet.operator_client import OperatorClient
@@ -46,7 +46,7 @@
             self._sent[after.version] = after
             self.commands.append(CommandSent(after.version, False))
             answer = await client.update(document.version, change)
-        except (OperatorCallFailed, InvalidConfiguration):
+        except (OperatorCallError, ConfigurationError):
             return
         if answer.is_taken:
             self.commands[-1] = CommandSent(after.version, True)
@@ -70,12 +70,12 @@
                 while True:
                     try:
                         answer = await client.read_at(address)
-                    except OperatorCallFailed:
+                    except OperatorCallError:
                         await asyncio.sleep(READ_PAUSE_S)
                         continue
                     document = read_document(answer.body)
                     return ConfigurationRead(node, document.version, self._matches(document))
-        except (TimeoutError, InvalidConfiguration):
+        except (TimeoutError, ConfigurationError):
             return ConfigurationRead(node, 0)
 
     def _matches(self, document: Document) -> bool:
--- a/madderwind/testing/local_fleet/traffic_file.py
+++ b/madderwind/testing/local_fleet/traffic_file.py
@@ -10,8 +10,11 @@
 
 @attrs.frozen
 class Sessions:
-    """Conversations: a `share` of requests goes on with an earlier one of the same kind, whose prompt it
-    begins with, up to `most_turns` in all."""
+    """Conversations.
+
+    A `share` of requests goes on with an earlier one of the same kind, whose prompt it begins with, up to
+    `most_turns` in all.
+    """
 
     share: float = 0.0
     most_turns: int = 4
@@ -29,8 +32,11 @@
 
 @attrs.frozen
 class RequestKind:
-    """One kind of request. `tenants` gives each tenant's weight; without it, no key is sent. Without
-    `generation` it is a plain request with a body of `body_bytes`."""
+    """One kind of request.
+
+    `tenants` gives each tenant's weight; without it, no key is sent. Without `generation` it is a plain
+    request with a body of `body_bytes`.
+    """
 
     name: str
     host: str
@@ -48,8 +54,11 @@
 
 @attrs.frozen
 class Traffic:
-    """What is sent: arrivals of each kind by a Poisson process, more of them in a burst. Clients are spread
-    over the zones; each keeps connections, and `reconnect_share` of the requests open a new one."""
+    """What is sent: arrivals of each kind by a Poisson process, more of them in a burst.
+
+    Clients are spread over the zones; each keeps connections, and `reconnect_share` of the requests open a
+    new one.
+    """
 
     kinds: tuple[RequestKind, ...] = attrs.field(validator=not_empty)
     for_s: float = 15.0
--- a/madderwind/testing/local_fleet/yaml_files.py
+++ b/madderwind/testing/local_fleet/yaml_files.py
@@ -17,7 +17,7 @@
 )
 from cattrs.gen import make_dict_structure_fn
 
-from madderwind.errors import InvalidConfiguration, InvalidFile
+from madderwind.errors import ConfigurationError, FileFormatError
 
 FileType = TypeVar("FileType")
 PathStep = str | int
@@ -28,11 +28,11 @@
 
 
 def read_yaml(path: Path, file_type: type[FileType]) -> FileType:
-    """The typed content of a file; InvalidFile names what is wrong, and where."""
+    """The typed content of a file; FileFormatError names what is wrong, and where."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        raise InvalidFile(str(path), 0, "", str(error)) from None
+        raise FileFormatError(str(path), 0, "", str(error)) from None
     return parse_yaml(text, file_type, str(path))
 
 
@@ -42,12 +42,12 @@
         raw = yaml.safe_load(text)
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + 1 if error.problem_mark else 0
-        raise InvalidFile(name, line, "", error.problem or "is no YAML") from None
+        raise FileFormatError(name, line, "", error.problem or "is no YAML") from None
     try:
         return _converter.structure(raw, file_type)
-    except (BaseValidationError, InvalidConfiguration, _WrongValue) as error:
+    except (BaseValidationError, ConfigurationError, _WrongValue) as error:
         steps, reason = _first_fault(error)
-        raise InvalidFile(name, line_of(text, steps), field_name(steps), reason) from None
+        raise FileFormatError(name, line_of(text, steps), field_name(steps), reason) from None
 
 
 def field_name(steps: Sequence[PathStep]) -> str:
@@ -69,8 +69,10 @@
 
 
 def line_of(text: str, steps: Sequence[PathStep]) -> int:
-    """The line of a place in YAML or JSON text, or of the nearest part around it that is there; 0 where the
-    text can't be read."""
+    """The line of a place in YAML or JSON text, or of the nearest part around it that is there.
+
+    0 where the text can't be read.
+    """
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
     except yaml.YAMLError:
@@ -108,7 +110,7 @@
     if isinstance(error, ForbiddenExtraKeysError):
         unknown = sorted(error.extra_fields)[0]
         return [*steps, unknown], "is not known here"
-    if isinstance(error, InvalidConfiguration):
+    if isinstance(error, ConfigurationError):
         return [*steps, *steps_of(error.field)], error.reason
     if isinstance(error, KeyError):
         return steps, "is missing"
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -261,7 +261,7 @@
     """Logs and histories that let go of commands soon, and files that are rewritten often."""
     with (
         patch("madderwind.replication.log.RETAINED_ENTRIES", SHORT_KEPT),
-        patch("madderwind.configuration.history.KEPT_COMMANDS", SHORT_KEPT),
+        patch("madderwind.configuration.history.RETAINED_COMMANDS", SHORT_KEPT),
         patch("madderwind.replication.journal.REWRITE_FROM_BYTES", SHORT_FILE_BYTES),
     ):
         yield
@@ -270,5 +270,5 @@
 @contextlib.contextmanager
 def forgetting_commands() -> Iterator[None]:
     """Little is kept, and few commands are known again when they are sent again."""
-    with keeping_little(), patch("madderwind.configuration.history.KEPT_DIGESTS", FEW_DIGESTS):
+    with keeping_little(), patch("madderwind.configuration.history.RETAINED_DIGESTS", FEW_DIGESTS):
         yield
--- a/tests/configuration/cost_of_change.py
+++ b/tests/configuration/cost_of_change.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from madderwind.configuration.history import KEPT_DIGESTS, ConfigurationHistory
+from madderwind.configuration.history import RETAINED_DIGESTS, ConfigurationHistory
 from madderwind.configuration.reading import Document, read_document
 from madderwind.dataplane.admission import Admission
 from madderwind.replication.commands import Command, CommandKind
@@ -96,10 +96,10 @@
     def _history(self) -> ConfigurationHistory:
         """With all digests that are kept, and this document at the end."""
         history = ConfigurationHistory()
-        for version in range(1, KEPT_DIGESTS):
+        for version in range(1, RETAINED_DIGESTS):
             history.apply(Command(CommandKind.REPLACE, version - 1, encoded(whole(version, routes=[]))))
-        last = large_configuration(self._routes, version=KEPT_DIGESTS)
-        history.apply(Command(CommandKind.REPLACE, KEPT_DIGESTS - 1, last))
+        last = large_configuration(self._routes, version=RETAINED_DIGESTS)
+        history.apply(Command(CommandKind.REPLACE, RETAINED_DIGESTS - 1, last))
         return history
 
     def _primary(self) -> float:
@@ -115,7 +115,7 @@
             appended.apply(command)
             states[:] = [appended.copy()]
 
-        return median_ms(take, list(range(KEPT_DIGESTS + 1, KEPT_DIGESTS + 1 + REPEATS)))
+        return median_ms(take, list(range(RETAINED_DIGESTS + 1, RETAINED_DIGESTS + 1 + REPEATS)))
 
     def _snapshot(self) -> float:
         history = self._history()
@@ -123,7 +123,7 @@
         def change(version: int) -> None:
             history.apply(Command(CommandKind.UPDATE, version - 1, one_route_update(version, 0)))
 
-        versions = range(KEPT_DIGESTS + 1, KEPT_DIGESTS + 1 + REPEATS)
+        versions = range(RETAINED_DIGESTS + 1, RETAINED_DIGESTS + 1 + REPEATS)
         times = []
         for version in versions:
             change(version)
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -11,7 +11,7 @@
 from madderwind.configuration import history as history_module
 from madderwind.configuration.history import ConfigurationHistory
 from madderwind.configuration.reading import Document
-from madderwind.errors import InvalidConfiguration, MessageError
+from madderwind.errors import ConfigurationError, MessageError
 from madderwind.replication.commands import Command, CommandKind, CommandOutcome, ReplicatedState
 from tests.configuration.samples import encoded, route, tenant, whole
 
@@ -88,7 +88,7 @@
         self.assertEqual(self.outcome(replacement(-1, 7)), CommandOutcome.STALE_BASE)
 
     def test_an_invalid_command_cannot_be_applied(self) -> None:
-        with self.assertRaises(InvalidConfiguration):
+        with self.assertRaises(ConfigurationError):
             self.history.apply(update(0, 7))
 
 
@@ -154,7 +154,7 @@
     def test_of_the_first_form_knows_the_commands_that_it_keeps(self) -> None:
         """A snapshot on disk from before digests were kept by base version: a list of digests alone."""
         commands = [replacement(version, version + 1) for version in range(6)]
-        with patch.object(history_module, "KEPT_COMMANDS", 3):
+        with patch.object(history_module, "RETAINED_COMMANDS", 3):
             self.take(*commands)
         document, digests, kept = msgspec.msgpack.decode(self.history.snapshot())
         first_form = msgspec.msgpack.encode([document, [digest for _, digest in digests], kept])
@@ -207,21 +207,21 @@
         self.assertIsNone(self.history.commands_since(99))
 
     def test_kept_by_count(self) -> None:
-        self.grow(history_module.KEPT_COMMANDS + 10)
+        self.grow(history_module.RETAINED_COMMANDS + 10)
         self.assertIsNone(self.history.commands_since(3))
-        kept = self.history.commands_since(self.history.version - history_module.KEPT_COMMANDS)
+        kept = self.history.commands_since(self.history.version - history_module.RETAINED_COMMANDS)
         assert kept is not None
-        self.assertEqual(len(kept), history_module.KEPT_COMMANDS)
+        self.assertEqual(len(kept), history_module.RETAINED_COMMANDS)
 
     def test_kept_by_bytes(self) -> None:
-        self.grow(30, padding=history_module.KEPT_COMMAND_BYTES // 10)
+        self.grow(30, padding=history_module.RETAINED_COMMAND_BYTES // 10)
         self.assertIsNone(self.history.commands_since(10))
         kept = self.history.commands_since(25)
         assert kept is not None
-        self.assertLessEqual(sum(len(record.body) for record in kept), history_module.KEPT_COMMAND_BYTES)
+        self.assertLessEqual(sum(len(record.body) for record in kept), history_module.RETAINED_COMMAND_BYTES)
 
     def test_digests_are_kept_much_longer(self) -> None:
-        self.grow(history_module.KEPT_COMMANDS + 10)
+        self.grow(history_module.RETAINED_COMMANDS + 10)
         self.assertEqual(self.outcome(replacement(0, 1)), CommandOutcome.COMMITTED)
 
 
@@ -230,7 +230,7 @@
         super().setUp()
         self.commands = [replacement(0, 1)]
         self.commands += [update(version, version + 1) for version in range(1, 9)]
-        with patch.object(history_module, "KEPT_DIGESTS", 4):
+        with patch.object(history_module, "RETAINED_DIGESTS", 4):
             self.take(*self.commands)
 
     def test_given_a_command_whose_digest_is_kept_then_it_is_acknowledged_again(self) -> None:
--- a/tests/configuration/test_incremental.py
+++ b/tests/configuration/test_incremental.py
@@ -13,7 +13,7 @@
 from madderwind.configuration.index import ConfigurationIndex
 from madderwind.configuration.reading import Document, read_document
 from madderwind.configuration.sections import ITEMS_PER_CHUNK, Section
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 from tests.configuration.samples import document, encoded, route, service, tenant, whole
 
 HOSTS = ("one.example", "One.example", "two.example")
@@ -88,14 +88,14 @@
 def _updated(before: Document, body: bytes) -> Document | None:
     try:
         return before.updated(body)
-    except InvalidConfiguration:
+    except ConfigurationError:
         return None
 
 
 def _read(body: bytes, before: Document) -> Document | None:
     try:
         return read_document(body, before)
-    except InvalidConfiguration:
+    except ConfigurationError:
         return None
 
 
@@ -104,7 +104,7 @@
     try:
         read = read_document(body)
         check_consistency(read.configuration)
-    except InvalidConfiguration:
+    except ConfigurationError:
         return None
     return read
 
--- a/tests/configuration/test_item_reading.py
+++ b/tests/configuration/test_item_reading.py
@@ -14,7 +14,7 @@
 from madderwind.configuration import structuring
 from madderwind.configuration.documents import Route, Service, Tenant
 from madderwind.configuration.structuring import NamedItem, read_item, structure
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 from tests.configuration.samples import route, service, tenant
 
 SAMPLES: dict[type[Any], dict[str, Any]] = {
@@ -55,7 +55,7 @@
     """What reading gives, with its type throughout; where it refuses, the place."""
     try:
         return repr(reading())
-    except InvalidConfiguration as error:
+    except ConfigurationError as error:
         return error.field
 
 
--- a/tests/configuration/test_persistent_map.py
+++ b/tests/configuration/test_persistent_map.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from madderwind.configuration.persistent_map import MOST_PER_BUCKET, PersistentMap
+from madderwind.configuration.persistent_map import MAX_PER_BUCKET, PersistentMap
 
 
 class AgainstADictionary(unittest.TestCase):
@@ -39,14 +39,14 @@
             bucket for bucket, old in zip(after._buckets, before._buckets, strict=True) if bucket is not old
         ]
         self.assertLessEqual(len(own), 2)
-        self.assertLess(max(len(bucket) for bucket in own), 4 * MOST_PER_BUCKET)
+        self.assertLess(max(len(bucket) for bucket in own), 4 * MAX_PER_BUCKET)
         self.assertEqual((5, 6), (before.get("k5"), before.get("k6")))
 
     def test_given_growth_then_the_buckets_stay_short(self) -> None:
         grown: PersistentMap[str, int] = PersistentMap()
         for number in range(5_000):
             grown = grown.changed({f"k{number}": number})
-        self.assertLess(max(len(bucket) for bucket in grown._buckets), 4 * MOST_PER_BUCKET)
+        self.assertLess(max(len(bucket) for bucket in grown._buckets), 4 * MAX_PER_BUCKET)
 
 
 if __name__ == "__main__":
--- a/tests/configuration/test_reading.py
+++ b/tests/configuration/test_reading.py
@@ -8,7 +8,7 @@
 
 from madderwind.configuration.documents import Backend, ClientLimits
 from madderwind.configuration.reading import read_document
-from madderwind.errors import InvalidConfiguration
+from madderwind.errors import ConfigurationError
 from tests.configuration.samples import document, encoded, route, service, tenant, whole
 
 
@@ -61,28 +61,28 @@
 
 class WhatIsInvalid(unittest.TestCase):
     def refused(self, field: str, **members: Any) -> None:
-        with self.assertRaises(InvalidConfiguration) as caught:
+        with self.assertRaises(ConfigurationError) as caught:
             document(**members)
         self.assertEqual(caught.exception.field, field)
 
     def test_bytes_that_are_no_whole_json_object(self) -> None:
         body = encoded(whole())
         for broken in (body[:-1], body[: len(body) // 2], b"", body + b"}", b"[]", b"null", b"\xff" + body):
-            with self.subTest(broken[-20:]), self.assertRaises(InvalidConfiguration):
+            with self.subTest(broken[-20:]), self.assertRaises(ConfigurationError):
                 read_document(broken)
 
     def test_json_cut_short_at_any_byte(self) -> None:
         body = encoded(whole())
         for length in range(len(body)):
-            with self.assertRaises(InvalidConfiguration):
+            with self.assertRaises(ConfigurationError):
                 read_document(body[:length])
 
     def test_text_that_is_no_utf8_in_an_unknown_part(self) -> None:
-        with self.assertRaises(InvalidConfiguration):
+        with self.assertRaises(ConfigurationError):
             read_document(encoded(whole(note="@")).replace(b"@", b"\xff"))
 
     def test_nesting_without_end(self) -> None:
-        with self.assertRaises(InvalidConfiguration):
+        with self.assertRaises(ConfigurationError):
             read_document(b'{"version":1,"routes":' + b"[" * 100_000)
 
     def test_versions_that_are_none(self) -> None:
@@ -94,7 +94,7 @@
         for name in ("version", "routes", "services"):
             members = whole()
             del members[name]
-            with self.subTest(name), self.assertRaises(InvalidConfiguration) as caught:
+            with self.subTest(name), self.assertRaises(ConfigurationError) as caught:
                 read_document(encoded(members))
             self.assertEqual(caught.exception.field, name)
 
@@ -189,7 +189,7 @@
         )
 
     def test_the_reason_names_what_is_wrong(self) -> None:
-        with self.assertRaises(InvalidConfiguration) as caught:
+        with self.assertRaises(ConfigurationError) as caught:
             document(routes=[route("a", service="nobody")])
         self.assertIn("'nobody'", caught.exception.reason)
 
@@ -204,7 +204,7 @@
         return read
 
     def refused(self, field: str, version: int = 9, **parts: Any) -> None:
-        with self.assertRaises(InvalidConfiguration) as caught:
+        with self.assertRaises(ConfigurationError) as caught:
             document().updated(encoded({"version": version, **parts}))
         self.assertEqual(caught.exception.field, field)
 
@@ -304,7 +304,7 @@
         before = document()
         body = encoded({"version": 9, "upsert": {"routes": [route("d")]}, "delete": {"routes": ["a"]}})
         for length in range(len(body)):
-            with self.assertRaises(InvalidConfiguration):
+            with self.assertRaises(ConfigurationError):
                 before.updated(body[:length])
 
 
--- a/tests/controlplane/test_cut_off_upstreams.py
+++ b/tests/controlplane/test_cut_off_upstreams.py
@@ -155,7 +155,7 @@
             )
 
     def test_a_new_upstream_acknowledged_alone(self) -> None:
-        with mock.patch.object(RegistryService, "_is_known_to_others", return_value=True):
+        with mock.patch.object(RegistryService, "_is_known_to_peers", return_value=True):
             self.assert_caught(
                 AnUpstreamThatBegins("test_given_a_cut_when_it_is_new_then_it_is_sent_to_another_machine")
             )
--- a/tests/controlplane/test_repeated_commands.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -144,7 +144,7 @@
         self.finish()
 
     def test_given_more_came_since_than_digests_are_kept_then_it_is_never_refused(self) -> None:
-        with patch("madderwind.configuration.history.KEPT_DIGESTS", 4):
+        with patch("madderwind.configuration.history.RETAINED_DIGESTS", 4):
             intents = self.take(12)
             for machine in list(self.system.machines.values()):
                 machine.kill()
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from madderwind.errors import InvalidHeartbeat
+from madderwind.errors import HeartbeatError
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.registry.heartbeats import MAX_HEARTBEAT_BYTES, read_heartbeat
 from madderwind.registry.registry import DROP_AFTER_MS, Registry
@@ -42,9 +42,9 @@
         ]
         odd += [body(1, address="10.0.0.1:0"), body(1, address="10.0.0.1:99999"), body(1, address=":80")]
         for bad in odd:
-            with self.subTest(bad[:60]), self.assertRaises(InvalidHeartbeat):
+            with self.subTest(bad[:60]), self.assertRaises(HeartbeatError):
                 read_heartbeat("i-1", bad)
-        with self.assertRaises(InvalidHeartbeat):
+        with self.assertRaises(HeartbeatError):
             read_heartbeat("", body(1))
 
 
--- a/tests/testing/local_fleet/test_files.py
+++ b/tests/testing/local_fleet/test_files.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from madderwind.errors import InvalidFile
+from madderwind.errors import FileFormatError
 from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
 from madderwind.testing.local_fleet.yaml_files import line_of, parse_yaml, steps_of
 
@@ -14,14 +14,14 @@
 
 
 class FleetFiles(unittest.TestCase):
-    def read_changed(self, old: str, new: str) -> InvalidFile:
+    def read_changed(self, old: str, new: str) -> FileFormatError:
         """What is told of the example with one text in it changed."""
         text = EXAMPLE.read_text()
         self.assertIn(old, text)
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "fleet.yaml"
             path.write_text(text.replace(old, new, 1))
-            with self.assertRaises(InvalidFile) as caught:
+            with self.assertRaises(FileFormatError) as caught:
                 read_fleet_file(path)
         return caught.exception
 
@@ -58,12 +58,12 @@
         self.assertEqual(self.read_changed("slots: 32", "slots: lots").field, "upstreams[0].engine")
 
     def test_what_is_missing_is_named(self) -> None:
-        with self.assertRaises(InvalidFile) as caught:
+        with self.assertRaises(FileFormatError) as caught:
             parse_yaml("name: n\nupstreams: []\n", FleetFile, "f")
         self.assertEqual((caught.exception.field, caught.exception.reason), ("configuration", "is missing"))
 
     def test_text_that_is_no_yaml_is_named_by_its_line(self) -> None:
-        with self.assertRaises(InvalidFile) as caught:
+        with self.assertRaises(FileFormatError) as caught:
             parse_yaml("name: n\n  bad: [", FleetFile, "f")
         self.assertEqual(caught.exception.line, 2)
 
