--- /dev/null
+++ b/madderwind/dataplane/answer_relay.py
@@ -0,0 +1,120 @@
+"""How an upstream's answer reaches the client.
+
+Short ones complete, long ones in pieces, streams event by event.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping
+
+from aiohttp import web
+from aiohttp.client_reqrep import ClientResponse
+
+from madderwind.dataplane.attempts import AttemptResult, Progress
+from madderwind.dataplane.client_answers import ClientAnswer
+from madderwind.dataplane.event_stream import EVENT_STREAM, EventSplitter, EventTooLong
+from madderwind.dataplane.headers import LAST_EVENT_ID
+from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
+from madderwind.dataplane.upstream_heads import tells_its_end
+
+# An answer up to this is buffered, so that one that breaks off can be told from a complete one, and requested
+# again where that does no harm. Longer ones are passed on in pieces.
+MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
+
+_OK = 200
+
+
+class AnswerRelay:
+    """The answer of one request, which a stream may continue from one upstream to the next.
+
+    Attributes:
+        final: The client's answer, once it is complete.
+    """
+
+    def __init__(
+        self, parts: RequestParts, progress: Progress, answer: ClientAnswer, headers: Mapping[str, str]
+    ) -> None:
+        """Begin without an answer; `headers` are the client's."""
+        self._parts, self._progress, self._answer = parts, progress, answer
+        self._loop = asyncio.get_running_loop()
+        last_id = headers.get(LAST_EVENT_ID)
+        self._events = EventSplitter(None if last_id is None else last_id.encode())
+        self.final: web.StreamResponse | None = None
+
+    def resume_after(self) -> str | None:
+        """The id of the event after which another upstream is to go on.
+
+        None where the answer has not begun.
+        """
+        last_id = self._events.last_id if self._progress.answer_begun else None
+        return None if last_id is None else last_id.decode("latin-1")
+
+    async def relay(self, response: ClientResponse, instance: str, key: str) -> AttemptResult:
+        """Pass an answer on.
+
+        Args:
+            response: The upstream's answer, its head read.
+            instance: The upstream.
+            key: Names the attempt within this process.
+        """
+        content_type = response.headers.get("Content-Type", "")
+        if response.status == _OK and content_type.startswith(EVENT_STREAM):
+            return await self._relay_stream(response, instance, key)
+        if self._progress.answer_begun:  # a stream can't go on with anything else
+            response.close()
+            return AttemptResult.BROKEN
+        length = response.content_length
+        if length is None or length > MAX_BUFFERED_ANSWER_BYTES:
+            return await self._relay_in_pieces(response, length)
+        body = await response.read()
+        self.final = self._answer.whole(response, body)
+        return AttemptResult.COMPLETE
+
+    async def _relay_stream(self, response: ClientResponse, instance: str, key: str) -> AttemptResult:
+        """Complete events, each as soon as it is here; the head goes out with the first."""
+        if self._progress.answer_begun:
+            self._events.resume()
+        else:
+            self._answer.take_head(response, None)
+        data = await response.content.readany()
+        if data:
+            self._parts.chooser.stream_began(self._now_ms(), key, instance)
+            try:
+                await self._relay_events(response, data, instance)
+            except EventTooLong:
+                response.close()
+                return AttemptResult.BROKEN
+            finally:
+                self._parts.chooser.streams.ended(instance)
+        if rest := self._events.rest():
+            if not tells_its_end(response.headers):
+                return AttemptResult.BROKEN
+            await self._answer.write(rest)
+        self.final = await self._answer.end()
+        return AttemptResult.COMPLETE
+
+    async def _relay_events(self, response: ClientResponse, data: bytes, instance: str) -> None:
+        """All events of a stream, from its first bytes on."""
+        events, streams = self._events, self._parts.chooser.streams
+        while data:
+            if complete := events.feed(data):
+                self._progress.answer_begun = True
+                # Without an id nothing tells another upstream where to go on: all would come twice.
+                self._progress.is_resumable &= events.last_id is not None
+                await self._answer.write(complete)
+            data = await response.content.readany()
+            streams.heard(self._now_ms(), instance)
+
+    async def _relay_in_pieces(self, response: ClientResponse, length: int | None) -> AttemptResult:
+        """A long answer; one that breaks off is broken off for the client too."""
+        self._answer.take_head(response, length)
+        while data := await response.content.readany():
+            self._progress.answer_begun = True
+            self._progress.is_resumable = False
+            await self._answer.write(data)
+        self.final = await self._answer.end()
+        return AttemptResult.COMPLETE
+
+    def _now_ms(self) -> float:
+        return self._loop.time() * MS_PER_S
--- /dev/null
+++ b/madderwind/dataplane/forwarder.py
@@ -0,0 +1,71 @@
+"""The entrance for clients' requests: read, admitted, forwarded."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+
+from aiohttp import web
+
+from madderwind.dataplane.admission import Rejected
+from madderwind.dataplane.client_answers import ClientGone
+from madderwind.dataplane.client_requests import UnusableRequest, read_request
+from madderwind.dataplane.own_answers import own_answer, refusal
+from madderwind.dataplane.request_forwarding import RequestForwarding
+from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
+
+
+class Forwarder:
+    """Serves clients' requests."""
+
+    def __init__(self, parts: RequestParts) -> None:
+        self._parts = parts
+        self._numbers = itertools.count()
+
+    async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
+        """One request, from its head to its one final answer."""
+        parts = self._parts
+        loop = asyncio.get_running_loop()
+        arrived_ms = loop.time() * MS_PER_S
+        try:
+            read = await read_request(
+                request, parts.admission.limits, lambda: self._deadline_s(request, arrived_ms)
+            )
+        except UnusableRequest as error:
+            return self._reject_unusable(error)
+        now_ms = loop.time() * MS_PER_S
+        decision = parts.admission.admit(now_ms, arrived_ms, read.target, request.headers)
+        if isinstance(decision, Rejected):
+            return self._reject(decision)
+        parts.budget.request(now_ms, decision.service)
+        forwarding = RequestForwarding(parts, f"{next(self._numbers)}", read, decision)
+        try:
+            return await forwarding.run()
+        except ClientGone:
+            parts.counters["client gone"] += 1
+            return forwarding.answer.abort()
+
+    def _deadline_s(self, request: web.BaseRequest, arrived_ms: float) -> float:
+        """When a request's time is over, on the loop's clock."""
+        path = request._message.path
+        return self._parts.admission.until_ms(arrived_ms, path, request.headers) / MS_PER_S
+
+    def _reject(self, rejected: Rejected) -> web.Response:
+        """The answer to a request that is not forwarded."""
+        self._parts.counters[f"rejected {rejected.status}"] += 1
+        if rejected.retry_after_ms is None:
+            return own_answer(rejected.status, rejected.reason)
+        return refusal(rejected.status, rejected.reason, rejected.retry_after_ms)
+
+    def _reject_unusable(self, error: UnusableRequest) -> web.StreamResponse:
+        """The answer to a request that was not read to its end.
+
+        Guards against a final rejection by a limit that a newer configuration may have raised.
+        """
+        admission = self._parts.admission
+        if error.is_beyond_a_limit and not admission.knows_newest:
+            response = self._reject(admission.refusal_while_unsure())
+            response.force_close()
+            return response
+        self._parts.counters[f"unusable {error.status}"] += 1
+        return own_answer(error.status, str(error), closes=True)
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -14,10 +14,11 @@
 from madderwind.configuration.reading import Document
 from madderwind.dataplane.admission import Admission
 from madderwind.dataplane.choosing import UpstreamChooser
-from madderwind.dataplane.forwarding import Forwarder, Shared
+from madderwind.dataplane.forwarder import Forwarder
 from madderwind.dataplane.metrics import DataPlaneFigures, data_plane_samples
 from madderwind.dataplane.readiness import ReadyListener
 from madderwind.dataplane.reports import Reports
+from madderwind.dataplane.request_parts import RequestParts
 from madderwind.dataplane.retrying import Retries
 from madderwind.dataplane.subscriber_links import SubscriberLinks
 from madderwind.dataplane.upstream_pool import UpstreamPool
@@ -117,7 +118,7 @@
         self.admission = Admission(self.quota, lambda: self.subscriber.is_current(self._now_ms()), rng)
         retries = Retries(RetryQuota(rng, refund_on_success=False), self.budget)
         self.counters: Counter[str] = Counter()
-        shared = Shared(
+        parts = RequestParts(
             admission=self.admission,
             upstreams=self.upstreams,
             chooser=self.chooser,
@@ -128,7 +129,7 @@
             counters=self.counters,
         )
         self._listener = Listener(
-            Forwarder(shared).serve, connections, log, self.pool.held, longest_line=LONGEST_LINE
+            Forwarder(parts).serve, connections, log, self.pool.held, longest_line=LONGEST_LINE
         )
         self._ready_listener = ReadyListener(lambda: self.is_ready)
         self._in_force: Document | None = None
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from madderwind.dataplane.forwarding import Forwarder
+from madderwind.dataplane.forwarder import Forwarder
 from madderwind.dataplane.retrying import Retries
 from madderwind.dataplane.upstream_pool import UpstreamPool
 from madderwind.testing.fault_tests.wire import chunk
