--- a/tests/campaign/calls.py
+++ b/tests/campaign/calls.py
@@ -41,8 +41,8 @@
     def _request(self) -> None:
         if self._has_ended:
             return
-        is_silent = self._server.state is ProcessState.NO_POWER
-        if is_silent or self._links.is_cut(self._caller, self._server.address):
+        is_timed_out = self._server.state is ProcessState.NO_POWER
+        if is_timed_out or self._links.is_cut(self._caller, self._server.address):
             self._clock.after(RETRANSMIT_MS, self._request)
             return
         self._clock.after(self._links.delay_ms(), self._arrive)
@@ -51,7 +51,7 @@
         server = self._server
         if server.state is ProcessState.ENDED:
             self._reply(None)
-        server.post(server.life, lambda: self._serve(self._reply))
+        server.post(server.incarnation, lambda: self._serve(self._reply))
 
     def _reply(self, answer: Answer | None) -> None:
         if self._has_ended or self.loses_answer:
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -27,14 +27,14 @@
 from tests.fleet.freshness import FreshnessWatch
 from tests.fleet.history import Violation
 
-SETTLE_MS = 3_000.0
+STABILIZE_MS = 3_000.0
 ACKNOWLEDGED_WITHIN_MS = 4_000.0
 APPLIED_WITHIN_MS = 2_000.0
 RETRY_MS = 50.0
 STEP_MS = 5.0
 SHORTEST_ROUND_MS, LONGEST_ROUND_MS = 4_000.0, 10_000.0
 LONG_ROUND_MS, LONG_ROUNDS = 45_000.0, 0.12
-SHORT_KEPT, FEW_DIGESTS = 8, 40
+SHORT_RETAINED, FEW_DIGESTS = 8, 40
 SHORT_FILE_BYTES = 16 * 1024
 UPSTREAMS_KNOWN_WITHIN_MS = 3_000.0
 
@@ -56,7 +56,7 @@
             f"{plan.machines} machines, tolerance {plan.tolerance}, {plan.data_planes} data planes, "
             f"{plan.operators} operators, a command every {plan.command_interval_ms:.0f} ms, "
             f"{plan.answer_loss:.2f} of answers lost"
-            f"{', little is kept' if self.keeps_little else ''}"
+            f"{', little is retained' if self.keeps_little else ''}"
             f", losses are counted {self.loss_count.value}"
         ]
         for number, faults in enumerate(self.rounds, 1):
@@ -80,7 +80,7 @@
         operators=rng.randint(1, 4) * (2 if is_busy else 1),
         upstreams=rng.randint(0, 3),
         command_interval_ms=rng.choice(pauses),
-        upstream_life_ms=rng.uniform(1_500.0, 6_000.0),
+        upstream_incarnation_ms=rng.uniform(1_500.0, 6_000.0),
         answer_loss=rng.choice((0.0, 0.0, 0.1, 0.3)),
     )
     rounds: tuple[tuple[Fault, ...], ...]
@@ -135,11 +135,11 @@
     def _run(self) -> None:
         system, plan = self.system, self.schedule.plan
         system.start()
-        system.run(SETTLE_MS)
+        system.run(STABILIZE_MS)
         for faults in self.schedule.rounds:
             for operator in system.operators:
                 operator.start()
-            system.upstreams.start(plan.upstreams, plan.upstream_life_ms)
+            system.upstreams.start(plan.upstreams, plan.upstream_incarnation_ms)
             self.player.play(faults)
             self.watch.start()
             system.run(self.schedule.round_ms)
@@ -153,7 +153,7 @@
         system.upstreams.stop()
         self.watch.stop()
         self.player.heal()
-        system.run(CATCH_UP_MS if self.player.disk_losses else SETTLE_MS)
+        system.run(CATCH_UP_MS if self.player.disk_losses else STABILIZE_MS)
         for address in list(system.machines):
             self._command_at(system.machines[address])
         self._check_everywhere()
@@ -232,7 +232,7 @@
                         f"{data_plane.address} takes {instance} for ready, which was acknowledged as "
                         f"{state.value} at {at_ms:.0f} ms",
                     )
-        ready = [up.instance for up in self.system.upstreams.all if up.intention is Intention.BEAT]
+        ready = [up.instance for up in self.system.upstreams.all if up.intention is Intention.HEARTBEAT]
         self._wait(
             lambda: not self._unknown(ready),
             UPSTREAMS_KNOWN_WITHIN_MS,
@@ -240,7 +240,7 @@
         )
 
     def _unknown(self, ready: list[str]) -> list[str]:
-        still = {up.instance for up in self.system.upstreams.all if up.intention is Intention.BEAT}
+        still = {up.instance for up in self.system.upstreams.all if up.intention is Intention.HEARTBEAT}
         return [
             f"{instance} at {data_plane.address}"
             for instance in ready
@@ -260,8 +260,8 @@
 def keeping_little() -> Iterator[None]:
     """Logs and histories that let go of commands soon, and files that are rewritten often."""
     with (
-        patch("madderwind.replication.log.RETAINED_ENTRIES", SHORT_KEPT),
-        patch("madderwind.configuration.history.RETAINED_COMMANDS", SHORT_KEPT),
+        patch("madderwind.replication.log.RETAINED_ENTRIES", SHORT_RETAINED),
+        patch("madderwind.configuration.history.RETAINED_COMMANDS", SHORT_RETAINED),
         patch("madderwind.replication.journal.REWRITE_FROM_BYTES", SHORT_FILE_BYTES),
     ):
         yield
--- a/tests/campaign/connections.py
+++ b/tests/campaign/connections.py
@@ -34,7 +34,7 @@
     """One end of a connection: a life of a process, and what it does with what comes."""
 
     def __init__(self, process: Process, on_data: OnData, on_closed: OnClosed) -> None:
-        self.process, self.life = process, process.life
+        self.process, self.incarnation = process, process.incarnation
         self.on_data, self.on_closed = on_data, on_closed
         self.pending: deque[bytes] = deque()  # sent by this end, not yet on its way
         self.blocked_since_ms: float | None = None
@@ -43,7 +43,7 @@
     @property
     def is_alive(self) -> bool:
         """Whether the life that has this end goes on."""
-        return self.process.is_up and self.process.life == self.life
+        return self.process.is_up and self.process.incarnation == self.incarnation
 
 
 class Connection:
@@ -82,7 +82,7 @@
 
     def reset(self) -> None:
         """Both ends are told that the connection is broken, as far as they can be reached."""
-        self._notice_loss(self.client)
+        self._broadcast_loss(self.client)
 
     def lose_end(self, lost: End) -> None:
         """The life of one end is over: with power, its machine resets the connection."""
@@ -90,7 +90,7 @@
             self.close(lost)
             return
         other = self._other(lost)
-        self._clock.after(PROBES_END_MS, lambda: self._notice_loss(other))
+        self._clock.after(PROBES_END_MS, lambda: self._broadcast_loss(other))
 
     def _other(self, end: End) -> End:
         return self.server if end is self.client else self.client
@@ -109,7 +109,7 @@
             if sender.blocked_since_ms is None:
                 sender.blocked_since_ms = now_ms
             if now_ms - sender.blocked_since_ms >= ACKNOWLEDGEMENT_TIMEOUT_MS:
-                self._notice_loss(sender)
+                self._broadcast_loss(sender)
             else:
                 self._clock.after(RETRANSMIT_MS, lambda: self._transmit(sender))
             return
@@ -132,12 +132,12 @@
             if receiver.process.state is not ProcessState.NO_POWER:
                 self.close(receiver)
             return
-        receiver.process.post(receiver.life, lambda: receiver.on_data(data) if self.is_open else None)
+        receiver.process.post(receiver.incarnation, lambda: receiver.on_data(data) if self.is_open else None)
 
-    def _notice_loss(self, end: End) -> None:
+    def _broadcast_loss(self, end: End) -> None:
         """This end gives the other up; the other learns of it when it can be reached."""
         if self.is_open and end.is_alive:
-            end.process.post(end.life, end.on_closed)
+            end.process.post(end.incarnation, end.on_closed)
             self.close(end)
 
     def _tell_closed(self, closer: End, other: End, deadline_ms: float) -> None:
@@ -146,4 +146,6 @@
         if self._is_blocked(closer, other) and self._clock.now_ms < deadline_ms:
             self._clock.after(RETRANSMIT_MS, lambda: self._tell_closed(closer, other, deadline_ms))
             return
-        self._clock.after(self._links.delay_ms(), lambda: other.process.post(other.life, other.on_closed))
+        self._clock.after(
+            self._links.delay_ms(), lambda: other.process.post(other.incarnation, other.on_closed)
+        )
--- a/tests/campaign/control_disk.py
+++ b/tests/campaign/control_disk.py
@@ -35,7 +35,7 @@
         self._waits = 0  # a wait that is begun anew, as the disk no longer hangs, ends the one before
 
     @property
-    def is_in_trouble(self) -> bool:
+    def is_in_fault(self) -> bool:
         """Whether the disk is slow, hangs, is full or fails."""
         is_stalled = self.stalled_until_ms > self._process.clock.now_ms
         return is_stalled or self.sync_ms > SYNC_MS or self.memory.is_full or self.memory.fails_syncs
@@ -53,7 +53,7 @@
         if not self._batch:
             self._begin()
 
-    def mend(self) -> None:
+    def repair(self) -> None:
         """End all trouble."""
         self.sync_ms = SYNC_MS
         if self.stalled_until_ms > self._process.clock.now_ms:
@@ -95,12 +95,12 @@
 
     def _wait(self, delay_ms: float) -> None:
         self._waits += 1
-        life, wait, clock = self._process.life, self._waits, self._process.clock
+        incarnation, wait, clock = self._process.incarnation, self._waits, self._process.clock
         delay_ms = max(delay_ms, self.stalled_until_ms - clock.now_ms)
-        clock.after(delay_ms, lambda: self._end(life, wait))
+        clock.after(delay_ms, lambda: self._end(incarnation, wait))
 
-    def _end(self, life: int, wait: int) -> None:
-        if life != self._process.life or wait != self._waits:
+    def _end(self, incarnation: int, wait: int) -> None:
+        if incarnation != self._process.incarnation or wait != self._waits:
             return
         remaining_ms = self.stalled_until_ms - self._process.clock.now_ms
         if remaining_ms > 0.0:
@@ -112,7 +112,7 @@
             self._begin()
         for job in batch:
             completion = WriteCompleted(job.token) if has_succeeded else WriteFailed(job.token)
-            self._process.post(life, lambda done=completion: self._report(done))  # type: ignore[misc]
+            self._process.post(incarnation, lambda done=completion: self._report(done))  # type: ignore[misc]
 
     def _write(self) -> bool:
         try:
--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -63,7 +63,7 @@
     def view_known(self, machine: ControlMachine, view: View) -> None:
         """Its replica takes a view for chosen."""
 
-    def freshness_told(self, machine: ControlMachine, message: Freshness) -> None:
+    def freshness_notified(self, machine: ControlMachine, message: Freshness) -> None:
         """It tells data planes what is committed and how fresh that is."""
 
     def command_taken(self, machine: ControlMachine, command: Command) -> None:
@@ -91,7 +91,7 @@
         self._rng = random.Random(f"{seed} {address}")
         self.disk = ControlDisk(self, self._rng, self._write_ended)
         self.is_removed = False
-        self.is_leaving = False
+        self.is_stopping = False
         self.replica: Replica | None = None
         self.core: ControlPlaneCore | None = None
         self._start_calls()
@@ -114,9 +114,9 @@
         """Start the process on whatever the disk holds."""
         if self.is_up or self.is_removed:
             return
-        self.begin_life()
+        self.begin_incarnation()
         self._start_calls()
-        self.is_leaving = False
+        self.is_stopping = False
         rng = random.Random(self._rng.getrandbits(64))
         replica = self._new_replica(bootstrap, rng)
         self.replica = replica
@@ -127,7 +127,7 @@
         )
         self._registry_copy = RegistryCopy(self, self.disk, self._registry_saved)
         self.core.restore_upstreams(self.clock.now_ms, self._registry_copy.load())
-        self._tick(self.life)
+        self._tick(self.incarnation)
 
     def _new_replica(self, bootstrap: bool, rng: random.Random) -> Replica:
         return Replica(
@@ -154,7 +154,7 @@
         if self.is_up:
             self.disk.interrupt()
             self.replica, self.core = None, None
-            self.end_life(has_power)
+            self.end_incarnation(has_power)
         elif not has_power:
             self.state = ProcessState.NO_POWER
 
@@ -167,7 +167,7 @@
         """End the process and lose the disk."""
         self.kill(has_power=False)
         self.disk.memory.wipe()
-        self.disk.mend()
+        self.disk.repair()
 
     def remove(self) -> None:
         """The machine is taken away for good."""
@@ -176,12 +176,12 @@
 
     def leave(self) -> None:
         """SIGTERM: refuse new calls, hand over, end when at rest."""
-        if not self.is_up or self.is_leaving:
+        if not self.is_up or self.is_stopping:
             return
-        self.is_leaving = True
+        self.is_stopping = True
         deadline_ms = self.clock.now_ms + (GRACE_S - SHUTDOWN_RESERVE_S) * MS_PER_S
         self.post(
-            self.life,
+            self.incarnation,
             lambda: self._do(lambda core: core.handle_replica_event(self._now, ShutdownRequested())),
         )
         self.later(SHUTDOWN_CHECK_S * MS_PER_S, lambda: self._stop_when_idle(deadline_ms))
@@ -196,7 +196,7 @@
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
         """The settings file names other seeds."""
         self.seeds = seeds
-        self.post(self.life, lambda: self._do(lambda core: core.set_seeds(self._now, seeds)))
+        self.post(self.incarnation, lambda: self._do(lambda core: core.set_seeds(self._now, seeds)))
 
     # --- what is known of it ---
 
@@ -218,7 +218,7 @@
 
     def command(self, command: Command, reply: Callable[[CommandResult | None], None]) -> None:
         """An operator's command; None where the process is about to end."""
-        if self.is_leaving:
+        if self.is_stopping:
             reply(None)
             return
         call = self._draw_call()
@@ -227,7 +227,7 @@
 
     def read(self, reply: Callable[[RespondToRead | None], None]) -> None:
         """An operator's read; None where the process is about to end."""
-        if self.is_leaving:
+        if self.is_stopping:
             reply(None)
             return
         call = self._draw_call()
@@ -247,7 +247,7 @@
         reply: Callable[[bool | None], None],
         event: Callable[[ControlPlaneCore, int], list[Effect]],
     ) -> None:
-        if self.is_leaving:
+        if self.is_stopping:
             reply(None)
             return
         call = self._draw_call()
@@ -312,13 +312,13 @@
     def _write_ended(self, completion: Completion) -> None:
         self._do(lambda core: core.handle_replica_event(self._now, completion))
 
-    def _tick(self, life: int) -> None:
-        if life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         if self.is_running:
             self._do(lambda core: core.tick(self._now))
             self._save_registry()
-        self.clock.after(TICK_MS, lambda: self._tick(life))
+        self.clock.after(TICK_MS, lambda: self._tick(incarnation))
 
     def _save_registry(self) -> None:
         if self.core is not None:
@@ -392,7 +392,7 @@
         if message is not self._encoded[0]:
             self._encoded = (message, to_data_plane.encode(message))
             if isinstance(message, Freshness):
-                self._observer.freshness_told(self, message)
+                self._observer.freshness_notified(self, message)
         connection = self._subscribers.get(number)
         if connection is not None:
             connection.send(connection.server, self._encoded[1])
--- a/tests/campaign/data_plane.py
+++ b/tests/campaign/data_plane.py
@@ -68,11 +68,11 @@
         self._links, self._seeds, self._wanted = links, seeds, wanted_links
         self._observer, self._find = observer, find
         self._rng = random.Random(f"{seed} {address}")
-        self._start_life()
+        self._start_incarnation()
 
-    def _start_life(self) -> None:
+    def _start_incarnation(self) -> None:
         now_ms = self.clock.now_ms
-        identity = Identity(self.address, f"life-{self.life}", self.address, "zone")
+        identity = Identity(self.address, f"life-{self.incarnation}", self.address, "zone")
         rng = random.Random(self._rng.getrandbits(64))
         self.subscriber = Subscriber(now_ms, identity, self._seeds(), self._wanted, rng)
         self.upstreams = KnownUpstreams(HEARTBEAT_MS)
@@ -85,22 +85,22 @@
         """A process starts, and knows nothing."""
         if self.is_up:
             return
-        self.begin_life()
-        self._start_life()
-        self._tick(self.life)
+        self.begin_incarnation()
+        self._start_incarnation()
+        self._tick(self.incarnation)
 
     def kill(self) -> None:
         """The process ends."""
         if self.is_up:
-            self.end_life(has_power=True)
+            self.end_incarnation(has_power=True)
 
-    def _tick(self, life: int) -> None:
-        if life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         if self.is_running:
             self._handle(TimePassed())
             self._observer.data_plane_ticked(self)
-        self.clock.after(TICK_MS, lambda: self._tick(life))
+        self.clock.after(TICK_MS, lambda: self._tick(incarnation))
 
     def _handle(self, event: Event) -> None:
         for action in self.subscriber.handle(self.clock.now_ms, event):
--- a/tests/campaign/dialling.py
+++ b/tests/campaign/dialling.py
@@ -35,7 +35,7 @@
         self._client, self._server, self._accept = client, server, accept
         self._on_data, self._on_closed = on_data, on_closed
         self._opened, self._failed = opened, failed
-        self._client_life = client.life
+        self._client_incarnation = client.incarnation
         self._state = DialState.UNDER_WAY
 
     def start(self, timeout_ms: float) -> None:
@@ -46,8 +46,8 @@
     def _request(self) -> None:
         if self._state is DialState.ENDED or self._server is None:
             return
-        is_silent = self._server.state is ProcessState.NO_POWER
-        if is_silent or self._links.is_cut(self._client.address, self._server.address):
+        is_timed_out = self._server.state is ProcessState.NO_POWER
+        if is_timed_out or self._links.is_cut(self._client.address, self._server.address):
             self._clock.after(RETRANSMIT_MS, self._request)
             return
         self._clock.after(self._links.delay_ms(), lambda: self._arrive(self._server))
@@ -56,12 +56,12 @@
         assert server is not None
         if server.state is ProcessState.ENDED:
             self._back(server, self._fail)
-        server.post(server.life, lambda: self._answer(server))
+        server.post(server.incarnation, lambda: self._answer(server))
 
     def _answer(self, server: Process) -> None:
-        server_life = server.life
-        if self._client.life == self._client_life and self._client.is_up:
-            self._back(server, lambda: self._open(server, server_life))
+        server_incarnation = server.incarnation
+        if self._client.incarnation == self._client_incarnation and self._client.is_up:
+            self._back(server, lambda: self._open(server, server_incarnation))
 
     def _back(self, server: Process, action: Callable[[], None]) -> None:
         if self._state is DialState.ENDED:
@@ -69,11 +69,11 @@
         if self._links.is_cut(server.address, self._client.address):
             self._clock.after(RETRANSMIT_MS, lambda: self._back(server, action))
             return
-        life = self._client_life
-        self._clock.after(self._links.delay_ms(), lambda: self._client.post(life, action))
+        incarnation = self._client_incarnation
+        self._clock.after(self._links.delay_ms(), lambda: self._client.post(incarnation, action))
 
-    def _open(self, server: Process, server_life: int) -> None:
-        if self._state is DialState.ENDED or server.life != server_life:
+    def _open(self, server: Process, server_incarnation: int) -> None:
+        if self._state is DialState.ENDED or server.incarnation != server_incarnation:
             return
         self._state = DialState.ENDED
         client_end = End(self._client, self._on_data, self._on_closed)
--- a/tests/campaign/fault_player.py
+++ b/tests/campaign/fault_player.py
@@ -44,7 +44,7 @@
             FaultKind.CUT_FROM_MACHINES: self._cut_from_machines,
             FaultKind.CUT_FROM_OTHERS: self._cut_from_others,
             FaultKind.ISOLATE: self._isolate,
-            FaultKind.MUTE: self._mute,
+            FaultKind.UNRESPONSIVE: self._unresponsive,
             FaultKind.DEAFEN: self._deafen,
             FaultKind.LOSE_PACKETS: self._lose_packets,
             FaultKind.SLOW_DISK: self._slow_disk,
@@ -75,9 +75,9 @@
         self._round += 1
         self._links.heal()
         for machine in self._system.machines.values():
-            machine.disk.mend()
+            machine.disk.repair()
             machine.thaw()
-            if machine.is_leaving:
+            if machine.is_stopping:
                 machine.kill()
             machine.start()
         for data_plane in self._system.data_planes:
@@ -186,14 +186,14 @@
     def _leave(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.leave()
-        self._lose(machine, LONGEST_LEAVE_MS, "is asked to end")
+        self._lose(machine, LONGEST_LEAVE_MS, "is requested to end")
         self._start_when_ended(machine, min(fault.duration_ms, LONGEST_RESTART_MS))
 
-    def _start_when_ended(self, machine: ControlMachine, pause_ms: float) -> None:
+    def _start_when_ended(self, machine: ControlMachine, stall_ms: float) -> None:
         if machine.is_up:
-            self._later(STEP_MS, lambda: self._start_when_ended(machine, pause_ms))
+            self._later(STEP_MS, lambda: self._start_when_ended(machine, stall_ms))
         else:
-            self._restart(machine, pause_ms, "has ended")
+            self._restart(machine, stall_ms, "has ended")
 
     # --- links ---
 
@@ -235,7 +235,7 @@
         self._cut(_both(machine.address, self._all_others(machine)), fault.duration_ms)
         self._lose(machine, fault.duration_ms, "is isolated")
 
-    def _mute(self, fault: Fault) -> None:
+    def _unresponsive(self, fault: Fault) -> None:
         machine = self._victim(fault)
         links = [(machine.address, other) for other in self._all_others(machine)]
         self._cut(links, fault.duration_ms)
@@ -270,29 +270,29 @@
 
     # --- disks ---
 
-    def _mend_later(self, machine: ControlMachine, duration_ms: float, what: str) -> None:
-        self._ends(duration_ms, machine.disk.mend)
-        self.losses.trouble_disk(machine.address, duration_ms, what)
+    def _repair_later(self, machine: ControlMachine, duration_ms: float, what: str) -> None:
+        self._ends(duration_ms, machine.disk.repair)
+        self.losses.fault_disk(machine.address, duration_ms, what)
 
     def _slow_disk(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.disk.sync_ms = 2.0 + SLOW_SYNC_MS * fault.other
-        self._mend_later(machine, fault.duration_ms, "has a slow disk")
+        self._repair_later(machine, fault.duration_ms, "has a slow disk")
 
     def _stall_disk(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.disk.stalled_until_ms = self._clock.now_ms + fault.duration_ms
-        self._mend_later(machine, fault.duration_ms, "has a disk that hangs")
+        self._repair_later(machine, fault.duration_ms, "has a disk that hangs")
 
     def _fill_disk(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.disk.memory.is_full = True
-        self._mend_later(machine, fault.duration_ms, "has a full disk")
+        self._repair_later(machine, fault.duration_ms, "has a full disk")
 
     def _fail_syncs(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.disk.memory.fails_syncs = True
-        self._mend_later(machine, fault.duration_ms, "has a disk that fails syncs")
+        self._repair_later(machine, fault.duration_ms, "has a disk that fails syncs")
 
     # --- lost disks ---
 
@@ -316,7 +316,7 @@
     def _replace_as_planned(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.leave()
-        self._lose(machine, LONGEST_LEAVE_MS, "is asked to end for good")
+        self._lose(machine, LONGEST_LEAVE_MS, "is requested to end for good")
         self._take_away_when_ended(machine, fault, self._clock.now_ms + LONGEST_LEAVE_MS)
 
     def _take_away_when_ended(self, machine: ControlMachine, fault: Fault, deadline_ms: float) -> None:
--- a/tests/campaign/faults.py
+++ b/tests/campaign/faults.py
@@ -23,7 +23,7 @@
     CUT_FROM_MACHINES = "cut from other machines"
     CUT_FROM_OTHERS = "cut from data planes and callers"
     ISOLATE = "isolate"
-    MUTE = "can't send"
+    UNRESPONSIVE = "can't send"
     DEAFEN = "can't receive"
     LOSE_PACKETS = "lose packets"
     SLOW_DISK = "slow disk"
@@ -105,7 +105,7 @@
     FaultKind.CUT_FROM_MACHINES: 2,
     FaultKind.CUT_FROM_OTHERS: 1,
     FaultKind.ISOLATE: 2,
-    FaultKind.MUTE: 1,
+    FaultKind.UNRESPONSIVE: 1,
     FaultKind.DEAFEN: 1,
     FaultKind.LOSE_PACKETS: 1,
     FaultKind.SLOW_DISK: 1,
@@ -139,7 +139,7 @@
         FaultKind.CUT_FROM_MACHINES,
         FaultKind.CUT_FROM_OTHERS,
         FaultKind.ISOLATE,
-        FaultKind.MUTE,
+        FaultKind.UNRESPONSIVE,
         FaultKind.DEAFEN,
         FaultKind.SLOW_DISK,
         FaultKind.STALL_DISK,
@@ -164,19 +164,19 @@
     """Faults over so long a time."""
     faults: list[Fault] = []
     if rng.random() < 0.85:
-        pause_ms = rng.choice((250.0, 500.0, 1_000.0, 2_000.0))
-        faults += _draw(rng, length_ms, pause_ms, _WEIGHTS)
+        stall_ms = rng.choice((250.0, 500.0, 1_000.0, 2_000.0))
+        faults += _draw(rng, length_ms, stall_ms, _WEIGHTS)
     if rng.random() < 0.6 or not faults:
         faults += _draw(rng, length_ms, rng.choice((500.0, 3_000.0)), _DISK_LOSS_WEIGHTS)
     return tuple(sorted(faults, key=lambda fault: fault.at_ms))
 
 
 def _draw(
-    rng: random.Random, length_ms: float, pause_ms: float, weights: dict[FaultKind, float]
+    rng: random.Random, length_ms: float, stall_ms: float, weights: dict[FaultKind, float]
 ) -> list[Fault]:
     faults: list[Fault] = []
     kinds, shares = zip(*weights.items(), strict=True)
-    at_ms = rng.uniform(0.0, pause_ms)
+    at_ms = rng.uniform(0.0, stall_ms)
     while at_ms < length_ms:
         kind = rng.choices(kinds, shares)[0]
         victims, odds = (Victim.ANY, Victim.PRIMARY, Victim.BACKUP, Victim.LEARNER), (4, 3, 2, 1)
@@ -191,7 +191,7 @@
                 slack_ms=round(rng.choice((0.0, 0.0, rng.uniform(0.0, 2_000.0))), 1),
             )
         )
-        at_ms += rng.uniform(0.1, 1.9) * pause_ms
+        at_ms += rng.uniform(0.1, 1.9) * stall_ms
     return faults
 
 
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -47,7 +47,7 @@
         self.disk_losses_ms: list[float] = []
         self.final_states: dict[str, tuple[UpstreamState, float]] = {}  # acknowledged, and when
         self.notes: dict[str, str] = {}  # the first of each kind that may be followed by others
-        self._first_told_ms: dict[tuple[str, UpstreamState], float] = {}
+        self._first_notified_ms: dict[tuple[str, UpstreamState], float] = {}
         self._places: dict[int, int] = {0: 0}  # by version
         self._committed: dict[tuple[str, int], int] = {}  # places, by address and life
         self._views: dict[int, View] = {}
@@ -115,11 +115,11 @@
         """A replica takes more for committed."""
         newest = machine.committed.newest
         place = newest.place if newest is not None else 0
-        life = (machine.address, machine.life)
-        checked = self._committed.get(life, 0)
+        incarnation = (machine.address, machine.incarnation)
+        checked = self._committed.get(incarnation, 0)
         if place < checked:
             raise Violation(f"{machine.address} went back from {checked} commands to {place}")
-        self._committed[life] = place
+        self._committed[incarnation] = place
         self._compare(machine, newest, min(checked, len(self.chain)))
 
     def _compare(self, machine: ControlMachine, newest: Link | None, checked: int) -> None:
@@ -145,7 +145,7 @@
         self.chain.append(link)
         self._places[link.version] = link.place
 
-    def freshness_told(self, machine: ControlMachine, message: Freshness) -> None:
+    def freshness_notified(self, machine: ControlMachine, message: Freshness) -> None:
         """A machine tells data planes how fresh its version is: what was acknowledged before is no newer."""
         if message.age_ms is None:
             return
@@ -191,17 +191,17 @@
 
     # --- upstreams ---
 
-    def state_told(self, instance: str, state: UpstreamState) -> None:
+    def state_notified(self, instance: str, state: UpstreamState) -> None:
         """An upstream begins a call that tells its state."""
-        self._first_told_ms.setdefault((instance, state), self._clock.now_ms)
+        self._first_notified_ms.setdefault((instance, state), self._clock.now_ms)
 
     def state_held(self, machine: ControlMachine, instance: str, state: UpstreamState) -> None:
         """A machine is about to acknowledge a state: if it is final, others have to know it too."""
         if state is UpstreamState.READY or self._known_final(instance) is state:
             return
         knowing = [other.address for other in self._machines() if _knows(other, instance, state)]
-        told_ms = self._first_told_ms[instance, state]
-        ended = sum(other.life_ended_ms > told_ms for other in self._machines())
+        notified_ms = self._first_notified_ms[instance, state]
+        ended = sum(other.incarnation_ended_ms > notified_ms for other in self._machines())
         if len(knowing) + ended <= self._tolerance:
             raise Violation(
                 f"{machine.address} acknowledges that {instance} is {state.value}: known at {knowing} alone"
@@ -244,12 +244,12 @@
 
 def _answered(call: CommandCall) -> linearizability.CommandCall:
     assert call.result is not None and call.ended_ms is not None
-    told_version = None if call.result.outcome is CommandOutcome.COMMITTED else call.result.version
+    notified_version = None if call.result.outcome is CommandOutcome.COMMITTED else call.result.version
     return attrs.evolve(
         _command_call(call.intent, call.began_ms),
         end_ms=call.ended_ms,
         outcome=call.result.outcome,
-        told_version=told_version,
+        notified_version=notified_version,
     )
 
 
--- a/tests/campaign/losses.py
+++ b/tests/campaign/losses.py
@@ -48,7 +48,7 @@
                 self._extend(self._lost_until_ms, other, duration_ms + CATCH_UP_MS)
         self.hurt(address, duration_ms, what)
 
-    def trouble_disk(self, address: str, duration_ms: float, what: str) -> None:
+    def fault_disk(self, address: str, duration_ms: float, what: str) -> None:
         """A machine's disk is in trouble for so long: a loss or none, as losses are counted."""
         if self._loss_count is LossCount.LOOSE:
             self.hurt(address, duration_ms, what)
@@ -80,7 +80,7 @@
         now_ms = self._clock.now_ms
         lost = {address for address, until_ms in self._lost_until_ms.items() if until_ms > now_ms}
         if self._loss_count is not LossCount.LOOSE:
-            lost |= {address for address, machine in self._machines.items() if machine.disk.is_in_trouble}
+            lost |= {address for address, machine in self._machines.items() if machine.disk.is_in_fault}
         return lost & self._machines.keys()
 
     def _extend(self, times_ms: dict[str, float], address: str, duration_ms: float) -> None:
--- a/tests/campaign/operators.py
+++ b/tests/campaign/operators.py
@@ -24,7 +24,7 @@
 from tests.fleet.linearizability import ReadCall
 
 MOST_TRIES = 12
-READS, REPEATS, IMPROPER, ODD_BASES, UPDATES = 0.2, 0.12, 0.05, 0.08, 0.5
+READS, REPEATS, IMPROPER, INVALID_BASES, UPDATES = 0.2, 0.12, 0.05, 0.08, 0.5
 LEAST_BACKOFF_MS, MOST_BACKOFF_MS = 20.0, 400.0
 
 
@@ -32,7 +32,7 @@
 class Habits:
     """How an operator works: pauses between commands, and the share of answers that are lost on their way."""
 
-    pause_ms: float
+    stall_ms: float
     answer_loss: float
     gives_up: bool
 
@@ -65,7 +65,7 @@
         self._is_active = False
 
     def _pause(self) -> None:
-        self._clock.after(self._rng.uniform(0.2, 1.8) * self._habits.pause_ms, self._next)
+        self._clock.after(self._rng.uniform(0.2, 1.8) * self._habits.stall_ms, self._next)
 
     def _next(self) -> None:
         if not self._is_active:
@@ -82,7 +82,7 @@
 
     def _new_intent(self) -> Intent:
         base, marker, rng = self._base, self._history.next_marker(), self._rng
-        if rng.random() < ODD_BASES:
+        if rng.random() < INVALID_BASES:
             base = rng.choice((max(0, base - 1), base + 1, base + 2))
         version = base + rng.choice((1, 1, 1, 2, 3))
         if rng.random() < IMPROPER:
@@ -107,9 +107,9 @@
                 self._base = max(self._base, result.version)
                 self._pause()
             elif tries > 1:
-                pause_ms = self._rng.uniform(0.5, 1.5) * backoff_ms
+                stall_ms = self._rng.uniform(0.5, 1.5) * backoff_ms
                 again_ms = min(2 * backoff_ms, MOST_BACKOFF_MS)
-                self._clock.after(pause_ms, lambda: self._send(intent, tries - 1, again_ms))
+                self._clock.after(stall_ms, lambda: self._send(intent, tries - 1, again_ms))
             else:
                 self._pause()
 
--- a/tests/campaign/process.py
+++ b/tests/campaign/process.py
@@ -23,9 +23,9 @@
 
     def __init__(self, address: str, clock: Clock) -> None:
         self.address, self.clock = address, clock
-        self.life = 0
+        self.incarnation = 0
         self.state = ProcessState.ENDED
-        self.life_ended_ms = -1e9
+        self.incarnation_ended_ms = -1e9
         self.end_hooks: dict[int, Callable[[], None]] = {}  # by whoever asked to be told of this life's end
         self._inbox: deque[Callable[[], None]] = deque()
 
@@ -39,16 +39,16 @@
         """Whether there is a process that is not frozen."""
         return self.state is ProcessState.RUNNING
 
-    def begin_life(self) -> None:
+    def begin_incarnation(self) -> None:
         """A process starts."""
-        self.life += 1
+        self.incarnation += 1
         self._inbox.clear()
         self.state = ProcessState.RUNNING
 
-    def end_life(self, has_power: bool) -> None:
+    def end_incarnation(self, has_power: bool) -> None:
         """The process is no more."""
-        self.life += 1
-        self.life_ended_ms = self.clock.now_ms
+        self.incarnation += 1
+        self.incarnation_ended_ms = self.clock.now_ms
         self._inbox.clear()
         self.state = ProcessState.ENDED if has_power else ProcessState.NO_POWER
         hooks, self.end_hooks = list(self.end_hooks.values()), {}
@@ -68,9 +68,9 @@
         while self._inbox and self.state is ProcessState.RUNNING:
             self._inbox.popleft()()
 
-    def post(self, life: int, action: Callable[[], None]) -> None:
+    def post(self, incarnation: int, action: Callable[[], None]) -> None:
         """Have something done by a life of this process, now or once it is thawed; dropped after its end."""
-        if life != self.life or not self.is_up:
+        if incarnation != self.incarnation or not self.is_up:
             return
         if self.state is ProcessState.FROZEN:
             self._inbox.append(action)
@@ -79,5 +79,5 @@
 
     def later(self, delay_ms: float, action: Callable[[], None]) -> None:
         """Have something done by this life later."""
-        life = self.life
-        self.clock.after(delay_ms, lambda: self.post(life, action))
+        incarnation = self.incarnation
+        self.clock.after(delay_ms, lambda: self.post(incarnation, action))
--- a/tests/campaign/registry_copy.py
+++ b/tests/campaign/registry_copy.py
@@ -38,7 +38,7 @@
         """Save what is known, if that is due, changed, and the disk takes it."""
         now_ms = self._process.clock.now_ms
         is_due = now_ms - self._offered_ms >= SAVE_INTERVAL_S * MS_PER_S
-        if self._disk.is_in_trouble or not (is_due or self._is_urgent):
+        if self._disk.is_in_fault or not (is_due or self._is_urgent):
             return
         self._offered_ms, self._is_urgent = now_ms, False
         records = upstreams()
--- a/tests/campaign/system.py
+++ b/tests/campaign/system.py
@@ -31,7 +31,7 @@
     operators: int
     upstreams: int
     command_interval_ms: float
-    upstream_life_ms: float
+    upstream_incarnation_ms: float
     answer_loss: float
 
 
@@ -123,10 +123,12 @@
     def _new_operator(self, number: int) -> Operator:
         name = f"o{number}"
         rng = random.Random(f"{self.plan.seed} {name}")
-        pause_ms = self.plan.command_interval_ms * rng.uniform(0.5, 1.5)
-        habits = Habits(pause_ms, self.plan.answer_loss, gives_up=rng.random() < 0.5)
+        stall_ms = self.plan.command_interval_ms * rng.uniform(0.5, 1.5)
+        habits = Habits(stall_ms, self.plan.answer_loss, gives_up=rng.random() < 0.5)
         return Operator(name, self.links, self._list, self.history, rng, habits)
 
-    def _new_upstream(self, instance: str, life_ms: float) -> Upstream:
+    def _new_upstream(self, instance: str, incarnation_ms: float) -> Upstream:
         rng = random.Random(f"{self.plan.seed} {instance}")
-        return Upstream(instance, self.links, self._list, self.history, rng, life_ms, self.plan.answer_loss)
+        return Upstream(
+            instance, self.links, self._list, self.history, rng, incarnation_ms, self.plan.answer_loss
+        )
--- a/tests/campaign/test_connections.py
+++ b/tests/campaign/test_connections.py
@@ -17,8 +17,8 @@
         self.clock = Clock()
         self.links = Links(self.clock, random.Random(1))
         self.client, self.server = Process("client", self.clock), Process("server", self.clock)
-        self.client.begin_life()
-        self.server.begin_life()
+        self.client.begin_incarnation()
+        self.server.begin_incarnation()
         self.received: list[bytes] = []
         self.closed: list[str] = []
         self.connection = Connection(
@@ -76,21 +76,21 @@
 
         self.assertEqual(self.received, [b"1", b"2"])
 
-    def test_given_a_process_that_ends_then_the_other_end_is_told_at_once(self) -> None:
-        self.server.end_life(has_power=True)
+    def test_given_a_process_that_ends_then_the_other_end_is_notified_at_once(self) -> None:
+        self.server.end_incarnation(has_power=True)
         self.run_for(MOST_DELAY_MS)
         self.assertEqual(self.closed, ["client"])
 
     def test_given_a_loss_of_power_then_probes_tell_it(self) -> None:
-        self.server.end_life(has_power=False)
+        self.server.end_incarnation(has_power=False)
         self.run_for(PROBES_END_MS - 1.0)
         self.assertEqual(self.closed, [])
         self.run_for(2.0)
         self.assertEqual(self.closed, ["client"])
 
-    def test_given_another_life_of_the_receiver_then_it_gets_nothing_of_the_first(self) -> None:
-        self.server.end_life(has_power=False)
-        self.server.begin_life()
+    def test_given_another_incarnation_of_the_receiver_then_it_gets_nothing_of_the_first(self) -> None:
+        self.server.end_incarnation(has_power=False)
+        self.server.begin_incarnation()
         self.send(b"1")
         self.run_for(2 * MOST_DELAY_MS)
         self.assertEqual(self.received, [])
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -113,7 +113,7 @@
         operators=6,
         upstreams=0,
         command_interval_ms=5.0,
-        upstream_life_ms=1_000.0,
+        upstream_incarnation_ms=1_000.0,
         answer_loss=0.0,
     )
     slow_disk = Fault(100.0, FaultKind.SLOW_DISK, 9_000.0, Victim.PRIMARY, other=0.95)
@@ -168,11 +168,13 @@
         with patch.object(Publisher, "_freshness_message", fresh_without_its_age):
             self.assert_found([1])
 
-    def test_given_calls_numbered_alike_in_each_life_then_a_reply_to_a_former_one_is_found(self) -> None:
+    def test_given_calls_numbered_alike_in_each_incarnation_then_a_reply_to_a_former_one_is_found(
+        self,
+    ) -> None:
         with patch.object(OperatorCalls, "__init__", tokens_from_zero):
             self.assert_found([9, 4], restarts_under_way)
 
-    def test_given_calls_numbered_by_chance_then_replies_to_former_lives_do_no_harm(self) -> None:
+    def test_given_calls_numbered_by_chance_then_replies_to_former_incarnations_do_no_harm(self) -> None:
         Campaign(restarts_under_way(2)).run()
 
 
--- a/tests/campaign/upstream.py
+++ b/tests/campaign/upstream.py
@@ -16,15 +16,15 @@
 RETRY_MS = 100.0
 SERVE_ON_MS = 2_500.0  # after the acknowledged drain, before it deregisters
 LATE_HEARTBEATS = 0.15
-LEAST_LATENESS_MS, MOST_LATENESS_MS = 500.0, 6_000.0
-LIFE_SHARE_WITHOUT_DRAINING = 0.4
+LEAST_DELAY_MS, MOST_DELAY_MS = 500.0, 6_000.0
+INCARNATION_SHARE_WITHOUT_DRAINING = 0.4
 SERVICE = "s"
 
 
 class Intention(Enum):
     """What an upstream tells next."""
 
-    BEAT = "beat"
+    HEARTBEAT = "heartbeat"
     DRAIN = "drain"
     DEREGISTER = "deregister"
     NOTHING = "nothing"
@@ -40,21 +40,21 @@
         machines: Callable[[], Sequence[ControlMachine]],
         history: History,
         rng: random.Random,
-        life_ms: float,
+        incarnation_ms: float,
         answer_loss: float,
     ) -> None:
         self.instance = instance
-        self.intention = Intention.BEAT
-        self.acknowledged_beat_ms: float | None = None
+        self.intention = Intention.HEARTBEAT
+        self.acknowledged_heartbeat_ms: float | None = None
         self._links, self._clock = links, links.clock
         self._machines, self._history, self._rng = machines, history, rng
         self._answer_loss = answer_loss
         self._sequence = 0
         self._machine: ControlMachine | None = None
-        only_deregisters = rng.random() < LIFE_SHARE_WITHOUT_DRAINING
-        leaving = Intention.DEREGISTER if only_deregisters else Intention.DRAIN
-        self._clock.after(rng.uniform(0.0, HEARTBEAT_MS), self._beat)
-        self._clock.after(life_ms, lambda: self._intend(leaving))
+        only_deregisters = rng.random() < INCARNATION_SHARE_WITHOUT_DRAINING
+        stopping = Intention.DEREGISTER if only_deregisters else Intention.DRAIN
+        self._clock.after(rng.uniform(0.0, HEARTBEAT_MS), self._heartbeat)
+        self._clock.after(incarnation_ms, lambda: self._intend(stopping))
 
     def report_to(self, machine: ControlMachine) -> None:
         """Have its next call go to this machine first."""
@@ -68,16 +68,16 @@
         elif intention is Intention.DEREGISTER:
             self._tell(None, UpstreamState.DEREGISTERED)
 
-    def _beat(self) -> None:
-        if self.intention is not Intention.BEAT and self.intention is not Intention.DRAIN:
+    def _heartbeat(self) -> None:
+        if self.intention is not Intention.HEARTBEAT and self.intention is not Intention.DRAIN:
             return
-        state = "ready" if self.intention is Intention.BEAT else "draining"
+        state = "ready" if self.intention is Intention.HEARTBEAT else "draining"
         body = self._heartbeat_body(state)
         self._call(body, UpstreamState(state), lambda is_accepted: None)
         if self._rng.random() < LATE_HEARTBEATS:
-            delay_ms = self._rng.uniform(LEAST_LATENESS_MS, MOST_LATENESS_MS)
+            delay_ms = self._rng.uniform(LEAST_DELAY_MS, MOST_DELAY_MS)
             self._clock.after(delay_ms, lambda: self._repeat(body, UpstreamState(state)))
-        self._clock.after(HEARTBEAT_MS * self._rng.uniform(0.9, 1.1), self._beat)
+        self._clock.after(HEARTBEAT_MS * self._rng.uniform(0.9, 1.1), self._heartbeat)
 
     def _repeat(self, body: bytes, state: UpstreamState) -> None:
         """A heartbeat that was under way for long arrives, perhaps where it was not sent to at first."""
@@ -110,7 +110,7 @@
             if is_accepted:
                 self._history.state_acknowledged(self._clock.now_ms, self.instance, state)
                 if state is UpstreamState.READY:
-                    self.acknowledged_beat_ms = self._clock.now_ms
+                    self.acknowledged_heartbeat_ms = self._clock.now_ms
             else:
                 self._machine = None
             then(bool(is_accepted))
@@ -126,7 +126,7 @@
             else:
                 machine.heartbeat(self.instance, body, noted)
 
-        self._history.state_told(self.instance, state)
+        self._history.state_notified(self.instance, state)
         call: HttpCall[bool] = HttpCall(self._links, self.instance, machine, serve, ended)
         call.start(self._rng, self._answer_loss)
 
@@ -146,19 +146,19 @@
         self.all: list[Upstream] = []
         self._is_active = False
 
-    def start(self, count: int, life_ms: float) -> None:
+    def start(self, count: int, incarnation_ms: float) -> None:
         """Begin with so many; `life_ms` is the mean of their lives."""
         self._is_active = True
         for _ in range(count):
-            self._begin_one(life_ms)
+            self._begin_one(incarnation_ms)
 
     def stop(self) -> None:
         """No new instance begins."""
         self._is_active = False
 
-    def _begin_one(self, mean_life_ms: float) -> None:
+    def _begin_one(self, mean_incarnation_ms: float) -> None:
         if not self._is_active:
             return
-        life_ms = self._rng.uniform(0.1, 1.9) * mean_life_ms
-        self.all.append(self._make(f"u{len(self.all) + 1}", life_ms))
-        self._clock.after(life_ms, lambda: self._begin_one(mean_life_ms))
+        incarnation_ms = self._rng.uniform(0.1, 1.9) * mean_incarnation_ms
+        self.all.append(self._make(f"u{len(self.all) + 1}", incarnation_ms))
+        self._clock.after(incarnation_ms, lambda: self._begin_one(mean_incarnation_ms))
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -108,7 +108,7 @@
         self.assertIsNone(self.history.validate(command))
         self.assertEqual(self.history.commands_since(7), ())
 
-    def test_two_branches_on_the_same_number_are_told_apart(self) -> None:
+    def test_two_branches_on_the_same_number_are_notified_apart(self) -> None:
         # A primary's unacknowledged version 9 is lost and another version 9 is committed in its place.
         self.take(replacement(0, 7))
         other = self.history.copy()
@@ -156,8 +156,8 @@
         commands = [replacement(version, version + 1) for version in range(6)]
         with patch.object(history_module, "RETAINED_COMMANDS", 3):
             self.take(*commands)
-        document, digests, kept = msgspec.msgpack.decode(self.history.snapshot())
-        first_form = msgspec.msgpack.encode([document, [digest for _, digest in digests], kept])
+        document, digests, retained = msgspec.msgpack.decode(self.history.snapshot())
+        first_form = msgspec.msgpack.encode([document, [digest for _, digest in digests], retained])
 
         self.history = ConfigurationHistory.restore(first_form)
 
@@ -206,21 +206,23 @@
         self.assertEqual(self.history.commands_since(5), ())
         self.assertIsNone(self.history.commands_since(99))
 
-    def test_kept_by_count(self) -> None:
+    def test_retained_by_count(self) -> None:
         self.grow(history_module.RETAINED_COMMANDS + 10)
         self.assertIsNone(self.history.commands_since(3))
-        kept = self.history.commands_since(self.history.version - history_module.RETAINED_COMMANDS)
-        assert kept is not None
-        self.assertEqual(len(kept), history_module.RETAINED_COMMANDS)
+        retained = self.history.commands_since(self.history.version - history_module.RETAINED_COMMANDS)
+        assert retained is not None
+        self.assertEqual(len(retained), history_module.RETAINED_COMMANDS)
 
-    def test_kept_by_bytes(self) -> None:
+    def test_retained_by_bytes(self) -> None:
         self.grow(30, padding=history_module.RETAINED_COMMAND_BYTES // 10)
         self.assertIsNone(self.history.commands_since(10))
-        kept = self.history.commands_since(25)
-        assert kept is not None
-        self.assertLessEqual(sum(len(record.body) for record in kept), history_module.RETAINED_COMMAND_BYTES)
+        retained = self.history.commands_since(25)
+        assert retained is not None
+        self.assertLessEqual(
+            sum(len(record.body) for record in retained), history_module.RETAINED_COMMAND_BYTES
+        )
 
-    def test_digests_are_kept_much_longer(self) -> None:
+    def test_digests_are_retained_much_longer(self) -> None:
         self.grow(history_module.RETAINED_COMMANDS + 10)
         self.assertEqual(self.outcome(replacement(0, 1)), CommandOutcome.COMMITTED)
 
@@ -233,7 +235,7 @@
         with patch.object(history_module, "RETAINED_DIGESTS", 4):
             self.take(*self.commands)
 
-    def test_given_a_command_whose_digest_is_kept_then_it_is_acknowledged_again(self) -> None:
+    def test_given_a_command_whose_digest_is_retained_then_it_is_acknowledged_again(self) -> None:
         for command in self.commands[-4:]:
             self.assertEqual(self.outcome(command), CommandOutcome.COMMITTED)
 
@@ -241,7 +243,7 @@
         for command in self.commands[:-4]:
             self.assertEqual(self.outcome(command), CommandOutcome.UNKNOWN)
 
-    def test_given_another_command_on_a_base_that_is_kept_then_it_is_refused(self) -> None:
+    def test_given_another_command_on_a_base_that_is_retained_then_it_is_refused(self) -> None:
         self.assertEqual(self.outcome(update(6, 99)), CommandOutcome.STALE_BASE)
         self.assertEqual(self.outcome(update(99, 100)), CommandOutcome.STALE_BASE)
 
--- a/tests/configuration/test_incremental.py
+++ b/tests/configuration/test_incremental.py
@@ -167,7 +167,7 @@
         self.assertNotIn("typed", vars(after.section("routes")))
         self.assertIs(after.tenants, self.before.tenants)
 
-    def test_given_deletions_and_additions_then_the_order_is_kept(self) -> None:
+    def test_given_deletions_and_additions_then_the_order_is_retained(self) -> None:
         rng, latest = random.Random(5), self.before
         expected = {name: route(name) for name in self.names}
         for number in range(400):
--- a/tests/configuration/test_item_reading.py
+++ b/tests/configuration/test_item_reading.py
@@ -74,7 +74,7 @@
     ) -> None:
         assert_agreed(*drawn)
 
-    def test_given_an_ordinary_item_then_cattrs_is_not_asked(self) -> None:
+    def test_given_an_ordinary_item_then_cattrs_is_not_requested(self) -> None:
         with patch.object(structuring, "structure", side_effect=AssertionError):
             for kind, item in SAMPLES.items():
                 self.assertEqual(item["name"], read_item(_raw(item), kind, "here").name)
--- a/tests/configuration/test_reading.py
+++ b/tests/configuration/test_reading.py
@@ -209,7 +209,7 @@
         self.assertEqual(caught.exception.field, field)
 
     def test_items_are_replaced_in_place_appended_and_removed(self) -> None:
-        changed, new = route("a", timeout_ms=5, note={"kept": True}), route("d")
+        changed, new = route("a", timeout_ms=5, note={"retained": True}), route("d")
         read = self.updated(upsert={"routes": [new, changed]}, delete={"routes": ["b"]})
         self.assertEqual(read, whole(9, routes=[changed, whole()["routes"][2], new]))
 
@@ -290,7 +290,7 @@
         self.refused("limits.idle_timeout_ms", upsert={"limits": {"idle_timeout_ms": 0}})
         self.refused("upsert.routes[1].name", upsert={"routes": [route("d"), route("d")]})
 
-    def test_odd_shapes(self) -> None:
+    def test_invalid_shapes(self) -> None:
         self.refused("upsert", upsert=[])
         self.refused("delete", delete=["a"])
         self.refused("upsert.routes", upsert={"routes": route("a")})
--- a/tests/controlplane/cut_scenarios.py
+++ b/tests/controlplane/cut_scenarios.py
@@ -24,7 +24,7 @@
 from tests.fleet.history import Violation
 
 DURATIONS_MS = (5_000.0, 20_000.0, 40_000.0)
-SETTLE_MS, BEFORE_MS, AFTER_MS = 3_000.0, 1_500.0, 2_000.0
+STABILIZE_MS, BEFORE_MS, AFTER_MS = 3_000.0, 1_500.0, 2_000.0
 # From the end of a cut until all is as before: the machine is back, and every data plane is current.
 FULL_SERVICE_MS = 4_000.0
 # Commands come one after the other as a cut begins, in its midst and as it ends.
@@ -81,7 +81,7 @@
         operators=2,
         upstreams=2,
         command_interval_ms=400.0,
-        upstream_life_ms=6_000.0,
+        upstream_incarnation_ms=6_000.0,
         answer_loss=0.1,
     )
 
@@ -98,13 +98,13 @@
     def _run(self) -> None:
         system, cut = self.system, self._cut
         system.start()
-        system.run(SETTLE_MS)
+        system.run(STABILIZE_MS)
         self.victims = self._choose_victims()
         victim = self.victims[0]
         callers = [*system.operators, self._caller_of(victim)]
         for operator in callers:
             operator.start()
-        system.upstreams.start(system.plan.upstreams, system.plan.upstream_life_ms)
+        system.upstreams.start(system.plan.upstreams, system.plan.upstream_incarnation_ms)
         system.run(BEFORE_MS)
         self._press(victim)
         self._begin()
@@ -127,7 +127,7 @@
         Nothing else was sent to it meanwhile that could keep its answers waiting."""
         system = self.system
         system.start()
-        system.run(SETTLE_MS)
+        system.run(STABILIZE_MS)
         self.victims = self._choose_victims()
         victim = self.victims[0]
         self._command_at(victim)
@@ -162,7 +162,7 @@
 
     def _caller_of(self, victim: ControlMachine) -> Operator:
         """An operator whose calls all go to the machine that is cut off."""
-        habits = Habits(pause_ms=150.0, answer_loss=0.0, gives_up=True)
+        habits = Habits(stall_ms=150.0, answer_loss=0.0, gives_up=True)
         system = self.system
         return Operator("o-cut", system.links, lambda: [victim], self.history, system.rng, habits)
 
--- a/tests/controlplane/fleet.py
+++ b/tests/controlplane/fleet.py
@@ -47,7 +47,7 @@
         self.reads: dict[int, RespondToRead] = {}
         self.accepted: dict[int, bool] = {}  # upstreams' calls
         self.has_stalled_disk = False
-        self.told: dict[int, list[ToDataPlane]] = {}
+        self.notified: dict[int, list[ToDataPlane]] = {}
         self.log: list[LogLine] = []
 
 
@@ -102,7 +102,7 @@
 
     def subscribe(self, plane: ControlPlaneInMemory, connection: int, node: str, version: int = 0) -> None:
         """A data plane connects."""
-        plane.told[connection] = []
+        plane.notified[connection] = []
         message = Subscribe(node, "1", f"{node}:7501", "z", version)
         self.carry_out(plane, plane.core.subscribe(self.now_ms, connection, message))
 
@@ -134,12 +134,12 @@
                 frame = peer_frames.encode(effect.message)
                 self._on_the_way.append((plane.address, effect.address, frame))
             elif isinstance(effect, SendTo):
-                plane.told[effect.connection].append(effect.message)
+                plane.notified[effect.connection].append(effect.message)
             elif isinstance(effect, SendToAll):
-                for told in plane.told.values():
-                    told.append(effect.message)
+                for notified in plane.notified.values():
+                    notified.append(effect.message)
             elif isinstance(effect, Close):
-                del plane.told[effect.connection]
+                del plane.notified[effect.connection]
             elif isinstance(effect, RespondToCommand):
                 plane.commands[effect.call] = effect
             elif isinstance(effect, RespondToRead):
--- a/tests/controlplane/scripted_replica.py
+++ b/tests/controlplane/scripted_replica.py
@@ -16,7 +16,7 @@
         self.address, self.members = address, members
         self.primary = ""
         self.epoch = 1
-        self.mute = False
+        self.unresponsive = False
         self.is_needed = False
         self.fresh_age_ms: float | None = 10.0
         self.history = history
@@ -30,9 +30,9 @@
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take an event."""
         self.events.append(event)
-        if isinstance(event, CommandSubmitted) and not self.mute:
+        if isinstance(event, CommandSubmitted) and not self.unresponsive:
             return self._command(event.token, event.command)
-        if isinstance(event, ReadSubmitted) and not self.mute:
+        if isinstance(event, ReadSubmitted) and not self.unresponsive:
             return [ReadResolved(event.token, self._is_primary())]
         return []
 
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -30,8 +30,8 @@
 MessageType = TypeVar("MessageType", bound=ToDataPlane)
 
 
-def told(plane: ControlPlaneInMemory, connection: int, kind: type[MessageType]) -> list[MessageType]:
-    return [message for message in plane.told[connection] if isinstance(message, kind)]
+def notified(plane: ControlPlaneInMemory, connection: int, kind: type[MessageType]) -> list[MessageType]:
+    return [message for message in plane.notified[connection] if isinstance(message, kind)]
 
 
 class FleetStory(unittest.TestCase):
@@ -127,16 +127,16 @@
 
     def test_a_call_at_a_primary_that_hangs_ends_unclear(self) -> None:
         self.fleet.make_primary(self.first)
-        self.first.replica.mute = True
+        self.first.replica.unresponsive = True
         self.fleet.submit(self.first, 1, replacement(0, 5))
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.fleet.run(CALL_TIMEOUT_MS + 100.0)
         self.assertEqual(self.outcome(self.first, 1), CommandOutcome.UNKNOWN)
         self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
 
-    def test_a_reply_to_a_former_life_fits_no_call(self) -> None:
+    def test_a_reply_to_a_former_incarnation_fits_no_call(self) -> None:
         self.fleet.make_primary(self.first)
-        self.first.replica.mute = True
+        self.first.replica.unresponsive = True
         self.fleet.submit(self.second, 1, replacement(0, 5))
         for token in range(100):
             reply = CommandReply(token, "taken", 5, "", "")
@@ -155,9 +155,9 @@
     def test_until_they_have_the_version(self) -> None:
         self.fleet.submit(self.second, 1, replacement(0, 5))
         self.assertEqual(self.second.commands, {})
-        self.assertEqual(told(self.first, 1, Freshness)[-1].version, 5)
+        self.assertEqual(notified(self.first, 1, Freshness)[-1].version, 5)
         self.fleet.say(self.first, 1, FetchConfiguration(0))
-        self.assertEqual(told(self.first, 1, ConfigurationSnapshot)[0].document, replacement_body(5))
+        self.assertEqual(notified(self.first, 1, ConfigurationSnapshot)[0].document, replacement_body(5))
         self.fleet.say(self.first, 1, ConfigurationApplied(5))
         self.assertEqual(self.outcome(self.second, 1), CommandOutcome.COMMITTED)
 
@@ -184,7 +184,7 @@
 
     def states(self) -> list[list[str]]:
         return [
-            [record.state for delta in told(plane, number, RegistryDelta) for record in delta.upstreams]
+            [record.state for delta in notified(plane, number, RegistryDelta) for record in delta.upstreams]
             for number, plane in enumerate(self.fleet.planes)
         ]
 
@@ -200,20 +200,20 @@
         self.fleet.deregister(self.first, 4)
         self.assertEqual(self.states(), [["ready", "draining", "gone"]] * 3)
 
-    def test_plain_heartbeats_are_told_to_nobody(self) -> None:
+    def test_plain_heartbeats_are_notified_to_nobody(self) -> None:
         for sequence in range(1, 9):
             self.fleet.heartbeat(self.second, sequence)
             self.fleet.run(1000.0)
         self.assertEqual(self.states(), [["ready"]] * 3)
 
-    def test_silence_is_told_by_all(self) -> None:
+    def test_timeout_is_notified_by_all(self) -> None:
         self.fleet.heartbeat(self.second, 1)
         self.fleet.run(5000.0)
         self.assertEqual(self.states(), [["ready", "ready"]] * 3)
-        last = told(self.first, 0, RegistryDelta)[-1].upstreams[0]
+        last = notified(self.first, 0, RegistryDelta)[-1].upstreams[0]
         self.assertGreater(last.heartbeat_age_ms, 3500.0)
 
-    def test_a_control_plane_that_is_cut_off_tells_no_silence(self) -> None:
+    def test_a_control_plane_that_is_cut_off_tells_no_timeout(self) -> None:
         self.fleet.heartbeat(self.second, 1)
         self.fleet.cut.add(self.third.address)
         for sequence in range(2, 10):
@@ -221,7 +221,7 @@
             self.fleet.heartbeat(self.third, sequence)
         self.assertEqual(self.states(), [["ready"]] * 3)
 
-    def test_what_was_missed_is_told_after_a_cut(self) -> None:
+    def test_what_was_missed_is_notified_after_a_cut(self) -> None:
         self.fleet.cut.add(self.third.address)
         self.fleet.heartbeat(self.first, 1)
         self.assertEqual(self.states()[2], [])
@@ -234,7 +234,7 @@
     def test_a_new_data_plane_gets_all(self) -> None:
         self.fleet.heartbeat(self.second, 1)
         self.fleet.subscribe(self.third, 9, "front-2")
-        snapshot = told(self.third, 9, RegistrySnapshot)[0]
+        snapshot = notified(self.third, 9, RegistrySnapshot)[0]
         self.assertEqual([record.instance for record in snapshot.upstreams], ["i-1"])
 
 
@@ -249,10 +249,10 @@
         self.fleet.heartbeat(self.third, 2)
         self.assertEqual(self.third.accepted, {2: True})
 
-    def test_draining_is_accepted_once_another_has_told_its_data_planes(self) -> None:
+    def test_draining_is_accepted_once_another_has_notified_its_data_planes(self) -> None:
         self.fleet.heartbeat(self.first, 2, "draining")
         self.assertEqual(self.first.accepted[2], True)
-        self.assertEqual(told(self.second, 1, RegistryDelta)[-1].upstreams[0].state, "draining")
+        self.assertEqual(notified(self.second, 1, RegistryDelta)[-1].upstreams[0].state, "draining")
 
     def test_a_machine_alone_refuses_and_spreads_it_later(self) -> None:
         self.fleet.cut.add(self.first.address)
@@ -266,7 +266,7 @@
         self.fleet.heartbeat(self.first, 3, "draining")
         self.assertEqual(self.first.accepted[3], True)
 
-    def test_a_lost_notice_is_repeated(self) -> None:
+    def test_a_lost_broadcast_is_repeated(self) -> None:
         self.fleet.cut.update({self.second.address, self.third.address})
         self.fleet.heartbeat(self.first, 2, "draining")
         self.fleet.cut.clear()
@@ -282,7 +282,7 @@
         self.fleet.deregister(self.first, 4)
         self.assertEqual(self.first.accepted, {1: True, 2: True, 3: True})
 
-    def test_what_a_peer_told_is_confirmed_anew_by_two_disks(self) -> None:
+    def test_what_a_peer_notified_is_confirmed_anew_by_two_disks(self) -> None:
         self.fleet.heartbeat(self.first, 2, "draining")
         self.fleet.cut.add(self.second.address)
         self.fleet.heartbeat(self.second, 3, "draining")
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -28,7 +28,7 @@
     def test_given_a_primary_when_its_connections_are_reset_and_cut(self) -> None:
         self.assert_holds(Role.PRIMARY, Shape.RESET, 5_000.0)
 
-    def test_given_a_primary_when_it_is_heard_but_does_not_hear(self) -> None:
+    def test_given_a_primary_when_it_is_received_but_does_not_hear(self) -> None:
         self.assert_holds(Role.PRIMARY, Shape.CANNOT_HEAR, 5_000.0)
 
     def test_given_a_primary_when_it_is_cut_off_with_a_data_plane_and_callers(self) -> None:
@@ -37,7 +37,7 @@
     def test_given_a_primary_when_it_wakes_inside_the_cut(self) -> None:
         self.assert_holds(Role.PRIMARY, Shape.FROZEN, 5_000.0)
 
-    def test_given_a_primary_when_it_wakes_and_is_asked_for_what_it_does_not_know(self) -> None:
+    def test_given_a_primary_when_it_wakes_and_is_requested_for_what_it_does_not_know(self) -> None:
         woken_primary().run_woken_primary()
 
     def test_given_a_backup_when_it_hears_but_is_not_heard(self) -> None:
--- a/tests/controlplane/test_cut_off_upstreams.py
+++ b/tests/controlplane/test_cut_off_upstreams.py
@@ -96,8 +96,8 @@
         self.cut()
         self.fleet.heartbeat(self.cut_off, 1)
         self.assertEqual(False, self.cut_off.accepted[1])
-        told = [message for message in self.cut_off.told[1] if isinstance(message, RegistryDelta)]
-        self.assertEqual(["i-1"], [message.upstreams[0].instance for message in told])
+        notified = [message for message in self.cut_off.notified[1] if isinstance(message, RegistryDelta)]
+        self.assertEqual(["i-1"], [message.upstreams[0].instance for message in notified])
 
     def test_given_a_cut_when_others_know_it_then_its_heartbeats_are_acknowledged(self) -> None:
         self.fleet.heartbeat(self.second, 1)
@@ -137,8 +137,8 @@
             )
 
     def test_a_drain_confirmed_by_the_own_disk(self) -> None:
-        def by_one(departures: DrainTracker, needed: int) -> None:
-            confirmed_by(departures, 1)
+        def by_one(drains: DrainTracker, needed: int) -> None:
+            confirmed_by(drains, 1)
 
         confirmed_by = DrainTracker.__init__
         with mock.patch.object(DrainTracker, "__init__", by_one):
--- a/tests/controlplane/test_disk_thread.py
+++ b/tests/controlplane/test_disk_thread.py
@@ -86,8 +86,8 @@
         self.thread.submit(Rewrite(4, (b"whole",)))
         self.thread.submit(Write(5, (b"cc",)))
         self.disk.go_on.release(9)
-        told = [completion.token for _ in range(4) for completion in self.report()]
-        self.assertEqual(told, [2, 3, 4, 5])
+        notified = [completion.token for _ in range(4) for completion in self.report()]
+        self.assertEqual(notified, [2, 3, 4, 5])
         (data,) = self.disk.files.values()
         records = [record for record in decode_records(data).records if len(record) > 1]
         self.assertEqual(records, [b"whole", b"cc"])
--- a/tests/controlplane/test_hosts.py
+++ b/tests/controlplane/test_hosts.py
@@ -56,7 +56,7 @@
 
     def __init__(self, connection: aiohttp.ClientWebSocketResponse) -> None:
         self.connection = connection
-        self.told: list[ToDataPlane] = []
+        self.notified: list[ToDataPlane] = []
 
     async def say(self, message: ToControlPlane) -> None:
         await self.connection.send_bytes(to_control_plane.encode(message))
@@ -66,7 +66,7 @@
         async with asyncio.timeout(DEADLINE_S):
             while True:
                 message = to_data_plane.decode(await self.connection.receive_bytes())
-                self.told.append(message)
+                self.notified.append(message)
                 if is_it(message):
                     return message
 
@@ -178,7 +178,7 @@
         self.assertEqual((await self.command(1, "/config/replace", "0", body))[0], 200)
         self.assertEqual(await self.read(2), (200, body))
 
-    async def test_without_a_primary_it_is_told_when_to_come_back(self) -> None:
+    async def test_without_a_primary_it_is_notified_when_to_come_back(self) -> None:
         for replica in self.replicas:
             replica.primary = ""
         headers = {"X-Base-Version": "0"}
@@ -206,13 +206,13 @@
         for data_plane in data_planes:
             await data_plane.hear(lambda message: _names_state(message, "gone"))
 
-    async def test_odd_and_long_heartbeats_are_refused(self) -> None:
+    async def test_invalid_and_long_heartbeats_are_refused(self) -> None:
         self.assertEqual(await self.call(1, "i-1/heartbeat", b"{}"), 400)
         self.assertEqual(await self.call(1, "i-1/heartbeat", b" " * 5000), 413)
 
 
 class DataPlanesSubscribe(HostsStory):
-    async def test_a_version_is_told_fetched_and_acknowledged(self) -> None:
+    async def test_a_version_is_notified_fetched_and_acknowledged(self) -> None:
         data_plane = await self.subscribe(0)
         ordering = asyncio.create_task(self.command(1, "/config/replace", "0", replacement_body(5)))
         await data_plane.hear(lambda message: isinstance(message, Freshness) and message.version == 5)
@@ -224,7 +224,7 @@
         await data_plane.say(ConfigurationApplied(5))
         self.assertEqual((await ordering)[0], 200)
 
-    async def test_a_newer_connection_of_the_same_life_ends_the_older(self) -> None:
+    async def test_a_newer_connection_of_the_same_incarnation_ends_the_older(self) -> None:
         older = await self.subscribe(0)
         await self.subscribe(0)
         async with asyncio.timeout(DEADLINE_S):
@@ -232,7 +232,7 @@
                 pass
         self.assertTrue(older.connection.closed)
 
-    async def test_odd_bytes_end_the_connection(self) -> None:
+    async def test_invalid_bytes_end_the_connection(self) -> None:
         data_plane = await self.subscribe(0)
         await data_plane.connection.send_bytes(b"\xff\xff")
         async with asyncio.timeout(DEADLINE_S):
@@ -246,7 +246,7 @@
     def test_lines_are_json_with_all_fields(self) -> None:
         with tempfile.TemporaryFile() as file:
             log = open_log("core-1", BatchedOutput(file.fileno()))
-            log.info("something", count=3, odd=io.BytesIO)
+            log.info("something", count=3, invalid=io.BytesIO)
             file.seek(0)
             line = file.read()
         self.assertIn(b'"event":"something"', line)
--- a/tests/controlplane/test_process.py
+++ b/tests/controlplane/test_process.py
@@ -108,7 +108,7 @@
 
 
 class ThreeControlPlanes(ProcessesStory):
-    async def test_the_primary_hands_over_and_comes_back(self) -> None:
+    async def test_the_primary_transfers_leadership_and_comes_back(self) -> None:
         for number in (1, 2, 3):
             self.start(number, bootstrap=True)
         self.assertEqual(await self.command(2, 0, 5), 200)
--- a/tests/controlplane/test_repeated_commands.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -17,7 +17,7 @@
 from tests.campaign.system import Plan
 from tests.fleet.history import Violation
 
-SETTLE_MS = 3_000.0
+STABILIZE_MS = 3_000.0
 PATIENCE_MS = 4_000.0
 BACK_MS = 3_000.0
 
@@ -33,7 +33,7 @@
         self.clock = self.system.clock
         self.base = 0
         self.system.start()
-        self.system.run(SETTLE_MS)
+        self.system.run(STABILIZE_MS)
 
     def finish(self) -> None:
         """Calm, in which everything works and all answers are judged together."""
@@ -104,7 +104,7 @@
 
 
 class TheSameCommandAgain(CommandsStory):
-    def test_given_what_is_kept_is_little_when_it_comes_after_snapshot_wipe_and_failover(self) -> None:
+    def test_given_what_is_retained_is_little_when_it_comes_after_snapshot_wipe_and_failover(self) -> None:
         with keeping_little():
             intents = self.take(20)
             for lost in self.others(self.primary):  # whoever is primary then had it from a snapshot
@@ -143,7 +143,7 @@
         self.assert_taken_again(intents)
         self.finish()
 
-    def test_given_more_came_since_than_digests_are_kept_then_it_is_never_refused(self) -> None:
+    def test_given_more_came_since_than_digests_are_retained_then_it_is_never_refused(self) -> None:
         with patch("madderwind.configuration.history.RETAINED_DIGESTS", 4):
             intents = self.take(12)
             for machine in list(self.system.machines.values()):
@@ -219,18 +219,18 @@
         self.assertEqual(CommandOutcome.COMMITTED, self.outcome(old, unclear))
         self.finish()
 
-    def test_given_a_command_that_the_backups_hold_when_its_primary_dies_then_it_is_kept(self) -> None:
+    def test_given_a_command_that_the_backups_hold_when_its_primary_dies_then_it_is_retained(self) -> None:
         self.take(2)
         old = self.primary
-        kept = self.intent(update, self.base, self.base + 1)
-        self.send(old, kept)
-        while not all(machine.disk.holds(kept.command) for machine in self.others(old)):
+        retained = self.intent(update, self.base, self.base + 1)
+        self.send(old, retained)
+        while not all(machine.disk.holds(retained.command) for machine in self.others(old)):
             self.system.run(1.0)
         old.kill()
         self.system.run(2_000.0)
         rival = self.intent(update, self.base, self.base + 1)
         self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.others(old)[0], rival))
-        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[1], kept))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[1], retained))
         old.start()
         self.finish()
 
@@ -273,7 +273,7 @@
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
     def test_a_digest_left_out_of_the_snapshot(self) -> None:
-        name = "test_given_what_is_kept_is_little_when_it_comes_after_snapshot_wipe_and_failover"
+        name = "test_given_what_is_retained_is_little_when_it_comes_after_snapshot_wipe_and_failover"
         with patch.object(ConfigurationHistory, "snapshot", snapshot_without_digests):
             self.assert_caught(TheSameCommandAgain(name))
 
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -46,7 +46,7 @@
 class CallsThatAreSentAgain(FleetStory):
     def test_given_a_new_epoch_of_the_same_primary_then_the_call_is_under_way_there_once(self) -> None:
         self.fleet.make_primary(self.first)
-        self.first.replica.mute = True
+        self.first.replica.unresponsive = True
         self.fleet.submit(self.second, 1, replacement(0, 5))
         for epoch in range(3, 9):
             self.fleet.make_primary(self.first, epoch)
@@ -112,9 +112,11 @@
             for name in names:
                 self.assert_caught(CallsThatAreSentAgain(name))
 
-    def test_a_reply_matched_without_its_life(self) -> None:
+    def test_a_reply_matched_without_its_incarnation(self) -> None:
         with patch.object(OperatorCalls, "__init__", begin_with_the_same_tokens):
-            self.assert_caught(test_core.TheOperatorCalls("test_a_reply_to_a_former_life_fits_no_call"))
+            self.assert_caught(
+                test_core.TheOperatorCalls("test_a_reply_to_a_former_incarnation_fits_no_call")
+            )
 
     def test_a_host_that_goes_by_the_time_of_day(self) -> None:
         with patch.object(ControlPlaneHost, "_now_ms", time_of_day_ms):
--- a/tests/controlplane/test_upstream_calls.py
+++ b/tests/controlplane/test_upstream_calls.py
@@ -70,15 +70,15 @@
             self.fleet.subscribe(plane, connection, "front-1")
         self.fleet.heartbeat(self.first, 1)
 
-    def told(self, plane: ControlPlaneInMemory) -> list[str]:
+    def notified(self, plane: ControlPlaneInMemory) -> list[str]:
         """The states of which its data planes were told, the last one last."""
-        deltas = [m for messages in plane.told.values() for m in messages if isinstance(m, RegistryDelta)]
+        deltas = [m for messages in plane.notified.values() for m in messages if isinstance(m, RegistryDelta)]
         return [record.state for delta in deltas for record in delta.upstreams]
 
-    def test_is_acknowledged_once_the_data_planes_of_two_machines_are_told(self) -> None:
+    def test_is_acknowledged_once_the_data_planes_of_two_machines_are_notified(self) -> None:
         self.fleet.deregister(self.first, 2)
         self.assertEqual(self.first.accepted[2], True)
-        self.assertEqual([self.told(plane) for plane in self.fleet.planes], [["ready", "gone"]] * 3)
+        self.assertEqual([self.notified(plane) for plane in self.fleet.planes], [["ready", "gone"]] * 3)
 
     def test_is_refused_in_time_by_a_machine_alone_which_tells_it_later(self) -> None:
         self.fleet.cut.update({self.second.address, self.third.address})
@@ -88,7 +88,7 @@
         self.fleet.cut.clear()
         self.fleet.deregister(self.second, 3)
         self.assertEqual(self.second.accepted[3], True)
-        self.assertEqual({self.told(plane)[-1] for plane in self.fleet.planes}, {"gone"})
+        self.assertEqual({self.notified(plane)[-1] for plane in self.fleet.planes}, {"gone"})
 
     def test_stays_ended_when_its_heartbeats_come_late_at_any_machine(self) -> None:
         self.fleet.deregister(self.second, 2)
@@ -96,7 +96,7 @@
             for sequence, state in ((1, "ready"), (8, "ready"), (9, "draining")):
                 self.fleet.heartbeat(plane, sequence, state)
             self.fleet.run(1_000.0)
-        self.assertEqual([self.told(plane) for plane in self.fleet.planes], [["ready", "gone"]] * 3)
+        self.assertEqual([self.notified(plane) for plane in self.fleet.planes], [["ready", "gone"]] * 3)
 
     def test_that_one_machine_acknowledges_alone_would_be_noticed(self) -> None:
         at_once = mock.patch.object(
--- a/tests/distribution/test_cut_off_sources.py
+++ b/tests/distribution/test_cut_off_sources.py
@@ -36,10 +36,10 @@
         self.happens(TimePassed())
         self.connects(*SEEDS)
         for address in SEEDS:
-            self.told(address, 5)
+            self.notified(address, 5)
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
 
-    def told(
+    def notified(
         self,
         address: str,
         version: int,
@@ -72,54 +72,54 @@
     def test_given_control_planes_that_are_cut_off_then_their_word_ages(self) -> None:
         for since_ms in range(0, int(CUT_MS), int(INTERVAL_MS)):
             for address in SEEDS:
-                self.told(address, 5, age_ms=50.0 + since_ms)
+                self.notified(address, 5, age_ms=50.0 + since_ms)
             self.assertEqual(50.0 + since_ms < CURRENT_MS, self.is_current, since_ms)
             self.happens(TimePassed(), INTERVAL_MS)
 
-    def test_given_words_that_were_held_up_then_they_are_old_on_arrival(self) -> None:
+    def test_given_words_that_were_delayed_then_they_are_old_on_arrival(self) -> None:
         self.happens(TimePassed(), 1_000.0)
         for address in SEEDS:
-            self.told(address, 5, late_ms=900.0)
+            self.notified(address, 5, late_ms=900.0)
         self.assertFalse(self.is_current)
         self.assertFalse(self.is_in_touch)
-        self.told(SECOND, 5)
+        self.notified(SECOND, 5)
         self.assertTrue(self.is_current)
 
-    def test_given_words_that_wait_longer_and_longer_then_no_silence_is_needed_to_notice(self) -> None:
+    def test_given_words_that_wait_longer_and_longer_then_no_timeout_is_needed_to_broadcast(self) -> None:
         for late_ms in range(0, 2_000, 40):
             self.happens(TimePassed(), INTERVAL_MS)
             for address in SEEDS:
-                self.told(address, 5, late_ms=late_ms)
+                self.notified(address, 5, late_ms=late_ms)
             self.assertEqual(50.0 + late_ms < CURRENT_MS, self.is_current, late_ms)
 
     def test_given_a_frozen_data_plane_when_it_wakes_then_what_it_reads_first_is_old(self) -> None:
         self.now_ms += CUT_MS
-        self.told(SECOND, 5, late_ms=CUT_MS - 100.0)
+        self.notified(SECOND, 5, late_ms=CUT_MS - 100.0)
         self.assertFalse(self.is_current)
 
-    def test_given_one_that_told_a_newer_version_then_the_others_prove_nothing(self) -> None:
-        self.told(THIRD, 7)
+    def test_given_one_that_notified_a_newer_version_then_the_others_prove_nothing(self) -> None:
+        self.notified(THIRD, 7)
         self.happens(LinkClosed(THIRD))
         for address in (FIRST, SECOND):
-            self.told(address, 5)
+            self.notified(address, 5)
         self.assertFalse(self.is_current)
         self.hears(SECOND, ConfigurationSnapshot(7, body(7)))
-        self.told(FIRST, 7)
+        self.notified(FIRST, 7)
         self.assertTrue(self.is_current)
 
-    def test_given_a_control_plane_without_any_lease_in_its_life_then_nothing_is_current(self) -> None:
+    def test_given_a_control_plane_without_any_lease_in_its_incarnation_then_nothing_is_current(self) -> None:
         for address in SEEDS:
             self.happens(LinkClosed(address))
         self.happens(TimePassed(), 1_000.0)
         self.happens(LinkOpened(FIRST))
-        self.told(FIRST, 5, age_ms=None)
+        self.notified(FIRST, 5, age_ms=None)
         self.assertFalse(self.is_current)
 
 
 class WhoIsPrimary(CutOffStory):
     def test_given_a_former_primary_that_speaks_on_then_the_newer_one_counts(self) -> None:
-        self.told(SECOND, 5, epoch=3, is_primary=True)
-        self.told(FIRST, 5, epoch=2, is_primary=True)
+        self.notified(SECOND, 5, epoch=3, is_primary=True)
+        self.notified(FIRST, 5, epoch=2, is_primary=True)
         self.assertEqual(SECOND, self.subscriber.primary)
 
     def test_given_one_that_names_a_former_primary_then_the_one_in_touch_counts(self) -> None:
@@ -128,7 +128,7 @@
 
     def test_given_a_primary_that_gave_up_then_the_one_that_is_named_counts(self) -> None:
         self.hears(THIRD, ControlPlanes(SEEDS, SECOND))
-        self.told(FIRST, 5, is_primary=False)
+        self.notified(FIRST, 5, is_primary=False)
         self.assertFalse(self.is_in_touch)
         self.assertEqual(SECOND, self.subscriber.primary)
 
@@ -140,30 +140,30 @@
 
 class HowManyShareTheLimits(CutOffStory):
     def test_given_a_backup_that_knows_fewer_then_the_primary_counts(self) -> None:
-        self.told(SECOND, 5, data_planes=1)
+        self.notified(SECOND, 5, data_planes=1)
         self.assertEqual(6, self.subscriber.data_planes)
-        self.told(FIRST, 5, data_planes=4)
+        self.notified(FIRST, 5, data_planes=4)
         self.assertEqual(4, self.subscriber.data_planes)
 
     def test_given_only_one_that_is_cut_off_then_the_number_does_not_fall(self) -> None:
         self.happens(LinkClosed(FIRST))
-        self.told(SECOND, 5, age_ms=CUT_MS, data_planes=1)
+        self.notified(SECOND, 5, age_ms=CUT_MS, data_planes=1)
         self.assertEqual(6, self.subscriber.data_planes)
-        self.told(SECOND, 5, age_ms=CUT_MS, data_planes=8)
+        self.notified(SECOND, 5, age_ms=CUT_MS, data_planes=8)
         self.assertEqual(8, self.subscriber.data_planes)
 
 
 class TheOtherClock(CutOffStory):
-    def test_given_a_connection_that_stands_then_the_clock_is_asked_for_less_and_less(self) -> None:
-        asked_ms = [0.0]
+    def test_given_a_connection_that_stands_then_the_clock_is_requested_for_less_and_less(self) -> None:
+        requested_ms = [0.0]
         opened_ms = self.now_ms
         while self.now_ms - opened_ms < 3 * MAX_CLOCK_INTERVAL_MS:
-            self.told(FIRST, 5)
+            self.notified(FIRST, 5)
             for action in self.happens(TimePassed(), 50.0):
                 if isinstance(action, Send) and action.address == FIRST:
                     self.assertIsInstance(action.message, ClockRequest)
-                    asked_ms.append(self.now_ms - opened_ms)
-        pauses_ms = [after - before for before, after in itertools.pairwise(asked_ms)]
+                    requested_ms.append(self.now_ms - opened_ms)
+        pauses_ms = [after - before for before, after in itertools.pairwise(requested_ms)]
         self.assertEqual([250.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0, 16_000.0, 20_000.0], pauses_ms)
 
     def test_given_a_first_answer_that_took_long_then_the_version_is_current_soon(self) -> None:
@@ -172,10 +172,10 @@
         self.happens(LinkOpened(SECOND))
         self.sent.clear()
         self.now_ms += 590.0  # the control plane was busy when the subscription came
-        self.told(SECOND, 5)
+        self.notified(SECOND, 5)
         self.assertFalse(self.is_current)
         self.answer_clocks()
-        self.told(SECOND, 5)
+        self.notified(SECOND, 5)
         self.assertTrue(self.is_current)
 
     def answer_clocks(self) -> None:
@@ -191,7 +191,7 @@
             self.now_ms += MAX_CLOCK_INTERVAL_MS / 16
             self.ahead_ms -= MAX_CLOCK_INTERVAL_MS / 16 * drift
             for address in SEEDS:
-                self.told(address, 5)
+                self.notified(address, 5)
             self.answer_clocks()
             self.assertTrue(self.is_current)
 
@@ -204,10 +204,10 @@
             self.sent.clear()
             self.hears(FIRST, RegistrySnapshot(()), 250.0)
         self.assertIsInstance(self.sent[0][1], ClockRequest)
-        self.told(FIRST, 5, late_ms=self.now_ms - opened_ms)
+        self.notified(FIRST, 5, late_ms=self.now_ms - opened_ms)
         self.assertFalse(self.is_current)
 
-    def test_given_a_reading_that_was_held_up_then_it_binds_no_later_than_the_question(self) -> None:
+    def test_given_a_reading_that_was_delayed_then_it_binds_no_later_than_the_question(self) -> None:
         clock = RemoteClock()
         self.assertIsNone(clock.sent_after_ms(10.0, 5.0))
         clock.handle_reading(now_ms=900.0, requested_ms=100.0, clock_ms=5_000.0)
@@ -230,17 +230,17 @@
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
     def test_freshness_that_is_not_aged(self) -> None:
-        def told_age_ms(link: ControlPlaneLink, now_ms: float) -> float | None:
+        def notified_age_ms(link: ControlPlaneLink, now_ms: float) -> float | None:
             return None if link.freshness is None else link.freshness.age_ms
 
         name = "test_given_a_primary_that_is_cut_off_then_the_named_one_counts_once_its_word_is_old"
-        with patch.object(ControlPlaneLink, "age_ms", told_age_ms):
+        with patch.object(ControlPlaneLink, "age_ms", notified_age_ms):
             self.assert_caught(WhoIsPrimary(name))
 
     def test_freshness_that_counts_from_the_arrival(self) -> None:
         names = (
-            "test_given_words_that_were_held_up_then_they_are_old_on_arrival",
-            "test_given_words_that_wait_longer_and_longer_then_no_silence_is_needed_to_notice",
+            "test_given_words_that_were_delayed_then_they_are_old_on_arrival",
+            "test_given_words_that_wait_longer_and_longer_then_no_timeout_is_needed_to_broadcast",
             "test_given_a_frozen_data_plane_when_it_wakes_then_what_it_reads_first_is_old",
         )
         with patch.object(RemoteClock, "sent_after_ms", lambda clock, now_ms, clock_ms: now_ms):
--- a/tests/distribution/test_exchange.py
+++ b/tests/distribution/test_exchange.py
@@ -26,7 +26,7 @@
         owed = self.exchange.owed(participant)
         return owed.used if owed is not None else {}
 
-    def test_each_is_told_what_the_others_used_once(self) -> None:
+    def test_each_is_notified_what_the_others_used_once(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {}))
         self.exchange.report("b", UsageReport(1, {"t": 5.0, "u": 1.0}, {}))
         self.assertEqual(self.used("a"), {"t": 5.0, "u": 1.0})
@@ -55,7 +55,7 @@
         self.exchange.remove("a")
         self.assertEqual(self.exchange.owed("b"), PeerUsage({"t": 10.0}, {}))
 
-    def test_rates_of_demand_are_told_when_they_change(self) -> None:
+    def test_rates_of_demand_are_notified_when_they_change(self) -> None:
         self.exchange.report("a", UsageReport(1, {}, {"t": 100.0}))
         self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {"t": 100.0}))
         self.exchange.report("a", UsageReport(2, {}, {"t": 101.0}))
@@ -73,7 +73,7 @@
         for name in ("a", "b"):
             self.exchange.join(name)
 
-    def test_each_is_told_the_sum_of_the_others_when_it_changes(self) -> None:
+    def test_each_is_notified_the_sum_of_the_others_when_it_changes(self) -> None:
         self.exchange.join("c")
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.exchange.report("b", LoadReport({"i": (10.0, 2.0, 50.0), "j": (0.0, 1.0, 5.0)}))
@@ -87,7 +87,7 @@
         self.exchange.suspend("a")
         self.assertEqual(self.exchange.owed("b"), PeerLoad({}))
 
-    def test_who_comes_back_is_told_the_whole_sum(self) -> None:
+    def test_who_comes_back_is_notified_the_whole_sum(self) -> None:
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.exchange.owed("b")
         self.exchange.join("b")
@@ -115,7 +115,7 @@
         self.assertEqual(self.exchange.owed(0.0, "a"), PeerDispatches((prompt("4"),)))
         self.assertIsNone(self.exchange.owed(0.0, "c"))
 
-    def test_that_nothing_was_sent_is_told_seldom(self) -> None:
+    def test_that_nothing_was_sent_is_notified_seldom(self) -> None:
         times = [time_ms for time_ms in range(0, 2_000, 25) if self.exchange.owed(float(time_ms), "a")]
         self.assertEqual(times, [0, 400, 800, 1_200, 1_600])
 
@@ -125,12 +125,12 @@
         self.exchange.report("a", DispatchReport((prompt("2"),)))
         self.assertEqual(self.exchange.owed(0.0, "d"), PeerDispatches((prompt("2"),)))
 
-    def test_what_is_kept_is_bounded(self) -> None:
+    def test_what_is_retained_is_bounded(self) -> None:
         for _ in range(10_000):
             self.exchange.report("a", DispatchReport((prompt("1"),)))
-        told = self.exchange.owed(0.0, "b")
-        assert told is not None
-        self.assertLessEqual(len(told.prompts), 2_000)
+        notified = self.exchange.owed(0.0, "b")
+        assert notified is not None
+        self.assertLessEqual(len(notified.prompts), 2_000)
 
     def test_who_is_forgotten_is_not_heard(self) -> None:
         self.exchange.remove("a")
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -58,8 +58,10 @@
         self.publisher.update(0.0, PRIMARY, self.history)
         self.publisher.tick(0.0)
 
-    def subscribed(self, connection: int, node: str, life: str = "1", now_ms: float = 0.0) -> list[Delivery]:
-        message = Subscribe(node, life, f"{node}:7501", "z", 0)
+    def subscribed(
+        self, connection: int, node: str, incarnation: str = "1", now_ms: float = 0.0
+    ) -> list[Delivery]:
+        message = Subscribe(node, incarnation, f"{node}:7501", "z", 0)
         return self.publisher.subscribe(now_ms, connection, message, (UPSTREAM,))
 
     def commit(self, now_ms: float, version: int) -> list[Delivery]:
@@ -69,21 +71,21 @@
 
 
 class ADataPlaneSubscribes(PublisherStory):
-    def test_it_is_told_all_there_is(self) -> None:
-        told = self.subscribed(1, "front-1")
+    def test_it_is_notified_all_there_is(self) -> None:
+        notified = self.subscribed(1, "front-1")
         self.assertEqual(
-            sent(told, ControlPlanes, 1),
+            sent(notified, ControlPlanes, 1),
             [ControlPlanes(("10.0.0.1:7500", "10.0.0.2:7500"), "10.0.0.1:7500")],
         )
-        self.assertEqual(sent(told, RegistrySnapshot, 1), [RegistrySnapshot((UPSTREAM,))])
-        self.assertEqual(sent(told, Freshness, 1), [Freshness(0, 3, 20, True, 1, 0)])
-        self.assertEqual(sent(told, PeerSample, 1), [PeerSample(())])
+        self.assertEqual(sent(notified, RegistrySnapshot, 1), [RegistrySnapshot((UPSTREAM,))])
+        self.assertEqual(sent(notified, Freshness, 1), [Freshness(0, 3, 20, True, 1, 0)])
+        self.assertEqual(sent(notified, PeerSample, 1), [PeerSample(())])
 
     def test_it_hears_of_others(self) -> None:
         self.subscribed(1, "front-1")
-        told = self.subscribed(2, "front-2")
-        self.assertEqual(sent(told, PeerSample, 2), [PeerSample(("front-1:7501",))])
-        self.assertEqual(sent(told, Freshness, 2)[0].data_planes, 2)
+        notified = self.subscribed(2, "front-2")
+        self.assertEqual(sent(notified, PeerSample, 2), [PeerSample(("front-1:7501",))])
+        self.assertEqual(sent(notified, Freshness, 2)[0].data_planes, 2)
 
     def test_its_newer_connection_replaces_the_older(self) -> None:
         self.subscribed(1, "front-1")
@@ -98,15 +100,15 @@
             self.publisher.publish_upstreams([UPSTREAM]), [SendToAll(RegistryDelta((UPSTREAM,)))]
         )
 
-    def test_new_control_planes_are_told(self) -> None:
+    def test_new_control_planes_are_notified(self) -> None:
         self.subscribed(1, "front-1")
         moved = PublishedStatus(4, None, False, "10.0.0.2:7500", PRIMARY.members)
-        told = sent(self.publisher.update(1.0, moved, self.history), ControlPlanes)
-        self.assertEqual([message.primary for message in told], ["10.0.0.2:7500"])
+        notified = sent(self.publisher.update(1.0, moved, self.history), ControlPlanes)
+        self.assertEqual([message.primary for message in notified], ["10.0.0.2:7500"])
 
 
 class VersionsAreTold(PublisherStory):
-    def test_a_committed_version_is_told_at_once_and_again_by_time(self) -> None:
+    def test_a_committed_version_is_notified_at_once_and_again_by_time(self) -> None:
         self.subscribed(1, "front-1")
         self.assertEqual([f.version for f in sent(self.commit(10.0, 5), Freshness)], [5])
         self.assertEqual(self.publisher.tick(11.0), [])
@@ -116,9 +118,9 @@
     def test_a_fetch_from_nothing_gets_the_whole_document(self) -> None:
         self.subscribed(1, "front-1")
         self.commit(10.0, 5)
-        told = self.publisher.receive(11.0, 1, FetchConfiguration(0))
+        notified = self.publisher.receive(11.0, 1, FetchConfiguration(0))
         assert self.history.document is not None
-        self.assertEqual(told, [SendTo(1, ConfigurationSnapshot(5, self.history.document.raw))])
+        self.assertEqual(notified, [SendTo(1, ConfigurationSnapshot(5, self.history.document.raw))])
 
     def test_a_fetch_from_the_version_before_gets_the_command(self) -> None:
         self.subscribed(1, "front-1")
@@ -126,8 +128,8 @@
         self.history = self.history.copy()
         self.history.apply(update(5, 9))
         self.publisher.update(20.0, PRIMARY, self.history)
-        told = self.publisher.receive(21.0, 1, FetchConfiguration(5))
-        deltas = sent(told, ConfigurationDelta, 1)
+        notified = self.publisher.receive(21.0, 1, FetchConfiguration(5))
+        deltas = sent(notified, ConfigurationDelta, 1)
         self.assertEqual([(delta.base_version, delta.version) for delta in deltas], [(5, 9)])
         self.assertEqual([command.kind for command in deltas[0].commands], ["update"])
 
@@ -184,10 +186,10 @@
         self.publisher.tick(101.0 + REMOVE_AFTER_MS)
         self.assertEqual(self.publisher.data_plane_count(), 0)
 
-    def test_a_restarted_one_counts_once_and_one_that_said_farewell_not(self) -> None:
-        self.subscribed(1, "front-1", life="1")
+    def test_a_restarted_one_counts_once_and_one_that_said_goodbye_not(self) -> None:
+        self.subscribed(1, "front-1", incarnation="1")
         self.publisher.disconnect(100.0, 1)
-        self.subscribed(2, "front-1", life="2", now_ms=200.0)
+        self.subscribed(2, "front-1", incarnation="2", now_ms=200.0)
         self.assertEqual(self.publisher.data_plane_count(), 1)
         self.publisher.receive(300.0, 2, Goodbye())
         self.publisher.disconnect(400.0, 2)
@@ -201,12 +203,12 @@
             self.subscribed(connection, node)
         self.publisher.receive(1.0, 1, UsageReport(1, {"t": 10.0}, {"t": 2.0}))
         self.publisher.receive(1.0, 1, LoadReport({"i-1": (5.0, 1.0, 9.0)}))
-        told = self.publisher.tick(1000.0)
-        self.assertEqual(sent(told, PeerUsage, 2), [PeerUsage({"t": 10.0}, {"t": 2.0})])
-        self.assertEqual(sent(told, PeerLoad, 2), [PeerLoad({"i-1": (5, 1, 9)})])
-        self.assertEqual(sent(told, PeerUsage, 1), [])
+        notified = self.publisher.tick(1000.0)
+        self.assertEqual(sent(notified, PeerUsage, 2), [PeerUsage({"t": 10.0}, {"t": 2.0})])
+        self.assertEqual(sent(notified, PeerLoad, 2), [PeerLoad({"i-1": (5, 1, 9)})])
+        self.assertEqual(sent(notified, PeerUsage, 1), [])
 
-    def test_over_a_new_connection_of_the_same_life(self) -> None:
+    def test_over_a_new_connection_of_the_same_incarnation(self) -> None:
         for connection, node in ((1, "front-1"), (2, "front-2")):
             self.subscribed(connection, node)
         self.publisher.disconnect(1.0, 2)
--- a/tests/distribution/test_reading_ahead.py
+++ b/tests/distribution/test_reading_ahead.py
@@ -33,24 +33,24 @@
         self.happens(TimePassed())
         self.connects(FIRST, SECOND)
         for address in (FIRST, SECOND):
-            self.hears_freshness(address, 5)
-        ((self.asked, _),) = self.fetches()
+            self.receives_freshness(address, 5)
+        ((self.requested, _),) = self.fetches()
 
-    def test_given_one_that_is_being_read_then_nobody_else_is_asked_for_it(self) -> None:
-        self.happens(ConfigurationArrived(self.asked))
+    def test_given_one_that_is_being_read_then_nobody_else_is_requested_for_it(self) -> None:
+        self.happens(ConfigurationArrived(self.requested))
         for address in (FIRST, SECOND) * 5:
-            self.hears_freshness(address, 5, after_ms=FETCH_TIMEOUT_MS / 4)
+            self.receives_freshness(address, 5, after_ms=FETCH_TIMEOUT_MS / 4)
         self.assertEqual(1, len(self.fetches()))
 
-    def test_given_one_that_is_never_read_to_its_end_then_another_is_asked(self) -> None:
-        self.happens(ConfigurationArrived(self.asked))
+    def test_given_one_that_is_never_read_to_its_end_then_another_is_requested(self) -> None:
+        self.happens(ConfigurationArrived(self.requested))
         for address in (FIRST, SECOND) * 10:
-            self.hears_freshness(address, 5, after_ms=READING_TIMEOUT_MS / 15)
+            self.receives_freshness(address, 5, after_ms=READING_TIMEOUT_MS / 15)
         self.assertGreater(len(self.fetches()), 1)
 
     def test_given_one_that_was_read_then_it_is_put_in_force_as_it_is(self) -> None:
         document = document_after(None, SNAPSHOT)
-        actions = self.happens(MessageReceived(self.asked, SNAPSHOT, ReadAhead(None, document)))
+        actions = self.happens(MessageReceived(self.requested, SNAPSHOT, ReadAhead(None, document)))
         put = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
         self.assertIs(document, put[0])
 
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -56,7 +56,7 @@
     def setUp(self) -> None:
         self.now_ms = 1000.0
         self.subscriber = Subscriber(
-            self.now_ms, Identity("front-1", "life", "10.0.0.9:7501", "z1"), SEEDS, 3, random.Random(1)
+            self.now_ms, Identity("front-1", "incarnation", "10.0.0.9:7501", "z1"), SEEDS, 3, random.Random(1)
         )
         self.sent: list[tuple[str, ToControlPlane]] = []
         self.in_force: list[int] = []
@@ -73,7 +73,7 @@
     def hears(self, address: str, message: ToDataPlane, after_ms: float = 0.0) -> list[Action]:
         return self.happens(MessageReceived(address, message), after_ms)
 
-    def hears_freshness(
+    def receives_freshness(
         self, address: str, version: int, age_ms: float | None = 0.0, after_ms: float = 0.0
     ) -> None:
         clock_ms = self.now_ms + after_ms
@@ -91,12 +91,12 @@
 
 
 class Connections(Story):
-    def test_all_wanted_are_dialled_at_once_and_told_who_subscribes(self) -> None:
+    def test_all_wanted_are_dialled_at_once_and_notified_who_subscribes(self) -> None:
         self.assertEqual(self.dialled(self.happens(TimePassed())), set(SEEDS))
         self.connects(FIRST)
         (address, message) = self.sent[0]
         self.assertEqual(address, FIRST)
-        self.assertEqual(message, Subscribe("front-1", "life", "10.0.0.9:7501", "z1", 0))
+        self.assertEqual(message, Subscribe("front-1", "incarnation", "10.0.0.9:7501", "z1", 0))
 
     def test_a_failed_dial_is_repeated_after_a_wait_that_grows(self) -> None:
         self.happens(TimePassed())
@@ -111,7 +111,7 @@
         self.assertGreater(waits[-1], 400.0)
         self.assertLessEqual(max(waits), 1000.0)
 
-    def test_a_silent_one_is_closed_and_dialled_again(self) -> None:
+    def test_a_timed_out_one_is_closed_and_dialled_again(self) -> None:
         self.happens(TimePassed())
         self.connects(FIRST)
         self.assertNotIn(Disconnect(FIRST), self.happens(TimePassed(), LINK_TIMEOUT_MS))
@@ -137,16 +137,16 @@
     def test_others_that_a_control_plane_names_take_the_place_of_those_that_fail(self) -> None:
         self.happens(TimePassed())
         self.connects(SECOND, THIRD)
-        told = ControlPlanes((SECOND, THIRD, "10.0.0.4:7500"), THIRD)
-        self.assertEqual(self.dialled(self.hears(SECOND, told)), set())
+        notified = ControlPlanes((SECOND, THIRD, "10.0.0.4:7500"), THIRD)
+        self.assertEqual(self.dialled(self.hears(SECOND, notified)), set())
         actions = self.happens(LinkClosed(FIRST))
         self.assertEqual(self.dialled(actions), {"10.0.0.4:7500"})
 
     def test_the_primary_is_connected_beyond_the_number_wanted(self) -> None:
         self.happens(TimePassed())
         self.connects(*SEEDS)
-        told = ControlPlanes((*SEEDS, "10.0.0.4:7500"), "10.0.0.4:7500")
-        self.assertEqual(self.dialled(self.hears(SECOND, told)), {"10.0.0.4:7500"})
+        notified = ControlPlanes((*SEEDS, "10.0.0.4:7500"), "10.0.0.4:7500")
+        self.assertEqual(self.dialled(self.hears(SECOND, notified)), {"10.0.0.4:7500"})
 
     def test_new_seeds_are_dialled_when_old_ones_fail(self) -> None:
         self.happens(TimePassed())
@@ -154,7 +154,7 @@
             self.happens(LinkClosed(address))
         self.assertEqual(self.dialled(self.happens(SeedsChanged(("10.0.0.7:7500",)))), {"10.0.0.7:7500"})
 
-    def test_leaving_is_told_to_all_and_nothing_is_dialled_any_more(self) -> None:
+    def test_stopping_is_notified_to_all_and_nothing_is_dialled_any_more(self) -> None:
         self.happens(TimePassed())
         self.connects(FIRST, SECOND)
         actions = self.happens(ShutdownRequested())
@@ -177,24 +177,24 @@
         self.connects(*SEEDS)
 
     def test_is_fetched_from_the_first_that_offers_it_and_acknowledged_to_all(self) -> None:
-        self.hears_freshness(SECOND, 5)
-        self.hears_freshness(THIRD, 5)
+        self.receives_freshness(SECOND, 5)
+        self.receives_freshness(THIRD, 5)
         self.assertEqual(self.fetches(), [(SECOND, 0)])
         self.hears(SECOND, ConfigurationSnapshot(5, body(5)))
         self.assertEqual(self.in_force, [5])
-        told = [address for address, message in self.sent if message == ConfigurationApplied(5)]
-        self.assertEqual(sorted(told), sorted(SEEDS))
+        notified = [address for address, message in self.sent if message == ConfigurationApplied(5)]
+        self.assertEqual(sorted(notified), sorted(SEEDS))
         self.assertEqual(self.fetches(), [(SECOND, 0)])
 
-    def test_is_asked_of_another_when_the_answer_does_not_come(self) -> None:
-        self.hears_freshness(SECOND, 5)
-        self.hears_freshness(THIRD, 5)
+    def test_is_requested_of_another_when_the_answer_does_not_come(self) -> None:
+        self.receives_freshness(SECOND, 5)
+        self.receives_freshness(THIRD, 5)
         self.happens(TimePassed(), FETCH_TIMEOUT_MS + 1)
         self.assertEqual(self.fetches(), [(SECOND, 0), (THIRD, 0)])
 
-    def test_is_asked_of_another_at_once_when_the_connection_ends(self) -> None:
-        self.hears_freshness(SECOND, 5)
-        self.hears_freshness(THIRD, 5)
+    def test_is_requested_of_another_at_once_when_the_connection_ends(self) -> None:
+        self.receives_freshness(SECOND, 5)
+        self.receives_freshness(THIRD, 5)
         self.happens(LinkClosed(SECOND))
         self.assertEqual(self.fetches(), [(SECOND, 0), (THIRD, 0)])
 
@@ -217,13 +217,13 @@
     def test_never_goes_back(self) -> None:
         self.hears(FIRST, ConfigurationSnapshot(7, body(7)))
         self.hears(SECOND, ConfigurationSnapshot(5, body(5)))
-        self.hears_freshness(SECOND, 5)
+        self.receives_freshness(SECOND, 5)
         self.assertEqual(self.in_force, [7])
         self.assertEqual(self.fetches(), [])
 
     def test_is_fetched_anew_where_a_delta_has_another_base(self) -> None:
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
-        self.hears_freshness(FIRST, 9)
+        self.receives_freshness(FIRST, 9)
         self.hears(FIRST, ConfigurationDelta(6, 9, (CommandRecord(9, 6, "update", update(9)),)))
         self.assertEqual(self.in_force, [5])
         self.assertEqual(self.fetches(), [(FIRST, 5), (FIRST, 5)])
@@ -246,15 +246,15 @@
     def test_needs_a_configuration_that_is_called_fresh(self) -> None:
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
         self.assertFalse(self.subscriber.is_ready)
-        self.hears_freshness(SECOND, 5, age_ms=None)
+        self.receives_freshness(SECOND, 5, age_ms=None)
         self.assertFalse(self.subscriber.is_ready)
-        self.hears_freshness(SECOND, 7)
+        self.receives_freshness(SECOND, 7)
         self.assertFalse(self.subscriber.is_ready)
         self.hears(SECOND, ConfigurationSnapshot(7, body(7)))
         self.assertTrue(self.subscriber.is_ready)
 
     def test_outlives_the_control_planes(self) -> None:
-        self.hears_freshness(FIRST, 5)
+        self.receives_freshness(FIRST, 5)
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
         for address in SEEDS:
             self.happens(LinkClosed(address))
@@ -262,26 +262,26 @@
         self.assertTrue(self.subscriber.is_ready)
 
     def test_being_current_ends_with_the_lease(self) -> None:
-        self.hears_freshness(FIRST, 5, age_ms=100.0)
+        self.receives_freshness(FIRST, 5, age_ms=100.0)
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
         self.assertTrue(self.subscriber.is_current(self.now_ms + CURRENT_MS - 101.0))
         self.assertFalse(self.subscriber.is_current(self.now_ms + CURRENT_MS - 100.0))
 
     def test_being_current_needs_a_link_that_stands(self) -> None:
-        self.hears_freshness(FIRST, 5)
+        self.receives_freshness(FIRST, 5)
         self.hears(FIRST, ConfigurationSnapshot(5, body(5)))
         self.happens(LinkClosed(FIRST))
         self.assertFalse(self.subscriber.is_current(self.now_ms))
 
     def test_being_in_touch_is_about_the_primary(self) -> None:
-        self.hears_freshness(SECOND, 5)
+        self.receives_freshness(SECOND, 5)
         self.assertFalse(self.subscriber.is_connected(self.now_ms))
-        self.hears_freshness(FIRST, 5)
+        self.receives_freshness(FIRST, 5)
         self.assertTrue(self.subscriber.is_connected(self.now_ms))
         self.assertEqual(self.subscriber.data_planes, 6)
         self.assertFalse(self.subscriber.is_connected(self.now_ms + CURRENT_MS))
 
-    def test_being_alone_is_told_to_the_host(self) -> None:
+    def test_being_alone_is_notified_to_the_host(self) -> None:
         for address in SEEDS:
             self.happens(LinkClosed(address))
         self.assertFalse(self.subscriber.is_isolated(self.now_ms + 1000.0))
--- a/tests/explore/calm.py
+++ b/tests/explore/calm.py
@@ -35,9 +35,9 @@
         """Let a little time pass everywhere, then deliver and write until nothing is left to do."""
         for number in sorted(self.present):
             self.act(number, lambda node, output: node.pass_time(TICK_MS, output))
-        self.settle()
+        self.stabilize()
 
-    def settle(self) -> None:
+    def stabilize(self) -> None:
         """Deliver and write until nothing is left to do."""
         deliveries = 0
         while self.in_flight or any(self.nodes[number].pending for number in self.present):
@@ -75,10 +75,10 @@
 
     def primary(self) -> int | None:
         """The machine that is primary in the newest epoch that any replica knows."""
-        standings = {number: self.nodes[number].observe() for number in self.present}
-        epochs = {number: s.view.epoch for number, s in standings.items() if s.view is not None}
+        statuses = {number: self.nodes[number].observe() for number in self.present}
+        epochs = {number: s.view.epoch for number, s in statuses.items() if s.view is not None}
         newest = max(epochs.values(), default=0)
-        found = [number for number, s in standings.items() if s.is_primary and epochs.get(number) == newest]
+        found = [number for number, s in statuses.items() if s.is_primary and epochs.get(number) == newest]
         return found[0] if found else None
 
     def is_whole(self) -> bool:
@@ -93,12 +93,12 @@
 
     def submit_and_commit(self, command: Command, most_ms: float) -> float:
         """Send a command to whoever is primary until it is acknowledged; how long that took."""
-        asked: set[tuple[int, int]] = set()
+        requested: set[tuple[int, int]] = set()
 
         def is_taken() -> bool:
             primary = self.primary()
-            if primary is not None and (primary, len(self.ended)) not in asked:
-                asked.add((primary, len(self.ended)))
+            if primary is not None and (primary, len(self.ended)) not in requested:
+                requested.add((primary, len(self.ended)))
                 self.act(primary, lambda node, output: node.submit(command, output))
             return any(
                 ended.taken == (command.base_version, command.body)
--- a/tests/explore/choices.py
+++ b/tests/explore/choices.py
@@ -42,7 +42,7 @@
 class LosePower(Choice, frozen=True):
     """The machine goes down and comes back; so many of the writes under way had been done."""
 
-    kept_writes: int
+    retained_writes: int
 
 
 class Kill(Choice, frozen=True):
@@ -127,8 +127,8 @@
             return f"{machine}: a message arrives" + (" and stays in flight" if stays else "")
         case PassTime(_, duration_ms):
             return f"{machine}: {duration_ms:g} ms pass"
-        case LosePower(_, kept_writes):
-            return f"{machine}: loses power, {kept_writes} of the writes under way done, and starts"
+        case LosePower(_, retained_writes):
+            return f"{machine}: loses power, {retained_writes} of the writes under way done, and starts"
         case Submit(_, command):
             return f"{machine}: command {command} comes in"
         case _:
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -36,7 +36,7 @@
     """A read or a command that has no answer yet: what had been acknowledged when it came."""
 
     node: int
-    life: int
+    process: int
     token: int
     acknowledged: frozenset[Taken]
 
@@ -46,7 +46,7 @@
 
     number: ProposalNumber
     node: int
-    life: int
+    process: int
 
 
 class Reign(msgspec.Struct, frozen=True):
@@ -87,7 +87,7 @@
     if moment.step.fault:
         raise Violation(f"at a replica: {moment.step.fault}")
     if moment.step.early:
-        raise Violation(f"told before it was on disk: {moment.step.early[0]}")
+        raise Violation(f"notified before it was on disk: {moment.step.early[0]}")
     history = _with_disk(history, moment)
     history = _with_proposal_numbers(history, moment)
     history = _with_votes(history, moment)
@@ -124,9 +124,9 @@
     for sent in moment.step.sent:
         if not isinstance(sent.message, Prepare):
             continue
-        used = UsedProposalNumber(sent.message.number, moment.node, moment.after.life)
+        used = UsedProposalNumber(sent.message.number, moment.node, moment.after.process)
         if any(other.number == used.number and other != used for other in history.numbers):
-            raise Violation(f"two lives use one number: {used}")
+            raise Violation(f"two processes use one number: {used}")
         history = msgspec.structs.replace(history, numbers=history.numbers | {used})
     return history
 
@@ -191,7 +191,7 @@
     before, after = moment.before, moment.after
     if not after.is_primary or after.view is None:
         return history
-    is_new = not before.is_primary or before.life != after.life
+    is_new = not before.is_primary or before.process != after.process
     if is_new and after.disk_epoch != after.view.epoch:
         raise Violation(f"primary before the view is on its disk: {after.view}")
     reign = Reign(after.view.epoch, after.incarnation)
@@ -205,7 +205,7 @@
 
 def _with_commits(history: History, moment: Moment) -> History:
     before, after = moment.before, moment.after
-    if before.life == after.life and after.committed[: len(before.committed)] != before.committed:
+    if before.process == after.process and after.committed[: len(before.committed)] != before.committed:
         raise Violation(f"went back from {before.committed} to {after.committed}")
     shared = min(len(after.committed), len(history.committed))
     if after.committed[:shared] != history.committed[:shared]:
@@ -248,19 +248,23 @@
 
 def _with_questions(history: History, moment: Moment) -> History:
     """Whoever answers a read as the newest, or refuses a command, knows all that was acknowledged before."""
-    step, life = moment.step, moment.after.life
+    step, process = moment.step, moment.after.process
     questions = set(history.questions)
     if step.token:
-        questions.add(Question(moment.node, life, step.token, history.acknowledged))
+        questions.add(Question(moment.node, process, step.token, history.acknowledged))
     refusals = {ended.token for ended in step.ended if ended.outcome in REFUSALS}
-    told = {*step.proven_reads, *refusals}
-    over = {*told, *(ended.token for ended in step.ended)}
+    notified = {*step.proven_reads, *refusals}
+    over = {*notified, *(ended.token for ended in step.ended)}
     for question in tuple(questions):
         if question.node != moment.node:
             continue
-        is_of_life = question.life == life
-        if is_of_life and question.token in told and not question.acknowledged <= set(moment.after.committed):
+        is_of_process = question.process == process
+        if (
+            is_of_process
+            and question.token in notified
+            and not question.acknowledged <= set(moment.after.committed)
+        ):
             raise Violation(f"answered or refused without knowing what was acknowledged before: {question}")
-        if not is_of_life or question.token in over:
+        if not is_of_process or question.token in over:
             questions.discard(question)
     return msgspec.structs.replace(history, questions=frozenset(questions))
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -100,7 +100,7 @@
     view: View | None
     is_primary: bool
     committed: tuple[Taken, ...]
-    life: int
+    process: int
     disk_incarnation: str  # empty as long as nothing is on disk
     disk_epoch: int
     disk_taken: frozenset[Taken]
@@ -113,13 +113,13 @@
         self.number, self.settings = number, settings
         self.address = settings.addresses[number]
         self.now_ms = 0.0
-        self.life = 0
+        self.process = 0
         self.disk_number = 0
         self.synced: tuple[bytes, ...] = ()  # records that outlast a loss of power
         self.unsynced: tuple[bytes, ...] = ()  # left by a process that was killed
         self.pending: deque[Write | Rewrite] = deque()
         self.needs_rewrite = True
-        self.is_leaving = False
+        self.is_stopping = False
         self.replica: Replica | None = None
         self._commands: dict[int, Taken] = {}
         self._last_token = 0
@@ -128,8 +128,8 @@
 
     def start(self, output: Output, bootstrap: bool = False) -> None:
         """Begin a life on what the disk holds."""
-        self.life += 1
-        self.is_leaving = False
+        self.process += 1
+        self.is_stopping = False
         self.needs_rewrite = True
         self.pending.clear()
         self._commands.clear()
@@ -152,7 +152,7 @@
 
     def chance(self) -> FixedChance:
         """Chance as one life of the process has it."""
-        prefix = (((self.number + 1) << 8) + self.disk_number << 8) + self.life
+        prefix = (((self.number + 1) << 8) + self.disk_number << 8) + self.process
         return FixedChance(prefix, self.number * WAIT_SHARE_STEP)
 
     def receive(self, sent: Sent, output: Output) -> None:
@@ -182,10 +182,10 @@
             self.now_ms = min(end_ms, self.now_ms + LONGEST_STEP_MS)
             self._handle(TimePassed(), output)
 
-    def lose_power(self, kept_writes: int, output: Output) -> None:
+    def lose_power(self, retained_writes: int, output: Output) -> None:
         """The machine goes down and starts again: what was not synced is lost but for the first writes."""
         self.unsynced = ()
-        for action in list(self.pending)[:kept_writes]:
+        for action in list(self.pending)[:retained_writes]:
             if isinstance(action, Rewrite) or not self.needs_rewrite:
                 self._keep(action, output)
         self.start(output)
@@ -217,7 +217,7 @@
 
     def leave(self, output: Output) -> None:
         """The process is told that it will end."""
-        self.is_leaving = True
+        self.is_stopping = True
         self._handle(ShutdownRequested(), output)
 
     # --- what the checks ask ---
@@ -240,7 +240,7 @@
             self.replica.view,
             status.is_primary,
             tuple(committed.taken),
-            self.life,
+            self.process,
             _name(stored),
             _epoch(stored),
             frozenset(taken),
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -71,7 +71,7 @@
     Plan(scenarios.swap_and_candidate, Allowance(times=2, faults=1, wipes=1), 2, 3_000),
 )
 REPLICA_PLANS = (
-    Plan(scenarios.settled, Allowance(times=1, commands=2, reads=1), 4, 1_500),
+    Plan(scenarios.stable, Allowance(times=1, commands=2, reads=1), 4, 1_500),
     Plan(scenarios.cut_off, Allowance(times=1, commands=1, reads=1), 4, 1_200),
     Plan(scenarios.takeover, Allowance(faults=1), 2, 3_000),
     Plan(scenarios.swap, Allowance(commands=1), 3, 2_000),
--- a/tests/explore/scenarios.py
+++ b/tests/explore/scenarios.py
@@ -29,11 +29,11 @@
 STAND_MS = TIMES.election_timeout_max_ms + TIMES.heartbeat_ms
 GIVE_UP_MS = max(TIMES.quorum_timeout_ms, TIMES.proposal_timeout_ms) + TIMES.heartbeat_ms
 HEARTBEAT_MS = TIMES.heartbeat_ms
-SETTLE_MS = 5_000.0
+STABILIZE_MS = 5_000.0
 
-FOUNDING_ORDERS = (command(0, 1, "first"), command(1, 2, "second"))
+FOUNDING_COMMANDS = (command(0, 1, "first"), command(1, 2, "second"))
 # Two operators, both on top of the second version, and one on top of the first of these.
-ORDERS = (command(2, 3, "ann"), command(2, 4, "bob"), command(3, 5, "cid"))
+COMMANDS = (command(2, 3, "ann"), command(2, 4, "bob"), command(3, 5, "cid"))
 
 
 class Scenario(msgspec.Struct):
@@ -47,7 +47,7 @@
 def two_candidates(allowance: Allowance) -> Scenario:
     """The register alone: the primary is gone for good, and both others stand, again and again."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), timed=(1, 2), removed=(0,))
-    run = _settled()
+    run = _stable()
     history = _history(run)
     run.present.discard(0)
     run.act(0, lambda node, output: node.wipe(output))
@@ -58,16 +58,16 @@
 def three_candidates(allowance: Allowance) -> Scenario:
     """The register alone: all three machines lose touch with each other and stand; one may lose its disk."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), wipeable=(0,), timed=(0, 1, 2))
-    return _of_register(_from_calm("three candidates", bounds, _settled(), most_steps=0))
+    return _of_register(_from_calm("three candidates", bounds, _stable(), most_steps=0))
 
 
 def lagging_candidate(allowance: Allowance) -> Scenario:
     """The register alone: one that is not in sync and lacks a command stands, beside one that is."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), timed=(1, 2))
-    run = _settled()
+    run = _stable()
     run.present.discard(2)
-    run.run_until(lambda: _in_sync_count(run) == 2, SETTLE_MS)
-    run.submit_and_commit(ORDERS[0], SETTLE_MS)
+    run.run_until(lambda: _in_sync_count(run) == 2, STABILIZE_MS)
+    run.submit_and_commit(COMMANDS[0], STABILIZE_MS)
     run.in_flight.clear()
     return _of_register(_from_calm("a candidate that lags", bounds, run, 0))
 
@@ -84,20 +84,20 @@
     return _of_register(_from_calm("a swap and a candidate", bounds, _swapping(), SWAP_STEPS))
 
 
-def settled(allowance: Allowance) -> Scenario:
+def stable(allowance: Allowance) -> Scenario:
     """The whole replica: commands, reads, silence and crashes in a settled system."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
-    return _from_calm("commands", bounds, _settled(), most_steps=0)
+    return _from_calm("commands", bounds, _stable(), most_steps=0)
 
 
 def takeover(allowance: Allowance) -> Scenario:
     """The whole replica: from each moment on after the primary's machine lost its disk."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (), (1, 2))
-    run = _settled()
+    run = _stable()
     history = _history(run)
     run.act(0, lambda node, output: node.wipe(output))
     lost_ms = run.nodes[0].now_ms
-    run.run_until(lambda: run.nodes[0].now_ms >= lost_ms + BEFORE_TAKEOVER_MS, SETTLE_MS)
+    run.run_until(lambda: run.nodes[0].now_ms >= lost_ms + BEFORE_TAKEOVER_MS, STABILIZE_MS)
     return _from_calm("a lost primary", bounds, run, TAKEOVER_STEPS, history)
 
 
@@ -111,7 +111,7 @@
     """The whole replica: a standby machine comes back with an empty disk, and a command comes once it has
     learned everything, in the same epoch."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 3), (3,), (0, 3))
-    run = _settled(machines=4)
+    run = _stable(machines=4)
     run.act(3, lambda node, output: node.wipe(output))
     scenario = _from_calm("a learner", bounds, run, SWAP_STEPS)
     ordered = scenario.rules.after(scenario.first[-1], Submit(0, 0))
@@ -129,7 +129,7 @@
 def transfer_leadership(allowance: Allowance) -> Scenario:
     """The whole replica: from each moment on after the primary was told that it will end."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
-    run = _settled()
+    run = _stable()
     history = _history(run)
     run.act(0, lambda node, output: node.leave(output))
     return _from_calm("a hand-over", bounds, run, HAND_OVER_STEPS, history)
@@ -139,10 +139,10 @@
     """The whole replica: the primary was cut off while the others chose another and took a command. It is
     back in touch and knows nothing of that."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (), (0, 1, 2))
-    run = _settled()
+    run = _stable()
     run.present.discard(0)
-    run.run_until(lambda: run.primary() is not None, SETTLE_MS)
-    run.submit_and_commit(ORDERS[0], SETTLE_MS)
+    run.run_until(lambda: run.primary() is not None, STABILIZE_MS)
+    run.submit_and_commit(COMMANDS[0], STABILIZE_MS)
     run.in_flight.clear()
     return _from_calm("a primary cut off", bounds, run, 0)
 
@@ -167,20 +167,20 @@
 BEFORE_TAKEOVER_MS = 0.0
 
 
-def _settled(machines: int = 3) -> CalmRun:
+def _stable(machines: int = 3) -> CalmRun:
     """Three machines with two commands, and standbys beyond them. All are in sync and were started anew; the
     first one is primary."""
     run = _founded(machines)
     # The first life after the commands writes a snapshot, and the log of the second one begins after it.
     for number in (2, 1, 0, 2, 1, 0):
         run.act(number, lambda node, output: node.kill(output))
-        run.run_until(run.is_whole, SETTLE_MS)
+        run.run_until(run.is_whole, STABILIZE_MS)
     return run
 
 
 def _swapping() -> CalmRun:
     """The third machine comes back with an empty disk."""
-    run = _settled()
+    run = _stable()
     run.act(2, lambda node, output: node.wipe(output))
     return run
 
@@ -190,7 +190,7 @@
     run = _founded(4)
     run.present.discard(2)
     run.nodes[2].wipe(Output())  # nothing happens there any more
-    run.run_until(lambda: _silence_ms(run) >= REPLACED_AFTER_MS, SETTLE_MS)
+    run.run_until(lambda: _timeout_ms(run) >= REPLACED_AFTER_MS, STABILIZE_MS)
     return run
 
 
@@ -200,7 +200,7 @@
     return len(view.in_sync) if view is not None else 0
 
 
-def _silence_ms(run: CalmRun) -> float:
+def _timeout_ms(run: CalmRun) -> float:
     """How long the third machine has stood still."""
     return run.nodes[0].now_ms - run.nodes[2].now_ms
 
@@ -214,10 +214,10 @@
     run = CalmRun([Node(number, settings) for number in range(machines)], [])
     for number in range(machines):
         run.act(number, lambda node, output: node.start(output, bootstrap=True))
-    run.run_until(run.is_whole, SETTLE_MS)
-    for founding_command in FOUNDING_ORDERS:
-        run.submit_and_commit(founding_command, SETTLE_MS)
-    run.run_until(lambda: run.nodes[0].now_ms >= SETTLE_MS, SETTLE_MS)
+    run.run_until(run.is_whole, STABILIZE_MS)
+    for founding_command in FOUNDING_COMMANDS:
+        run.submit_and_commit(founding_command, STABILIZE_MS)
+    run.run_until(lambda: run.nodes[0].now_ms >= STABILIZE_MS, STABILIZE_MS)
     return run
 
 
@@ -225,7 +225,7 @@
     name: str, bounds: Bounds, run: CalmRun, most_steps: int, history: History | None = None
 ) -> Scenario:
     """From each moment of a calm run on; `history` as it was before what befalls the system."""
-    rules = Rules(bounds, ORDERS, run.nodes[0].settings.tolerance)
+    rules = Rules(bounds, COMMANDS, run.nodes[0].settings.tolerance)
     first = rules.first(run.nodes, list(run.in_flight), history or _history(run))
     return Scenario(name, rules, rules.calm_path(first, most_steps))
 
--- a/tests/explore/steps.py
+++ b/tests/explore/steps.py
@@ -141,8 +141,8 @@
                 node.fail_write(output)
             case PassTime(_, duration_ms):
                 node.pass_time(duration_ms, output)
-            case LosePower(_, kept_writes):
-                node.lose_power(kept_writes, output)
+            case LosePower(_, retained_writes):
+                node.lose_power(retained_writes, output)
             case Kill():
                 node.kill(output)
             case Wipe():
--- a/tests/explore/tail.py
+++ b/tests/explore/tail.py
@@ -39,7 +39,7 @@
     present = set(range(len(nodes))) - set(rules.bounds.removed)
     run = CalmRun(nodes, [] if loses_messages else rules.messages(world), present)
     for number in present:
-        if nodes[number].is_leaving:  # the process has ended since, and another was started
+        if nodes[number].is_stopping:  # the process has ended since, and another was started
             run.act(number, lambda node, output: node.kill(output))
     elapsed_ms = run.run_until(run.is_whole, FULL_SET_MS)
     end_ms = nodes[min(present)].now_ms + PAUSE_MS
--- a/tests/explore/test_explored.py
+++ b/tests/explore/test_explored.py
@@ -36,7 +36,7 @@
 
 
 class ASecondDiskIsLost(unittest.TestCase):
-    def test_while_a_swap_is_told_then_the_system_goes_on_where_the_messages_arrive(self) -> None:
+    def test_while_a_swap_is_notified_then_the_system_goes_on_where_the_messages_arrive(self) -> None:
         scenario = swap(Allowance(faults=1, wipes=1))
         rules, explorer = scenario.rules, Explorer(scenario.rules, scenario.first)
         explorer.explore(1)
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -154,7 +154,7 @@
         with patch.object(Proposer, "handle_promise", promise_without_what_was_accepted):
             self.assert_found(Plan(scenarios.two_candidates, Allowance(times=4), 10, 0))
 
-    def test_promises_kept_beyond_their_epoch(self) -> None:
+    def test_promises_retained_beyond_their_epoch(self) -> None:
         with patch.object(ViewRegister, "adopt", adopt_and_keep_promises):
             self.assert_found(Plan(scenarios.takeover, Allowance(commands=1), 1, 0), leaves=10)
 
@@ -162,13 +162,13 @@
         with patch.object(View, "majority", a_minority):
             self.assert_found(Plan(scenarios.three_candidates, Allowance(times=1), 2, 0))
 
-    def test_a_choice_known_from_one_notice(self) -> None:
+    def test_a_choice_known_from_one_broadcast(self) -> None:
         with patch.object(DecisionLearner, "handle_broadcast", handle_any_broadcast):
             self.assert_found(Plan(scenarios.swap_and_candidate, Allowance(times=1), 2, 0))
 
-    def test_a_swap_told_by_the_proposer_alone(self) -> None:
+    def test_a_swap_notified_by_the_proposer_alone(self) -> None:
         story = test_explored.ASecondDiskIsLost(
-            "test_while_a_swap_is_told_then_the_system_goes_on_where_the_messages_arrive"
+            "test_while_a_swap_is_notified_then_the_system_goes_on_where_the_messages_arrive"
         )
         result = unittest.TestResult()
         with patch.object(RoleMachine, "handle_accepted_broadcast", lambda roles, now_ms, broadcast: None):
@@ -204,7 +204,7 @@
 
     def test_commits_that_wait_for_nobody(self) -> None:
         with patch.object(Primary, "_synced_by", as_if_synced_everywhere):
-            self.assert_found(Plan(scenarios.settled, Allowance(commands=1), 1, 0))
+            self.assert_found(Plan(scenarios.stable, Allowance(commands=1), 1, 0))
 
     def test_entries_acknowledged_before_they_are_on_disk(self) -> None:
         with patch.object(ReplicaStore, "synced_index", property(last_index)):
--- a/tests/explore/world.py
+++ b/tests/explore/world.py
@@ -49,7 +49,7 @@
     crashable: tuple[int, ...] = ()
     wipeable: tuple[int, ...] = ()
     timed: tuple[int, ...] = ()
-    leaving: tuple[int, ...] = ()
+    stopping: tuple[int, ...] = ()
     removed: tuple[int, ...] = ()  # taken away for good before: nothing happens there
 
 
@@ -190,11 +190,11 @@
         if node in bounds.timed:
             yield from (PassTime(node, duration_ms) for duration_ms in bounds.durations_ms)
         if node in bounds.crashable:
-            yield from (LosePower(node, kept) for kept in range(pending + 1))
+            yield from (LosePower(node, retained) for retained in range(pending + 1))
             yield Kill(node)
         if node in bounds.wipeable:
             yield Wipe(node)
-        if node in bounds.leaving:
+        if node in bounds.stopping:
             yield Leave(node)
         if self.steps.observation(state).is_primary:
             yield from (Submit(node, command) for command in range(self._command_count))
--- a/tests/fleet/campaign.py
+++ b/tests/fleet/campaign.py
@@ -85,7 +85,7 @@
 
     def _read(self) -> Register:
         try:
-            return self.fleet.take_read(ACKNOWLEDGED_WITHIN_MS)
+            return self.fleet.read_committed(ACKNOWLEDGED_WITHIN_MS)
         except TimeoutError as error:
             raise Violation(f"no read is proven in calm times: {error}") from None
 
--- a/tests/fleet/disk.py
+++ b/tests/fleet/disk.py
@@ -86,8 +86,8 @@
             if not file.is_named and (keeps_nothing or self._rng.random() < 0.5):
                 del self._files[name]
                 continue
-            kept = [] if keeps_nothing else [self._torn(write) for write in file.writes]
-            file.writes = kept
+            retained = [] if keeps_nothing else [self._torn(write) for write in file.writes]
+            file.writes = retained
             file.sync()
 
     def _write(self, file: _File, data: bytes) -> None:
--- a/tests/fleet/faults.py
+++ b/tests/fleet/faults.py
@@ -20,7 +20,7 @@
 
     def __init__(self, fleet: Fleet, rng: random.Random) -> None:
         self._fleet, self._rng = fleet, rng
-        self._troubled_until: dict[str, float] = {}
+        self._faulty_until: dict[str, float] = {}
         self._replacements = 0
         self._is_active = False
         self.log: list[tuple[float, str]] = []
@@ -46,10 +46,10 @@
             (self._leave, 2),
         )
 
-    def start(self, pause_ms: float) -> None:
+    def start(self, stall_ms: float) -> None:
         """Let faults happen, about one in every `pause_ms`."""
         self._is_active = True
-        self._pause_ms = pause_ms
+        self._stall_ms = stall_ms
         self._schedule()
 
     def start_disk_losses(self) -> None:
@@ -62,14 +62,14 @@
         self._is_active = False
         self._fleet.network.heal()
         for machine in self._fleet.machines.values():
-            self._mend_disk(machine)
+            self._repair_disk(machine)
             machine.thaw()
-            if machine.is_leaving:
+            if machine.is_stopping:
                 machine.kill()
             machine.start()
 
     def _schedule(self) -> None:
-        self._fleet.clock.after(self._rng.uniform(0.1, 1.9) * self._pause_ms, self._happen)
+        self._fleet.clock.after(self._rng.uniform(0.1, 1.9) * self._stall_ms, self._happen)
 
     def _happen(self) -> None:
         if not self._is_active:
@@ -95,16 +95,16 @@
     def _any(self) -> Machine:
         return self._rng.choice(list(self._fleet.machines.values()))
 
-    def _trouble(self, machine: Machine, duration_ms: float, what: str) -> None:
+    def _fault(self, machine: Machine, duration_ms: float, what: str) -> None:
         until_ms = self._fleet.clock.now_ms + duration_ms + CATCH_UP_MS
-        self._troubled_until[machine.address] = max(until_ms, self._troubled_until.get(machine.address, 0.0))
+        self._faulty_until[machine.address] = max(until_ms, self._faulty_until.get(machine.address, 0.0))
         self.log.append((self._fleet.clock.now_ms, f"{machine.address} {what}"))
 
     def _may_lose_disk(self, machine: Machine) -> bool:
         """Whether the fleet is to bear that this machine loses its disk now."""
         now_ms = self._fleet.clock.now_ms
-        troubled = {address for address, until_ms in self._troubled_until.items() if until_ms > now_ms}
-        return len(troubled | {machine.address}) <= self._fleet.tolerance
+        faulty = {address for address, until_ms in self._faulty_until.items() if until_ms > now_ms}
+        return len(faulty | {machine.address}) <= self._fleet.tolerance
 
     def _later(self, least_ms: float, most_ms: float, action: Callable[[], None]) -> float:
         delay_ms = self._rng.uniform(least_ms, most_ms)
@@ -116,28 +116,28 @@
     def _kill(self) -> None:
         machine = self._any()
         machine.kill()
-        self._trouble(machine, self._later(50.0, 2_000.0, machine.start), "killed")
+        self._fault(machine, self._later(50.0, 2_000.0, machine.start), "killed")
 
     def _kill_all(self) -> None:
         for machine in self._fleet.machines.values():
             machine.kill()
-            self._trouble(machine, self._later(50.0, 1_000.0, machine.start), "killed with all")
+            self._fault(machine, self._later(50.0, 1_000.0, machine.start), "killed with all")
 
     def _lose_power(self) -> None:
         machine = self._any()
         machine.lose_power()
-        self._trouble(machine, self._later(50.0, 2_000.0, machine.start), "lost power")
+        self._fault(machine, self._later(50.0, 2_000.0, machine.start), "lost power")
 
     def _lose_power_everywhere(self) -> None:
         for machine in self._fleet.machines.values():
             machine.lose_power()
-            self._trouble(machine, self._later(50.0, 1_000.0, machine.start), "lost power with all")
+            self._fault(machine, self._later(50.0, 1_000.0, machine.start), "lost power with all")
 
     def _wipe(self) -> None:
         machine = self._any()
         if self._may_lose_disk(machine):
             machine.wipe()
-            self._trouble(machine, self._later(50.0, 1_500.0, machine.start), "wiped")
+            self._fault(machine, self._later(50.0, 1_500.0, machine.start), "wiped")
 
     def _wipe_while_others_lose_power(self) -> None:
         wiped = self._any()
@@ -148,7 +148,7 @@
                 machine.wipe()
             else:
                 machine.lose_power()
-            self._trouble(machine, self._later(50.0, 1_000.0, machine.start), f"{wiped.address} wiped, power")
+            self._fault(machine, self._later(50.0, 1_000.0, machine.start), f"{wiped.address} wiped, power")
 
     def _replace(self) -> None:
         machine = self._any()
@@ -158,21 +158,21 @@
             machine.leave()
         machine.remove()
         del self._fleet.machines[machine.address]
-        self._troubled_until.pop(machine.address, None)
+        self._faulty_until.pop(machine.address, None)
         self._replacements += 1
         successor = self._fleet.add(f"r{self._replacements}")
-        self._trouble(successor, self._later(50.0, 2_000.0, successor.start), f"replaces {machine.address}")
+        self._fault(successor, self._later(50.0, 2_000.0, successor.start), f"replaces {machine.address}")
 
     def _freeze(self) -> None:
         machine = self._any()
         machine.freeze()
-        self._trouble(machine, self._later(100.0, 4_000.0, machine.thaw), "frozen")
+        self._fault(machine, self._later(100.0, 4_000.0, machine.thaw), "frozen")
 
     def _leave(self) -> None:
         machine = self._any()
         if machine.is_running:
             machine.leave()
-            self._trouble(machine, self._later(350.0, 1_500.0, machine.start), "leaves")
+            self._fault(machine, self._later(350.0, 1_500.0, machine.start), "leaves")
 
     # --- links ---
 
@@ -183,31 +183,29 @@
         one, other = self._any(), self._any()
         if one is not other:
             self._fleet.network.cut_both(one.address, other.address)
-            self._trouble(one, self._later(200.0, 3_000.0, self._heal_links), f"cut from {other.address}")
+            self._fault(one, self._later(200.0, 3_000.0, self._heal_links), f"cut from {other.address}")
 
     def _cut_one_way(self) -> None:
         one, other = self._any(), self._any()
         if one is not other:
             self._fleet.network.cut(one.address, other.address)
-            self._trouble(
-                one, self._later(200.0, 3_000.0, self._heal_links), f"can't send to {other.address}"
-            )
+            self._fault(one, self._later(200.0, 3_000.0, self._heal_links), f"can't send to {other.address}")
 
     def _isolate(self) -> None:
         machine = self._any()
         self._fleet.network.isolate(machine.address)
-        self._trouble(machine, self._later(200.0, 4_000.0, self._heal_links), "isolated")
+        self._fault(machine, self._later(200.0, 4_000.0, self._heal_links), "isolated")
 
     def _lose_messages(self) -> None:
         self._fleet.network.loss = self._rng.uniform(0.05, 0.4)
         self._fleet.network.reorders = self._rng.random() < 0.5
         duration_ms = self._later(200.0, 2_000.0, self._heal_links)
         for machine in self._fleet.machines.values():
-            self._trouble(machine, duration_ms, "messages are lost")
+            self._fault(machine, duration_ms, "messages are lost")
 
     # --- disks ---
 
-    def _mend_disk(self, machine: Machine) -> None:
+    def _repair_disk(self, machine: Machine) -> None:
         machine.sync_ms = 1.0
         machine.stalled_until_ms = min(machine.stalled_until_ms, self._fleet.clock.now_ms)
         machine.disk.is_full = machine.disk.fails_syncs = False
@@ -215,20 +213,20 @@
     def _slow_disk(self) -> None:
         machine = self._any()
         machine.sync_ms = self._rng.uniform(20.0, 300.0)
-        self._trouble(machine, self._later(500.0, 4_000.0, lambda: self._mend_disk(machine)), "slow disk")
+        self._fault(machine, self._later(500.0, 4_000.0, lambda: self._repair_disk(machine)), "slow disk")
 
     def _stall_disk(self) -> None:
         machine = self._any()
         duration_ms = self._rng.uniform(300.0, 4_000.0)
         machine.stalled_until_ms = self._fleet.clock.now_ms + duration_ms
-        self._trouble(machine, duration_ms, "stalled disk")
+        self._fault(machine, duration_ms, "stalled disk")
 
     def _fill_disk(self) -> None:
         machine = self._any()
         machine.disk.is_full = True
-        self._trouble(machine, self._later(500.0, 4_000.0, lambda: self._mend_disk(machine)), "full disk")
+        self._fault(machine, self._later(500.0, 4_000.0, lambda: self._repair_disk(machine)), "full disk")
 
     def _fail_syncs(self) -> None:
         machine = self._any()
         machine.disk.fails_syncs = True
-        self._trouble(machine, self._later(100.0, 2_000.0, lambda: self._mend_disk(machine)), "failing syncs")
+        self._fault(machine, self._later(100.0, 2_000.0, lambda: self._repair_disk(machine)), "failing syncs")
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -84,15 +84,15 @@
                 primaries.append((status.epoch, machine.address))
         return self.machines[max(primaries)[1]] if primaries else None
 
-    def settle(self, most_ms: float = 4_000.0) -> Machine:
+    def stabilize(self, most_ms: float = 4_000.0) -> Machine:
         """Run until there is a primary that holds its lease; that machine."""
 
-        def is_settled() -> bool:
+        def is_stable() -> bool:
             primary = self.primary()
             status = primary.status() if primary is not None else None
             return status is not None and (status.fresh_age_ms or 1e9) < 300.0
 
-        self.run_until(is_settled, most_ms)
+        self.run_until(is_stable, most_ms)
         primary = self.primary()
         assert primary is not None
         return primary
@@ -128,7 +128,7 @@
             self.run(50.0)
         return self.clock.now_ms - began_ms
 
-    def take_read(self, most_ms: float = 4_000.0) -> Register:
+    def read_committed(self, most_ms: float = 4_000.0) -> Register:
         """Ask whoever is primary until a read is proven."""
         results: list[Register | None] = []
         began_ms = self.clock.now_ms
--- a/tests/fleet/history.py
+++ b/tests/fleet/history.py
@@ -76,11 +76,11 @@
     def note_committed(self, machine: Machine, register: Register) -> None:
         """A replica takes something for committed."""
         taken = tuple(register.taken)
-        life = (machine.address, machine.life)
-        before = self._committed.get(life, ())
+        incarnation = (machine.address, machine.incarnation)
+        before = self._committed.get(incarnation, ())
         if taken[: len(before)] != before:
             raise Violation(f"{machine.address} went back from {_names(before)} to {_names(taken)}")
-        self._committed[life] = taken
+        self._committed[incarnation] = taken
         shared = min(len(taken), len(self._longest))
         if taken[:shared] != self._longest[:shared]:
             raise Violation(f"{machine.address} has {_names(taken)}, others {_names(self._longest)}")
--- a/tests/fleet/linearizability.py
+++ b/tests/fleet/linearizability.py
@@ -61,15 +61,15 @@
     start_ms: float
     end_ms: float = math.inf
     outcome: CommandOutcome | None = None
-    told_version: int | None = None
+    notified_version: int | None = None
     is_valid: bool = True
 
     @property
     def waits_for_its_base(self) -> bool:
         """Whether it was refused as the version that it builds on was not there yet."""
-        if self.outcome is not CommandOutcome.STALE_BASE or self.told_version is None:
+        if self.outcome is not CommandOutcome.STALE_BASE or self.notified_version is None:
             return False
-        return self.told_version < self.base_version
+        return self.notified_version < self.base_version
 
 
 @attrs.frozen
@@ -111,7 +111,7 @@
     for call in commands:
         moments.submit_and_commit(call)
     for read in reads:
-        moments.take_read(read)
+        moments.read_committed(read)
     moments.check()
 
 
@@ -150,10 +150,10 @@
             self._take_confirmation(call)
         else:
             self._take_refusal(call)
-        if call.told_version is not None:
-            self._was_current(call.told_version, call.start_ms, call.end_ms, str(call))
+        if call.notified_version is not None:
+            self._was_current(call.notified_version, call.start_ms, call.end_ms, str(call))
 
-    def take_read(self, read: ReadCall) -> None:
+    def read_committed(self, read: ReadCall) -> None:
         """Add what a read tells."""
         place = self._was_current(read.version, read.start_ms, read.end_ms, str(read))
         document = self._chain[place - 1].document if place else None
@@ -165,7 +165,7 @@
         if place is None:
             raise NotLinearizable(f"{call} was confirmed and is lost")
         self._not_after(place, _Bound(call.end_ms, str(call)))
-        if call.told_version is not None and call.told_version < self._chain[place - 1].version:
+        if call.notified_version is not None and call.notified_version < self._chain[place - 1].version:
             raise NotLinearizable(f"{call} was confirmed under an older version than its own")
 
     def _take_refusal(self, call: CommandCall) -> None:
@@ -176,9 +176,9 @@
             self._not_before(place, _Bound(call.start_ms, str(call)))
         if call.outcome is CommandOutcome.INVALID:
             self._take_invalidity(call)
-        elif call.told_version == call.base_version:
+        elif call.notified_version == call.base_version:
             raise NotLinearizable(f"{call} was refused on top of the version that it builds on")
-        elif call.told_version is None and call.is_valid:
+        elif call.notified_version is None and call.is_valid:
             place = self._place_of_version.get(call.base_version)
             if place is not None:
                 self._doubtful.append(_DoubtfulRefusal(place, call))
@@ -212,7 +212,7 @@
                 raise NotLinearizable(f"{entry} was taken and never sent")
             self._not_before(place, _Bound(first_ms, f"it was sent at {first_ms}"))
         earliest = self._earliest()
-        while self._settle_refusals(earliest):
+        while self._stabilize_refusals(earliest):
             earliest = self._earliest()
         for place, lower in enumerate(earliest):
             if lower.at_ms > self._upper[place].at_ms:
@@ -239,7 +239,7 @@
             earliest.append(max(earliest[-1], lower, key=lambda each: each.at_ms))
         return earliest
 
-    def _settle_refusals(self, earliest: list[_Bound]) -> bool:
+    def _stabilize_refusals(self, earliest: list[_Bound]) -> bool:
         """Raise the lower bounds of bases where no later version explains a refusal; whether any rose."""
         is_raised = False
         for doubtful in self._doubtful:
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -61,14 +61,14 @@
         self.reports: list[tuple[float, LogLine]] = []
         self.on_committed: Callable[[Machine, Register], None] = lambda machine, register: None
         self.on_view: Callable[[View], None] = lambda view: None
-        self.life = 0
+        self.incarnation = 0
         self._rng = rng
         self._file = RecordFile(self.disk)
         self._disk_queue: deque[Write | Rewrite] = deque()
         self._inbox: deque[Event] = deque()
         self._is_frozen = False
         self._is_removed = False
-        self.is_leaving = False
+        self.is_stopping = False
         self._commands: dict[int, OnCommand] = {}
         self._reads: dict[int, OnRead] = {}
         self._last_token = 0
@@ -85,7 +85,7 @@
         """Start the process on whatever the disk holds."""
         if self.replica is not None or self._is_removed:
             return
-        self.life += 1
+        self.incarnation += 1
         self._file = RecordFile(self.disk)
         self._disk_queue.clear()
         self._inbox.clear()
@@ -104,7 +104,7 @@
             self.replica_rng(),
             self.clock.now_ms,
         )
-        self._tick(self.life)
+        self._tick(self.incarnation)
 
     def replica_rng(self) -> random.Random:
         """Chance as one life of the process has it."""
@@ -116,9 +116,9 @@
             return
         self._interrupt_write()
         self.replica = None
-        self.is_leaving = False
+        self.is_stopping = False
         self._is_frozen = False
-        self.life += 1
+        self.incarnation += 1
         for on_command in self._commands.values():
             on_command(CommandResult(CommandOutcome.UNKNOWN))
         for on_read in self._reads.values():
@@ -159,14 +159,14 @@
 
     def ask_to_leave(self) -> None:
         """SIGTERM: the process is to hand over; when it ends is up to the caller."""
-        self.is_leaving = True
+        self.is_stopping = True
         self._event(ShutdownRequested())
 
     def leave(self) -> None:
         """SIGTERM: the process is to hand over, and ends a little later."""
         self.ask_to_leave()
-        life = self.life
-        self.clock.after(300.0, lambda: self.kill() if life == self.life else None)
+        incarnation = self.incarnation
+        self.clock.after(300.0, lambda: self.kill() if incarnation == self.incarnation else None)
 
     # --- what callers ask ---
 
@@ -212,12 +212,12 @@
 
     # --- inside ---
 
-    def _tick(self, life: int) -> None:
-        if life != self.life:
+    def _tick(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         if not self._is_frozen:
             self._event(TimePassed())
-        self.clock.after(TICK_MS, lambda: self._tick(life))
+        self.clock.after(TICK_MS, lambda: self._tick(incarnation))
 
     def _receive(self, sender: str, data: bytes) -> None:
         if self.replica is not None:
@@ -239,7 +239,7 @@
                 case Write() | Rewrite():
                     self._disk_queue.append(action)
                     if len(self._disk_queue) == 1:
-                        self._begin_write(self.life)
+                        self._begin_write(self.incarnation)
                 case CommandResolved(token, result):
                     self._commands.pop(token)(result)
                 case ReadResolved(token, is_newest):
@@ -254,20 +254,20 @@
         if report.event is VIEW_CHANGED and self.replica is not None and self.replica.view is not None:
             self.on_view(self.replica.view)
 
-    def _begin_write(self, life: int) -> None:
+    def _begin_write(self, incarnation: int) -> None:
         delay_ms = self._rng.uniform(0.5, 1.5) * self.sync_ms
-        self.clock.after(delay_ms, lambda: self._end_write(life))
+        self.clock.after(delay_ms, lambda: self._end_write(incarnation))
 
-    def _end_write(self, life: int) -> None:
-        if life != self.life:
+    def _end_write(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
         if self.clock.now_ms < self.stalled_until_ms:  # which may be mended sooner
-            self.clock.after(TICK_MS, lambda: self._end_write(life))
+            self.clock.after(TICK_MS, lambda: self._end_write(incarnation))
             return
         action = self._disk_queue.popleft()
         succeeded = self._write(action)
         if self._disk_queue:
-            self._begin_write(life)
+            self._begin_write(incarnation)
         self._event(WriteCompleted(action.token) if succeeded else WriteFailed(action.token))
 
     def _write(self, action: Write | Rewrite) -> bool:
--- a/tests/fleet/test_linearizability.py
+++ b/tests/fleet/test_linearizability.py
@@ -34,9 +34,9 @@
     start: float,
     end: float,
     outcome: CommandOutcome | None,
-    told: int | None = None,
+    notified: int | None = None,
 ) -> CommandCall:
-    return CommandCall(name, base, version, start, end, outcome, told)
+    return CommandCall(name, base, version, start, end, outcome, notified)
 
 
 A, B = entry("a", 0, 1), entry("b", 1, 2)
@@ -61,11 +61,11 @@
         check_linearizable([A], [lost], [ReadCall(50.0, 51.0, 0), ReadCall(60.0, 61.0, 1)])
 
     def test_a_command_that_is_sent_again_is_confirmed_again(self) -> None:
-        again = [call("a", 0, 1, 0.0, 5.0, UNCLEAR), call("a", 0, 1, 40.0, 45.0, TAKEN, told=2)]
+        again = [call("a", 0, 1, 0.0, 5.0, UNCLEAR), call("a", 0, 1, 40.0, 45.0, TAKEN, notified=2)]
         check_linearizable([A, B], [*again, SENT_B])
 
     def test_the_loser_of_a_race_is_refused(self) -> None:
-        check_linearizable([A], [SENT_A, call("b", 0, 2, 0.0, 8.0, STALE, told=1)])
+        check_linearizable([A], [SENT_A, call("b", 0, 2, 0.0, 8.0, STALE, notified=1)])
         check_linearizable([A], [SENT_A, call("b", 0, 2, 0.0, 8.0, STALE)])
 
     def test_a_command_ahead_of_the_base_it_builds_on_is_refused(self) -> None:
@@ -73,9 +73,9 @@
         check_linearizable([A], [call("a", 0, 1, 0.0, 10.0, TAKEN), late])
 
     def test_a_command_refused_ahead_of_its_base_may_be_taken_once_that_is_there(self) -> None:
-        held_up, refused = call("b", 1, 2, 1.0, 2.0, None), call("b", 1, 2, 3.0, 4.0, STALE, told=0)
+        delayed, refused = call("b", 1, 2, 1.0, 2.0, None), call("b", 1, 2, 3.0, 4.0, STALE, notified=0)
         sent_a = call("a", 0, 1, 3.5, 10.0, TAKEN)
-        check_linearizable([A, B], [sent_a, held_up, refused])
+        check_linearizable([A, B], [sent_a, delayed, refused])
 
     def test_a_command_with_a_version_that_is_not_above_the_current_one_is_invalid(self) -> None:
         check_linearizable([A], [SENT_A, call("c", 1, 1, 20.0, 30.0, INVALID)])
@@ -107,29 +107,29 @@
         self.assert_rejected([A], [call("a", 0, 1, 0.0, 5.0, STALE), call("a", 0, 1, 6.0, 9.0, None)])
 
     def test_a_taken_command_is_refused_when_it_is_sent_again(self) -> None:
-        self.assert_rejected([A], [SENT_A, call("a", 0, 1, 40.0, 45.0, STALE, told=1)])
+        self.assert_rejected([A], [SENT_A, call("a", 0, 1, 40.0, 45.0, STALE, notified=1)])
 
     def test_a_command_refused_ahead_of_its_base_was_taken_before(self) -> None:
-        refused = call("b", 1, 2, 40.0, 45.0, STALE, told=0)
+        refused = call("b", 1, 2, 40.0, 45.0, STALE, notified=0)
         self.assert_rejected([A, B], [SENT_A, SENT_B, refused])
 
     def test_a_command_refused_as_later_than_its_base_is_taken_all_the_same(self) -> None:
-        held_up, refused = call("b", 1, 2, 1.0, 2.0, None), call("b", 1, 2, 3.0, 40.0, STALE, told=2)
-        self.assert_rejected([A, B], [SENT_A, held_up, refused])
+        delayed, refused = call("b", 1, 2, 1.0, 2.0, None), call("b", 1, 2, 3.0, 40.0, STALE, notified=2)
+        self.assert_rejected([A, B], [SENT_A, delayed, refused])
 
     def test_a_command_is_taken_twice(self) -> None:
         self.assert_rejected([A, entry("a", 1, 2)], [SENT_A, call("a", 0, 1, 20.0, 30.0, TAKEN)])
 
     def test_a_command_is_refused_while_its_base_is_current(self) -> None:
-        for told in (None, 1):
-            self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE, told)])
+        for notified in (None, 1):
+            self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE, notified)])
         self.assert_rejected([], [call("a", 0, 1, 0.0, 10.0, STALE)])
 
     def test_a_command_is_refused_for_a_version_that_was_never_taken(self) -> None:
-        self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE, told=7)])
+        self.assert_rejected([A], [SENT_A, call("b", 1, 2, 20.0, 30.0, STALE, notified=7)])
 
     def test_a_command_is_refused_for_a_version_that_is_no_longer_current(self) -> None:
-        c = call("c", 2, 3, 40.0, 50.0, STALE, told=1)
+        c = call("c", 2, 3, 40.0, 50.0, STALE, notified=1)
         self.assert_rejected([A, B], [SENT_A, SENT_B, c])
 
     def test_a_valid_command_is_called_invalid(self) -> None:
@@ -152,7 +152,7 @@
         self.assert_rejected([A], [])
 
     def test_a_confirmation_tells_of_an_older_version(self) -> None:
-        self.assert_rejected([A, B], [SENT_A, call("b", 1, 2, 5.0, 30.0, TAKEN, told=1)])
+        self.assert_rejected([A, B], [SENT_A, call("b", 1, 2, 5.0, 30.0, TAKEN, notified=1)])
 
     def test_refusals_that_only_together_leave_no_explanation(self) -> None:
         # b was refused although a was current from 10 on, unless a was replaced by then; but c came later.
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -142,8 +142,8 @@
     command = replacement(0, 3)
     history.apply(command)
     assert history.document is not None
-    kept = (CommandRecord(3, 0, command.kind.value, command.body),)
-    state = msgspec.msgpack.encode((history.document.raw, (b"0123456789abcdef",), kept))
+    retained = (CommandRecord(3, 0, command.kind.value, command.body),)
+    state = msgspec.msgpack.encode((history.document.raw, (b"0123456789abcdef",), retained))
     records: list[StoredRecord] = [IdentityRecord("incarnation-first", True), SnapshotRecord(4, 1, state)]
     file = RecordFile(FileDisk(str(folder)))
     file.recover()
--- a/tests/registry/test_checkpoint.py
+++ b/tests/registry/test_checkpoint.py
@@ -99,29 +99,29 @@
     def test_given_a_disk_that_refuses_then_the_same_is_offered_again(self) -> None:
         folder = FolderInMemory()
         folder.is_full = True
-        told: list[Sequence[UpstreamRecord]] = []
-        saver = CheckpointWriter(RegistryCheckpoint(folder), told.append)
+        notified: list[Sequence[UpstreamRecord]] = []
+        saver = CheckpointWriter(RegistryCheckpoint(folder), notified.append)
         saver.offer([upstream("i-1")])
         saver._save()
         saver._wanted.clear()
-        self.assertEqual(told, [])
+        self.assertEqual(notified, [])
         self.assertTrue(saver.offer([upstream("i-1")]))
         folder.is_full = False
         saver._save()
-        self.assertEqual(told, [[upstream("i-1")]])
+        self.assertEqual(notified, [[upstream("i-1")]])
 
 
 class RestoringTheRegistry(unittest.TestCase):
-    def test_given_a_copy_then_its_upstreams_are_known_until_they_stay_silent(self) -> None:
+    def test_given_a_copy_then_its_upstreams_are_known_until_they_stay_timed_out(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         registry.merge(0.0, [upstream("i-1"), upstream("i-2", "draining")])
         known = {record.instance: record.state for record in registry.snapshot(10.0)}
         self.assertEqual(known, {"i-1": "ready", "i-2": "draining"})
         registry.tick(500.0, all_peers_reported=True)
-        silent = [
+        timed_out = [
             record for now in range(1000, 5000, 500) for record in registry.tick(now, all_peers_reported=True)
         ]
-        self.assertEqual({record.instance for record in silent}, {"i-1", "i-2"})
+        self.assertEqual({record.instance for record in timed_out}, {"i-1", "i-2"})
 
     def test_given_an_old_ready_copy_then_a_peers_draining_prevails(self) -> None:
         registry = Registry(HEARTBEAT_MS)
--- a/tests/registry/test_known_upstreams.py
+++ b/tests/registry/test_known_upstreams.py
@@ -11,19 +11,19 @@
 def record(
     state: str = "ready",
     sequence: int = 1,
-    silent_ms: float = 0.0,
+    timed_out_ms: float = 0.0,
     instance: str = "i-1",
     service: str = "s",
     address: str = "10.0.0.1:80",
 ) -> UpstreamRecord:
-    return UpstreamRecord(instance, service, address, "z", "v1", 4, state, sequence, 0.0, silent_ms)
+    return UpstreamRecord(instance, service, address, "z", "v1", 4, state, sequence, 0.0, timed_out_ms)
 
 
 class AViewOfUpstreams(unittest.TestCase):
     def setUp(self) -> None:
         self.upstreams = KnownUpstreams(1000.0)
 
-    def test_a_told_upstream_takes_requests(self) -> None:
+    def test_a_notified_upstream_takes_requests(self) -> None:
         self.assertEqual(self.upstreams.merge(0.0, [record()]), ("i-1",))
         self.assertTrue(self.upstreams.takes_new("i-1"))
         self.assertEqual(self.upstreams.address("i-1"), "10.0.0.1:80")
@@ -49,9 +49,9 @@
         self.upstreams.merge(99_000.0, [])
         self.assertTrue(self.upstreams.takes_new("i-1"))
 
-    def test_silence_is_a_hint_that_an_answer_clears(self) -> None:
+    def test_timeout_is_a_hint_that_an_answer_clears(self) -> None:
         self.upstreams.merge(0.0, [record()])
-        self.upstreams.merge(5000.0, [record(silent_ms=4000.0)])
+        self.upstreams.merge(5000.0, [record(timed_out_ms=4000.0)])
         self.assertTrue(self.upstreams.is_timed_out("i-1"))
         self.assertTrue(self.upstreams.takes_new("i-1"))
         self.upstreams.mark_answered("i-1")
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -15,7 +15,7 @@
 # "Seconds late": as late as anything is expected to come.
 LATE_MS = 30_000.0
 INSTANCE = "i-1"
-AT_A_NEW_LIFE = "test_at_a_control_plane_that_was_started_anew_does_not_undo_what_the_others_know"
+AT_A_NEW_INCARNATION = "test_at_a_control_plane_that_was_started_anew_does_not_undo_what_the_others_know"
 
 
 def body(sequence: int, state: str = "ready", address: str = "10.0.0.1:80") -> bytes:
@@ -74,10 +74,10 @@
 
     def assert_stays(self, state: str) -> None:
         """Whatever comes late, at whichever control plane, in whichever command, and again."""
-        for number, sequence, told in itertools.product(range(3), (1, 2, 3, 9), ("ready", "draining")):
-            if (state, told) != ("draining", "draining"):
-                self.fleet.heartbeat(number, sequence, told)
-                self.fleet.heartbeat(number, sequence, told)
+        for number, sequence, notified in itertools.product(range(3), (1, 2, 3, 9), ("ready", "draining")):
+            if (state, notified) != ("draining", "draining"):
+                self.fleet.heartbeat(number, sequence, notified)
+                self.fleet.heartbeat(number, sequence, notified)
             self.assertEqual((self.fleet.states(), self.fleet.takes_new()), ({state}, False))
 
     def test_does_not_undo_draining(self) -> None:
@@ -118,15 +118,15 @@
         for number in range(3):
             self.fleet.heartbeat(number, 4, address="10.0.0.4:80")
         self.assertEqual(self.fleet.data_plane.address(INSTANCE), "10.0.0.5:80")
-        told = {record.address for each in self.fleet.registries for record in each.snapshot(0.0)}
-        self.assertEqual(told, {"10.0.0.5:80"})
+        notified = {record.address for each in self.fleet.registries for record in each.snapshot(0.0)}
+        self.assertEqual(notified, {"10.0.0.5:80"})
 
-    def test_is_told_to_nobody(self) -> None:
+    def test_is_notified_to_nobody(self) -> None:
         self.fleet.heartbeat(0, 5)
         for registry in self.fleet.registries:
             self.assertIsNone(registry.handle_heartbeat(1.0, INSTANCE, read_heartbeat(INSTANCE, body(3))))
 
-    def test_that_is_heard_of_without_its_description_hides_no_description(self) -> None:
+    def test_that_is_known_without_its_description_hides_no_description(self) -> None:
         """A peer's liveness report may overtake what changed, where that was lost on its way."""
         first, second, _ = self.fleet.registries
         first.handle_heartbeat(10.0, INSTANCE, read_heartbeat(INSTANCE, body(7, address="10.0.0.7:80")))
@@ -148,14 +148,14 @@
             mock.patch("madderwind.registry.known_upstreams.furthest", lambda first, second: second),
             self.assertRaises(AssertionError),
         ):
-            ALateHeartbeat(AT_A_NEW_LIFE).debug()
+            ALateHeartbeat(AT_A_NEW_INCARNATION).debug()
 
     def test_where_the_gone_are_not_remembered(self) -> None:
         with (
             mock.patch("madderwind.registry.known_upstreams.DEREGISTERED_RETENTION_MS", -1.0),
             self.assertRaises(AssertionError),
         ):
-            ALateHeartbeat(AT_A_NEW_LIFE).debug()
+            ALateHeartbeat(AT_A_NEW_INCARNATION).debug()
 
 
 if __name__ == "__main__":
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -30,7 +30,7 @@
 
     def test_what_is_no_heartbeat_has_a_typed_error(self) -> None:
         too_long = body(1)[:-1] + b',"more":"' + b"x" * MAX_HEARTBEAT_BYTES + b'"}'
-        odd = [
+        invalid = [
             b"",
             b"{",
             b"[]",
@@ -40,8 +40,8 @@
             body(1, address="nowhere"),
             too_long,
         ]
-        odd += [body(1, address="10.0.0.1:0"), body(1, address="10.0.0.1:99999"), body(1, address=":80")]
-        for bad in odd:
+        invalid += [body(1, address="10.0.0.1:0"), body(1, address="10.0.0.1:99999"), body(1, address=":80")]
+        for bad in invalid:
             with self.subTest(bad[:60]), self.assertRaises(HeartbeatError):
                 read_heartbeat("i-1", bad)
         with self.assertRaises(HeartbeatError):
@@ -49,14 +49,14 @@
 
 
 class RecordsMergeBySequence(unittest.TestCase):
-    def test_a_new_upstream_is_told_and_a_plain_heartbeat_is_not(self) -> None:
+    def test_a_new_upstream_is_notified_and_a_plain_heartbeat_is_not(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         first = heard(registry, 0.0, 1)
         assert first is not None
         self.assertEqual((first.instance, first.state, first.slots), ("i-1", "ready", 4))
         self.assertIsNone(heard(registry, 1000.0, 2))
 
-    def test_a_moved_address_is_told_and_a_late_heartbeat_changes_nothing(self) -> None:
+    def test_a_moved_address_is_notified_and_a_late_heartbeat_changes_nothing(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
         moved = registry.handle_heartbeat(1.0, "i-1", read_heartbeat("i-1", body(3, address="10.0.0.2:80")))
@@ -101,25 +101,25 @@
     def ticked_until(
         self, registry: Registry, start_ms: float, end_ms: float, hears_all: bool = True
     ) -> list[UpstreamRecord]:
-        told: list[UpstreamRecord] = []
+        notified: list[UpstreamRecord] = []
         now_ms = start_ms
         while now_ms <= end_ms:
-            told += registry.tick(now_ms, hears_all)
+            notified += registry.tick(now_ms, hears_all)
             now_ms += 250.0
-        return told
+        return notified
 
-    def test_silence_is_told_once_and_the_return_as_well(self) -> None:
+    def test_timeout_is_notified_once_and_the_return_as_well(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
-        told = self.ticked_until(registry, 0.0, SILENT_MS + 1000.0)
-        self.assertEqual(len(told), 1)
-        self.assertGreater(told[0].heartbeat_age_ms, 3500.0)
-        self.assertEqual(told[0].state, "ready")
+        notified = self.ticked_until(registry, 0.0, SILENT_MS + 1000.0)
+        self.assertEqual(len(notified), 1)
+        self.assertGreater(notified[0].heartbeat_age_ms, 3500.0)
+        self.assertEqual(notified[0].state, "ready")
         heard(registry, 5000.0, 2)
         back = registry.tick(5000.0, True)
         self.assertEqual([record.heartbeat_age_ms for record in back], [0.0])
 
-    def test_who_does_not_hear_all_control_planes_tells_no_silence(self) -> None:
+    def test_who_does_not_hear_all_control_planes_tells_no_timeout(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
         self.assertEqual(self.ticked_until(registry, 0.0, 9000.0, hears_all=False), [])
@@ -140,18 +140,18 @@
         heard(there, 0.0, 1)
         self.assertFalse(here.merge_liveness(1.0, there.take_liveness(1.0)))
 
-    def test_a_pause_of_this_process_is_no_silence(self) -> None:
+    def test_a_pause_of_this_process_is_no_timeout(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
         registry.tick(100.0, True)
         self.assertEqual(registry.tick(20_000.0, True), ())
         self.assertLess(registry.snapshot(20_000.0)[0].heartbeat_age_ms, 200.0)
 
-    def test_the_long_silent_is_forgotten_without_a_word(self) -> None:
+    def test_the_long_timed_out_is_forgotten_without_a_word(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         heard(registry, 0.0, 1)
-        told = self.ticked_until(registry, 0.0, DROP_AFTER_MS + 500.0)
-        self.assertEqual([record.state for record in told], ["ready"])
+        notified = self.ticked_until(registry, 0.0, DROP_AFTER_MS + 500.0)
+        self.assertEqual([record.state for record in notified], ["ready"])
         self.assertEqual(len(registry), 0)
 
     def test_an_old_record_of_a_peer_is_not_taken_up_again(self) -> None:
--- a/tests/replication/catch_up.py
+++ b/tests/replication/catch_up.py
@@ -95,7 +95,7 @@
         self.version = 0
         self._primaries: set[str] = set()
         self.fleet.start()
-        self.fleet.settle()
+        self.fleet.stabilize()
         self.fleet.network.bytes_per_ms = LINK_BYTES_PER_MS
         self.fleet.network.handling_ms_per_byte = HANDLING_MS_PER_BYTE
         self._command(state_bytes)
@@ -177,7 +177,7 @@
                     row.append(_catch_up(state_bytes, seed, wiped, command_bytes))
                 times = sorted(each.current_ms for each in row)
                 print(
-                    f"{routes:>8,}{'empty' if wiped else 'kept':>8}{command_bytes:>13,}"
+                    f"{routes:>8,}{'empty' if wiped else 'retained':>8}{command_bytes:>13,}"
                     f"{times[len(times) // 2]:>11.0f}{times[-1]:>10.0f}"
                     f"{max(each.snapshots for each in row):>11}{max(each.primaries for each in row):>11}",
                     flush=True,
--- a/tests/replication/loss_at_each_event.py
+++ b/tests/replication/loss_at_each_event.py
@@ -34,7 +34,7 @@
     REPLACED_BACKUP = "a backup was replaced"
     REPLACED_PRIMARY = "the primary was replaced"
     WIPED_BACKUP = "a backup was wiped"
-    PLANNED = "the primary was asked to leave and replaced"
+    PLANNED = "the primary was requested to leave and replaced"
 
 
 class Struck(Enum):
@@ -118,7 +118,7 @@
     def __init__(self, swap: Swap) -> None:
         self._swap = swap
         self._acknowledged = 3
-        self._mended_ms = 0.0
+        self._repaired_ms = 0.0
         self._results: list[CommandResult] = []
         self._clock = StrikingClock()
         with (
@@ -127,7 +127,7 @@
         ):
             self.fleet = Fleet(3, 1, seed=SEED)
         self.fleet.start()
-        self.fleet.settle()
+        self.fleet.stabilize()
         self.fleet.submit_and_commit(0, 3)
         self.fleet.run(1_000.0)
         self._newcomer = self._begin()
@@ -145,7 +145,7 @@
         self._clock.strike = lambda: self._strike(case)
         self._start_newcomer()
         self.fleet.run_until(lambda: self._clock.events > case.event, LONGEST_MS)
-        self.fleet.run(max(0.0, self._mended_ms - self.fleet.clock.now_ms))
+        self.fleet.run(max(0.0, self._repaired_ms - self.fleet.clock.now_ms))
         try:
             waited_ms = self.fleet.run_until(lambda: is_full(self.fleet), FULL_WITHIN_MS)
         except TimeoutError:
@@ -179,7 +179,7 @@
             self.fleet.submit_into(primary, 3, 5, "under way", self._results)
 
     def _strike(self, case: Case) -> None:
-        self._mended_ms = self._clock.now_ms
+        self._repaired_ms = self._clock.now_ms
         if case.strike is Strike.LOST_MESSAGE:
             assert isinstance(self.fleet.network, LossyNetwork)
             self.fleet.network.loses_next = True
@@ -194,7 +194,7 @@
                 machine.lose_power()
             case _:
                 machine.wipe()
-        self._mended_ms += RESTART_MS
+        self._repaired_ms += RESTART_MS
         self._clock.after(RESTART_MS, machine.start)
 
     def _machine(self, struck: Struck) -> Machine | None:
@@ -208,7 +208,7 @@
 
     def _check(self, case: Case) -> None:
         taken = any(result.outcome is CommandOutcome.COMMITTED for result in self._results)
-        version = self.fleet.take_read().version
+        version = self.fleet.read_committed().version
         if version < (5 if taken else 3):
             raise Violation(f"{case}: an acknowledged command is lost, the version is {version}")
 
--- a/tests/replication/story.py
+++ b/tests/replication/story.py
@@ -22,7 +22,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(self.machines, self.tolerance, seed=17)
         self.fleet.start()
-        self.fleet.settle()
+        self.fleet.stabilize()
         self.fleet.submit_and_commit(0, 3)
         self.fleet.run(1_000.0)
 
--- a/tests/replication/test_commands.py
+++ b/tests/replication/test_commands.py
@@ -40,7 +40,7 @@
         self.assert_taken(first)
         self.assertEqual([CommandResult(CommandOutcome.STALE_BASE, 5)], second)
 
-    def test_when_a_command_is_invalid_then_it_is_told_why(self) -> None:
+    def test_when_a_command_is_invalid_then_it_is_notified_why(self) -> None:
         results = self.fleet.submit(self.primary, 3, 2)
         self.fleet.run(50.0)
         self.assertEqual([CommandOutcome.INVALID], [result.outcome for result in results])
@@ -69,16 +69,16 @@
             self.primary.submit(command(version, version + 1, "large", "x" * 3_000_000), results.append)
             self.fleet.run(200.0)
             self.assert_taken(results)
-        self.assertEqual(6, self.fleet.take_read().version)
+        self.assertEqual(6, self.fleet.read_committed().version)
 
 
 class ReadsInCalmTimes(FleetStory):
-    def test_when_the_primary_is_asked_then_the_read_is_proven(self) -> None:
+    def test_when_the_primary_is_requested_then_the_read_is_proven(self) -> None:
         register = self.fleet.read(self.primary)
         assert register is not None
         self.assertEqual(3, register.version)
 
-    def test_when_a_backup_is_asked_then_it_can_prove_nothing(self) -> None:
+    def test_when_a_backup_is_requested_then_it_can_prove_nothing(self) -> None:
         self.assertIsNone(self.fleet.read(self.backups()[0], most_ms=0.0))
 
     def test_when_nothing_happens_then_all_know_that_they_are_fresh(self) -> None:
@@ -96,7 +96,7 @@
         self.old = self.primary
         self.fleet.network.isolate(self.old.address)
 
-    def test_when_it_is_asked_to_read_then_it_proves_nothing(self) -> None:
+    def test_when_it_is_requested_to_read_then_it_proves_nothing(self) -> None:
         self.assertIsNone(self.fleet.read(self.old))
 
     def test_when_a_command_comes_then_it_is_unclear_within_a_second(self) -> None:
--- a/tests/replication/test_decisions.py
+++ b/tests/replication/test_decisions.py
@@ -25,36 +25,36 @@
 NEXT = View(2, "bob", ("bob", "cat"), (ANN, BOB, CAT))
 
 
-def notice(sender: str, number: int = 1, view: View = NEXT) -> AcceptedBroadcast:
-    return AcceptedBroadcast(sender, "", ProposalNumber(number, "bob", "life"), view)
+def broadcast(sender: str, number: int = 1, view: View = NEXT) -> AcceptedBroadcast:
+    return AcceptedBroadcast(sender, "", ProposalNumber(number, "bob", "incarnation"), view)
 
 
 class TheWatch(unittest.TestCase):
     def test_given_broadcasts_then_only_a_majority_under_one_proposal_number_is_a_decision(self) -> None:
         watch = DecisionLearner()
-        self.assertFalse(watch.handle_broadcast(BASE, notice("ann", 1)))
-        self.assertFalse(watch.handle_broadcast(BASE, notice("bob", 2)))
-        self.assertFalse(watch.handle_broadcast(BASE, notice("ann", 1)))
-        self.assertTrue(watch.handle_broadcast(BASE, notice("cat", 2)))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("ann", 1)))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("bob", 2)))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("ann", 1)))
+        self.assertTrue(watch.handle_broadcast(BASE, broadcast("cat", 2)))
 
     def test_given_notices_of_who_has_no_vote_or_of_another_epoch_then_they_do_not_count(self) -> None:
         watch = DecisionLearner()
         later = View(3, "bob", ("bob", "cat"), (ANN, BOB, CAT))
-        self.assertFalse(watch.handle_broadcast(BASE, notice("ann")))
-        self.assertFalse(watch.handle_broadcast(BASE, notice("stranger")))
-        self.assertFalse(watch.handle_broadcast(BASE, notice("bob", view=later)))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("ann")))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("stranger")))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("bob", view=later)))
 
     def test_given_another_epoch_then_earlier_notices_are_forgotten(self) -> None:
         watch = DecisionLearner()
-        watch.handle_broadcast(BASE, notice("ann"))
+        watch.handle_broadcast(BASE, broadcast("ann"))
         watch.begin_epoch()
-        self.assertFalse(watch.handle_broadcast(BASE, notice("bob")))
+        self.assertFalse(watch.handle_broadcast(BASE, broadcast("bob")))
 
     def test_given_notices_about_the_founding_then_they_do_not_count(self) -> None:
         """The founder may have begun anew with more members than are known here."""
         watch, known_base = DecisionLearner(), View(0, "", (), (ANN, BOB))
         for sender in ("ann", "bob"):
-            self.assertFalse(watch.handle_broadcast(known_base, notice(sender, view=BASE)))
+            self.assertFalse(watch.handle_broadcast(known_base, broadcast(sender, view=BASE)))
 
 
 class InterceptedStory(FleetStory):
@@ -79,13 +79,13 @@
     def setUp(self) -> None:
         super().setUp()
         self.proposer: Machine | None = None
-        self.asked: set[tuple[str, str]] = set()
+        self.requested: set[tuple[str, str]] = set()
         self.loses_questions = False
 
     def is_lost(self, sender: str, receiver: str, message: ReplicationMessage) -> bool:
         if isinstance(message, Prepare) and self.loses_questions:
-            is_first = (sender, receiver) not in self.asked
-            self.asked.add((sender, receiver))
+            is_first = (sender, receiver) not in self.requested
+            self.requested.add((sender, receiver))
             return is_first
         if isinstance(message, Accepted) and self.proposer is not None:
             self.fleet.clock.after(0.0, self.proposer.kill)
@@ -107,11 +107,11 @@
             assert status is not None
             self.assertIn("newcomer", status.members, machine.address)
 
-    def test_given_a_lost_question_then_it_is_asked_again_within_the_proposal(self) -> None:
+    def test_given_a_lost_question_then_it_is_requested_again_within_the_proposal(self) -> None:
         self.loses_questions = True
         self.primary.kill()
         self.assertLess(self.fleet.run_until(lambda: self.fleet.primary() is not None, 2_000.0), 600.0)
-        self.assertTrue(self.asked)
+        self.assertTrue(self.requested)
 
 
 class CandidatesWithSlowDisks(unittest.TestCase):
@@ -123,7 +123,7 @@
         for seed in range(1, 9):
             fleet = Fleet(seed=seed)
             fleet.start()
-            old = fleet.settle()
+            old = fleet.stabilize()
             fleet.run(1_000.0)
             backups = [machine for machine in fleet.running() if machine is not old]
             for backup, each_ms in zip(backups, sync_ms, strict=True):
--- a/tests/replication/test_disks_of_all.py
+++ b/tests/replication/test_disks_of_all.py
@@ -84,7 +84,7 @@
         for machine in self.fleet.machines.values():
             machine.start()
         self.make_space()
-        self.assertEqual(3, self.fleet.take_read(most_ms=RECOVERY_MS).version)
+        self.assertEqual(3, self.fleet.read_committed(most_ms=RECOVERY_MS).version)
 
 
 class FullDisksAtTheFirstStart(unittest.TestCase):
@@ -96,7 +96,7 @@
         fleet.run(3_000.0)
         for machine in fleet.machines.values():
             machine.disk.is_full = False
-        fleet.settle(RECOVERY_MS)
+        fleet.stabilize(RECOVERY_MS)
         fleet.submit_and_commit(0, 1)
         fleet.run(3_000.0)
         self.assertEqual({"m1", "m2", "m3"}, fleet.in_sync())
@@ -110,7 +110,7 @@
             fleet = Fleet(3, 1, seed=31)
             fleet[full].disk.is_full = True
             fleet.start()
-            fleet.settle(RECOVERY_MS)
+            fleet.stabilize(RECOVERY_MS)
             fleet.submit_and_commit(0, 1)
             self.assertNotIn(full, fleet.in_sync())
 
@@ -121,7 +121,7 @@
     def setUp(self) -> None:
         self.fleet = Fleet(3, 1, seed=29)
         self.fleet.start()
-        self.fleet.settle()
+        self.fleet.stabilize()
         self.version = 0
         self.slowest_ms = 0.0
 
@@ -143,7 +143,7 @@
     def assert_is_back(self, acknowledged: int, sent: int) -> None:
         """A proven read gives what was acknowledged, or what was sent on top of it."""
         began_ms = self.fleet.clock.now_ms
-        version = self.fleet.take_read(most_ms=RECOVERY_MS).version
+        version = self.fleet.read_committed(most_ms=RECOVERY_MS).version
         self.slowest_ms = max(self.slowest_ms, self.fleet.clock.now_ms - began_ms)
         self.assertIn(version, (acknowledged, sent))
         self.assertGreaterEqual(version, acknowledged)
--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -18,7 +18,7 @@
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
-    def test_given_a_backup_killed_then_commands_wait_for_its_silence_alone(self) -> None:
+    def test_given_a_backup_killed_then_commands_wait_for_its_timeout_alone(self) -> None:
         self.backups()[0].kill()
         self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
@@ -59,14 +59,14 @@
             self.fleet.run(2_000.0)
             self.assert_all_follow(version + 2)
 
-    def test_given_the_primary_asked_to_leave_then_another_is_primary_before_it_ends(self) -> None:
+    def test_given_the_primary_requested_to_leave_then_another_is_primary_before_it_ends(self) -> None:
         old = self.primary
         old.leave()
         self.fleet.run(100.0)
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_a_backup_asked_to_leave_then_commands_do_not_wait_for_it(self) -> None:
+    def test_given_a_backup_requested_to_leave_then_commands_do_not_wait_for_it(self) -> None:
         self.backups()[0].leave()
         self.fleet.run(50.0)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
@@ -234,7 +234,7 @@
 
 
 class DisksInTrouble(FleetStory):
-    def test_given_a_stalled_disk_at_the_primary_then_it_hands_over_and_the_command_goes_through(
+    def test_given_a_stalled_disk_at_the_primary_then_it_transfers_leadership_and_the_command_goes_through(
         self,
     ) -> None:
         old = self.primary
@@ -252,7 +252,7 @@
         self.fleet.run(9_000.0)
         self.assert_all_follow(6)
 
-    def test_given_a_full_disk_at_the_primary_then_it_hands_over_at_once(self) -> None:
+    def test_given_a_full_disk_at_the_primary_then_it_transfers_leadership_at_once(self) -> None:
         old = self.primary
         old.disk.is_full = True
         self.assertLess(self.fleet.submit_and_commit(3, 5), 300.0)
--- a/tests/replication/test_founding.py
+++ b/tests/replication/test_founding.py
@@ -13,10 +13,10 @@
             fleet = Fleet(3, 1, seed=seed)
             fleet.start()
             fleet.run(1_000.0)
-            standings = [machine.status() for machine in fleet.running()]
+            statuses = [machine.status() for machine in fleet.running()]
             self.assertEqual(
                 {("m1", ("m1", "m2", "m3"))},
-                {(status.primary, status.members) for status in standings if status is not None},
+                {(status.primary, status.members) for status in statuses if status is not None},
             )
 
     def test_given_seeds_that_start_late_then_nothing_is_founded_without_a_majority(self) -> None:
@@ -26,13 +26,13 @@
         self.assertIsNone(fleet.primary())
         fleet["m3"].start(bootstrap=True)
         fleet.run(500.0)
-        self.assertEqual("m1", fleet.settle().address)
+        self.assertEqual("m1", fleet.stabilize().address)
 
     def test_given_a_seed_that_never_starts_then_the_others_found_and_it_joins_when_it_comes(self) -> None:
         fleet = Fleet(3, 1)
         fleet["m1"].start(bootstrap=True)
         fleet["m2"].start(bootstrap=True)
-        fleet.settle()
+        fleet.stabilize()
         fleet.submit_and_commit(0, 1)
         fleet["m3"].start(bootstrap=True)
         fleet.run(1_000.0)
@@ -49,7 +49,7 @@
             fleet.run(100.0)
             fleet["m1"].start(bootstrap=True)
             fleet.run(1_500.0)
-            fleet.settle()
+            fleet.stabilize()
             fleet.submit_and_commit(0, 1)
 
     def test_given_the_founder_restarted_without_bootstrap_then_its_file_still_knows(self) -> None:
@@ -60,7 +60,7 @@
         for machine in fleet.machines.values():
             machine.start()
         fleet.run(1_000.0)
-        self.assertEqual("m1", fleet.settle().address)
+        self.assertEqual("m1", fleet.stabilize().address)
 
     def test_given_empty_disks_without_bootstrap_then_nobody_founds(self) -> None:
         fleet = Fleet(3, 1)
@@ -72,7 +72,7 @@
     def test_given_the_founder_wiped_later_then_it_does_not_found_again(self) -> None:
         fleet = Fleet(3, 1)
         fleet.start()
-        fleet.settle()
+        fleet.stabilize()
         fleet.submit_and_commit(0, 1)
         for machine in fleet.machines.values():
             machine.kill()
@@ -82,22 +82,22 @@
         self.assertIsNone(fleet.primary())
         fleet["m2"].start()
         fleet["m3"].start()
-        fleet.settle()
-        self.assertEqual(1, fleet.take_read().version)
+        fleet.stabilize()
+        self.assertEqual(1, fleet.read_committed().version)
 
 
 class LargerAndSmallerFleets(unittest.TestCase):
     def test_given_five_machines_to_bear_two_losses_then_all_become_members(self) -> None:
         fleet = Fleet(5, 2)
         fleet.start()
-        fleet.settle()
+        fleet.stabilize()
         fleet.run(500.0)
         self.assertEqual({"m1", "m2", "m3", "m4", "m5"}, fleet.in_sync())
 
     def test_given_more_machines_than_the_tolerance_needs_then_the_rest_learns_and_has_no_vote(self) -> None:
         fleet = Fleet(5, 1)
         fleet.start()
-        fleet.settle()
+        fleet.stabilize()
         fleet.submit_and_commit(0, 1)
         fleet.run(500.0)
         status = fleet["m5"].status()
@@ -108,12 +108,12 @@
     def test_given_one_machine_then_it_is_a_system_of_its_own(self) -> None:
         fleet = Fleet(1, 0)
         fleet.start()
-        fleet.settle()
+        fleet.stabilize()
         fleet.submit_and_commit(0, 1)
         fleet["m1"].lose_power()
         fleet["m1"].start()
-        fleet.settle()
-        self.assertEqual(1, fleet.take_read().version)
+        fleet.stabilize()
+        self.assertEqual(1, fleet.read_committed().version)
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -69,10 +69,10 @@
     def test_given_a_new_primary_then_it_first_commits_what_the_old_one_may_have_confirmed(self) -> None:
         old = self.primary
 
-        def is_commit_notice(sender: str, receiver: str, data: bytes) -> bool:
+        def is_commit_broadcast(sender: str, receiver: str, data: bytes) -> bool:
             return sender == old.address and len(old.register.taken) > 1  # it dies before it can tell
 
-        self.lose(is_commit_notice)
+        self.lose(is_commit_broadcast)
         backups = self.backups()
         self.command(3, 5)
         old.kill()
@@ -80,7 +80,7 @@
         for backup in backups:
             # Who is not to be primary takes long to write down that another is.
             backup.sync_ms = 1.0 if self.is_candidate(backup) else 60.0
-        self.fleet.settle()
+        self.fleet.stabilize()
         self.fleet.run(3_000.0)
         self.assertEqual(5, self.primary.register.version)
         self.assertGreater(self.watch.claims, 0)
--- a/tests/replication/test_large_states.py
+++ b/tests/replication/test_large_states.py
@@ -237,7 +237,7 @@
         with patch.object(Peer, "is_resend_due", resend_without_regard_to_progress):
             self.assert_found("test_given_a_slow_link_and_quick_commands_then_one_snapshot_is_enough")
 
-    def test_a_log_that_is_not_kept_for_those_on_their_way(self) -> None:
+    def test_a_log_that_is_not_retained_for_those_on_their_way(self) -> None:
         with patch.object(LogShipping, "needed_after", return_value=None):
             self.assert_found("test_given_a_slow_link_and_quick_commands_then_one_snapshot_is_enough")
 
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -27,20 +27,20 @@
     return structs.replace(status, is_needed=status.is_primary)
 
 
-def leaving_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAck) -> None:
+def stopping_forgotten(primary: Primary, now_ms: float, answer: HeartbeatAck) -> None:
     ordinary_ack(primary, now_ms, structs.replace(answer, stopping=False))
 
 
 class StoriesFindMutants(unittest.TestCase):
-    def test_silence_that_is_not_carried_over(self) -> None:
+    def test_timeout_that_is_not_carried_over(self) -> None:
         with patch.object(KnownPeers, "all", return_value=()):
             self.assert_found_by(
                 test_second_losses.ALossAfterAReplacement(
-                    "test_given_a_lost_backup_then_a_lost_primary_then_the_backup_s_silence_is_not_counted_anew"
+                    "test_given_a_lost_backup_then_a_lost_primary_then_the_backup_s_timeout_is_not_counted_anew"
                 )
             )
 
-    def test_a_swap_told_by_the_proposer_alone(self) -> None:
+    def test_a_swap_notified_by_the_proposer_alone(self) -> None:
         with patch.object(DecisionLearner, "handle_broadcast", return_value=False):
             self.assert_found_by(
                 test_decisions.AProposerThatIsLost(
@@ -56,7 +56,7 @@
                 )
             )
 
-    def test_a_leaving_member_that_is_dropped_first(self) -> None:
+    def test_a_stopping_member_that_is_dropped_first(self) -> None:
         with patch.object(Replica, "status", needed_as_primary_alone):
             self.assert_found_by(
                 test_second_losses.MembersThatLeave(
@@ -72,8 +72,8 @@
                 )
             )
 
-    def test_a_leaving_member_that_the_primary_does_not_let_go(self) -> None:
-        with patch.object(Primary, "handle_heartbeat_ack", leaving_forgotten):
+    def test_a_stopping_member_that_the_primary_does_not_let_go(self) -> None:
+        with patch.object(Primary, "handle_heartbeat_ack", stopping_forgotten):
             self.assert_found_by(
                 test_second_losses.MembersThatLeave(
                     "test_given_a_full_set_when_a_member_leaves_then_it_is_gone_at_once"
@@ -94,19 +94,19 @@
     def test_inequalities_that_are_not_looked_at(self) -> None:
         with patch.object(ReplicationTimes, "broken_inequalities", lambda times: ()):
             self.assert_found_by(
-                test_times.TimesFitTogether("test_given_one_time_that_does_not_fit_then_it_is_told")
+                test_times.TimesFitTogether("test_given_one_time_that_does_not_fit_then_it_is_notified")
             )
 
-    def test_a_question_that_is_asked_once(self) -> None:
+    def test_a_question_that_is_requested_once(self) -> None:
         with patch.object(ViewProposals, "ask_again_if_due", lambda proposals, now_ms: None):
             self.assert_found_by(
                 test_decisions.AProposerThatIsLost(
-                    "test_given_a_lost_question_then_it_is_asked_again_within_the_proposal"
+                    "test_given_a_lost_question_then_it_is_requested_again_within_the_proposal"
                 )
             )
 
     def test_candidates_that_do_not_give_way(self) -> None:
-        with patch.object(Election, "wait_at_least", lambda election, now_ms, pause_ms: None):
+        with patch.object(Election, "wait_at_least", lambda election, now_ms, stall_ms: None):
             self.assert_found_by(
                 test_decisions.CandidatesWithSlowDisks(
                     "test_given_one_slow_disk_then_the_candidates_do_not_keep_each_other_from_it"
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -57,8 +57,8 @@
         self.fleet.run(5_000.0)
         self.assertIsNone(self.fleet.primary())
         primary.start()
-        self.fleet.settle()
-        self.assertEqual(3, self.fleet.take_read().version)
+        self.fleet.stabilize()
+        self.assertEqual(3, self.fleet.read_committed().version)
 
     def test_given_a_backup_that_was_out_of_sync_when_the_in_sync_one_is_wiped_then_nothing_is_lost(
         self,
@@ -95,7 +95,7 @@
 
 
 class MachinesAreReplaced(FleetStory):
-    def test_given_a_machine_removed_without_notice_then_its_successor_takes_its_place(self) -> None:
+    def test_given_a_machine_removed_without_broadcast_then_its_successor_takes_its_place(self) -> None:
         for number, leaves in enumerate((False, True, False, True)):
             with self.subTest(number=number, leaves=leaves):
                 version = self.primary.register.version
@@ -122,7 +122,7 @@
             del self.fleet.machines[address]
             self.fleet.add(f"new{number}").start()
             self.fleet.run(5_000.0)
-        self.assertEqual(3, self.fleet.take_read().version)
+        self.assertEqual(3, self.fleet.read_committed().version)
 
     def test_given_a_member_whose_place_was_taken_when_it_is_back_then_it_stands_by(self) -> None:
         member = self.backups()[0]
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -121,7 +121,7 @@
         with patch.object(Primary, "read", read_without_a_fence):
             self.assert_found_by(
                 test_commands.APrimaryThatIsNoneAnyMore(
-                    "test_when_it_is_asked_to_read_then_it_proves_nothing"
+                    "test_when_it_is_requested_to_read_then_it_proves_nothing"
                 )
             )
 
--- a/tests/replication/test_rewrites.py
+++ b/tests/replication/test_rewrites.py
@@ -11,7 +11,7 @@
 from tests.fleet.fleet import Fleet
 from tests.fleet.register import Register
 
-ORDERS = 40
+COMMANDS = 40
 ordinary_records = ReplicaStore.all_records
 
 
@@ -25,23 +25,23 @@
         self.addCleanup(long_file.stop)
         self.fleet = Fleet(3, 1, seed=23)
         self.fleet.start()
-        self.fleet.settle()
+        self.fleet.stabilize()
 
     def end_all(self, with_power: bool) -> None:
         for machine in self.fleet.machines.values():
             (machine.kill if with_power else machine.lose_power)()
         for machine in self.fleet.machines.values():
             machine.start()
-        self.fleet.settle()
+        self.fleet.stabilize()
 
     def test_given_ends_of_all_processes_or_of_all_power_then_all_commands_are_there(self) -> None:
-        for version in range(1, ORDERS + 1):
+        for version in range(1, COMMANDS + 1):
             self.fleet.submit_and_commit(version - 1, version)
             if version % 5 == 0:
                 self.end_all(with_power=version % 2 == 0)
-                self.assertEqual(version, self.fleet.take_read().version)
-        register = self.fleet.take_read()
-        self.assertEqual(ORDERS, len(register.taken))
+                self.assertEqual(version, self.fleet.read_committed().version)
+        register = self.fleet.read_committed()
+        self.assertEqual(COMMANDS, len(register.taken))
 
 
 def records_with_an_old_snapshot(store: ReplicaStore) -> list[StoredRecord]:
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -11,7 +11,7 @@
 SUCCESSOR_STARTS_MS = 667.0
 
 
-def standing_of(machine: Machine) -> ReplicaStatus:
+def status_of(machine: Machine) -> ReplicaStatus:
     status = machine.status()
     assert status is not None
     return status
@@ -46,9 +46,9 @@
         self.fleet.add("successor").start()
         self.fleet.run(500.0)
         self.assert_all_follow(3)
-        self.assertIn("successor", standing_of(self.primary).members)
+        self.assertIn("successor", status_of(self.primary).members)
 
-    def test_given_a_lost_backup_then_a_lost_primary_then_the_backup_s_silence_is_not_counted_anew(
+    def test_given_a_lost_backup_then_a_lost_primary_then_the_backup_s_timeout_is_not_counted_anew(
         self,
     ) -> None:
         lost, _ = self.backups()
@@ -61,7 +61,7 @@
         old.start()
         self.fleet.run(400.0)
         self.assert_all_follow(3)
-        self.assertIn("successor", standing_of(self.primary).members)
+        self.assertIn("successor", status_of(self.primary).members)
 
 
 class MembersThatLeave(FleetStory):
@@ -70,7 +70,7 @@
     def end_when_not_needed(self, machine: Machine, most_ms: float) -> float:
         """Ask a machine to end; it does so once it is not needed. How long that took."""
         machine.ask_to_leave()
-        waited_ms = self.fleet.run_until(lambda: not standing_of(machine).is_needed, most_ms)
+        waited_ms = self.fleet.run_until(lambda: not status_of(machine).is_needed, most_ms)
         machine.remove()
         del self.fleet.machines[machine.address]
         return waited_ms
@@ -79,7 +79,7 @@
         self.assertLess(self.end_when_not_needed(self.backups()[0], 1_000.0), 100.0)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_a_full_set_when_the_primary_leaves_then_it_hands_over_first(self) -> None:
+    def test_given_a_full_set_when_the_primary_leaves_then_it_transfers_leadership_first(self) -> None:
         old = self.primary
         self.assertLess(self.end_when_not_needed(old, 1_000.0), 150.0)
         self.fleet.run(10.0)
@@ -87,29 +87,29 @@
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_member_that_holds_one_of_two_copies_then_it_stays_until_there_is_another(self) -> None:
-        away, leaving = self.backups()
+        away, stopping = self.backups()
         away.wipe()
         self.fleet.submit_and_commit(3, 5)
-        leaving.ask_to_leave()
+        stopping.ask_to_leave()
         self.fleet.run(2_000.0)
-        self.assertTrue(standing_of(leaving).is_needed)
+        self.assertTrue(status_of(stopping).is_needed)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 200.0)
         away.start()
-        self.fleet.run_until(lambda: not standing_of(leaving).is_needed, 500.0)
-        leaving.remove()
-        del self.fleet.machines[leaving.address]
+        self.fleet.run_until(lambda: not status_of(stopping).is_needed, 500.0)
+        stopping.remove()
+        del self.fleet.machines[stopping.address]
         self.fleet.add("successor").start()
         self.fleet.run(500.0)
         self.primary.wipe()
         self.fleet.run(1_000.0)
-        self.assertEqual(6, self.fleet.take_read().version)
+        self.assertEqual(6, self.fleet.read_committed().version)
 
     def test_given_two_that_leave_at_once_then_the_set_never_holds_less_than_two_copies(self) -> None:
         one, other = self.backups()
         one.ask_to_leave()
         other.ask_to_leave()
         self.fleet.run(1_000.0)
-        needed = [machine for machine in (one, other) if standing_of(machine).is_needed]
+        needed = [machine for machine in (one, other) if status_of(machine).is_needed]
         self.assertEqual(1, len(needed))
         self.assertEqual({self.primary.address, needed[0].address}, self.fleet.in_sync())
 
