--- a/tests/replication/test_time_to_full_set.py
+++ b/tests/replication/test_time_to_full_set.py
@@ -21,8 +21,8 @@
 
 class SetsAreFullAgain(unittest.TestCase):
     def assert_within(self, repair: Repair, most_ms: float) -> None:
-        assert repair.since_mended_ms is not None, f"{repair} came to no end"
-        self.assertLessEqual(repair.since_mended_ms, most_ms, repair)
+        assert repair.since_repaired_ms is not None, f"{repair} came to no end"
+        self.assertLessEqual(repair.since_repaired_ms, most_ms, repair)
 
     def test_given_any_loss_then_the_set_is_full_within_half_a_second(self) -> None:
         for seed in SEEDS:
@@ -32,11 +32,11 @@
     def test_given_a_state_of_4_mib_then_the_set_is_full_within_a_second(self) -> None:
         self.assert_within(repaired(14, LARGE_STATE_BYTES), LARGE_STATE_MS)
 
-    def test_given_silence_that_is_not_carried_over_then_it_takes_longer(self) -> None:
+    def test_given_timeout_that_is_not_carried_over_then_it_takes_longer(self) -> None:
         with patch.object(KnownPeers, "all", return_value=()):
             repair = repaired(668)
-        assert repair.since_mended_ms is not None
-        self.assertGreater(repair.since_mended_ms, SMALL_STATE_MS)
+        assert repair.since_repaired_ms is not None
+        self.assertGreater(repair.since_repaired_ms, SMALL_STATE_MS)
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -16,7 +16,7 @@
             with self.subTest(ack_ms=ack_ms):
                 self.assertEqual((), ReplicationTimes.from_bounds(ack_ms).broken_inequalities())
 
-    def test_given_one_time_that_does_not_fit_then_it_is_told(self) -> None:
+    def test_given_one_time_that_does_not_fit_then_it_is_notified(self) -> None:
         misfits = {
             "witness_lease_ms": 60.0,
             "election_timeout_min_ms": 240.0,
@@ -37,7 +37,7 @@
 class PausesThatAreNoLoss(FleetStory):
     """Given processes that do not run for up to 350 ms, as when they read a large configuration."""
 
-    pause_ms = 350.0
+    stall_ms = 350.0
 
     def test_given_each_process_paused_in_turn_at_any_moment_then_the_view_stays(self) -> None:
         before = self.primary.status()
@@ -45,7 +45,7 @@
             for offset_ms in range(0, 60, 10):
                 self.fleet.run(500.0 + offset_ms)
                 machine.freeze()
-                self.fleet.run(self.pause_ms)
+                self.fleet.run(self.stall_ms)
                 machine.thaw()
         self.fleet.run(500.0)
         after = self.primary.status()
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -139,21 +139,23 @@
         assert isinstance(promise, Promise)
         self.assertEqual(self.witness.view(2, ANN), promise.accepted_view)
 
-    def test_given_a_view_that_was_chosen_since_then_the_proposer_is_told(self) -> None:
+    def test_given_a_view_that_was_chosen_since_then_the_proposer_is_notified(self) -> None:
         chosen = self.witness.view(2, BOB)
         self.witness.receive(BOB, ViewNotice("b", "", chosen))
-        (notice,) = self.witness.prepare(ANN, 5)
-        assert isinstance(notice, ViewNotice)
-        self.assertEqual(chosen, notice.view)
-
-    def test_given_a_message_for_a_forerunner_at_this_address_then_nothing_is_promised(self) -> None:
-        number = ProposalNumber(5, "a", "life")
-        answers = self.witness.receive(ANN, Prepare("a", "forerunner", self.witness.view(), number, False))
+        (broadcast,) = self.witness.prepare(ANN, 5)
+        assert isinstance(broadcast, ViewNotice)
+        self.assertEqual(chosen, broadcast.view)
+
+    def test_given_a_message_for_a_earlier_incarnation_at_this_address_then_nothing_is_promised(self) -> None:
+        number = ProposalNumber(5, "a", "incarnation")
+        answers = self.witness.receive(
+            ANN, Prepare("a", "earlier_incarnation", self.witness.view(), number, False)
+        )
         self.assertNotIn(Promise, kinds(answers))
 
     def test_given_a_base_in_which_it_has_no_vote_then_it_does_not_answer(self) -> None:
         base = View(1, "a", ("a", "b"), (ANN, BOB))
-        number = ProposalNumber(5, "a", "life")
+        number = ProposalNumber(5, "a", "incarnation")
         answers = self.witness.receive(ANN, Prepare("a", "", base, number, False))
         self.assertEqual([], answers)
 
@@ -171,7 +173,7 @@
         self.witness.start()
         self.assertEqual([Rejected], kinds(self.witness.accept(BOB, 4)))
 
-    def test_given_an_accepted_view_when_power_is_lost_then_it_is_told_to_the_next(self) -> None:
+    def test_given_an_accepted_view_when_power_is_lost_then_it_is_notified_to_the_next(self) -> None:
         self.witness.prepare(ANN, 5)
         self.witness.accept(ANN, 5)
         self.witness.start()
--- a/tests/replication/time_to_full_set.py
+++ b/tests/replication/time_to_full_set.py
@@ -83,7 +83,7 @@
     loss: Loss
     victim: Victim
     circumstance: Circumstance
-    since_mended_ms: float | None
+    since_repaired_ms: float | None
     since_loss_ms: float | None
 
 
@@ -99,8 +99,8 @@
         self.fleet = Fleet(3, 1, seed=self._rng.getrandbits(64))
         self._use_narrow_links()
         self._state_bytes = state_bytes
-        self._mended_ms = 0.0
-        self._troubled: Machine | None = None
+        self._repaired_ms = 0.0
+        self._faulty: Machine | None = None
         self._learner: Machine | None = None
         self._commands = 0
         self._acknowledged: list[Taken] = []
@@ -109,7 +109,7 @@
         """Let the loss happen; Violation where what was acknowledged is gone."""
         fleet = self.fleet
         fleet.start()
-        fleet.settle()
+        fleet.stabilize()
         self._fill()
         fleet.run_until(lambda: is_full(fleet), LONGEST_MS)
         self._send_commands()
@@ -117,7 +117,7 @@
         self._bring_about()
         began_ms = fleet.clock.now_ms
         self._lose()
-        fleet.run(max(0.0, self._mended_ms - fleet.clock.now_ms))
+        fleet.run(max(0.0, self._repaired_ms - fleet.clock.now_ms))
         waited_ms: float | None = None
         try:
             waited_ms = fleet.run_until(lambda: is_full(fleet), LONGEST_MS)
@@ -165,7 +165,7 @@
 
     def _check(self) -> None:
         acknowledged = self._acknowledged.copy()
-        final = self.fleet.take_read().taken
+        final = self.fleet.read_committed().taken
         lost = [taken for taken in acknowledged if taken not in final]
         if lost:
             raise Violation(f"seed {self.seed}: {len(lost)} acknowledged commands are lost")
@@ -182,17 +182,17 @@
             case Circumstance.SNAPSHOT:
                 self._begin_snapshot()
             case Circumstance.DISK_FULL | Circumstance.DISK_STALLED:
-                self._trouble_disk()
+                self._fault_disk()
 
     def _begin_election(self) -> None:
         rng, primary = self._rng, self._primary()
-        self._troubled = primary
+        self._faulty = primary
         if rng.random() < 0.5:
             primary.kill()
-            self._mend_after(rng.uniform(300.0, 1_500.0), primary.start)
+            self._repair_after(rng.uniform(300.0, 1_500.0), primary.start)
         else:
             primary.freeze()
-            self._mend_after(rng.uniform(300.0, 1_500.0), primary.thaw)
+            self._repair_after(rng.uniform(300.0, 1_500.0), primary.thaw)
         self.fleet.run(rng.uniform(0.0, 1_000.0))
 
     def _begin_snapshot(self) -> None:
@@ -206,27 +206,27 @@
         self._learner = learner
         if rng.random() < 0.5:
             primary.kill()
-            self._mend_after(rng.uniform(50.0, 500.0), primary.start)
+            self._repair_after(rng.uniform(50.0, 500.0), primary.start)
 
-    def _trouble_disk(self) -> None:
+    def _fault_disk(self) -> None:
         machine = self._rng.choice(list(self.fleet.machines.values()))
-        self._troubled = machine
+        self._faulty = machine
         lasts_ms = self._rng.uniform(300.0, 3_000.0)
         if self.circumstance is Circumstance.DISK_FULL:
             machine.disk.is_full = True
-            self._mend_after(lasts_ms, lambda: setattr(machine.disk, "is_full", False))
+            self._repair_after(lasts_ms, lambda: setattr(machine.disk, "is_full", False))
         else:
             machine.stalled_until_ms = self.fleet.clock.now_ms + lasts_ms
-            self._mend_after(lasts_ms, lambda: None)
+            self._repair_after(lasts_ms, lambda: None)
         self.fleet.run(self._rng.uniform(0.0, 1_500.0))
 
     def _lose(self) -> None:
         """The loss, and the start of who comes in the place of the lost one."""
         machine = self._lost_machine()
-        pause_ms = self._rng.uniform(50.0, 1_500.0)
+        stall_ms = self._rng.uniform(50.0, 1_500.0)
         if self.loss is Loss.WIPED:
             machine.wipe()
-            self._mend_after(pause_ms, machine.start)
+            self._repair_after(stall_ms, machine.start)
             return
         if self.loss is Loss.REPLACED_AS_PLANNED:
             machine.leave()
@@ -235,21 +235,21 @@
         del self.fleet.machines[machine.address]
         successor = self.fleet.add("successor")
         successor.network = self.fleet.network
-        self._mend_after(pause_ms, successor.start)
+        self._repair_after(stall_ms, successor.start)
 
     def _lost_machine(self) -> Machine:
         """Who is lost: of the kind that was drawn where there is one, and nobody beside one in trouble."""
         if self._learner is not None:
             return self._learner
-        candidates = [machine for machine in self.fleet.running() if machine is not self._troubled]
+        candidates = [machine for machine in self.fleet.running() if machine is not self._faulty]
         primary = self.fleet.primary()
         if self.victim is Victim.PRIMARY and primary is not None and primary in candidates:
             return primary
         return self._rng.choice([machine for machine in candidates if machine is not primary])
 
-    def _mend_after(self, pause_ms: float, mend: Callable[[], None]) -> None:
-        self._mended_ms = max(self._mended_ms, self.fleet.clock.now_ms + pause_ms)
-        self.fleet.clock.after(pause_ms, mend)
+    def _repair_after(self, stall_ms: float, repair: Callable[[], None]) -> None:
+        self._repaired_ms = max(self._repaired_ms, self.fleet.clock.now_ms + stall_ms)
+        self.fleet.clock.after(stall_ms, repair)
 
     def _primary(self) -> Machine:
         primary = self.fleet.primary()
@@ -272,14 +272,14 @@
 
 def figures(repairs: list[Repair]) -> Figures:
     """The figures of repairs, of which at least one came to an end."""
-    mended = sorted(repair.since_mended_ms for repair in repairs if repair.since_mended_ms is not None)
+    repaired = sorted(repair.since_repaired_ms for repair in repairs if repair.since_repaired_ms is not None)
     lost = sorted(repair.since_loss_ms for repair in repairs if repair.since_loss_ms is not None)
     return Figures(
         len(repairs),
-        len(repairs) - len(mended),
-        mended[len(mended) // 2],
-        mended[len(mended) * 99 // 100],
-        mended[-1],
+        len(repairs) - len(repaired),
+        repaired[len(repaired) // 2],
+        repaired[len(repaired) * 99 // 100],
+        repaired[-1],
         lost[len(lost) // 2],
         lost[-1],
     )
@@ -291,7 +291,7 @@
         groups["all"].append(repair)
         for kind in (repair.loss, repair.victim, repair.circumstance):
             groups[kind.value].append(repair)
-    print("kind, losses, unrepaired, p50, p99, worst (ms since mended), p50, worst (ms since the loss)")
+    print("kind, losses, unrepaired, p50, p99, worst (ms since repaired), p50, worst (ms since the loss)")
     for name, group in groups.items():
         of_group = figures(group)
         print(
@@ -307,11 +307,11 @@
     state_bytes = LARGE_STATE_BYTES if "large" in sys.argv else SMALL_STATE_BYTES
     repairs = [DrawnLoss(seed, state_bytes).run() for seed in range(first, first + count)]
     _print_table(repairs)
-    slowest = sorted(repairs, key=lambda repair: -(repair.since_mended_ms or LONGEST_MS))
+    slowest = sorted(repairs, key=lambda repair: -(repair.since_repaired_ms or LONGEST_MS))
     for repair in slowest[:12]:
         print(
             f"seed {repair.seed}: {repair.loss.value}, {repair.victim.value}, "
-            f"{repair.circumstance.value}: {repair.since_mended_ms}"
+            f"{repair.circumstance.value}: {repair.since_repaired_ms}"
         )
 
 
--- a/tests/storage/crashing_folder.py
+++ b/tests/storage/crashing_folder.py
@@ -96,9 +96,9 @@
         _replay(call, files, durable)
     choices: list[list[tuple[str, bytes | None]]] = []
     for name in files.keys() | durable.keys():
-        now, kept = files.get(name), durable.get(name)
+        now, retained = files.get(name), durable.get(name)
         found: set[bytes | None] = set()
-        for file in (now,) if now is kept else (now, kept):
+        for file in (now,) if now is retained else (now, retained):
             found |= {None} if file is None else file.contents()
         choices.append([(name, content) for content in sorted(found, key=lambda each: each or b"")])
     for chosen in itertools.product(*choices):
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -16,10 +16,10 @@
 
 RECORDS = tuple(b"record-%d" % number for number in range(8))
 # Folders that are gone on with to a second crash: each that a first one may leave would take minutes.
-SECOND_LIVES = 400
+SECOND_INCARNATIONS = 400
 
 
-class Life:
+class Incarnation:
     """One life of a process with its file: how many records were acknowledged and begun by its calls."""
 
     def __init__(self, folder: Path) -> None:
@@ -77,15 +77,20 @@
         (folder / name).write_bytes(data)
 
 
-def _check(life: Life, before: dict[str, bytes], seen: set[tuple[tuple[str, bytes], ...]]) -> None:
+def _check(
+    incarnation: Incarnation, before: dict[str, bytes], seen: set[tuple[tuple[str, bytes], ...]]
+) -> None:
     """Raises AssertionError where a crash of this life loses or invents a record."""
-    for count in range(len(life.calls) + 1):
-        least, most = life.acknowledged_after(count), max(life.begun_after(count), life.acknowledged_after(0))
-        for contents in after_power_loss(life.calls[:count], before):
+    for count in range(len(incarnation.calls) + 1):
+        least, most = (
+            incarnation.acknowledged_after(count),
+            max(incarnation.begun_after(count), incarnation.acknowledged_after(0)),
+        )
+        for contents in after_power_loss(incarnation.calls[:count], before):
             key = tuple(sorted(contents.items()))
             found = recovered(contents)
-            assert found == RECORDS[: len(found)], (life.calls[:count], found)
-            assert least <= len(found) <= most, (life.calls[:count], contents, found)
+            assert found == RECORDS[: len(found)], (incarnation.calls[:count], found)
+            assert least <= len(found) <= most, (incarnation.calls[:count], contents, found)
             seen.add(key)
 
 
@@ -93,14 +98,14 @@
     """A first life that founds, adds and rewrites; then second lives on what its crashes may leave."""
     folders: set[tuple[tuple[str, bytes], ...]] = set()
     with tempfile.TemporaryDirectory() as folder:
-        first = Life(Path(folder))
+        first = Incarnation(Path(folder))
         first.run(0, "raarara")
     _check(first, {}, folders)
-    chosen = sorted(folders)[:: max(1, len(folders) // SECOND_LIVES)]
+    chosen = sorted(folders)[:: max(1, len(folders) // SECOND_INCARNATIONS)]
     for contents in map(dict, chosen):
         with tempfile.TemporaryDirectory() as folder:
             _fill(Path(folder), contents)
-            second = Life(Path(folder))
+            second = Incarnation(Path(folder))
             second.run(len(recovered(contents)), "raar")
         _check(second, contents, set())
 
--- a/tests/storage/test_record_file.py
+++ b/tests/storage/test_record_file.py
@@ -150,15 +150,15 @@
             rng = random.Random(seed)
             disk = new_disk(seed)
             synced: tuple[bytes, ...] = ()
-            for life in range(6):
+            for incarnation in range(6):
                 file = RecordFile(disk)
                 found = file.recover().records
                 self.assertEqual(synced, found[: len(synced)])
                 file.rewrite(found)
                 synced = found
                 for number in range(rng.randrange(5)):
-                    file.append((b"%d-%d" % (life, number),))
-                    synced += (b"%d-%d" % (life, number),)
+                    file.append((b"%d-%d" % (incarnation, number),))
+                    synced += (b"%d-%d" % (incarnation, number),)
                     if rng.random() < 0.3:
                         file.rewrite(synced)
                 disk.goes_down_next = True
@@ -185,7 +185,7 @@
                 ["replica-00000002.log"], [path.name for path in Path(folder, "deep/data").iterdir()]
             )
 
-    def test_given_a_torn_end_then_it_is_told_how_much_was_cut(self) -> None:
+    def test_given_a_torn_end_then_it_is_notified_how_much_was_cut(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             RecordFile(FileDisk(folder)).rewrite((b"one",))
             (path,) = Path(folder).iterdir()
