--- a/madderwind/dataplane/admission.py
+++ b/madderwind/dataplane/admission.py
@@ -22,11 +22,11 @@
 NEEDED_PART = 0.5
 # A refusal within a quarter of the objective, served in time when it comes back, keeps half of its worth: the
 # client is asked to come back after this part of the objective.
-LEAST_COMEBACK, MOST_COMEBACK = 0.1, 0.25
-LEAST_COMEBACK_MS, DEFAULT_COMEBACK_MS = 20.0, 200.0
+MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.1, 0.25
+MIN_RETRY_AFTER_MS, DEFAULT_RETRY_AFTER_MS = 20.0, 200.0
 # A tenant beyond its quota is told to come back after a time in which its rate yields a large request: a
 # client that is refused twice does not come a third time.
-QUOTA_COMEBACK_MS = 1000.0
+QUOTA_RETRY_AFTER_MS = 1000.0
 
 
 class TenantQuota(Protocol):
@@ -35,7 +35,7 @@
     def admit(self, now_ms: float, tenant_name: str, amount: float) -> bool:
         """Whether so much more is within the tenant's quota; it is drawn then."""
 
-    def give_back(self, now_ms: float, tenant_name: str, amount: float) -> None:
+    def refund(self, now_ms: float, tenant_name: str, amount: float) -> None:
         """What was drawn for a request that never ran."""
 
 
@@ -134,23 +134,23 @@
         usage = token_usage(headers)
         amount = 0.0 if tenant is None else _quota_amount(tenant, usage)
         if tenant is not None and amount and not self._quota.admit(now_ms, tenant.name, amount):
-            return Rejected(429, "beyond the quota", QUOTA_COMEBACK_MS * self._rng.uniform(0.5, 1.0))
+            return Rejected(429, "beyond the quota", QUOTA_RETRY_AFTER_MS * self._rng.uniform(0.5, 1.0))
         return self._admitted(table, arrived_ms, route, tenant, amount, usage, headers)
 
     def never_ran(self, now_ms: float, admitted: Admitted) -> None:
         """The request ends without having run: it does not count for its tenant's quota."""
         if admitted.tenant is not None and admitted.quota_amount:
-            self._quota.give_back(now_ms, admitted.tenant, admitted.quota_amount)
+            self._quota.refund(now_ms, admitted.tenant, admitted.quota_amount)
 
-    def comeback_ms(self, route: Route) -> float:
+    def retry_after_for_ms(self, route: Route) -> float:
         """When a client whose request never ran should come back."""
         if not route.target_latency_ms:
-            return DEFAULT_COMEBACK_MS
-        part = self._rng.uniform(LEAST_COMEBACK, MOST_COMEBACK)
-        return max(LEAST_COMEBACK_MS, part * route.target_latency_ms)
+            return DEFAULT_RETRY_AFTER_MS
+        part = self._rng.uniform(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        return max(MIN_RETRY_AFTER_MS, part * route.target_latency_ms)
 
     def _come_back(self, reason: str) -> Rejected:
-        return Rejected(503, reason, DEFAULT_COMEBACK_MS * self._rng.uniform(0.5, 1.5))
+        return Rejected(503, reason, DEFAULT_RETRY_AFTER_MS * self._rng.uniform(0.5, 1.5))
 
     def _admitted(
         self,
--- a/madderwind/dataplane/answer_relay.py
+++ b/madderwind/dataplane/answer_relay.py
@@ -68,7 +68,7 @@
         if length is None or length > MAX_BUFFERED_ANSWER_BYTES:
             return await self._relay_in_pieces(response, length)
         body = await response.read()
-        self.final = self._answer.whole(response, body)
+        self.final = self._answer.complete(response, body)
         return AttemptResult.COMPLETE
 
     async def _relay_stream(self, response: ClientResponse, instance: str, key: str) -> AttemptResult:
@@ -76,7 +76,7 @@
         if self._progress.answer_begun:
             self._events.resume()
         else:
-            self._answer.take_head(response, None)
+            self._answer.set_head(response, None)
         data = await response.content.readany()
         if data:
             self._parts.chooser.stream_began(self._now_ms(), key, instance)
@@ -104,11 +104,11 @@
                 self._progress.is_resumable &= events.last_id is not None
                 await self._answer.write(complete)
             data = await response.content.readany()
-            streams.heard(self._now_ms(), instance)
+            streams.record_data(self._now_ms(), instance)
 
     async def _relay_in_pieces(self, response: ClientResponse, length: int | None) -> AttemptResult:
         """A long answer; one that breaks off is broken off for the client too."""
-        self._answer.take_head(response, length)
+        self._answer.set_head(response, length)
         while data := await response.content.readany():
             self._progress.answer_begun = True
             self._progress.is_resumable = False
--- a/madderwind/dataplane/attempt_exchange.py
+++ b/madderwind/dataplane/attempt_exchange.py
@@ -130,7 +130,7 @@
         if head is not Head.ANSWER:
             await self._handle_rejection(response, head)
             return _RESULT_OF_HEAD[head]
-        self._parts.chooser.heard(self._attempt.instance)
+        self._parts.chooser.record_answer(self._attempt.instance)
         if encoded.connection is not None:
             encoded.connection.passes_on()
         return await self._relay.relay(response, self._attempt.instance, self._key)
@@ -147,7 +147,7 @@
                 parts.log("upstream_replaced", instance=instance)
             response.close()
             return
-        parts.chooser.heard(instance)
+        parts.chooser.record_answer(instance)
         with contextlib.suppress(ClientError, TimeoutError):
             await response.read()  # so that its connection can be used again
 
--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -7,7 +7,7 @@
 
 from madderwind.balancing.idle_first import IdleFirstPick
 from madderwind.configuration.documents import Service
-from madderwind.dataplane.stream_silence import StreamSilence
+from madderwind.dataplane.stream_timeouts import StreamTimeouts
 from madderwind.dataplane.upstream_health import UpstreamHealth
 from madderwind.placement.placement import Placement
 from madderwind.placement.prompts import Generation
@@ -23,7 +23,7 @@
         upstreams: KnownUpstreams,
         placement: Placement,
         zone: str,
-        has_room: Callable[[str, str], bool],
+        has_capacity: Callable[[str, str], bool],
         keeps: Callable[[str], bool],
     ) -> None:
         """`has_room`: whether another connection to this instance of this service may be used.
@@ -31,10 +31,10 @@
         `keeps`: whether one to it stands idle.
         """
         self._upstreams, self._zone = upstreams, zone
-        self._has_room, self._keeps = has_room, keeps
+        self._has_capacity, self._keeps = has_capacity, keeps
         self.placement = placement
         self.health = UpstreamHealth(rng)
-        self.streams = StreamSilence()
+        self.streams = StreamTimeouts()
         self._idle_first = IdleFirstPick(rng)
 
     def configure(self, services: Iterable[Service]) -> None:
@@ -62,7 +62,7 @@
         candidates = self._upstreams.ready_of_service(service)
         if not candidates:
             return None
-        full = frozenset(instance for instance in candidates if not self._has_room(instance, service))
+        full = frozenset(instance for instance in candidates if not self._has_capacity(instance, service))
         unwell = self.health.to_avoid(now_ms, candidates) | self._silent(now_ms, candidates)
         for avoid in (full | unwell | tried, full | unwell, full):
             if len(avoid.intersection(candidates)) == len(candidates):
@@ -72,8 +72,8 @@
 
     def _silent(self, now_ms: float, candidates: tuple[str, ...]) -> frozenset[str]:
         """Those that no control plane hears, or none of whose streams goes on: hints, no proof."""
-        unheard = frozenset(instance for instance in candidates if self._upstreams.is_timed_out(instance))
-        return unheard | self.streams.silent(now_ms, candidates)
+        timed_out = frozenset(instance for instance in candidates if self._upstreams.is_timed_out(instance))
+        return timed_out | self.streams.timed_out(now_ms, candidates)
 
     def _pick(
         self,
@@ -116,7 +116,7 @@
         self.streams.began(now_ms, instance)
         self.placement.event(now_ms, key, True)
 
-    def heard(self, instance: str) -> None:
+    def record_answer(self, instance: str) -> None:
         """The upstream answered something."""
         self._idle_first.heard(instance)
         self.health.succeeded(instance)
--- a/madderwind/dataplane/client_answers.py
+++ b/madderwind/dataplane/client_answers.py
@@ -13,7 +13,7 @@
 NO_ANSWER = 502
 
 
-class ClientGone(MadderwindError):
+class ClientDisconnected(MadderwindError):
     """The client has left: what is still done for its request helps nobody."""
 
 
@@ -26,25 +26,25 @@
         self._length: int | None = None
         self.begun = False
 
-    def take_head(self, upstream: ClientResponse, length: int | None) -> None:
+    def set_head(self, upstream: ClientResponse, length: int | None) -> None:
         """The status and headers that the client will have; `length`: of the body, where that is known."""
         self._response = web.StreamResponse(
             status=upstream.status, reason=upstream.reason, headers=headers_back(upstream.headers)
         )
         self._length = length
 
-    def whole(self, upstream: ClientResponse, body: bytes) -> web.StreamResponse:
+    def complete(self, upstream: ClientResponse, body: bytes) -> web.StreamResponse:
         """An answer that is sent in one piece."""
         headers = headers_back(upstream.headers)
         return web.Response(status=upstream.status, reason=upstream.reason, headers=headers, body=body)
 
     async def write(self, data: bytes) -> None:
-        """Send some of the body; ClientGone where there is nobody to take it."""
+        """Send some of the body; ClientDisconnected where there is nobody to take it."""
         try:
             response = await self._begin()
             await response.write(data)
         except (ConnectionError, RuntimeError) as error:
-            raise ClientGone(str(error)) from None
+            raise ClientDisconnected(str(error)) from None
 
     async def end(self) -> web.StreamResponse:
         """The body is whole."""
@@ -52,7 +52,7 @@
             response = await self._begin()
             await response.write_eof()
         except (ConnectionError, RuntimeError) as error:
-            raise ClientGone(str(error)) from None
+            raise ClientDisconnected(str(error)) from None
         return response
 
     def abort(self) -> web.StreamResponse:
--- a/madderwind/dataplane/forwarder.py
+++ b/madderwind/dataplane/forwarder.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from madderwind.dataplane.admission import Rejected
-from madderwind.dataplane.client_answers import ClientGone
+from madderwind.dataplane.client_answers import ClientDisconnected
 from madderwind.dataplane.client_requests import UnusableRequest, read_request
 from madderwind.dataplane.own_answers import own_answer, refusal
 from madderwind.dataplane.request_forwarding import RequestForwarding
@@ -41,7 +41,7 @@
         forwarding = RequestForwarding(parts, f"{next(self._numbers)}", read, decision)
         try:
             return await forwarding.run()
-        except ClientGone:
+        except ClientDisconnected:
             parts.counters["client gone"] += 1
             return forwarding.answer.abort()
 
--- a/madderwind/dataplane/reports.py
+++ b/madderwind/dataplane/reports.py
@@ -34,17 +34,17 @@
         self._subscriber, self._links = subscriber, links
         self._quota, self._budget, self._placement, self._log = quota, budget, placement, log
         self._usage_sequence = 0
-        self._was_in_touch = False
+        self._was_connected = False
 
     def share_limits(self, now_ms: float) -> bool:
         """Tell all limits how many share them; whether the primary hears of what is used here."""
         fleet, in_touch = self._subscriber.data_planes, self._subscriber.is_connected(now_ms)
-        if in_touch != self._was_in_touch:
-            self._was_in_touch = in_touch
+        if in_touch != self._was_connected:
+            self._was_connected = in_touch
             self._log("in_touch_with_primary" if in_touch else "out_of_touch_with_primary")
-        self._quota.set_fleet(now_ms, fleet, in_touch)
-        self._budget.set_fleet(fleet)
-        self._placement.set_fleet(fleet)
+        self._quota.set_data_planes(now_ms, fleet, in_touch)
+        self._budget.set_data_planes(fleet)
+        self._placement.set_data_planes(fleet)
         return in_touch
 
     async def report_usage(self) -> None:
@@ -55,9 +55,9 @@
             if not self.share_limits(now_ms):
                 continue
             usage = self._quota.drain_usage(now_ms)
-            if usage.used or usage.asked:
+            if usage.used or usage.demand_per_s:
                 self._usage_sequence += 1
-                report = UsageReport(self._usage_sequence, dict(usage.used), dict(usage.asked))
+                report = UsageReport(self._usage_sequence, dict(usage.used), dict(usage.demand_per_s))
                 self._links.send(self._subscriber.primary, report)
 
     async def report_load(self) -> None:
@@ -67,7 +67,7 @@
             await asyncio.sleep(
                 max(LEAST_LOAD_REPORT_S, LOAD_REPORT_S_PER_DATA_PLANE * self._subscriber.data_planes)
             )
-            prompts, load = self._placement.take_sent(), LoadReport(self._placement.load())
+            prompts, load = self._placement.take_dispatched(), LoadReport(self._placement.load())
             primary = self._subscriber.primary
             if not self._subscriber.is_connected(self._now_ms()):
                 told_to = ""
--- a/madderwind/dataplane/request_forwarding.py
+++ b/madderwind/dataplane/request_forwarding.py
@@ -10,7 +10,7 @@
 from madderwind.dataplane.answer_relay import AnswerRelay
 from madderwind.dataplane.attempt_exchange import AttemptExchange
 from madderwind.dataplane.attempts import Attempt, AttemptResult, Progress, may_promise
-from madderwind.dataplane.client_answers import ClientAnswer, ClientGone
+from madderwind.dataplane.client_answers import ClientAnswer, ClientDisconnected
 from madderwind.dataplane.client_requests import ClientRequest
 from madderwind.dataplane.own_answers import own_answer, refusal
 from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
@@ -44,7 +44,7 @@
         """Attempt until an upstream has answered, or give up.
 
         Raises:
-            ClientGone: The client left before the end.
+            ClientDisconnected: The client left before the end.
         """
         while (instance := self._next_upstream()) is not None:
             attempt = Attempt(instance)
@@ -60,7 +60,7 @@
         """The upstream for the next attempt; None where there is none, or no time is left."""
         now_ms = self._now_ms()
         if self._client_has_left():
-            raise ClientGone("it closed its connection")
+            raise ClientDisconnected("it closed its connection")
         if self._admitted.until_ms - now_ms < LEAST_LEFT_MS:
             return None
         return self._parts.chooser.choose(
@@ -117,7 +117,7 @@
             return self.answer.abort()
         if may_promise(self._progress):
             self._note("refused", last)
-            retry_after_ms = self._parts.admission.comeback_ms(self._admitted.route)
+            retry_after_ms = self._parts.admission.retry_after_for_ms(self._admitted.route)
             return refusal(SERVICE_UNAVAILABLE, "no upstream took it", retry_after_ms)
         self._note("failed", last)
         if last is AttemptResult.TIMED_OUT:
--- a/madderwind/dataplane/retrying.py
+++ b/madderwind/dataplane/retrying.py
@@ -22,7 +22,7 @@
 class RetryBudget(Protocol):
     """The fleet's bound on arrivals beyond the first of each request, as limits.budget implements it."""
 
-    def set_fleet(self, data_planes: int) -> None:
+    def set_data_planes(self, data_planes: int) -> None:
         """How many data planes share it."""
 
     def request(self, now_ms: float, service: str) -> None:
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -99,7 +99,7 @@
         connections = max(16, settings.limits.max_fds - OWN_DESCRIPTORS) // 2
         self.pool = UpstreamPool(connections)
         self.chooser = UpstreamChooser(
-            rng, self.upstreams, self.placement, settings.zone, self._has_room, self.pool.keeps
+            rng, self.upstreams, self.placement, settings.zone, self._has_capacity, self.pool.keeps
         )
         self.quota = TenantQuota(bounds, rng, is_founding=settings.bootstrap)
         self.budget = FleetRetryBudget(
@@ -167,7 +167,7 @@
         self._log("started", front=front_port, ready=ready_port)
         return front_port, ready_port
 
-    def take_settings(self, settings: NodeSettings) -> None:
+    def apply_settings(self, settings: NodeSettings) -> None:
         """The settings file changed: other seeds, from now on."""
         if settings.seed_addresses() != self._settings.seed_addresses():
             self.links.handle(SeedsChanged(settings.seed_addresses()))
@@ -234,11 +234,11 @@
                     if not self.upstreams.takes_new(instance):
                         self.pool.forget(instance)
             case PeerUsage(used, asked):
-                self.quota.others(now_ms, used, asked)
+                self.quota.handle_peer_usage(now_ms, used, asked)
             case PeerLoad(load):
-                self.placement.others(load)
+                self.placement.handle_peer_load(load)
             case PeerDispatches(prompts):
-                self.placement.heard(now_ms, prompts)
+                self.placement.handle_peer_dispatches(now_ms, prompts)
             case Freshness():
                 pass
             case _:
@@ -250,7 +250,7 @@
             if self.counters:
                 self._log("counters", **_plain(self.counters))
 
-    def _has_room(self, instance: str, service: str) -> bool:
+    def _has_capacity(self, instance: str, service: str) -> bool:
         """Whether the upstream's limit on connections leaves this data plane another one."""
         most = self.admission.max_connections(service)
         return most is None or self.pool.in_use(instance) < max(1, most // self.subscriber.data_planes)
@@ -274,7 +274,7 @@
     def end() -> None:
         ending.append(loop.create_task(plane.drain()))
 
-    watch = SettingsWatch(path, plane.take_settings, log)
+    watch = SettingsWatch(path, plane.apply_settings, log)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, end)
     loop.add_signal_handler(signal.SIGHUP, watch.read_again)
--- a/madderwind/dataplane/stream_silence.py
+++ b/madderwind/dataplane/stream_timeouts.py
@@ -8,7 +8,7 @@
 
 # A model server that runs gives an event to each of its streams every few tens of milliseconds. Pauses of all
 # streams at once are rare and short: prompts are read in pieces between them.
-SILENT_AFTER_MS = 400.0
+STREAM_TIMEOUT_MS = 400.0
 
 
 class _Streams(msgspec.Struct):
@@ -16,7 +16,7 @@
     heard_ms: float
 
 
-class StreamSilence:
+class StreamTimeouts:
     """Counts streams that have begun, and when any of an upstream's last gave an event.
 
     Guards against requests that go on to a machine without power until its connections time out. It only
@@ -32,7 +32,7 @@
         streams.begun += 1
         streams.heard_ms = now_ms
 
-    def heard(self, now_ms: float, instance: str) -> None:
+    def record_data(self, now_ms: float, instance: str) -> None:
         """Another event of a stream that has begun came."""
         self._streams[instance].heard_ms = now_ms
 
@@ -43,10 +43,10 @@
         if not streams.begun:
             del self._streams[instance]
 
-    def silent(self, now_ms: float, candidates: Iterable[str]) -> frozenset[str]:
+    def timed_out(self, now_ms: float, candidates: Iterable[str]) -> frozenset[str]:
         """Those that have streams and gave none of them an event for some time."""
         return frozenset(instance for instance in candidates if self._is_silent(now_ms, instance))
 
     def _is_silent(self, now_ms: float, instance: str) -> bool:
         streams = self._streams.get(instance)
-        return streams is not None and now_ms - streams.heard_ms > SILENT_AFTER_MS
+        return streams is not None and now_ms - streams.heard_ms > STREAM_TIMEOUT_MS
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -148,14 +148,14 @@
                     break
                 message = to_data_plane.decode(frame.data)
                 if isinstance(message, ConfigurationMessage) and is_long(message):
-                    await self._take_long_configuration(address, message)
+                    await self._handle_long_configuration(address, message)
                 else:
                     self.handle(MessageReceived(address, message))
         finally:
             sending.cancel()
             await socket.close()
 
-    async def _take_long_configuration(self, address: str, message: ConfigurationMessage) -> None:
+    async def _handle_long_configuration(self, address: str, message: ConfigurationMessage) -> None:
         """Have it read by a thread, so that requests and streams go on meanwhile.
 
         What else comes on this connection waits for it.
--- a/madderwind/limits/budget.py
+++ b/madderwind/limits/budget.py
@@ -61,7 +61,7 @@
         self._data_planes = 0
         self._services: defaultdict[str, _ServiceBudget] = defaultdict(lambda: _ServiceBudget(window_ms))
 
-    def set_fleet(self, data_planes: int) -> None:
+    def set_data_planes(self, data_planes: int) -> None:
         """How many data planes share the slack. It never goes down: those that are away may be at work."""
         self._data_planes = max(self._data_planes, data_planes)
 
--- a/madderwind/limits/isolated_bucket.py
+++ b/madderwind/limits/isolated_bucket.py
@@ -24,8 +24,8 @@
 class IsolatedBucket:
     """Lives from the loss of touch until all is settled again.
 
-    `share`: this data plane's part of the fleet; `used_unnoticed`: what it admitted since touch was lost,
-    before that was noticed; `others_unnoticed`: what is assumed of the others for that time, and drawn
+    `share`: this data plane's part of the fleet; `unnoticed_own_use`: what it admitted since touch was lost,
+    before that was noticed; `unnoticed_peer_use`: what is assumed of the others for that time, and drawn
     already.
     """
 
@@ -35,18 +35,18 @@
         terms: QuotaTerms,
         headroom: float,
         share: float,
-        used_unnoticed: float,
-        others_unnoticed: float,
+        unnoticed_own_use: float,
+        unnoticed_peer_use: float,
     ) -> None:
         self._terms = terms
-        undrawn = max(0.0, used_unnoticed * (1.0 / share - 1.0) - others_unnoticed)
+        undrawn = max(0.0, unnoticed_own_use * (1.0 / share - 1.0) - unnoticed_peer_use)
         self._level = headroom + terms.isolated_allowance - undrawn
         self._most = terms.burst + terms.margin + terms.isolated_allowance
         self._share = share
         self._updated_ms = now_ms
         self._own_demand = DecayingRate(DEMAND_TIME_CONSTANT_S)
 
-    def asked(self, now_ms: float, amount: float) -> None:
+    def record_demand(self, now_ms: float, amount: float) -> None:
         """Count a request, admitted or not."""
         self._own_demand.add(now_ms, amount)
 
@@ -57,7 +57,7 @@
         multiple = self._demand(now_ms) / own_demand if own_demand > 0 else 1.0
         self._level -= amount * max(1.0, multiple)
 
-    def give_back(self, now_ms: float, amount: float) -> None:
+    def refund(self, now_ms: float, amount: float) -> None:
         """What was drawn for a request that won't run."""
         self._advance(now_ms)
         self._level = min(self._most, self._level + amount)
--- a/madderwind/limits/quota.py
+++ b/madderwind/limits/quota.py
@@ -13,10 +13,11 @@
 from madderwind.limits.shared_bucket import SharedBucket
 from madderwind.node_settings import Bounds
 
-# After touch was regained, what was used meanwhile is reported so much later, when the others are back, too.
-HOLD_BACK_MS = 500.0
-# Demand below this is told to nobody, units a second.
-LEAST_DEMAND_TOLD = 1e-3
+# After the connection was regained, what was used meanwhile is reported so much later, when the others are
+# back, too.
+DEFERRAL_MS = 500.0
+# Demand below this is reported to nobody, units a second.
+MIN_REPORTED_DEMAND = 1e-3
 
 
 @attrs.frozen
@@ -24,28 +25,28 @@
     """What a data plane reports, by tenant: what it admitted since its last report; its demand a second."""
 
     used: Mapping[str, float]
-    asked: Mapping[str, float]
+    demand_per_s: Mapping[str, float]
 
 
 class _TenantState:
-    """One tenant's buckets here. The isolated one is there only while the others are not heard of."""
+    """One tenant's buckets here. The isolated one is there only while the primary is not connected."""
 
     def __init__(self, now_ms: float, terms: QuotaTerms, level: float) -> None:
         self.shared = SharedBucket(now_ms, terms, level)
         self.isolated: IsolatedBucket | None = None
         self.unreported = 0.0
-        self.held_back = 0.0
-        self._report_held_back_ms = now_ms
+        self.deferred = 0.0
+        self._report_deferred_ms = now_ms
         self.is_configured = True
-        self._is_heard = True
+        self._is_connected = True
 
-    def asked(self, now_ms: float, amount: float) -> None:
-        self.shared.asked(now_ms, amount)
+    def record_demand(self, now_ms: float, amount: float) -> None:
+        self.shared.record_demand(now_ms, amount)
         if self.isolated is not None:
-            self.isolated.asked(now_ms, amount)
+            self.isolated.record_demand(now_ms, amount)
 
     def _end_isolation(self, now_ms: float) -> None:
-        if self.shared.is_settled(now_ms):
+        if self.shared.is_caught_up(now_ms):
             self.isolated = None
 
     def chance(self, now_ms: float) -> float:
@@ -59,36 +60,36 @@
             self.isolated.spend(now_ms, amount)
         self.unreported += amount
 
-    def give_back(self, now_ms: float, amount: float) -> None:
-        self.shared.give_back(now_ms, amount)
+    def refund(self, now_ms: float, amount: float) -> None:
+        self.shared.refund(now_ms, amount)
         if self.isolated is not None:
-            self.isolated.give_back(now_ms, amount)
+            self.isolated.refund(now_ms, amount)
         self.unreported -= amount
 
     def drain(self, now_ms: float) -> float:
         """What is to be reported now."""
         amount = max(0.0, self.unreported)  # what was given back beyond that goes against the next
         self.unreported -= amount
-        if now_ms >= self._report_held_back_ms:
-            amount, self.held_back = amount + self.held_back, 0.0
+        if now_ms >= self._report_deferred_ms:
+            amount, self.deferred = amount + self.deferred, 0.0
         return amount
 
-    def set_heard(self, now_ms: float, is_heard: bool, data_planes: int) -> None:
+    def set_connected(self, now_ms: float, is_connected: bool, data_planes: int) -> None:
         """The isolated bucket stays until what was used meanwhile has been reported by all."""
-        if is_heard and not self._is_heard:
-            self.held_back, self.unreported = self.held_back + self.unreported, 0.0
-            self._report_held_back_ms = now_ms + HOLD_BACK_MS
-        self._is_heard = is_heard
-        self.shared.set_heard(now_ms, is_heard)
+        if is_connected and not self._is_connected:
+            self.deferred, self.unreported = self.deferred + self.unreported, 0.0
+            self._report_deferred_ms = now_ms + DEFERRAL_MS
+        self._is_connected = is_connected
+        self.shared.set_connected(now_ms, is_connected)
         self._end_isolation(now_ms)
-        if not is_heard and self.isolated is None:
+        if not is_connected and self.isolated is None:
             self.isolated = IsolatedBucket(
                 now_ms,
                 self.shared.terms,
                 headroom=self.shared.headroom(now_ms),
                 share=1.0 / data_planes,
-                used_unnoticed=self.shared.used_unnoticed(now_ms),
-                others_unnoticed=self.shared.others_unnoticed(now_ms),
+                unnoticed_own_use=self.shared.unnoticed_own_use(now_ms),
+                unnoticed_peer_use=self.shared.unnoticed_peer_use(now_ms),
             )
 
 
@@ -105,7 +106,7 @@
         self._starts_full = is_founding
         self._tenants: dict[str, _TenantState] = {}
         self._data_planes = 1
-        self._is_heard = False
+        self._is_connected = False
 
     def configure(self, now_ms: float, tenants: Iterable[Tenant]) -> None:
         """Take the limits of a configuration.
@@ -126,18 +127,18 @@
         state = self._tenants.get(tenant_name)
         if state is None or not state.is_configured:
             return True
-        state.asked(now_ms, amount)
+        state.record_demand(now_ms, amount)
         chance = state.chance(now_ms)
         if chance < 1.0 and self._rng.random() >= chance:
             return False
         state.spend(now_ms, amount)
         return True
 
-    def give_back(self, now_ms: float, tenant_name: str, amount: float) -> None:
+    def refund(self, now_ms: float, tenant_name: str, amount: float) -> None:
         """An admitted request provably didn't and won't run."""
         state = self._tenants.get(tenant_name)
         if state is not None:
-            state.give_back(now_ms, amount)
+            state.refund(now_ms, amount)
 
     def drain_usage(self, now_ms: float) -> Usage:
         """What to report to the others; what was used counts as reported.
@@ -147,29 +148,29 @@
         drained = {name: state.drain(now_ms) for name, state in self._tenants.items()}
         used = {name: amount for name, amount in drained.items() if amount}
         demands = {name: state.shared.own_demand(now_ms) for name, state in self._tenants.items()}
-        asked = {name: per_s for name, per_s in demands.items() if per_s >= LEAST_DEMAND_TOLD}
+        asked = {name: per_s for name, per_s in demands.items() if per_s >= MIN_REPORTED_DEMAND}
         return Usage(used, asked)
 
-    def others(self, now_ms: float, used: Mapping[str, float], asked: Mapping[str, float]) -> None:
+    def handle_peer_usage(self, now_ms: float, used: Mapping[str, float], asked: Mapping[str, float]) -> None:
         """What the other data planes used since they were last heard of, and are asked for a second."""
         for name, amount in used.items():
             if (state := self._tenants.get(name)) is not None:
-                state.shared.others_used(now_ms, amount)
+                state.shared.record_peer_use(now_ms, amount)
         for name, state in self._tenants.items():
-            state.shared.others_asked(now_ms, asked.get(name, 0.0))
+            state.shared.set_peer_demand(now_ms, asked.get(name, 0.0))
 
-    def set_fleet(self, now_ms: float, data_planes: int, in_touch: bool) -> None:
+    def set_data_planes(self, now_ms: float, data_planes: int, in_touch: bool) -> None:
         """How many data planes there are, and whether this one hears of the others' use."""
         self._data_planes = max(1, data_planes)
-        self._is_heard = in_touch
+        self._is_connected = in_touch
         for state in self._tenants.values():
-            state.set_heard(now_ms, in_touch, self._data_planes)
+            state.set_connected(now_ms, in_touch, self._data_planes)
 
     def _configure(self, now_ms: float, name: str, terms: QuotaTerms) -> None:
         state = self._tenants.get(name)
         if state is None:
             state = _TenantState(now_ms, terms, terms.burst if self._starts_full else terms.newborn_level)
-            state.set_heard(now_ms, self._is_heard, self._data_planes)
+            state.set_connected(now_ms, self._is_connected, self._data_planes)
             self._tenants[name] = state
         state.shared.change_terms(now_ms, terms)
         state.is_configured = True
--- a/madderwind/limits/shared_bucket.py
+++ b/madderwind/limits/shared_bucket.py
@@ -1,7 +1,7 @@
 """One tenant's token bucket as one data plane sees it: refilled at the whole rate, drawn by the whole fleet.
 
 Every data plane keeps such a bucket of its own. Its own admissions draw on it at once, those of the others
-when they are heard of. A request is admitted by chance, the same for all sizes and at all data planes:
+when they are reported. A request is admitted by chance, the same for all sizes and at all data planes:
 
     chance = (rate x HORIZON + level + margin) / (demand x HORIZON)
 
@@ -9,13 +9,13 @@
 until the level is used up. Above it, what all admit together is rate + (level + margin) / HORIZON: the
 level settles at minus the margin, without the data planes having to agree on who takes the next token.
 
-Why the sum stays under the rule: a bucket that heard of every admission at once would hold it to rate x
+Why the sum stays under the rule: a bucket that knew of every admission at once would hold it to rate x
 window + burst + margin + rate x HORIZON in any window, as each admission is drawn, nothing but the rate
 refills, and the chance is 0 below that. A level here is above that bucket's by what was admitted
-elsewhere and is not heard of yet, and no more than that can be admitted beyond. It is drawn as soon as it
-is heard of, and refilled before more is admitted, so it counts once:
+elsewhere and is not reported yet, and no more than that can be admitted beyond. It is drawn as soon as it
+is reported, and refilled before more is admitted, so it counts once:
 
-    admitted in any window <= rate x (window + HORIZON) + burst + margin + (the most that is ever unheard of).
+    admitted in any window <= rate x (window + HORIZON) + burst + margin + (the most that is ever unreported).
 
 While the level is high the last term is what all are asked for while a report is on its way; at the margin it
 is the rate for that time. tests/limits/test_quota_fleet.py holds the sum against the rule.
@@ -32,12 +32,12 @@
 HORIZON_S = 0.6
 DEMAND_TIME_CONSTANT_S = 0.5
 USE_TIME_CONSTANT_S = 1.0
-# What the others used in this time is not heard of yet, on the average.
-UNHEARD_S = 0.25
-# Touch was lost that long before it is noticed.
+# What the others used in this time is not reported yet, on the average.
+REPORT_DELAY_S = 0.25
+# The connection was lost that long before it is noticed.
 UNNOTICED_S = 0.7
-# After touch was regained, reports of what the others used meanwhile come in for so long.
-SETTLING_MS = 1_000.0
+# After the connection was regained, reports of what the others used meanwhile come in for so long.
+CATCH_UP_MS = 1_000.0
 # What the others are asked for is forgotten no faster: who is away for a moment is asked all the same.
 FORGET_DEMAND_S = 0.5
 MEAN_DEMAND_S = 4.0
@@ -52,13 +52,13 @@
         self._updated_ms = now_ms
         self._own_demand = DecayingRate(DEMAND_TIME_CONSTANT_S)
         self._own_use = DecayingRate(UNNOTICED_S)
-        self._others_use = DecayingRate(USE_TIME_CONSTANT_S)
-        self._others_demand = 0.0
-        self._others_demand_told = 0.0
-        self._others_demand_mean = 0.0
-        self._is_heard = True
+        self._peer_use = DecayingRate(USE_TIME_CONSTANT_S)
+        self._peer_demand = 0.0
+        self._reported_peer_demand = 0.0
+        self._mean_peer_demand = 0.0
+        self._is_connected = True
         self._assumed = 0.0
-        self._settled_ms = now_ms
+        self._caught_up_ms = now_ms
 
     def change_terms(self, now_ms: float, terms: QuotaTerms) -> None:
         """Take new terms at once; the level is kept, up to the new burst."""
@@ -66,16 +66,16 @@
         self.terms = terms
         self._level = min(self._level, terms.burst)
 
-    def set_heard(self, now_ms: float, is_heard: bool) -> None:
-        """Whether the others' use is heard of. While it is not, they are taken to go on as before."""
+    def set_connected(self, now_ms: float, is_connected: bool) -> None:
+        """Whether the others' use is reported. While it is not, they are taken to go on as before."""
         self._advance(now_ms)
-        if is_heard and not self._is_heard:
-            self._settled_ms = now_ms + SETTLING_MS
-        elif self._is_heard and not is_heard:
-            self._assume(self.others_unnoticed(now_ms))
-        self._is_heard = is_heard
+        if is_connected and not self._is_connected:
+            self._caught_up_ms = now_ms + CATCH_UP_MS
+        elif self._is_connected and not is_connected:
+            self._assume(self.unnoticed_peer_use(now_ms))
+        self._is_connected = is_connected
 
-    def asked(self, now_ms: float, amount: float) -> None:
+    def record_demand(self, now_ms: float, amount: float) -> None:
         """Count a request, admitted or not."""
         self._own_demand.add(now_ms, amount)
 
@@ -85,44 +85,44 @@
         self._level -= amount
         self._own_use.add(now_ms, amount)
 
-    def give_back(self, now_ms: float, amount: float) -> None:
+    def refund(self, now_ms: float, amount: float) -> None:
         """What was drawn for a request that won't run; it is as if it had never been asked for."""
         self._advance(now_ms)
         self._level = min(self.terms.burst, self._level + amount)
         self._own_use.add(now_ms, -amount)
         self._own_demand.add(now_ms, -amount)
 
-    def others_used(self, now_ms: float, amount: float) -> None:
+    def record_peer_use(self, now_ms: float, amount: float) -> None:
         """Draw what the others admitted."""
         self._advance(now_ms)
         assumed = min(amount, self._assumed)
         self._assumed -= assumed
         self._level = min(self.terms.burst, self._level - (amount - assumed))
-        self._others_use.add(now_ms, amount - assumed)
+        self._peer_use.add(now_ms, amount - assumed)
 
-    def others_asked(self, now_ms: float, per_s: float) -> None:
+    def set_peer_demand(self, now_ms: float, per_s: float) -> None:
         """What the others are asked for a second."""
         self._advance(now_ms)
-        self._others_demand_told = per_s
-        self._others_demand = max(self._others_demand, per_s)
+        self._reported_peer_demand = per_s
+        self._peer_demand = max(self._peer_demand, per_s)
 
     def headroom(self, now_ms: float) -> float:
         """What the fleet may still admit, as far as is known here; below zero where it admitted too much."""
         self._advance(now_ms)
-        unheard = self._others_use.per_s(now_ms) * UNHEARD_S
-        return self._level + self.terms.margin - unheard
+        unreported = self._peer_use.per_s(now_ms) * REPORT_DELAY_S
+        return self._level + self.terms.margin - unreported
 
-    def is_settled(self, now_ms: float) -> bool:
-        """Whether the others are heard of, and all that they used while they were not was reported."""
-        return self._is_heard and now_ms >= self._settled_ms
+    def is_caught_up(self, now_ms: float) -> bool:
+        """Whether the others are reported, and all that they used while they were not was reported."""
+        return self._is_connected and now_ms >= self._caught_up_ms
 
-    def used_unnoticed(self, now_ms: float) -> float:
+    def unnoticed_own_use(self, now_ms: float) -> float:
         """What was admitted here in the last UNNOTICED_S."""
         return self._own_use.per_s(now_ms) * UNNOTICED_S
 
-    def others_unnoticed(self, now_ms: float) -> float:
+    def unnoticed_peer_use(self, now_ms: float) -> float:
         """What the others are taken to have admitted in that time."""
-        return self._assumed_others_use(now_ms) * UNNOTICED_S
+        return self._assumed_peer_use(now_ms) * UNNOTICED_S
 
     def chance(self, now_ms: float) -> float:
         """The chance with which a request is to be admitted now; 1 or more admits all."""
@@ -132,7 +132,7 @@
 
     def demand(self, now_ms: float) -> float:
         """What all data planes together are asked for a second."""
-        return self.own_demand(now_ms) + self._others_demand
+        return self.own_demand(now_ms) + self._peer_demand
 
     def own_demand(self, now_ms: float) -> float:
         """What this data plane is asked for a second."""
@@ -144,24 +144,24 @@
             return
         self._level = min(self.terms.burst, self._level + self.terms.rate_per_s * elapsed_s)
         self._updated_ms = now_ms
-        if not self.is_settled(now_ms):
-            self._assume(self._assumed_others_use(now_ms) * elapsed_s)
+        if not self.is_caught_up(now_ms):
+            self._assume(self._assumed_peer_use(now_ms) * elapsed_s)
             return
         self._assumed = 0.0
-        told = self._others_demand_told
-        self._others_demand = _nearer(self._others_demand, told, elapsed_s / FORGET_DEMAND_S)
-        self._others_demand_mean = _nearer(self._others_demand_mean, told, elapsed_s / MEAN_DEMAND_S)
+        reported = self._reported_peer_demand
+        self._peer_demand = _nearer(self._peer_demand, reported, elapsed_s / FORGET_DEMAND_S)
+        self._mean_peer_demand = _nearer(self._mean_peer_demand, reported, elapsed_s / MEAN_DEMAND_S)
 
     def _assume(self, amount: float) -> None:
-        """Draw what the others are taken to have used; what is heard of them later counts against it."""
+        """Draw what the others are taken to have used; what is reported them later counts against it."""
         self._assumed += amount
         self._level -= amount
 
-    def _assumed_others_use(self, now_ms: float) -> float:
+    def _assumed_peer_use(self, now_ms: float) -> float:
         """The others' part of what is asked for, or of the rate where more than that is asked for."""
-        demand = self.own_demand(now_ms) + self._others_demand_mean
+        demand = self.own_demand(now_ms) + self._mean_peer_demand
         admitted_part = min(1.0, self.terms.rate_per_s / demand) if demand > 0 else 1.0
-        return self._others_demand_mean * admitted_part
+        return self._mean_peer_demand * admitted_part
 
 
 def _nearer(value: float, target: float, time_constants: float) -> float:
--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -25,8 +25,8 @@
 DEFAULT_KV_TOKENS = 400_000
 DEFAULT_STRIDE = 1
 POPULARITY_WINDOW_MS = 6000.0
-# What is heard of others' sends is complete for this long; beyond, a home is presumed to keep its prefixes.
-HEARD_FRESH_MS = 1500.0
+# What is reported others' sends is complete for this long; beyond, a home is presumed to keep its prefixes.
+PEER_DISPATCH_FRESH_MS = 1500.0
 MOST_UNTOLD = 1000
 # With more upstreams than this, only the first by rank and a few drawn ones are weighed.
 WEIGH_ALL_BELOW = 10
@@ -95,32 +95,32 @@
         if identity:
             self._identities[instance] = identity
 
-    def set_fleet(self, balancers: int) -> None:
+    def set_data_planes(self, balancers: int) -> None:
         """How many balancers share the upstreams."""
         self._fleet = max(balancers, 1)
 
-    def others(self, load: Mapping[str, tuple[float, float, float]]) -> None:
+    def handle_peer_load(self, load: Mapping[str, tuple[float, float, float]]) -> None:
         """What all other balancers together have at upstreams."""
         for instance in self._zones:
             told = load.get(instance)
-            self._upstream(instance).set_others(Load(*told) if told else Load())
+            self._upstream(instance).set_peer_load(Load(*told) if told else Load())
 
     def load(self) -> dict[str, tuple[float, float, float]]:
         """What this balancer has at upstreams now, those with nothing left out."""
         own = {instance: estimate.own() for instance, estimate in self._upstreams.items()}
         return {
-            instance: (load.prompt_waiting, load.sequences, load.tokens_held)
+            instance: (load.prompt_waiting, load.sequences, load.tokens_reserved)
             for instance, load in own.items()
             if load.sequences
         }
 
-    def take_sent(self) -> tuple[DispatchedPrompt, ...]:
+    def take_dispatched(self) -> tuple[DispatchedPrompt, ...]:
         """Own sends since the last call, as many as are kept for it."""
         prompts = tuple(self._outbox)
         self._outbox.clear()
         return prompts
 
-    def heard(self, now_ms: float, prompts: Sequence[DispatchedPrompt]) -> None:
+    def handle_peer_dispatches(self, now_ms: float, prompts: Sequence[DispatchedPrompt]) -> None:
         """Sends of the other balancers to upstreams that were located; an empty call says there were none."""
         self._now_ms = max(self._now_ms, now_ms)
         self._heard_at_ms = now_ms
@@ -133,7 +133,7 @@
     @property
     def _unheard(self) -> int:
         """How many other balancers there are whose sends are not told."""
-        return 0 if self._now_ms - self._heard_at_ms < HEARD_FRESH_MS else self._fleet - 1
+        return 0 if self._now_ms - self._heard_at_ms < PEER_DISPATCH_FRESH_MS else self._fleet - 1
 
     def forget(self, instance: str) -> None:
         """The upstream is gone for good."""
@@ -288,7 +288,7 @@
     def _admission_ms(self, service: _Service, generation: Generation, upstream: UpstreamLoad) -> float:
         """The wait for a place in the batch or for memory."""
         waiting_sequences = upstream.sequences(self._unheard) + 1.0 - service.slots
-        held = upstream.tokens_held(self._unheard) + generation.prompt_tokens + generation.output_tokens
+        held = upstream.tokens_reserved(self._unheard) + generation.prompt_tokens + generation.output_tokens
         wait_ms = 0.0
         if waiting_sequences > 0.0:
             wait_ms += waiting_sequences * SLOWEST_STEP_MS
--- a/madderwind/placement/kept_parts.py
+++ b/madderwind/placement/prefix_cache_view.py
@@ -8,7 +8,7 @@
 from madderwind.placement.prompts import PromptPart
 
 
-class KeptParts:
+class PrefixCacheView:
     """Parts by last use, those unused longest dropped once they would not fit the memory.
 
     A balancer that hears nothing of the others' sends counts a prompt's last part `copies` times, once for
--- a/madderwind/placement/upstream_load.py
+++ b/madderwind/placement/upstream_load.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from madderwind.placement.kept_parts import KeptParts
+from madderwind.placement.prefix_cache_view import PrefixCacheView
 from madderwind.placement.prompts import Generation
 
 MEAN_WINDOW_MS = 4000.0
@@ -20,7 +20,7 @@
 
     prompt_waiting: float = 0.0
     sequences: float = 0.0
-    tokens_held: float = 0.0
+    tokens_reserved: float = 0.0
 
 
 class Sent:
@@ -41,7 +41,7 @@
 
     def __init__(self, now_ms: float, kv_tokens: int) -> None:
         self.kv_tokens = kv_tokens
-        self.kept = KeptParts()
+        self.kept = PrefixCacheView()
         self.slowness = 1.0
         self._sent: OrderedDict[str, Sent] = OrderedDict()
         self._own_waiting = 0.0
@@ -56,7 +56,7 @@
         """What this balancer has there."""
         return Load(self._own_waiting, float(len(self._sent)), self._own_held)
 
-    def set_others(self, load: Load) -> None:
+    def set_peer_load(self, load: Load) -> None:
         """What all other balancers have there."""
         self._others = load
 
@@ -76,10 +76,10 @@
             return len(self._sent) + self._others.sequences
         return float(len(self._sent) * (1 + unheard))
 
-    def tokens_held(self, unheard: int) -> float:
+    def tokens_reserved(self, unheard: int) -> float:
         """Tokens of memory that running requests hold."""
         if not unheard:
-            return self._own_held + self._others.tokens_held
+            return self._own_held + self._others.tokens_reserved
         return self._own_held * (1 + unheard)
 
     def failure_chance(self, now_ms: float) -> float:
--- a/madderwind/testing/engine_emulator/engine.py
+++ b/madderwind/testing/engine_emulator/engine.py
@@ -318,7 +318,7 @@
     def _release(self, sequence: Sequence) -> None:
         self._running.remove(sequence)
         self.memory.release(sequence.request.parts[: sequence.held_parts])
-        self.memory.give_back(sequence.blocks)
+        self.memory.refund(sequence.blocks)
         sequence.held_parts = sequence.held_tokens = sequence.blocks = sequence.prefilled = 0
 
     def _keep_whole_parts(self, at_ms: float, sequence: Sequence) -> None:
--- a/madderwind/testing/engine_emulator/fleet.py
+++ b/madderwind/testing/engine_emulator/fleet.py
@@ -243,7 +243,7 @@
     def _plane(self, number: int, policy: str, seed: int) -> DataPlane:
         zone = f"z{number % self._experiment.zones}"
         made = POLICIES[policy](random.Random(f"{seed}-{number}"), zone)
-        made.set_fleet(self._experiment.data_planes)
+        made.set_data_planes(self._experiment.data_planes)
         if isinstance(made, Placement):
             engine = self._experiment.engine_settings
             made.configure(SERVICE, engine.slots, engine.kv_tokens, engine.stride)
@@ -295,7 +295,7 @@
                 for instance, known in total.items()
             }
             lag_ms = self._experiment.report_ms * self._rng.random()
-            self._at(self._now_ms + lag_ms, partial(plane.policy.others, others))
+            self._at(self._now_ms + lag_ms, partial(plane.policy.handle_peer_load, others))
             if isinstance(plane.policy, Placement):
                 told = [prompt for n, sent in enumerate(prompts) if n != plane.number for prompt in sent]
                 self._at(self._now_ms + lag_ms, partial(self._tell, plane.policy, told))
@@ -303,11 +303,11 @@
             self._at(self._now_ms + self._experiment.report_ms, self._report)
 
     def _tell(self, policy: Placement, told: list[DispatchedPrompt]) -> None:
-        policy.heard(self._now_ms, told)
+        policy.handle_peer_dispatches(self._now_ms, told)
 
 
 def _sent_prompts(policy: Policy) -> tuple[DispatchedPrompt, ...]:
-    return policy.take_sent() if isinstance(policy, Placement) else ()
+    return policy.take_dispatched() if isinstance(policy, Placement) else ()
 
 
 def _less(total: tuple[float, float, float], own: tuple[float, float, float]) -> tuple[float, float, float]:
--- a/madderwind/testing/engine_emulator/memory.py
+++ b/madderwind/testing/engine_emulator/memory.py
@@ -85,7 +85,7 @@
         self._free -= blocks
         return True
 
-    def give_back(self, blocks: int) -> None:
+    def refund(self, blocks: int) -> None:
         """A sequence's own blocks are free again."""
         self._free += blocks
 
--- a/madderwind/testing/engine_emulator/policies.py
+++ b/madderwind/testing/engine_emulator/policies.py
@@ -34,10 +34,10 @@
     def load(self) -> dict[str, tuple[float, float, float]]:
         """What this data plane tells the others."""
 
-    def others(self, load: Mapping[str, tuple[float, float, float]]) -> None:
+    def handle_peer_load(self, load: Mapping[str, tuple[float, float, float]]) -> None:
         """What all others have."""
 
-    def set_fleet(self, balancers: int) -> None:
+    def set_data_planes(self, balancers: int) -> None:
         """How many data planes there are."""
 
 
@@ -81,10 +81,10 @@
         """Nothing is told."""
         return {}
 
-    def others(self, load: Mapping[str, tuple[float, float, float]]) -> None:
+    def handle_peer_load(self, load: Mapping[str, tuple[float, float, float]]) -> None:
         """Nothing is taken."""
 
-    def set_fleet(self, balancers: int) -> None:
+    def set_data_planes(self, balancers: int) -> None:
         """Nothing depends on it."""
 
 
--- a/tests/configuration/cost_of_change.py
+++ b/tests/configuration/cost_of_change.py
@@ -32,7 +32,7 @@
     def admit(self, now_ms: float, tenant_name: str, amount: float) -> bool:
         return True
 
-    def give_back(self, now_ms: float, tenant_name: str, amount: float) -> None:
+    def refund(self, now_ms: float, tenant_name: str, amount: float) -> None:
         return None
 
 
--- a/tests/dataplane/forwarder.py
+++ b/tests/dataplane/forwarder.py
@@ -51,7 +51,7 @@
     def admit(self, now_ms: float, tenant_name: str, amount: float) -> bool:
         return True
 
-    def give_back(self, now_ms: float, tenant_name: str, amount: float) -> None:
+    def refund(self, now_ms: float, tenant_name: str, amount: float) -> None:
         """Nothing was drawn."""
 
 
--- a/tests/dataplane/test_answer_mutants.py
+++ b/tests/dataplane/test_answer_mutants.py
@@ -73,5 +73,5 @@
                 self.assert_found(STORIES[name], mutant())
 
     def test_a_control_planes_tokens_are_the_same_in_each_life(self) -> None:
-        story = test_core.TheOperatorCalls("test_a_reply_to_a_former_life_fits_no_call")
+        story = test_core.TheOperatorCalls("test_a_reply_to_a_former_incarnation_fits_no_call")
         self.assert_found(story, patch.object(random.Random, "getrandbits", lambda rng, bits: 0))
--- a/tests/dataplane/test_choosing.py
+++ b/tests/dataplane/test_choosing.py
@@ -81,7 +81,7 @@
         self.chooser.began(0.0, "k", GENERATION, home)
         self.chooser.stream_began(10.0, "k", home)
         self.assertNotIn(home, self.chosen(GENERATION, now_ms=1000.0))
-        self.chooser.streams.heard(1001.0, home)
+        self.chooser.streams.record_data(1001.0, home)
         self.assertIn(home, self.chosen(GENERATION, now_ms=1002.0))
 
     def test_knows_nothing_of_other_services(self) -> None:
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -124,13 +124,13 @@
             begun, may_go_on = asyncio.Event(), asyncio.Event()
             exchange = UpstreamPool.exchange
 
-            async def held_back(pool: UpstreamPool, *told: Any) -> Any:
+            async def deferred(pool: UpstreamPool, *told: Any) -> Any:
                 begun.set()
                 await may_go_on.wait()
                 return await exchange(pool, *told)
 
             async with Fleet(served(), document=document()) as fleet:
-                with mock.patch.object(UpstreamPool, "exchange", held_back):
+                with mock.patch.object(UpstreamPool, "exchange", deferred):
                     client = await fleet.client()
                     client.write("/unsafe/x")
                     await within(begun.wait())
--- a/tests/dataplane/test_decisions.py
+++ b/tests/dataplane/test_decisions.py
@@ -25,7 +25,7 @@
 from madderwind.dataplane.event_stream import EventSplitter, EventTooLong
 from madderwind.dataplane.headers import Onward, headers_back, headers_onward, milliseconds, token_usage
 from madderwind.dataplane.retrying import MOST_UNSENT, Retries
-from madderwind.dataplane.stream_silence import SILENT_AFTER_MS, StreamSilence
+from madderwind.dataplane.stream_timeouts import STREAM_TIMEOUT_MS, StreamTimeouts
 from madderwind.dataplane.upstream_heads import Head, read_head
 from madderwind.dataplane.upstream_health import LONGEST_EJECTION_MS, UpstreamHealth
 from madderwind.placement.prompts import PromptPart
@@ -75,7 +75,7 @@
     def __init__(self, grants: bool) -> None:
         self.grants, self.asked = grants, 0
 
-    def set_fleet(self, data_planes: int) -> None:
+    def set_data_planes(self, data_planes: int) -> None:
         """Not of interest here."""
 
     def request(self, now_ms: float, service: str) -> None:
@@ -314,16 +314,16 @@
         self.assertTrue(self.avoided(5.0))
 
     def test_streams_that_are_all_silent_are_a_hint(self) -> None:
-        streams = StreamSilence()
+        streams = StreamTimeouts()
         streams.began(0.0, "i-1")
         streams.began(100.0, "i-1")
-        self.assertEqual(streams.silent(100.0 + SILENT_AFTER_MS, ("i-1", "i-2")), frozenset())
-        self.assertEqual(streams.silent(101.0 + SILENT_AFTER_MS, ("i-1", "i-2")), {"i-1"})
-        streams.heard(600.0, "i-1")
-        self.assertEqual(streams.silent(601.0, ("i-1",)), frozenset())
+        self.assertEqual(streams.timed_out(100.0 + STREAM_TIMEOUT_MS, ("i-1", "i-2")), frozenset())
+        self.assertEqual(streams.timed_out(101.0 + STREAM_TIMEOUT_MS, ("i-1", "i-2")), {"i-1"})
+        streams.record_data(600.0, "i-1")
+        self.assertEqual(streams.timed_out(601.0, ("i-1",)), frozenset())
         streams.ended("i-1")
         streams.ended("i-1")
-        self.assertEqual(streams.silent(5000.0, ("i-1",)), frozenset())
+        self.assertEqual(streams.timed_out(5000.0, ("i-1",)), frozenset())
 
 
 class Quota:
@@ -338,7 +338,7 @@
             self.drawn.append((tenant_name, amount))
         return self.admits
 
-    def give_back(self, now_ms: float, tenant_name: str, amount: float) -> None:
+    def refund(self, now_ms: float, tenant_name: str, amount: float) -> None:
         self.drawn.remove((tenant_name, amount))
 
 
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -55,7 +55,7 @@
 
 async def changes_seeds(fleet: Fleet) -> None:
     """As SIGHUP, or the settings file without it, has the process do."""
-    fleet.plane.take_settings(settings(fleet.control.port, seeds=["127.0.0.9:1"]))
+    fleet.plane.apply_settings(settings(fleet.control.port, seeds=["127.0.0.9:1"]))
 
 
 async def drops_routes_and_shortens_times(fleet: Fleet) -> None:
@@ -168,13 +168,13 @@
             begun, may_go_on = asyncio.Event(), asyncio.Event()
             exchange = UpstreamPool.exchange
 
-            async def held_back(pool: UpstreamPool, *told: Any) -> Any:
+            async def deferred(pool: UpstreamPool, *told: Any) -> Any:
                 begun.set()
                 await may_go_on.wait()
                 return await exchange(pool, *told)
 
             async with Fleet(served(), document=document()) as fleet:
-                with mock.patch.object(UpstreamPool, "exchange", held_back):
+                with mock.patch.object(UpstreamPool, "exchange", deferred):
                     client = await fleet.client()
                     client.write("/unsafe/x")
                     await within(begun.wait())
--- a/tests/dataplane/test_silent_upstreams.py
+++ b/tests/dataplane/test_silent_upstreams.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from madderwind.dataplane import stream_silence, upstream_pool
+from madderwind.dataplane import stream_timeouts, upstream_pool
 from madderwind.testing.fault_tests.wire import chunk
 from madderwind.transport.upstreams import ConnectionOptions
 from tests.dataplane.fleet import SIGNATURE, Client, Fleet, Message, Writer, document, event, stream_head
@@ -61,7 +61,7 @@
 
         with (
             mock.patch.object(upstream_pool, "HEAD_STALL_S", BOUND_S),
-            mock.patch.object(stream_silence, "SILENT_AFTER_MS", BOUND_S * 1000.0),
+            mock.patch.object(stream_timeouts, "STREAM_TIMEOUT_MS", BOUND_S * 1000.0),
         ):
             run(story())
 
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -176,7 +176,7 @@
 
     def _new_quota(self, is_founding: bool) -> TenantQuota:
         quota = TenantQuota(BOUNDS, random.Random(self._rng.random()), is_founding=is_founding)
-        quota.set_fleet(self._now_ms, self._count, True)
+        quota.set_data_planes(self._now_ms, self._count, True)
         quota.configure(self._now_ms, [self.tenant])
         return quota
 
@@ -200,10 +200,10 @@
         self._after(REPORT_INTERVAL_MS, lambda: self._report(data_plane))
         if not (data_plane.is_running and data_plane.is_connected):
             return
-        data_plane.quota.set_fleet(self._now_ms, self._count, True)
+        data_plane.quota.set_data_planes(self._now_ms, self._count, True)
         usage = data_plane.quota.drain_usage(self._now_ms)
         data_plane.sequence += 1
-        report = UsageReport(data_plane.sequence, dict(usage.used), dict(usage.asked))
+        report = UsageReport(data_plane.sequence, dict(usage.used), dict(usage.demand_per_s))
         participant = data_plane.participant
         self._after(ONE_WAY_MS, lambda: self._exchange.report(participant, report))
 
@@ -218,7 +218,7 @@
         if told is None:
             return
         quota = data_plane.quota
-        self._after(ONE_WAY_MS, lambda: quota.others(self._now_ms, told.used, told.demand_per_s))
+        self._after(ONE_WAY_MS, lambda: quota.handle_peer_usage(self._now_ms, told.used, told.demand_per_s))
 
     def _kill(self, part: float, down_ms: float) -> None:
         for data_plane in self._rng.sample(self._data_planes, round(part * self._count)):
@@ -241,7 +241,7 @@
 
     def _notice(self, data_plane: DataPlane) -> None:
         if not data_plane.is_connected:
-            data_plane.quota.set_fleet(self._now_ms, self._count, False)
+            data_plane.quota.set_data_planes(self._now_ms, self._count, False)
 
     def _reconnect(self, lost: list[DataPlane], new_primary: bool) -> None:
         if new_primary:
@@ -252,7 +252,7 @@
     def _connect(self, data_plane: DataPlane) -> None:
         data_plane.is_connected = True
         self._exchange.join(data_plane.participant)
-        data_plane.quota.set_fleet(self._now_ms, self._count, True)
+        data_plane.quota.set_data_planes(self._now_ms, self._count, True)
 
 
 def allowed_in_a_window(tenant: Tenant) -> float:
--- a/tests/limits/test_budget.py
+++ b/tests/limits/test_budget.py
@@ -13,7 +13,7 @@
 
 def budget(data_planes: int) -> FleetRetryBudget:
     made = FleetRetryBudget(RATIO, SLACK, WINDOW_MS)
-    made.set_fleet(data_planes)
+    made.set_data_planes(data_planes)
     return made
 
 
@@ -47,7 +47,7 @@
 
     def test_a_smaller_fleet_gives_no_larger_part(self) -> None:
         alone = budget(6)
-        alone.set_fleet(2)
+        alone.set_data_planes(2)
         self.assertEqual(sum(alone.may_send_again(0.0, SERVICE) for _ in range(100)), int(SLACK / 12))
 
     def test_requests_that_stopped_half_a_window_ago_count_no_longer(self) -> None:
--- a/tests/limits/test_quota.py
+++ b/tests/limits/test_quota.py
@@ -17,7 +17,7 @@
 
 def quota(*tenants: Tenant, bounds: Bounds = BOUNDS, is_founding: bool = True) -> TenantQuota:
     made = TenantQuota(bounds, random.Random(5), is_founding=is_founding)
-    made.set_fleet(0.0, 3, True)
+    made.set_data_planes(0.0, 3, True)
     made.configure(0.0, tenants or (LIMITED,))
     return made
 
@@ -42,27 +42,27 @@
 
     def test_what_the_others_use_is_drawn(self) -> None:
         limited = quota()
-        limited.others(0.0, {"blue": 40.0}, {})
+        limited.handle_peer_usage(0.0, {"blue": 40.0}, {})
         self.assertEqual(admitted(limited, 0.0, 20), 0)
         self.assertGreater(admitted(limited, 8000.0, 1), 0)
 
     def test_a_tenant_that_is_unknown_here_is_passed_over(self) -> None:
         limited = quota()
-        limited.others(0.0, {"red": 40.0}, {"red": 5.0})
+        limited.handle_peer_usage(0.0, {"red": 40.0}, {"red": 5.0})
         self.assertEqual(admitted(limited, 0.0, 10), 10)
 
     def test_what_did_not_run_is_given_back(self) -> None:
         limited = quota()
         for _ in range(200):
             self.assertTrue(limited.admit(0.0, "blue", 10.0))
-            limited.give_back(0.0, "blue", 10.0)
+            limited.refund(0.0, "blue", 10.0)
         self.assertEqual(dict(limited.drain_usage(0.0).used), {})
 
     def test_giving_back_more_than_was_used_since_goes_against_the_next_report(self) -> None:
         limited = quota()
         limited.admit(0.0, "blue", 5.0)
         self.assertEqual(limited.drain_usage(0.0).used, {"blue": 5.0})
-        limited.give_back(0.0, "blue", 5.0)
+        limited.refund(0.0, "blue", 5.0)
         self.assertEqual(limited.drain_usage(0.0).used, {})
         limited.admit(0.0, "blue", 7.0)
         self.assertEqual(limited.drain_usage(0.0).used, {"blue": 2.0})
@@ -71,11 +71,13 @@
         limited = quota()
         limited.admit(0.0, "blue", 4.0)
         first = limited.drain_usage(0.0)
-        self.assertEqual((first.used, first.asked), ({"blue": 4.0}, {"blue": 4.0 / DEMAND_TIME_CONSTANT_S}))
+        self.assertEqual(
+            (first.used, first.demand_per_s), ({"blue": 4.0}, {"blue": 4.0 / DEMAND_TIME_CONSTANT_S})
+        )
         second = limited.drain_usage(500.0)
         self.assertEqual(second.used, {})
-        self.assertLess(second.asked["blue"], first.asked["blue"])
-        self.assertEqual(limited.drain_usage(60_000.0).asked, {})
+        self.assertLess(second.demand_per_s["blue"], first.demand_per_s["blue"])
+        self.assertEqual(limited.drain_usage(60_000.0).demand_per_s, {})
 
     def test_a_full_bucket_admits_a_request_that_is_larger_than_it(self) -> None:
         self.assertEqual(admitted(quota(), 0.0, 1, amount=24.0), 1)
@@ -120,16 +122,16 @@
 class WithoutTouch(unittest.TestCase):
     def test_the_own_part_only(self) -> None:
         limited = quota()
-        limited.set_fleet(0.0, 3, False)
+        limited.set_data_planes(0.0, 3, False)
         per_s = sum(admitted(limited, at_ms, 1) for at_ms in range(0, 60_000, 50)) / 60.0
         self.assertLess(per_s, 10.0 / 3)
         self.assertGreater(per_s, 10.0 / 3 / 2)
 
     def test_what_was_used_meanwhile_is_reported_a_little_after_touch_is_regained(self) -> None:
         limited = quota()
-        limited.set_fleet(0.0, 3, False)
+        limited.set_data_planes(0.0, 3, False)
         limited.admit(100.0, "blue", 3.0)
-        limited.set_fleet(2000.0, 3, True)
+        limited.set_data_planes(2000.0, 3, True)
         limited.admit(2001.0, "blue", 1.0)
         self.assertEqual(limited.drain_usage(2100.0).used, {"blue": 1.0})
         self.assertEqual(limited.drain_usage(2600.0).used, {"blue": 3.0})
@@ -137,14 +139,14 @@
     def test_what_is_heard_later_counts_against_what_was_assumed(self) -> None:
         limited, heard = quota(), quota()
         for each in (limited, heard):
-            each.others(0.0, {"blue": 1.0}, {"blue": 5.0})
+            each.handle_peer_usage(0.0, {"blue": 1.0}, {"blue": 5.0})
             for at_ms in range(0, 4000, 200):
-                each.others(float(at_ms), {"blue": 1.0}, {"blue": 5.0})
-        limited.set_fleet(4000.0, 3, False)
-        limited.set_fleet(7000.0, 3, True)
-        limited.others(7200.0, {"blue": 16.0}, {"blue": 5.0})
+                each.handle_peer_usage(float(at_ms), {"blue": 1.0}, {"blue": 5.0})
+        limited.set_data_planes(4000.0, 3, False)
+        limited.set_data_planes(7000.0, 3, True)
+        limited.handle_peer_usage(7200.0, {"blue": 16.0}, {"blue": 5.0})
         for at_ms in range(4000, 7300, 200):
-            heard.others(float(at_ms), {"blue": 1.0}, {"blue": 5.0})
+            heard.handle_peer_usage(float(at_ms), {"blue": 1.0}, {"blue": 5.0})
         counts = [admitted(each, 9000.0, 100) for each in (limited, heard)]
         self.assertAlmostEqual(counts[0], counts[1], delta=6)
 
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -21,7 +21,7 @@
 def balancer(seed: int = 1, fleet: int = 1) -> Placement:
     placement = Placement(random.Random(seed))
     placement.configure(SERVICE, 64, 500_000, 4)
-    placement.set_fleet(fleet)
+    placement.set_data_planes(fleet)
     for instance in UPSTREAMS:
         placement.locate(instance, "zone")
     return placement
@@ -72,15 +72,15 @@
     def test_what_others_have_there_counts(self) -> None:
         placement = balancer(fleet=6)
         home = home_of(placement, "p")
-        placement.heard(0.0, ())
-        placement.others({home: (100_000.0, 4.0, 120_000.0)})
+        placement.handle_peer_dispatches(0.0, ())
+        placement.handle_peer_load({home: (100_000.0, 4.0, 120_000.0)})
         self.assertNotEqual(home_of(placement, "p", 1.0), home)
 
     def test_a_light_load_does_not_move_a_prefix(self) -> None:
         placement = balancer(fleet=6)
         home = home_of(placement, "p")
-        placement.heard(0.0, ())
-        placement.others({home: (2_000.0, 10.0, 50_000.0)})
+        placement.handle_peer_dispatches(0.0, ())
+        placement.handle_peer_load({home: (2_000.0, 10.0, 50_000.0)})
         self.assertEqual(home_of(placement, "p", 1.0), home)
 
     def test_the_home_is_taken_again_after_the_load(self) -> None:
@@ -105,10 +105,10 @@
     def test_a_prefix_that_another_balancer_had_read_is_known_as_kept(self) -> None:
         one, other = balancer(1, fleet=2), balancer(2, fleet=2)
         home = home_of(one, "p")
-        other.heard(0.0, ())
+        other.handle_peer_dispatches(0.0, ())
         cold = other.choose(0.0, generation("p", "own"), UPSTREAMS, NOBODY)
         one.sent(0.0, "k", generation("p", "x"), home)
-        other.heard(100.0, one.take_sent())
+        other.handle_peer_dispatches(100.0, one.take_dispatched())
         warm = other.choose(100.0, generation("p", "own"), UPSTREAMS, NOBODY)
         assert cold is not None and warm is not None
         self.assertEqual(warm.instance, home)
@@ -119,20 +119,20 @@
         home = home_of(one, "p", shared=12_000)
         copy = next(instance for instance in UPSTREAMS if instance != home)
         one.sent(0.0, "k", generation("p", "x"), copy)
-        other.heard(100.0, one.take_sent())
-        other.others({home: (40_000.0, 2.0, 50_000.0)})
+        other.handle_peer_dispatches(100.0, one.take_dispatched())
+        other.handle_peer_load({home: (40_000.0, 2.0, 50_000.0)})
         self.assertEqual(home_of(other, "p", 100.0, shared=12_000), copy)
 
     def test_each_send_is_told_once_and_unasked_ones_are_bounded(self) -> None:
         placement = balancer()
         for number in range(5_000):
             placement.sent(0.0, f"k{number}", generation("p", "x"), "i-0")
-        self.assertLessEqual(len(placement.take_sent()), 1_000)
-        self.assertEqual(placement.take_sent(), ())
+        self.assertLessEqual(len(placement.take_dispatched()), 1_000)
+        self.assertEqual(placement.take_dispatched(), ())
 
     def test_without_notices_a_home_is_presumed_to_keep_its_prefixes(self) -> None:
         placement = balancer(fleet=2)
-        placement.heard(0.0, ())
+        placement.handle_peer_dispatches(0.0, ())
         known = placement.choose(1_000.0, generation("p", "own"), UPSTREAMS, NOBODY)
         presumed = placement.choose(60_000.0, generation("p", "own"), UPSTREAMS, NOBODY)
         assert known is not None and presumed is not None
--- a/tests/testing/engine_emulator/test_engine.py
+++ b/tests/testing/engine_emulator/test_engine.py
@@ -65,7 +65,7 @@
         self.assertEqual((engine.running, engine.memory.held_tokens), (0, 0))
 
 
-class KeptParts(unittest.TestCase):
+class PrefixCacheView(unittest.TestCase):
     def test_a_kept_chain_is_not_prefilled_again(self) -> None:
         engine = Engine(SMALL)
         engine.submit(0.0, request("one", ("s", 5000), ("x", 100)))
