--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -90,6 +90,17 @@
     await until(lambda: fleet.plane._phase is Phase.FINISHING)
 
 
+def unchunked(body: bytes) -> bytes:
+    """The payload of a chunked body that ends: how events are spread over chunks depends on the machine."""
+    payload = b""
+    while body != END:
+        size, _, rest = body.partition(b"\r\n")
+        length = int(size, 16)
+        payload += rest[:length]
+        body = rest[length:].removeprefix(b"\r\n")
+    return payload
+
+
 class RequestsThatRun(unittest.TestCase):
     def assert_end_whole(self, work: Work) -> None:
         async def story() -> None:
@@ -107,8 +118,9 @@
                     got = await client.read()
                     self.assertEqual((got.status, got.header("X-Upstream-Signature")), (200, SIGNATURE))
                 for client in clients[2:]:
-                    whole = await within(client.caller.reader.readuntil(END))
-                    self.assertIn(chunk(event(1)) + chunk(event(2)) + END, whole)
+                    answer = await within(client.caller.reader.readuntil(END))
+                    body = answer.partition(b"\r\n\r\n")[2]
+                    self.assertEqual(event(1) + event(2), unchunked(body))
                 self.assertEqual(len(fleet.upstreams[0].asked), len(clients))
 
         run(story())
