--- a/madderwind/distribution/subscriber_events.py
+++ b/madderwind/distribution/subscriber_events.py
@@ -59,7 +59,7 @@
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
-    """The process ends: it takes no more requests."""
+    """The process shuts down: it accepts no more requests."""
 
 
 Event = (
--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -1,6 +1,6 @@
 """Messages between a control plane and a data plane, on the one connection that the data plane opens.
 
-The data plane subscribes to several control planes at once. Each tells which configuration version is
+The data plane subscribes to several control planes at once. Each publishes which configuration version is
 committed (`Freshness`) and pushes registry changes; the data plane fetches a version from the first that
 offers it.
 """
@@ -89,7 +89,7 @@
 
 
 class DispatchedPrompt(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt that went to an upstream: ids and tokens of its parts, in order."""
+    """A prompt that went to an upstream: ids and lengths in tokens of its chunks, in order."""
 
     instance: str
     chunk_ids: tuple[str, ...]
@@ -109,7 +109,7 @@
 
 
 class Goodbye(Message, frozen=True, tag="Farewell"):
-    """The data plane ends: it takes no more requests."""
+    """The data plane shuts down: it accepts no more requests."""
 
 
 # --- control plane to data plane ---
@@ -120,7 +120,7 @@
 
     `age_ms`: since the primary of `epoch` was last known to hold its lease; None where that is unknown.
     `data_planes`: how many there are, as far as is known. `clock_ms`: the sender's steady clock when this was
-    said.
+    sent.
     """
 
     version: int
@@ -132,7 +132,7 @@
 
 
 class ClockReading(Message, frozen=True, tag="ClockTold"):
-    """The control plane's steady clock when it read the question that was asked at `requested_ms`."""
+    """The control plane's steady clock when it read the request that was sent at `requested_ms`."""
 
     requested_ms: float
     clock_ms: float
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -1,8 +1,8 @@
 """Messages between replicas of the configuration.
 
 Every message names the incarnation that sends it and, where it is known, the one that it is meant for: a
-machine whose disk was lost is another incarnation at the same address, and has no part in what its forerunner
-promised.
+machine whose disk was lost is another incarnation at the same address, and has no part in what the
+earlier one promised.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One replica: `incarnation` is drawn when its file is founded and lasts as long as its disk."""
+    """One replica: `incarnation` is drawn when its file is created and lasts as long as its disk."""
 
     incarnation: str
     address: str  # internal, ip:port
@@ -22,7 +22,7 @@
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """Who is primary, in sync and a member from this epoch on; `primary` and `in_sync` are incarnations."""
+    """Which replicas are primary, in sync and members from this epoch on, by incarnation."""
 
     epoch: int
     primary: str
@@ -90,9 +90,9 @@
 
 
 class JoinRequest(Message, frozen=True, tag="Announce"):
-    """Told to known addresses by a replica that follows no primary.
+    """Sent to known addresses by a replica that follows no primary.
 
-    `epoch` is the newest it knows (0: none); `bootstrap`: its file was founded at the very first start of the
+    `epoch` is the newest it knows (0: none); `bootstrap`: its file was created at the very first start of the
     system.
     """
 
@@ -124,7 +124,7 @@
 class Promise(Message, frozen=True, tag="Promise"):
     """No lower proposal number will be accepted for this epoch; with what was accepted for it so far.
 
-    `peers`: what this witness knows of the others, of no matter to the decision.
+    `peers`: what this witness knows of the others, which does not bear on the decision.
     """
 
     epoch: int
@@ -152,7 +152,7 @@
 class AcceptedBroadcast(Message, frozen=True, tag="AcceptedNotice"):
     """`view` is on the sender's disk under this proposal number.
 
-    Told to all members of the base and of `view` but the proposer, so that a decision is known without it:
+    Sent to all members of the base and of `view` but the proposer, so that a decision is known without it:
     with a majority of the base under one proposal number.
     """
 
@@ -161,7 +161,7 @@
 
 
 class Rejected(Message, frozen=True, tag="Refused"):
-    """This witness does not go along.
+    """This witness rejects the proposal.
 
     `promised` is the highest proposal number it knows; `primary_is_alive`: the primary is at work, as far as
     it can tell.
--- a/madderwind/replication/role_machine.py
+++ b/madderwind/replication/role_machine.py
@@ -191,7 +191,7 @@
             self.adopt(now_ms, broadcast.view)
 
     def handle_rejection(self, now_ms: float, rejection: Rejected) -> None:
-        """A witness does not go along; a higher number than the own one ends the proposal."""
+        """A witness rejects the proposal; a higher number than the own one ends the proposal."""
         if self.proposals.is_beaten(rejection):
             self._abandon_proposal(now_ms, self.election.draw_backoff_ms())
 
--- a/madderwind/replication/witness.py
+++ b/madderwind/replication/witness.py
@@ -29,7 +29,7 @@
         self._started_ms, self._started_epoch = now_ms, context.store.epoch
 
     def handle_prepare(self, now_ms: float, sender_address: str, message: Prepare) -> None:
-        """Promise to go along with no lower number, once that is on disk, or reject."""
+        """Promise to accept no lower number, once that is on disk, or reject."""
         if not self._is_open(now_ms, sender_address, message.sender, message.base):
             return
         register = self._store.register
