--- a/madderwind/placement/__init__.py
+++ b/madderwind/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing the model server of a generation: prefix affinity, estimates of load, bounded spill.
+"""Selects the model server of a generation by prefix affinity, load estimates and bounded spill.
 
-It does no input or output.
+This package does no I/O.
 """
--- a/madderwind/placement/ablation.py
+++ b/madderwind/placement/ablation.py
@@ -1,6 +1,6 @@
-"""Mechanisms of the placement that a measurement can turn off, one at a time, to learn what each is worth.
+"""Placement mechanisms that can be disabled one at a time to measure the contribution of each.
 
-No setting of the service reaches these: only tests and the engine emulator pass anything but the default.
+The service has no setting for them: only tests and the engine emulator pass anything but the default.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 
 
 class Ablation(msgspec.Struct, frozen=True):
-    """Which mechanisms work.
+    """Which placement mechanisms are enabled.
 
     Attributes:
-        prefix_homes: A prefix's home by rendezvous hashing; else any upstream may be first.
-        popular_prefix_homes: More homes for a prefix that many ask for.
-        dispatch_reports: Own dispatches are reported.
-        load_reports: Own load is reported.
-        dispatches_as_load: A peer's dispatch counts as load until the next load is told.
-        peer_load_drains: A peer's load goes down by the learned speed between reports.
-        weighs_all: All of up to 64 upstreams are weighed; else those first by rank and a few drawn ones.
-        charged_homes: A home that is known not to keep a prefix is charged for reading it.
-        learned_first_event: The model of the first event is learned from answers.
-        learned_slowness: Each upstream's own slowness is learned.
-        failure_memory: Failures of the last seconds make an upstream cost more.
-        prefill_priority: Short prefills go before long ones.
+        prefix_homes: Rendezvous hashing assigns each prefix a home; otherwise any upstream may rank first.
+        popular_prefix_homes: A frequently requested prefix has more than one home.
+        dispatch_reports: This balancer reports its dispatches to its peers.
+        load_reports: This balancer reports its load to its peers.
+        dispatches_as_load: A peer's dispatch counts as load until the next load report.
+        peer_load_drains: Between reports the peers' load decreases at the learned prefill speed.
+        weighs_all: Up to 64 upstreams are all evaluated; otherwise the first by rank and a few random ones.
+        charged_homes: The cost of a home includes prefilling a prefix that it is known not to have cached.
+        learned_first_event: The time to the first event is learned from responses.
+        learned_slowness: Each upstream's slowness factor is learned.
+        failure_memory: Recent failures, of the last seconds, raise the cost of an upstream.
+        prefill_priority: Short prefills have priority over long ones.
     """
 
     prefix_homes: bool = True
@@ -40,15 +40,17 @@
     prefill_priority: bool = True
 
 
-ALL_WORK = Ablation()
+ALL_ENABLED = Ablation()
 
 
 def without(mechanism: str) -> Ablation:
-    """All mechanisms but one.
+    """All mechanisms enabled except one.
 
     Raises:
-        ValueError: There is no mechanism of that name.
+        ValueError: No mechanism has that name.
     """
     if mechanism not in Ablation.__struct_fields__:
-        raise ValueError(f"{mechanism!r} is none of {', '.join(Ablation.__struct_fields__)}")
-    return msgspec.structs.replace(ALL_WORK, **{mechanism: False})
+        raise ValueError(
+            f"unknown mechanism {mechanism!r}, expected one of {', '.join(Ablation.__struct_fields__)}"
+        )
+    return msgspec.structs.replace(ALL_ENABLED, **{mechanism: False})
--- a/madderwind/placement/attempt_record.py
+++ b/madderwind/placement/attempt_record.py
@@ -1,4 +1,4 @@
-"""What was known and expected as an attempt was placed, and what came of it: for measuring the choices."""
+"""The inputs, prediction and result of placing an attempt, for evaluating placement decisions."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 
 class PlacementReason(Enum):
-    """Why an upstream was chosen for a generation."""
+    """Why an upstream was selected for a generation."""
 
-    HOME = "home"  # first by rank of its prefix
-    CACHED = "cached"  # away from home, where the prefix is believed to be kept
-    SPILL = "spill"  # away from home, where nothing of the prefix is kept
+    HOME = "home"  # ranked first for the prefix
+    CACHED = "cached"  # not the home, with part of the prefix believed to be cached
+    SPILL = "spill"  # not the home, with no part of the prefix cached
 
 
 class AttemptRecord(msgspec.Struct, frozen=True):
     """One attempt of a generation at an upstream.
 
     Attributes:
-        instance: The upstream.
-        prompt_tokens: The whole prompt's length.
-        shared_tokens: The part of it that other prompts may have too.
-        cached_tokens: What of it the upstream was believed to keep.
-        tokens_ahead: Prompt tokens that were believed to wait there before it.
-        peer_load_age_ms: How long before the choice the others' load was told.
-        alone_first_ms: The first event, as it would be predicted with nothing ahead; from the choice.
-        predicted_first_ms: The first event, as predicted.
-        first_ms: The first event, as measured; None where there was none.
-        aim_ms: The route's objective for it.
-        reason: Why this upstream.
+        instance: The id of the upstream.
+        prompt_tokens: The length of the whole prompt.
+        shared_tokens: The length of the prompt parts that other prompts may share.
+        cached_tokens: The prompt tokens that the upstream was believed to have cached.
+        tokens_ahead: The estimated prompt tokens queued at the upstream ahead of this prompt.
+        peer_load_age_ms: The age of the peers' load report at the time of the placement.
+        alone_first_ms: The predicted time from placement to the first event with an empty queue.
+        predicted_first_ms: The predicted time to the first event.
+        first_ms: The measured time to the first event; None if there was none.
+        aim_ms: The route's objective for the time to the first event.
+        reason: Why the upstream was selected.
     """
 
     instance: str
--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -1,10 +1,12 @@
-"""The choice of a model server for each generation.
+"""Selection of a model server for each generation.
 
-The shared parts of a prompt name a home by rendezvous hashing, so that all balancers send one prefix to one
-upstream and its cache is used. A request leaves the home only where the cost of being late or failed there is
-higher than that of reading the prefix again elsewhere; a prefix that many ask for has several homes.
+Rendezvous hashing of the shared parts of a prompt determines its home upstream, so that all balancers send
+one prefix to one upstream and use its cache. A request is sent elsewhere only if the expected cost of
+lateness or failure at the home exceeds that of prefilling the prefix again. A frequently requested prefix
+has several homes.
 
-What is known stands in `upstream_table`, what an upstream costs in `weighing`; here is the life of a request.
+This module follows each request from selection to its end. `upstream_table` holds the state of the upstreams,
+`weighing` estimates the cost of each.
 """
 
 from __future__ import annotations
@@ -15,86 +17,82 @@
 import msgspec
 
 from madderwind.messages.distribution import DispatchedPrompt
-from madderwind.placement.ablation import ALL_WORK, Ablation
+from madderwind.placement.ablation import ALL_ENABLED, Ablation
 from madderwind.placement.attempt_record import AttemptRecord, PlacementReason
 from madderwind.placement.costs import PlacementCosts
 from madderwind.placement.prompts import Generation
-from madderwind.placement.upstream_load import Sent, UpstreamLoad
+from madderwind.placement.upstream_load import InFlightRequest, UpstreamLoad
 from madderwind.placement.upstream_table import UpstreamTable
-from madderwind.placement.weighing import Weighing, tokens_of
+from madderwind.placement.weighing import CostEstimator, total_tokens
 
-# Own dispatches that are kept until they are reported.
+# The maximum number of own dispatches that are buffered until they are reported.
 MAX_UNREPORTED = 1000
-# Upstreams that cost the same are picked by chance.
-TIE_BREAK = 0.005
-# Prefills up to the first bound are short, those beyond the last are long.
+# A random cost below this is added outside the homes, so that upstreams of equal cost are selected at random.
+MAX_TIE_BREAK_COST = 0.005
+# Prefills up to the first bound are short, those beyond the last are long, the others in between.
 PREFILL_BOUNDS_MS = (120.0, 480.0)
-# How many ranks of routes are told apart.
+# The number of distinct priority ranks of routes and tenants.
 RANKS = 3
 
 
 class Selection(msgspec.Struct, frozen=True):
-    """The upstream to send to, and when its first event is expected, in ms from now."""
+    """The selected upstream and the predicted time to its first event, in ms from now."""
 
     instance: str
     predicted_first_ms: float
 
 
 class Placement:
-    """Chooses upstreams for one balancer, from its own dispatches and what the others report."""
+    """Selects upstreams for one balancer, from its own dispatches and the reports of its peers."""
 
     def __init__(
         self,
         rng: random.Random,
         zone: str = "",
         costs: PlacementCosts | None = None,
-        ablation: Ablation = ALL_WORK,
+        ablation: Ablation = ALL_ENABLED,
     ) -> None:
-        """Know nothing.
+        """Start without any knowledge of upstreams or peers.
 
         Args:
-            rng: Draws among upstreams that cost the same.
-            zone: Where this balancer is.
-            costs: The weighing, where it isn't the usual one.
-            ablation: Which mechanisms work, for measurements.
+            rng: Breaks ties among upstreams of equal cost.
+            zone: The zone of this balancer.
+            costs: The cost weights, if not the defaults.
+            ablation: The enabled mechanisms, for measurements.
         """
         self._rng = rng
         self._ablation = ablation
         self._table = UpstreamTable(ablation)
-        self._weighing = Weighing(self._table, rng, zone, costs or PlacementCosts(), ablation)
+        self._cost_estimator = CostEstimator(self._table, rng, zone, costs or PlacementCosts(), ablation)
         self._requests: dict[str, str] = {}
         self._unreported: list[DispatchedPrompt] = []
 
-    # --- what the host tells ---
-
     def configure(self, service: str, slots: int, kv_tokens: int, stride: int) -> None:
-        """Take a service's engine from the configuration."""
+        """Apply the configured engine properties of a service."""
         self._table.service(service).configure(slots, kv_tokens, stride)
 
     def locate(self, now_ms: float, instance: str, zone: str, identity: str = "") -> None:
-        """Where an upstream is, and what it is hashed by where that is not its id."""
+        """Set the zone of an upstream and, if it isn't hashed by its id, its identity for hashing."""
         self._table.locate(now_ms, instance, zone, identity)
 
     def set_data_planes(self, balancers: int) -> None:
-        """How many balancers share the upstreams."""
+        """Set the number of balancers that share the upstreams."""
         self._table.data_planes = max(balancers, 1)
 
     def handle_peer_load(self, now_ms: float, load: Mapping[str, tuple[float, float, float]]) -> None:
-        """What all other balancers together have at upstreams."""
+        """Apply the total load of all other balancers at each upstream."""
         self._table.handle_peer_load(now_ms, load)
 
     def handle_peer_dispatches(self, now_ms: float, prompts: Sequence[DispatchedPrompt]) -> None:
-        """What the others sent to upstreams that were located; an empty call says there was nothing."""
+        """Apply the dispatches of the other balancers to located upstreams; empty if there were none."""
         self._table.handle_peer_dispatches(now_ms, prompts)
 
     def forget(self, instance: str) -> None:
-        """The upstream is gone for good."""
+        """Remove the state of an upstream that was removed permanently."""
         self._table.forget(instance)
 
-    # --- what the host reports ---
-
     def load(self) -> dict[str, tuple[float, float, float]]:
-        """What this balancer has at upstreams now, those with nothing left out."""
+        """This balancer's current load at each upstream where it has any."""
         if not self._ablation.load_reports:
             return {}
         own = self._table.own_load()
@@ -104,17 +102,15 @@
         }
 
     def drain_dispatches(self) -> tuple[DispatchedPrompt, ...]:
-        """Own dispatches since the last call, as many as are kept for it."""
+        """Own dispatches since the last call, up to MAX_UNREPORTED."""
         prompts = tuple(self._unreported) if self._ablation.dispatch_reports else ()
         self._unreported.clear()
         return prompts
 
-    # --- a request's life ---
-
     def choose(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
-        """The upstream that costs least among the candidates outside `avoid`; None where there is none."""
+        """Select the candidate of lowest cost outside `avoid`; None if there is none."""
         self._table.advance(now_ms)
         service = self._table.service(generation.service)
         if service.ranking.members != tuple(candidates):
@@ -125,38 +121,40 @@
             ranking = tuple(instance for instance in ranking if instance not in avoid)
         if not ranking:
             return None
-        homes = self._weighing.homes(now_ms, service, generation, prefix, len(ranking))
+        homes = self._cost_estimator.homes(now_ms, service, generation, prefix, len(ranking))
         best: Selection | None = None
         lowest = 0.0
-        for rank in self._weighing.weighed_ranks(len(ranking), homes):
+        for rank in self._cost_estimator.ranks_to_evaluate(len(ranking), homes):
             instance, is_home = ranking[rank], rank < homes
-            first_ms, cost = self._weighing.cost(now_ms, service, generation, instance, is_home)
+            first_ms, cost = self._cost_estimator.cost(now_ms, service, generation, instance, is_home)
             if not is_home:
-                cost += TIE_BREAK * self._rng.random()
+                cost += MAX_TIE_BREAK_COST * self._rng.random()
             if best is None or cost < lowest:
                 best, lowest = Selection(instance, first_ms), cost
         return best
 
     def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
-        """The request was sent to this upstream."""
+        """Record that the request was sent to this upstream."""
         self._table.advance(now_ms)
         service = self._table.service(generation.service)
         prefix = _prefix_key(generation)
         if prefix:
-            service.rates.arrived(now_ms, prefix)
+            service.rates.record_arrival(now_ms, prefix)
         upstream = self._table.upstream(instance)
         is_home = prefix is not None and service.ranking.ranking(prefix)[:1] == (instance,)
-        request = Sent(
+        request = InFlightRequest(
             generation,
             now_ms,
-            uncached=self._weighing.uncached_tokens(generation, upstream, is_home),
-            ahead=self._weighing.waiting_tokens(now_ms, service, upstream),
+            uncached=self._cost_estimator.uncached_tokens(generation, upstream, is_home),
+            ahead=self._cost_estimator.waiting_tokens(now_ms, service, upstream),
             peer_load_age_ms=upstream.peer_load_age_ms(now_ms),
             reason=_reason(generation, upstream, is_home),
         )
         upstream.sent(now_ms, key, request)
         upstream.kv_tokens = service.kv_tokens
-        upstream.prefix_cache.used(generation.parts, service.kv_tokens, 1 + self._table.unreported_peers)
+        upstream.prefix_cache.add_prompt(
+            generation.parts, service.kv_tokens, 1 + self._table.unreported_peers
+        )
         self._report_dispatch(instance, generation)
         self._requests[key] = instance
 
@@ -167,33 +165,33 @@
             self._unreported.append(DispatchedPrompt(instance, ids, tokens))
 
     def urgency(self, key: str, rank: int) -> int:
-        """The `Priority` of a request that was sent, 0 foremost; `rank` is that of its route or tenant.
+        """The `Priority` of a request that was sent, 0 being the highest; `rank` is its route's or tenant's.
 
-        Short prefills go before long ones, so that one long prompt does not make many short ones late; among
-        those of a length the rank decides.
+        Short prefills have priority over long ones, so that one long prompt does not delay many short ones.
+        The rank decides among prefills of the same length class.
         """
-        found = self._request(key)
+        in_flight = self._request(key)
         prefill_ms = 0.0
-        if found is not None:
-            _, request = found
+        if in_flight is not None:
+            _, request = in_flight
             model = self._table.service(request.generation.service).model
             prefill_ms = request.uncached * model.ms_per_token
         bounds_ms = PREFILL_BOUNDS_MS if self._ablation.prefill_priority else ()
-        length = sum(prefill_ms > bound_ms for bound_ms in bounds_ms)
-        return length * RANKS + min(max(rank, 0), RANKS - 1)
+        length_class = sum(prefill_ms > bound_ms for bound_ms in bounds_ms)
+        return length_class * RANKS + min(max(rank, 0), RANKS - 1)
 
     def attempt_record(self, key: str) -> AttemptRecord | None:
-        """How an attempt that has not ended was placed, and when its first event came."""
-        found = self._request(key)
-        if found is None:
+        """The record of an attempt that has not ended; None if there is no such attempt."""
+        in_flight = self._request(key)
+        if in_flight is None:
             return None
-        upstream, request = found
+        upstream, request = in_flight
         generation, first_at_ms = request.generation, request.first_at_ms
         model = self._table.service(generation.service).model
         return AttemptRecord(
             instance=self._requests[key],
             prompt_tokens=generation.prompt_tokens,
-            shared_tokens=tokens_of(generation.shared_parts),
+            shared_tokens=total_tokens(generation.shared_parts),
             cached_tokens=round(generation.prompt_tokens - request.uncached),
             tokens_ahead=request.ahead,
             peer_load_age_ms=request.peer_load_age_ms,
@@ -205,7 +203,7 @@
         )
 
     def event(self, now_ms: float, key: str, first: bool) -> None:
-        """An event of the answer came."""
+        """Record an event of the response; the first one updates the latency estimates."""
         if not first:
             return
         self._table.advance(now_ms)
@@ -215,21 +213,21 @@
             return
         model = self._table.service(request.generation.service).model
         tokens = request.uncached + request.ahead
-        took_ms = now_ms - request.sent_at_ms
+        elapsed_ms = now_ms - request.sent_at_ms
         if self._ablation.learned_slowness:
-            upstream.observe_slowness(took_ms / model.predicted_ms(tokens))
+            upstream.observe_slowness(elapsed_ms / model.predicted_ms(tokens))
         if self._ablation.learned_first_event:
-            model.observe(tokens, took_ms / upstream.slowness)
+            model.observe(tokens, elapsed_ms / upstream.slowness)
 
     def ended(self, now_ms: float, key: str, served: bool) -> None:
-        """The request is over at its upstream."""
+        """Record the end of the request at its upstream."""
         self._table.advance(now_ms)
         upstream = self._table.known_upstream(self._requests.pop(key, ""))
         if upstream is not None:
             upstream.ended(now_ms, key, served)
 
-    def _request(self, key: str) -> tuple[UpstreamLoad, Sent] | None:
-        """A request that was sent and has not ended, and its upstream."""
+    def _request(self, key: str) -> tuple[UpstreamLoad, InFlightRequest] | None:
+        """The upstream and the record of a request that has not ended."""
         upstream = self._table.known_upstream(self._requests.get(key, ""))
         request = upstream.request(key) if upstream is not None else None
         return None if upstream is None or request is None else (upstream, request)
--- a/madderwind/placement/prefix_cache_view.py
+++ b/madderwind/placement/prefix_cache_view.py
@@ -1,4 +1,4 @@
-"""Which prompt parts an upstream is believed to keep, from what was sent to it."""
+"""Estimate of the prompt parts in an upstream's prefix cache, from the prompts sent to it."""
 
 from __future__ import annotations
 
@@ -7,73 +7,75 @@
 
 from madderwind.placement.prompts import PromptPart
 
-# Last parts of prompts are asked for once, so that only their tokens matter: they are remembered together, in
-# blocks of this part of the memory, each of which gives way whole.
-OWN_BLOCK_PART = 1 / 32
+# The last part of a prompt is never requested again, so only its length matters. Last parts are tracked
+# together in blocks of this fraction of the cache's capacity; a block is evicted as a whole.
+LAST_PART_BLOCK_FRACTION = 1 / 32
 
 
 class PrefixCacheView:
-    """Shared parts by last use, those unused longest dropped once all would not fit the memory.
+    """An LRU model of the cache: the least recently used parts are evicted once the capacity is exceeded.
 
-    A balancer that hears nothing of the others' sends counts a prompt's last part `multiple` times, once for
-    each balancer that sends as much.
+    A balancer that receives no dispatch reports counts the last part of a prompt `multiple` times, once for
+    each balancer that is assumed to send as much.
     """
 
     def __init__(self) -> None:
-        # Shared parts by their ids, and blocks of last parts by their numbers; those unused longest first.
-        self._weights: OrderedDict[str | int, float] = OrderedDict()
-        self._total = 0.0
-        self._block = 0
+        # Tokens of shared parts by part id and of blocks of last parts by block number, least recently used
+        # first.
+        self._entry_tokens: OrderedDict[str | int, float] = OrderedDict()
+        self._total_tokens = 0.0
+        self._current_block = 0
         self._is_complete = False
 
     @property
     def is_complete(self) -> bool:
-        """Whether all that the upstream keeps is here: it began empty, or took in a memory's worth since.
+        """Whether every part that the upstream has cached is tracked here.
 
-        Guards against a balancer that has just started and takes all memories for empty.
+        That holds if its cache was empty when tracking began, or if the prompts sent since exceed its
+        capacity. Without it, a balancer that has just started would take all caches for empty.
         """
         return self._is_complete
 
-    def begin_empty(self) -> None:
-        """The upstream began, with an empty memory, while its prompts are followed."""
+    def mark_started_empty(self) -> None:
+        """Record that the upstream started with an empty cache while its prompts are tracked."""
         self._is_complete = True
 
     def __len__(self) -> int:
-        """How many parts and blocks are remembered."""
-        return len(self._weights)
+        """The number of tracked parts and blocks."""
+        return len(self._entry_tokens)
 
     def cached_tokens(self, parts: Sequence[PromptPart]) -> int:
-        """Tokens of the longest chain of kept parts from the prompt's start, its last part left out."""
-        weights = self._weights
+        """The tokens of the longest cached prefix of the prompt, without its last part."""
+        entry_tokens = self._entry_tokens
         tokens = 0
         for part in parts[:-1]:
-            if part.id not in weights:
+            if part.id not in entry_tokens:
                 break
             tokens += part.tokens
         return tokens
 
-    def used(self, parts: Sequence[PromptPart], kv_tokens: int, multiple: int = 1) -> None:
-        """A prompt of these parts was sent to the upstream, whose memory holds `kv_tokens`."""
+    def add_prompt(self, parts: Sequence[PromptPart], kv_tokens: int, multiple: int = 1) -> None:
+        """Record a prompt of these parts, sent to the upstream with a cache capacity of `kv_tokens`."""
         for part in parts[:-1]:
             self._refresh(part.id, float(part.tokens))
         if parts:
-            self._add_own(float(parts[-1].tokens * multiple), kv_tokens)
+            self._add_last_part(float(parts[-1].tokens * multiple), kv_tokens)
         self._evict(kv_tokens)
 
-    def _refresh(self, part_id: str, weight: float) -> None:
-        known = self._weights.pop(part_id, 0.0)
-        self._weights[part_id] = weight
-        self._total += weight - known
+    def _refresh(self, part_id: str, tokens: float) -> None:
+        previous = self._entry_tokens.pop(part_id, 0.0)
+        self._entry_tokens[part_id] = tokens
+        self._total_tokens += tokens - previous
 
-    def _add_own(self, weight: float, kv_tokens: int) -> None:
-        block_weight = self._weights.get(self._block, 0.0) + weight
-        self._weights[self._block] = block_weight
-        self._total += weight
-        if block_weight >= OWN_BLOCK_PART * kv_tokens:
-            self._block += 1
+    def _add_last_part(self, tokens: float, kv_tokens: int) -> None:
+        block_tokens = self._entry_tokens.get(self._current_block, 0.0) + tokens
+        self._entry_tokens[self._current_block] = block_tokens
+        self._total_tokens += tokens
+        if block_tokens >= LAST_PART_BLOCK_FRACTION * kv_tokens:
+            self._current_block += 1
 
     def _evict(self, kv_tokens: int) -> None:
-        while self._total > kv_tokens and self._weights:
+        while self._total_tokens > kv_tokens and self._entry_tokens:
             self._is_complete = True
-            _, weight = self._weights.popitem(last=False)
-            self._total -= weight
+            _, tokens = self._entry_tokens.popitem(last=False)
+            self._total_tokens -= tokens
--- a/madderwind/placement/prompts.py
+++ b/madderwind/placement/prompts.py
@@ -1,4 +1,4 @@
-"""What is known of a generation before it runs: the parts of its prompt, its size, its objective."""
+"""Properties of a generation that are known before it runs: prompt parts, size and objective."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True, array_like=True):
-    """One part of a prompt: equal ids are equal text. `tokens` is its length."""
+    """One part of a prompt. Parts with equal ids have equal text; `tokens` is the length."""
 
     id: str
     tokens: int
@@ -22,9 +22,9 @@
 class Generation(msgspec.Struct, frozen=True):
     """One request to a model server.
 
-    `prompt_tokens` counts the whole prompt, `output_tokens` the most that is generated. `priority` 0 is
-    foremost. `aim_ms` is the objective to the first event, `deadline_ms` the end of the client's time on the
-    clock of `now_ms`.
+    `prompt_tokens` is the length of the whole prompt, `output_tokens` the maximum number of generated tokens.
+    `priority` 0 is the highest. `aim_ms` is the objective for the time to the first event, `deadline_ms` the
+    client's deadline on the clock of `now_ms`.
     """
 
     service: str
@@ -37,19 +37,19 @@
 
     @property
     def shared_parts(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may have too: all but the last."""
+        """The parts that other requests may share: all but the last."""
         return self.parts[:-1]
 
 
 def parse_prefix(text: str) -> tuple[PromptPart, ...]:
-    """The parts of an `X-Prompt-Prefix` header (`ID:TOKENS,ID:TOKENS`); MessageError where it is none."""
+    """Parse an `X-Prompt-Prefix` header (`ID:TOKENS,ID:TOKENS`); MessageError if it is malformed."""
     if not text:
         return ()
     if len(text) > MAX_PREFIX_BYTES:
-        raise MessageError(f"{len(text)} bytes are more than a list of prompt parts may hold")
+        raise MessageError(f"prompt prefix has {len(text)} bytes, more than {MAX_PREFIX_BYTES}")
     items = text.split(",")
     if len(items) > MAX_PARTS:
-        raise MessageError(f"{len(items)} prompt parts are more than a request may have")
+        raise MessageError(f"prompt prefix has {len(items)} parts, more than {MAX_PARTS}")
     return tuple(_parse_part(item) for item in items)
 
 
--- a/madderwind/placement/rendezvous.py
+++ b/madderwind/placement/rendezvous.py
@@ -1,6 +1,6 @@
-"""Weighted rendezvous hashing: every balancer ranks the upstreams of a key alike, without talking.
+"""Weighted rendezvous hashing: all balancers rank the upstreams of a key alike, without communication.
 
-When an upstream comes or goes, only the keys that it ranks first for change their first upstream.
+When an upstream is added or removed, only the keys that rank it first change their first upstream.
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 
 MAX_RANKINGS = 4096
 HASH_MASK = (1 << 64) - 1
-# An odd multiplier with well-spread bits (the 64-bit golden ratio).
-MIX = 0x9E3779B97F4A7C15
+# An odd multiplier with evenly distributed bits (the 64-bit golden ratio).
+MIX_MULTIPLIER = 0x9E3779B97F4A7C15
 
 
 def stable_hash(text: str) -> int:
-    """64 bits of the text, equal in every process."""
+    """A 64-bit hash of the text that is equal in every process."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
-def mixed(first: int, second: int) -> int:
-    """64 well-spread bits of two hashes."""
-    value = (first ^ second) * MIX & HASH_MASK
+def mix_hashes(first: int, second: int) -> int:
+    """Combine two hashes into 64 evenly distributed bits."""
+    value = (first ^ second) * MIX_MULTIPLIER & HASH_MASK
     value ^= value >> 32
-    value = value * MIX & HASH_MASK
+    value = value * MIX_MULTIPLIER & HASH_MASK
     return value ^ (value >> 29)
 
 
-def _unit(value: int) -> float:
-    """The hash as a number strictly between 0 and 1: the top 52 bits, and a half."""
+def _to_unit_interval(value: int) -> float:
+    """Map a hash to a number strictly between 0 and 1, from its top 52 bits plus one half."""
     return ((value >> 12) + 0.5) / (1 << 52)
 
 
 class RendezvousRanking:
-    """Rankings of one set of upstreams by key, kept until the set or its weights change."""
+    """Rankings of one set of upstreams by key, cached until the set or its weights change."""
 
     def __init__(self) -> None:
         self._members: tuple[str, ...] = ()
@@ -50,14 +50,14 @@
     def set_members(
         self, members: Sequence[str], identity: Mapping[str, str], weights: Mapping[str, float]
     ) -> None:
-        """Rank these from now on. `identity` tells what is hashed for an upstream instead of its id."""
+        """Set the ranked upstreams. `identity` gives the text that is hashed in place of an upstream's id."""
         self._members = tuple(members)
         self._hashes = [stable_hash(identity.get(member, member)) for member in members]
         self._weights = [weights.get(member, 1.0) for member in members]
         self._rankings = {}
 
     def ranking(self, key: str) -> tuple[str, ...]:
-        """All members, the key's home first."""
+        """All members in rank order for the key; the first is its home."""
         found = self._rankings.get(key)
         if found is None:
             if len(self._rankings) >= MAX_RANKINGS:
@@ -68,7 +68,7 @@
     def _rank(self, key: str) -> tuple[str, ...]:
         key_hash = stable_hash(key)
         scored = [
-            (weight / -math.log(_unit(mixed(key_hash, member_hash))), member)
+            (weight / -math.log(_to_unit_interval(mix_hashes(key_hash, member_hash))), member)
             for member, member_hash, weight in zip(self._members, self._hashes, self._weights, strict=True)
         ]
         scored.sort(reverse=True)
--- a/madderwind/placement/service_knowledge.py
+++ b/madderwind/placement/service_knowledge.py
@@ -1,4 +1,4 @@
-"""What is known of one service's model servers as a whole."""
+"""Configured and learned properties of one service's model servers."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 POPULARITY_WINDOW_MS = 6000.0
 
 
-class ServiceKnowledge:
-    """A service's engines as configured, its ranking of upstreams, and what its answers have taught.
+class ServiceState:
+    """A service's engine configuration, upstream ranking and learned estimates.
 
     Attributes:
-        slots: How many requests an upstream runs at once.
-        kv_tokens: An upstream's memory, tokens.
-        stride: Tokens an event.
-        ranking: Of its upstreams, by prefix.
-        model: Of the time to a first event.
-        rates: Arrivals by prefix at this balancer.
+        slots: The maximum number of requests in an upstream's batch.
+        kv_tokens: The capacity of an upstream's KV cache, in tokens.
+        stride: Output tokens per event.
+        ranking: Ranks the upstreams of a prefix.
+        model: Predicts the time to the first event.
+        rates: Decayed arrival counts by prefix at this balancer.
     """
 
     def __init__(self) -> None:
@@ -33,5 +33,5 @@
         self.rates = PrefixRates(POPULARITY_WINDOW_MS)
 
     def configure(self, slots: int, kv_tokens: int, stride: int) -> None:
-        """Take the engine from the configuration; each is at least 1."""
+        """Apply the configured engine properties; values below 1 are raised to 1."""
         self.slots, self.kv_tokens, self.stride = max(slots, 1), max(kv_tokens, 1), max(stride, 1)
--- a/tests/placement/test_ablation.py
+++ b/tests/placement/test_ablation.py
@@ -1,17 +1,17 @@
-"""Each mechanism of the placement can be turned off alone, and changes something."""
+"""Each placement mechanism can be disabled on its own, and disabling it changes the outcome."""
 
 from __future__ import annotations
 
 import pytest
 
-from madderwind.placement.ablation import ALL_WORK, Ablation, without
+from madderwind.placement.ablation import ALL_ENABLED, Ablation, without
 from madderwind.testing.engine_emulator.experiment import Experiment, Release
 from madderwind.testing.engine_emulator.fleet import Fleet
 from madderwind.testing.engine_emulator.workload import Kind, SharedPart, Tokens
 
 EXPERIMENT = Experiment(
     name="short",
-    question="Does it matter?",
+    question="Does the mechanism change the outcome?",
     data_planes=8,
     upstreams=12,
     report_ms=100.0,
@@ -36,29 +36,29 @@
 
 
 def outcome(policy: str) -> list[tuple[float | None, int]]:
-    """When each request's first event came, and what was read for it."""
-    return [(one.first_ms, one.shared_tokens_read) for one in Fleet(EXPERIMENT, policy, 3).run()]
+    """Each request's time to the first event and the number of shared tokens prefilled for it."""
+    return [(request.first_ms, request.shared_tokens_read) for request in Fleet(EXPERIMENT, policy, 3).run()]
 
 
-WITH_ALL = outcome("placement")
+OUTCOME_WITH_ALL = outcome("placement")
 
 
-# Nothing fails here, so that the memory of failures has a test of its own in test_placement.
+# No request fails in this experiment, so failure_memory is tested in test_placement.
 @pytest.mark.parametrize(
     "mechanism", [name for name in Ablation.__struct_fields__ if name != "failure_memory"]
 )
-def test_a_run_without_a_mechanism_is_another(mechanism: str) -> None:
-    assert outcome(f"without-{mechanism}") != WITH_ALL
+def test_disabling_a_mechanism_changes_the_outcome(mechanism: str) -> None:
+    assert outcome(f"without-{mechanism}") != OUTCOME_WITH_ALL
 
 
-def test_a_run_repeats() -> None:
-    assert outcome("placement") == WITH_ALL
+def test_runs_with_the_same_seed_are_identical() -> None:
+    assert outcome("placement") == OUTCOME_WITH_ALL
 
 
 def test_an_unknown_mechanism_is_an_error() -> None:
-    with pytest.raises(ValueError, match="'luck' is none of prefix_homes"):
+    with pytest.raises(ValueError, match="unknown mechanism 'luck', expected one of prefix_homes"):
         without("luck")
 
 
-def test_by_default_all_work() -> None:
-    assert all(getattr(ALL_WORK, name) for name in Ablation.__struct_fields__)
+def test_all_mechanisms_are_enabled_by_default() -> None:
+    assert all(getattr(ALL_ENABLED, name) for name in Ablation.__struct_fields__)
