--- a/madderwind/limits/__init__.py
+++ b/madderwind/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold over the whole fleet: tenants' quotas and the budget of repeated sends."""
+"""Fleet-wide limits: tenant quotas and the budget of repeated sends."""
--- a/madderwind/limits/budget.py
+++ b/madderwind/limits/budget.py
@@ -1,17 +1,18 @@
 """The fleet's budget of repeated sends: arrivals at a service beyond the first of each request.
 
-The rule sums over all data planes and any window: repeated sends <= ratio x requests + slack. Nothing is
-shared between data planes; each holds itself to
+The fleet-wide limit holds for the sum over all data planes and for any window: repeated sends <= ratio x
+requests + slack. Data planes share no state for it; each one keeps to
 
     repeated sends <= ratio x own requests + slack / (2 x data planes)
 
-in the window that ends now. The repeated sends of any window are, up to the last of them, within the window
-that ended with that one, which was checked as it was sent. Summed over the data planes the bound is
-ratio x requests + slack / 2. A restarted process has forgotten its former life's sends; in a window in which
-every process restarts once the sum is ratio x requests + slack, which is still the rule.
+in the window that ends now. The repeated sends of any window lie within the window that ended with the last
+of them, which was checked when that one was sent. Summed over the data planes the bound is
+ratio x requests + slack / 2. A restarted process has lost the record of its earlier sends; in a window in
+which every process restarts once the sum is ratio x requests + slack, which is still within the limit.
 
-The rule's windows reach further than now, so when requests get fewer it counts fewer than were counted here.
-Therefore the latest half window counts at most twice.
+The windows of the fleet-wide limit may extend beyond the current time, so when traffic declines they contain
+fewer requests than the window counted here. Therefore the count is at most twice that of the latest half
+window.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 from collections import defaultdict, deque
 
 
-class _SlidingCount:
-    """Counts events exactly over the last window."""
+class _SlidingWindowCounter:
+    """An exact count of the events in the last window."""
 
     def __init__(self, window_ms: float) -> None:
         self._window_ms = window_ms
@@ -40,21 +41,21 @@
     """One service's requests and repeated sends at this data plane."""
 
     def __init__(self, window_ms: float) -> None:
-        self.requests = _SlidingCount(window_ms)
-        self.latest_requests = _SlidingCount(window_ms / 2)
-        self.repeated = _SlidingCount(window_ms)
+        self.requests = _SlidingWindowCounter(window_ms)
+        self.recent_requests = _SlidingWindowCounter(window_ms / 2)
+        self.repeated_sends = _SlidingWindowCounter(window_ms)
 
-    def request(self, now_ms: float) -> None:
-        for counts in (self.requests, self.latest_requests):
-            counts.count(now_ms)  # lets go of what is older, so that the memory stays bounded
-            counts.add(now_ms)
+    def record_request(self, now_ms: float) -> None:
+        for counter in (self.requests, self.recent_requests):
+            counter.count(now_ms)  # removes expired entries, which bounds the memory
+            counter.add(now_ms)
 
     def counted_requests(self, now_ms: float) -> int:
-        return min(self.requests.count(now_ms), 2 * self.latest_requests.count(now_ms))
+        return min(self.requests.count(now_ms), 2 * self.recent_requests.count(now_ms))
 
 
 class FleetRetryBudget:
-    """One data plane's part of the fleet's budget. Times are on the steady clock."""
+    """One data plane's part of the fleet's budget. Times are on the monotonic clock."""
 
     def __init__(self, ratio: float, slack: float, window_ms: float) -> None:
         self._ratio, self._slack, self._window_ms = ratio, slack, window_ms
@@ -62,23 +63,23 @@
         self._services: defaultdict[str, _ServiceBudget] = defaultdict(lambda: _ServiceBudget(window_ms))
 
     def set_data_planes(self, data_planes: int) -> None:
-        """How many data planes share the slack. It never goes down: those that are away may be at work."""
+        """Set how many data planes share the slack. It never decreases, as unreachable ones may be active."""
         self._data_planes = max(self._data_planes, data_planes)
 
     def request(self, now_ms: float, service: str) -> None:
-        """A client's request for this service."""
-        self._services[service].request(now_ms)
+        """Record a client's request for this service."""
+        self._services[service].record_request(now_ms)
 
     def may_send_again(self, now_ms: float, service: str) -> bool:
-        """Whether one more arrival is within the budget; it is spent then."""
+        """Whether one more send is within the budget; if so, it is charged."""
         budget = self._services[service]
         allowed = self._ratio * budget.counted_requests(now_ms) + self._own_slack
-        if budget.repeated.count(now_ms) + 1 > allowed:
+        if budget.repeated_sends.count(now_ms) + 1 > allowed:
             return False
-        budget.repeated.add(now_ms)
+        budget.repeated_sends.add(now_ms)
         return True
 
     @property
     def _own_slack(self) -> float:
-        """Nothing while it isn't known how many share it."""
+        """This data plane's part of the slack; 0 while the number of data planes is unknown."""
         return self._slack / (2 * self._data_planes) if self._data_planes else 0.0
--- a/madderwind/limits/isolated_bucket.py
+++ b/madderwind/limits/isolated_bucket.py
@@ -1,10 +1,10 @@
-"""One tenant's bucket at a data plane that doesn't hear of the others.
+"""One tenant's token bucket at a data plane that receives no usage reports of the others.
 
-The others may be asked for more than before, and nothing tells. So what is asked for here stands for all:
-one of six data planes takes all to be asked for six times as much as it is, up to WORST_DEMAND times the
-rate, and what it admits draws six times as much. Then the sum over all data planes is what one bucket
-holds. A request at one of many data planes may so weigh more than the bucket holds; it is admitted by
-chance, so that the sum is right on the average.
+The demand at the other data planes may rise without this one learning of it, so its own demand is
+extrapolated to the fleet: one of six data planes assumes that the fleet's demand is six times its own, up to
+MAX_DEMAND_MULTIPLE times the rate, and draws six times what it admits. Then the sum over all data planes is
+what one bucket holds. With many data planes the amount drawn for one request may exceed what the bucket
+holds; such a request is admitted at random, so that the sum is right on average.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from madderwind.limits.quota_terms import QuotaTerms
 
 DEMAND_TIME_CONSTANT_S = 1.0
-# How far ahead the level is shared out.
+# The time over which the level is spread.
 HORIZON_S = 1.2
-# What a tenant is taken to send at the most, in multiples of its rate.
-WORST_DEMAND = 12.0
-# Others that do hear each other share out the whole rate among them.
-ISOLATED_RATE_PART = 0.8
+# The highest demand that is assumed of a tenant, as a multiple of its rate.
+MAX_DEMAND_MULTIPLE = 12.0
+# Below 1, as the data planes that still exchange reports divide the whole rate among themselves.
+ISOLATED_RATE_FRACTION = 0.8
 
 
 class IsolatedBucket:
-    """Lives from the loss of touch until all is settled again.
+    """Exists from the loss of the connection until the usage during the outage has been reported.
 
-    `share`: this data plane's part of the fleet; `unnoticed_own_use`: what it admitted since touch was lost,
-    before that was noticed; `unnoticed_peer_use`: what is assumed of the others for that time, and drawn
-    already.
+    `fleet_fraction`: this data plane's fraction of the fleet; `own_use_before_detection`: what it admitted
+    between the loss of the connection and its detection; `peer_use_before_detection`: what the others are
+    assumed to have admitted in that time, which has been drawn already.
     """
 
     def __init__(
@@ -34,15 +34,17 @@
         now_ms: float,
         terms: QuotaTerms,
         headroom: float,
-        share: float,
-        unnoticed_own_use: float,
-        unnoticed_peer_use: float,
+        fleet_fraction: float,
+        own_use_before_detection: float,
+        peer_use_before_detection: float,
     ) -> None:
         self._terms = terms
-        undrawn = max(0.0, unnoticed_own_use * (1.0 / share - 1.0) - unnoticed_peer_use)
-        self._level = headroom + terms.isolated_allowance - undrawn
-        self._most = terms.burst + terms.margin + terms.isolated_allowance
-        self._share = share
+        undrawn_peer_use = max(
+            0.0, own_use_before_detection * (1.0 / fleet_fraction - 1.0) - peer_use_before_detection
+        )
+        self._level = headroom + terms.isolated_allowance - undrawn_peer_use
+        self._max_level = terms.burst + terms.margin + terms.isolated_allowance
+        self._fleet_fraction = fleet_fraction
         self._updated_ms = now_ms
         self._own_demand = DecayingRate(DEMAND_TIME_CONSTANT_S)
 
@@ -51,34 +53,37 @@
         self._own_demand.add(now_ms, amount)
 
     def spend(self, now_ms: float, amount: float) -> None:
-        """Draw what was admitted here, and what the others are taken to admit meanwhile."""
+        """Draw an admitted amount, and what the others are assumed to admit meanwhile."""
         self._advance(now_ms)
         own_demand = self._own_demand.per_s(now_ms)
-        multiple = self._demand(now_ms) / own_demand if own_demand > 0 else 1.0
-        self._level -= amount * max(1.0, multiple)
+        demand_multiple = self._demand(now_ms) / own_demand if own_demand > 0 else 1.0
+        self._level -= amount * max(1.0, demand_multiple)
 
     def refund(self, now_ms: float, amount: float, demand: float) -> None:
-        """Take back a request that won't run: what was drawn for it, and what it counted for as demand."""
+        """Undo a request that won't run: the amount drawn for it and its contribution to the demand."""
         self._advance(now_ms)
-        self._level = min(self._most, self._level + amount)
+        self._level = min(self._max_level, self._level + amount)
         self._own_demand.add(now_ms, -demand)
 
-    def chance(self, now_ms: float) -> float:
-        """The chance with which a request is to be admitted now; 1 or more admits all."""
+    def admission_ratio(self, now_ms: float) -> float:
+        """The probability of admitting a request now; 1 or more admits all."""
         self._advance(now_ms)
         available = self._rate_per_s * HORIZON_S + self._level
-        wanted = self._demand(now_ms) * HORIZON_S
-        return available / wanted if wanted > 0 else float(available > 0)
+        demanded = self._demand(now_ms) * HORIZON_S
+        return available / demanded if demanded > 0 else float(available > 0)
 
     @property
     def _rate_per_s(self) -> float:
-        return self._terms.rate_per_s * ISOLATED_RATE_PART
+        return self._terms.rate_per_s * ISOLATED_RATE_FRACTION
 
     def _demand(self, now_ms: float) -> float:
-        """What all are taken to be asked for a second."""
-        return min(self._own_demand.per_s(now_ms) / self._share, WORST_DEMAND * self._terms.rate_per_s)
+        """The assumed demand at all data planes, per second."""
+        return min(
+            self._own_demand.per_s(now_ms) / self._fleet_fraction,
+            MAX_DEMAND_MULTIPLE * self._terms.rate_per_s,
+        )
 
     def _advance(self, now_ms: float) -> None:
         elapsed_s = max(0.0, now_ms - self._updated_ms) / MS_PER_S
-        self._level = min(self._most, self._level + self._rate_per_s * elapsed_s)
+        self._level = min(self._max_level, self._level + self._rate_per_s * elapsed_s)
         self._updated_ms = now_ms
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -1,8 +1,8 @@
 """A simulated fleet of data planes that share one tenant's quota through the primary's usage exchange.
 
-Requests are lumpy: of four sizes as a language model's clients send them, at random times and random data
-planes. Reports and what the others used travel as in the system: every 250 ms up, every 200 ms down, with
-a delay.
+Requests have one of four very different sizes, as sent by clients of a language model, and arrive at random
+times at random data planes. As in the system, a data plane reports its usage every 250 ms and receives that
+of the others every 200 ms, both with a delay.
 """
 
 from __future__ import annotations
@@ -24,22 +24,23 @@
 
 BOUNDS = Bounds(quota_window_s=8.0, quota_overshoot=0.1, quota_slack=190_000.0)
 TENANT = Tenant(name="blue", unit="tokens", rate_per_s=71_430.0, burst=112_296.0)
-# Tokens of a request, and how many of its kind there are.
+# Request sizes in tokens, and the relative frequency of each.
 SIZES, WEIGHTS = (17_140.0, 9_241.0, 1_631.0, 200.0), (6.71, 4.98, 8.51, 5.05)
 MEAN_SIZE = sum(size * weight for size, weight in zip(SIZES, WEIGHTS, strict=True)) / sum(WEIGHTS)
-# What the tenant usually sends, as a part of its rate.
-USUAL_PART = 1 / 1.3
+# The tenant's normal demand as a fraction of its rate.
+NORMAL_RATE_FRACTION = 1 / 1.3
 
 REPORT_INTERVAL_MS, EXCHANGE_INTERVAL_MS = 250.0, 200.0
 ONE_WAY_MS = 75.0
-# A lost connection to the primary is noticed after this; regained by each within that.
-NOTICED_AFTER_MS, REGAINED_WITHIN_MS = 700.0, 500.0
+# The time until the loss of a connection to the primary is detected, and the time within which data planes
+# reconnect.
+LOSS_DETECTION_DELAY_MS, RECONNECT_WITHIN_MS = 700.0, 500.0
 CLIENT_RETRY_MS = 300.0
 
 
 @attrs.frozen
 class Arrival:
-    """A client's first try, and how it ended."""
+    """A client's first attempt and its result."""
 
     at_ms: float
     amount: float
@@ -48,23 +49,23 @@
 
 @attrs.define
 class DataPlane:
-    """One machine's process; `life` counts its restarts."""
+    """One data plane process; `incarnation` counts its restarts."""
 
     number: int
     quota: TenantQuota
     weight: float
-    life: int = 0
+    incarnation: int = 0
     sequence: int = 0
     is_running: bool = True
     is_connected: bool = True
 
     @property
     def participant(self) -> tuple[int, int]:
-        return self.number, self.life
+        return self.number, self.incarnation
 
 
 class QuotaFleet:
-    """Runs one tenant's requests through all data planes and keeps what was admitted when."""
+    """Runs one tenant's requests through all data planes and records the admissions."""
 
     def __init__(
         self, data_planes: int, seed: int, *, is_founding: bool = True, tenant: Tenant = TENANT
@@ -75,13 +76,13 @@
         self._rng = random.Random(seed)
         self._now_ms = 0.0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
-        self._command = itertools.count()
+        self._event_ids = itertools.count()
         self._exchange = UsageExchange()
-        self._usual_per_s = tenant.rate_per_s * USUAL_PART / MEAN_SIZE
+        self._normal_requests_per_s = tenant.rate_per_s * NORMAL_RATE_FRACTION / MEAN_SIZE
         self._multiple = 1.0
-        # Where given, clients come back so late that their answer can't be in time, and say so.
-        self.late_return_ms: float | None = None
-        self._count = data_planes
+        # If set, clients retry after this delay, too late for a response in time, and the retry is late.
+        self.late_retry_ms: float | None = None
+        self._data_plane_count = data_planes
         self._data_planes = [
             DataPlane(number, self._new_quota(is_founding), self._rng.uniform(0.4, 1.6))
             for number in range(data_planes)
@@ -89,13 +90,11 @@
         for data_plane in self._data_planes:
             self._exchange.join(data_plane.participant)
             self._after(self._rng.uniform(0, REPORT_INTERVAL_MS), partial(self._report, data_plane))
-        self._after(0.0, self._tell_others)
+        self._after(0.0, self._exchange_usage)
         self._after(0.0, self._next_arrival)
 
-    # --- what a story says ---
-
     def demand_multiple(self, at_s: float, multiple: float) -> None:
-        """From then on the tenant sends so many times its usual."""
+        """From `at_s` on the tenant's demand is this multiple of its normal demand."""
 
         def change() -> None:
             self._multiple = multiple
@@ -103,19 +102,19 @@
         self._at(at_s * 1000, change)
 
     def restart(self, at_s: float, part: float, down_s: float) -> None:
-        """That part of the data planes is killed at once, and starts again."""
+        """Kill this fraction of the data planes at once; each restarts after `down_s`."""
         self._at(at_s * 1000, lambda: self._kill(part, down_s * 1000))
 
-    def lose_touch(
+    def disconnect_from_primary(
         self, at_s: float, numbers: Iterable[int], for_s: float, *, new_primary: bool = False
     ) -> None:
-        """These don't reach the primary for a while; then they do, or another that knows nothing."""
-        lost = [self._data_planes[number] for number in numbers]
-        self._at(at_s * 1000, lambda: self._disconnect(lost))
-        self._at((at_s + for_s) * 1000, lambda: self._reconnect(lost, new_primary))
+        """Disconnect data planes from the primary for `for_s`; `new_primary` starts without any state."""
+        disconnected = [self._data_planes[number] for number in numbers]
+        self._at(at_s * 1000, lambda: self._disconnect(disconnected))
+        self._at((at_s + for_s) * 1000, lambda: self._reconnect(disconnected, new_primary))
 
     def change_limit(self, at_s: float, tenant: Tenant) -> None:
-        """A configuration with another limit, in force everywhere at once."""
+        """Apply a configuration with another limit at all data planes at once."""
 
         def change() -> None:
             self.tenant = tenant
@@ -129,10 +128,8 @@
             self._now_ms, _, event = heapq.heappop(self._events)
             event()
 
-    # --- what is measured ---
-
-    def largest_window(self, from_s: float = 0.0) -> float:
-        """The most that was admitted in any window since, as a part of what the rule allows."""
+    def largest_window_use(self, from_s: float = 0.0) -> float:
+        """The maximum admitted in any window since `from_s`, as a fraction of the fleet-wide limit."""
         within: deque[tuple[float, float]] = deque()
         total = largest = 0.0
         for at_ms, amount in self.admitted:
@@ -143,16 +140,16 @@
             while within[0][0] < at_ms - BOUNDS.quota_window_s * 1000:
                 total -= within.popleft()[1]
             largest = max(largest, total)
-        return largest / allowed_in_a_window(self.tenant)
+        return largest / allowed_in_window(self.tenant)
 
     def refused_part(self, from_s: float = 0.0, until_s: float = float("inf")) -> float:
-        """The part of the tokens of clients' first tries that was refused."""
-        tries = [each for each in self.arrivals if from_s * 1000 <= each.at_ms < until_s * 1000]
-        refused = sum(each.amount for each in tries if not each.is_admitted)
-        return refused / sum(each.amount for each in tries)
+        """The refused fraction of the tokens of first attempts."""
+        attempts = [each for each in self.arrivals if from_s * 1000 <= each.at_ms < until_s * 1000]
+        refused = sum(each.amount for each in attempts if not each.is_admitted)
+        return refused / sum(each.amount for each in attempts)
 
-    def ideally_refused_part(self, from_s: float = 0.0, until_s: float = float("inf")) -> float:
-        """What one bucket for the whole fleet would refuse of the same tries."""
+    def refused_part_with_one_bucket(self, from_s: float = 0.0, until_s: float = float("inf")) -> float:
+        """The fraction of the same attempts that a single bucket for the whole fleet would refuse."""
         level, updated_ms, refused, total = self.tenant.burst, 0.0, 0.0, 0.0
         for each in self.arrivals:
             refilled = self.tenant.rate_per_s * (each.at_ms - updated_ms) / 1000
@@ -165,39 +162,37 @@
         return refused / total
 
     def admitted_per_s(self, from_s: float, until_s: float) -> float:
-        """Tokens a second."""
+        """Admitted tokens per second."""
         amounts = (amount for at_ms, amount in self.admitted if from_s * 1000 <= at_ms < until_s * 1000)
         return sum(amounts) / (until_s - from_s)
 
-    # --- events ---
-
     def _at(self, at_ms: float, event: Callable[[], object]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._command), event))
+        heapq.heappush(self._events, (at_ms, next(self._event_ids), event))
 
     def _after(self, delay_ms: float, event: Callable[[], object]) -> None:
         self._at(self._now_ms + delay_ms, event)
 
     def _new_quota(self, is_founding: bool) -> TenantQuota:
         quota = TenantQuota(BOUNDS, random.Random(self._rng.random()), is_founding=is_founding)
-        quota.set_data_planes(self._now_ms, self._count, True)
+        quota.set_data_planes(self._now_ms, self._data_plane_count, True)
         quota.configure(self._now_ms, [self.tenant])
         return quota
 
     def _next_arrival(self) -> None:
-        per_s = self._usual_per_s * self._multiple
+        per_s = self._normal_requests_per_s * self._multiple
         amount = self._rng.choices(SIZES, WEIGHTS)[0]
-        self.arrivals.append(Arrival(self._now_ms, amount, self._try(amount)))
+        self.arrivals.append(Arrival(self._now_ms, amount, self._attempt(amount)))
         if not self.arrivals[-1].is_admitted:
-            self._come_back(amount)
+            self._schedule_retry(amount)
         self._after(self._rng.expovariate(per_s) * 1000, self._next_arrival)
 
-    def _come_back(self, amount: float) -> None:
-        if self.late_return_ms is None:
-            self._after(CLIENT_RETRY_MS, partial(self._try, amount))
+    def _schedule_retry(self, amount: float) -> None:
+        if self.late_retry_ms is None:
+            self._after(CLIENT_RETRY_MS, partial(self._attempt, amount))
         else:
-            self._after(self.late_return_ms, partial(self._try, amount, is_late=True))
+            self._after(self.late_retry_ms, partial(self._attempt, amount, is_late=True))
 
-    def _try(self, amount: float, *, is_late: bool = False) -> bool:
+    def _attempt(self, amount: float, *, is_late: bool = False) -> bool:
         running = [data_plane for data_plane in self._data_planes if data_plane.is_running]
         chosen = self._rng.choices(running, [data_plane.weight for data_plane in running])[0]
         is_admitted = chosen.quota.admit(self._now_ms, self.tenant.name, amount, is_late=is_late)
@@ -209,62 +204,67 @@
         self._after(REPORT_INTERVAL_MS, lambda: self._report(data_plane))
         if not (data_plane.is_running and data_plane.is_connected):
             return
-        data_plane.quota.set_data_planes(self._now_ms, self._count, True)
+        data_plane.quota.set_data_planes(self._now_ms, self._data_plane_count, True)
         usage = data_plane.quota.drain_usage(self._now_ms)
         data_plane.sequence += 1
         report = UsageReport(data_plane.sequence, dict(usage.used), dict(usage.demand_per_s))
         participant = data_plane.participant
         self._after(ONE_WAY_MS, lambda: self._exchange.report(participant, report))
 
-    def _tell_others(self) -> None:
-        self._after(EXCHANGE_INTERVAL_MS, self._tell_others)
+    def _exchange_usage(self) -> None:
+        self._after(EXCHANGE_INTERVAL_MS, self._exchange_usage)
         for data_plane in self._data_planes:
             if data_plane.is_running and data_plane.is_connected:
-                self._tell(data_plane)
+                self._send_peer_usage(data_plane)
 
-    def _tell(self, data_plane: DataPlane) -> None:
-        told = self._exchange.owed(data_plane.participant)
-        if told is None:
+    def _send_peer_usage(self, data_plane: DataPlane) -> None:
+        peer_usage = self._exchange.owed(data_plane.participant)
+        if peer_usage is None:
             return
         quota = data_plane.quota
-        self._after(ONE_WAY_MS, lambda: quota.handle_peer_usage(self._now_ms, told.used, told.demand_per_s))
+        self._after(
+            ONE_WAY_MS,
+            lambda: quota.handle_peer_usage(self._now_ms, peer_usage.used, peer_usage.demand_per_s),
+        )
 
     def _kill(self, part: float, down_ms: float) -> None:
-        for data_plane in self._rng.sample(self._data_planes, round(part * self._count)):
+        for data_plane in self._rng.sample(self._data_planes, round(part * self._data_plane_count)):
             self._exchange.suspend(data_plane.participant)
             data_plane.is_running = False
             self._after(down_ms, partial(self._start, data_plane))
 
     def _start(self, data_plane: DataPlane) -> None:
-        data_plane.life += 1
+        data_plane.incarnation += 1
         data_plane.sequence = 0
         data_plane.quota = self._new_quota(is_founding=False)
         data_plane.is_running = True
         self._exchange.join(data_plane.participant)
 
-    def _disconnect(self, lost: list[DataPlane]) -> None:
-        for data_plane in lost:
+    def _disconnect(self, disconnected: list[DataPlane]) -> None:
+        for data_plane in disconnected:
             data_plane.is_connected = False
             self._exchange.suspend(data_plane.participant)
-            self._after(NOTICED_AFTER_MS, partial(self._notice, data_plane))
+            self._after(LOSS_DETECTION_DELAY_MS, partial(self._detect_loss, data_plane))
 
-    def _notice(self, data_plane: DataPlane) -> None:
+    def _detect_loss(self, data_plane: DataPlane) -> None:
         if not data_plane.is_connected:
-            data_plane.quota.set_data_planes(self._now_ms, self._count, False)
+            data_plane.quota.set_data_planes(self._now_ms, self._data_plane_count, False)
 
-    def _reconnect(self, lost: list[DataPlane], new_primary: bool) -> None:
+    def _reconnect(self, disconnected: list[DataPlane], new_primary: bool) -> None:
         if new_primary:
             self._exchange = UsageExchange()
-        for data_plane in lost:
-            self._after(self._rng.uniform(0, REGAINED_WITHIN_MS), partial(self._connect, data_plane))
+        for data_plane in disconnected:
+            self._after(
+                self._rng.uniform(0, RECONNECT_WITHIN_MS), partial(self._complete_reconnect, data_plane)
+            )
 
-    def _connect(self, data_plane: DataPlane) -> None:
+    def _complete_reconnect(self, data_plane: DataPlane) -> None:
         data_plane.is_connected = True
         self._exchange.join(data_plane.participant)
-        data_plane.quota.set_data_planes(self._now_ms, self._count, True)
+        data_plane.quota.set_data_planes(self._now_ms, self._data_plane_count, True)
 
 
-def allowed_in_a_window(tenant: Tenant) -> float:
-    """The rule's bound in tokens."""
-    promised = tenant.rate_per_s * BOUNDS.quota_window_s + tenant.burst
-    return promised * (1 + BOUNDS.quota_overshoot) + BOUNDS.quota_slack
+def allowed_in_window(tenant: Tenant) -> float:
+    """The fleet-wide limit for one window, in tokens."""
+    nominal_allowance = tenant.rate_per_s * BOUNDS.quota_window_s + tenant.burst
+    return nominal_allowance * (1 + BOUNDS.quota_overshoot) + BOUNDS.quota_slack
