--- a/madderwind/balancing/__init__.py
+++ b/madderwind/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on retries, picks and load that the present program and the system's data plane share; no I/O."""
+"""Retry, selection and load decisions shared by the standalone program and the data plane; no I/O."""
--- a/madderwind/balancing/outcomes.py
+++ b/madderwind/balancing/outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end: what both programs' decisions on retries rest on."""
+"""Outcomes of attempts, on which both programs base their retry decisions."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -19,5 +19,5 @@
 
     @property
     def never_ran(self) -> bool:
-        """True where the outcome proves that the upstream did no part of the request."""
+        """Whether the outcome proves that the upstream didn't process any part of the request."""
         return self in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
