--- a/madderwind/balancing/candidates.py
+++ b/madderwind/balancing/candidates.py
@@ -9,7 +9,7 @@
 def idle_first(
     candidates: Sequence[T], is_idle: Callable[[T], bool], load: Callable[[T], float | None]
 ) -> list[T]:
-    """The idle candidates, else those at or below the mean load; an unknown load (None) counts as it."""
+    """The idle candidates, else those of at most mean load; an unknown load (None) counts as the mean."""
     if idle := [candidate for candidate in candidates if is_idle(candidate)]:
         return idle
     loads = [load(candidate) for candidate in candidates]
--- a/madderwind/balancing/retry_quota.py
+++ b/madderwind/balancing/retry_quota.py
@@ -9,9 +9,9 @@
 # Tokens for a retry after a transient failure, and after a full upstream.
 TRANSIENT_COST, FULL_COST = 14.0, 5.0
 CLEAN_SUCCESS_REFUND = 1.0  # tokens refunded for a success at the first attempt
-TRANSIENT_BASE_MS, FULL_BASE_MS, WAIT_CEILING_MS = 100.0, 1000.0, 20_000.0
+TRANSIENT_BASE_MS, FULL_BASE_MS, MAX_WAIT_MS = 100.0, 1000.0, 20_000.0
 TRANSIENT, FULL = (TRANSIENT_COST, TRANSIENT_BASE_MS), (FULL_COST, FULL_BASE_MS)  # cost and base wait
-MOST_DOUBLINGS = 32  # far beyond the ceiling; keeps the power of two finite
+MAX_DOUBLINGS = 32  # far beyond the maximum wait; keeps the power of two finite
 
 
 class RetryQuota:
@@ -39,6 +39,6 @@
             self.refund(cost)
 
     def wait_ms(self, base_ms: float, retry: int) -> float:
-        """A random fraction of a wait that doubles with each retry, counted from 0, up to the ceiling."""
-        doubled_ms = base_ms * 2.0 ** min(retry, MOST_DOUBLINGS)
-        return self._rng.random() * min(WAIT_CEILING_MS, doubled_ms)
+        """A random fraction of a wait that doubles with each retry, counted from 0, up to MAX_WAIT_MS."""
+        doubled_ms = base_ms * 2.0 ** min(retry, MAX_DOUBLINGS)
+        return self._rng.random() * min(MAX_WAIT_MS, doubled_ms)
--- a/tests/balancing/test_retry_quota.py
+++ b/tests/balancing/test_retry_quota.py
@@ -64,7 +64,7 @@
 
 
 class Backoff(unittest.TestCase):
-    def test_waits_have_full_jitter_over_a_window_that_doubles_up_to_the_ceiling(self) -> None:
+    def test_waits_have_full_jitter_over_a_window_that_doubles_up_to_the_maximum(self) -> None:
         # Given waits with a base of 100 ms
         quota = RetryQuota(random.Random(3))
         windows = {0: 100.0, 1: 200.0, 3: 800.0, 7: 12_800.0, 8: 20_000.0, 2000: 20_000.0}
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -144,21 +144,21 @@
 
     def refused_part(self, from_s: float = 0.0, until_s: float = float("inf")) -> float:
         """The refused fraction of the tokens of first attempts."""
-        attempts = [each for each in self.arrivals if from_s * 1000 <= each.at_ms < until_s * 1000]
-        refused = sum(each.amount for each in attempts if not each.is_admitted)
-        return refused / sum(each.amount for each in attempts)
+        attempts = [arrival for arrival in self.arrivals if from_s * 1000 <= arrival.at_ms < until_s * 1000]
+        refused = sum(arrival.amount for arrival in attempts if not arrival.is_admitted)
+        return refused / sum(arrival.amount for arrival in attempts)
 
     def refused_part_with_one_bucket(self, from_s: float = 0.0, until_s: float = float("inf")) -> float:
         """The fraction of the same attempts that a single bucket for the whole fleet would refuse."""
         level, updated_ms, refused, total = self.tenant.burst, 0.0, 0.0, 0.0
-        for each in self.arrivals:
-            refilled = self.tenant.rate_per_s * (each.at_ms - updated_ms) / 1000
-            level, updated_ms = min(self.tenant.burst, level + refilled), each.at_ms
-            is_admitted = level >= each.amount
-            level -= each.amount * is_admitted
-            if from_s * 1000 <= each.at_ms < until_s * 1000:
-                total += each.amount
-                refused += each.amount * (not is_admitted)
+        for arrival in self.arrivals:
+            refilled = self.tenant.rate_per_s * (arrival.at_ms - updated_ms) / 1000
+            level, updated_ms = min(self.tenant.burst, level + refilled), arrival.at_ms
+            is_admitted = level >= arrival.amount
+            level -= arrival.amount * is_admitted
+            if from_s * 1000 <= arrival.at_ms < until_s * 1000:
+                total += arrival.amount
+                refused += arrival.amount * (not is_admitted)
         return refused / total
 
     def admitted_per_s(self, from_s: float, until_s: float) -> float:
--- a/tests/limits/test_quota_fleet.py
+++ b/tests/limits/test_quota_fleet.py
@@ -37,14 +37,19 @@
                     self.assertLess(fleet.largest_window_use(), 1.0)
 
     def assert_refused_below(
-        self, most: float, scenario: Scenario, fleets: tuple[int, ...] = FLEETS, *, is_founding: bool = True
+        self,
+        max_refused_part: float,
+        scenario: Scenario,
+        fleets: tuple[int, ...] = FLEETS,
+        *,
+        is_founding: bool = True,
     ) -> None:
         """Assert that on average over the runs less than this fraction of the demand is refused."""
         for data_planes in fleets:
             completed = self.run_scenario(data_planes, scenario, 26.0, is_founding=is_founding)
             refused = sum(fleet.refused_part() for fleet in completed) / len(completed)
             with self.subTest(data_planes=data_planes):
-                self.assertLess(refused, most)
+                self.assertLess(refused, max_refused_part)
 
 
 def normal_demand(_: QuotaFleet) -> None:
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -30,9 +30,9 @@
 
 
 def selected_upstream(placement: Placement, prefix: str, now_ms: float = 0.0, shared: int = 6_000) -> str:
-    choice = placement.choose(now_ms, generation(prefix, "own", shared), UPSTREAMS, NO_UPSTREAMS)
-    assert choice is not None
-    return choice.instance
+    selection = placement.choose(now_ms, generation(prefix, "own", shared), UPSTREAMS, NO_UPSTREAMS)
+    assert selection is not None
+    return selection.instance
 
 
 class PrefixAffinity(unittest.TestCase):
@@ -46,13 +46,13 @@
 
     def test_balancers_agree_on_the_replacement_of_an_unavailable_home(self) -> None:
         first_placement, second_placement = make_placement(1), make_placement(2)
-        gone = selected_upstream(first_placement, "p")
-        left = [instance for instance in UPSTREAMS if instance != gone]
-        first = first_placement.choose(0.0, generation("p", "own"), left, NO_UPSTREAMS)
-        second = second_placement.choose(0.0, generation("p", "own"), UPSTREAMS, frozenset({gone}))
+        unavailable = selected_upstream(first_placement, "p")
+        remaining = [instance for instance in UPSTREAMS if instance != unavailable]
+        first = first_placement.choose(0.0, generation("p", "own"), remaining, NO_UPSTREAMS)
+        second = second_placement.choose(0.0, generation("p", "own"), UPSTREAMS, frozenset({unavailable}))
         assert first is not None and second is not None
         self.assertEqual(first.instance, second.instance)
-        self.assertNotEqual(first.instance, gone)
+        self.assertNotEqual(first.instance, unavailable)
 
     def test_no_selection_without_candidates(self) -> None:
         placement = make_placement()
@@ -62,8 +62,8 @@
     def test_requests_without_prompt_parts_are_spread_over_all_upstreams(self) -> None:
         bare = Generation(SERVICE, (), 500, 20, 1, 500.0, 5_000.0)
         placement = make_placement()
-        chosen = {placement.choose(0.0, bare, UPSTREAMS, NO_UPSTREAMS) for _ in range(200)}
-        self.assertEqual(len({choice.instance for choice in chosen if choice}), len(UPSTREAMS))
+        selections = {placement.choose(0.0, bare, UPSTREAMS, NO_UPSTREAMS) for _ in range(200)}
+        self.assertEqual(len({selection.instance for selection in selections if selection}), len(UPSTREAMS))
 
 
 class Spill(unittest.TestCase):
@@ -153,20 +153,20 @@
 
     def test_an_upstream_added_later_is_known_to_have_an_empty_cache(self) -> None:
         placement = make_placement(fleet=2)
-        newcomers = [f"n-{number}" for number in range(6)]
-        for instance in newcomers:
+        added_upstreams = [f"n-{number}" for number in range(6)]
+        for instance in added_upstreams:
             placement.locate(60_000.0, instance, "zone")
         placement.handle_peer_dispatches(60_000.0, ())
-        choice = placement.choose(60_000.0, generation("p", "own"), newcomers, NO_UPSTREAMS)
-        assert choice is not None
-        away = next(instance for instance in newcomers if instance != choice.instance)
+        selection = placement.choose(60_000.0, generation("p", "own"), added_upstreams, NO_UPSTREAMS)
+        assert selection is not None
+        away = next(instance for instance in added_upstreams if instance != selection.instance)
         placement.sent(60_000.0, "k", generation("p", "x"), away)
         placement.event(60_300.0, "k", first=True)
         placement.ended(60_400.0, "k", served=True)
         placement.handle_peer_dispatches(60_401.0, ())
-        choice = placement.choose(60_401.0, generation("p", "own"), newcomers, NO_UPSTREAMS)
-        assert choice is not None
-        self.assertEqual(choice.instance, away)
+        selection = placement.choose(60_401.0, generation("p", "own"), added_upstreams, NO_UPSTREAMS)
+        assert selection is not None
+        self.assertEqual(selection.instance, away)
 
 
 class ManyUpstreams(unittest.TestCase):
@@ -179,9 +179,9 @@
             placement.handle_peer_dispatches(0.0, ())
             load = {instance: (80_000.0, 2.0, 80_000.0) for instance in upstreams if instance != idle}
             placement.handle_peer_load(0.0, load)
-            choice = placement.choose(1.0, generation("p", "own"), upstreams, NO_UPSTREAMS)
-            assert choice is not None
-            self.assertEqual(choice.instance, idle)
+            selection = placement.choose(1.0, generation("p", "own"), upstreams, NO_UPSTREAMS)
+            assert selection is not None
+            self.assertEqual(selection.instance, idle)
 
 
 class CachedPrefixTracking(unittest.TestCase):
@@ -213,13 +213,13 @@
         first_placement, second_placement = make_placement(1, fleet=2), make_placement(2, fleet=2)
         home = selected_upstream(first_placement, "p")
         second_placement.handle_peer_dispatches(0.0, ())
-        cold = second_placement.choose(0.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        without_cache = second_placement.choose(0.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
         first_placement.sent(0.0, "k", generation("p", "x"), home)
         second_placement.handle_peer_dispatches(100.0, first_placement.drain_dispatches())
-        warm = second_placement.choose(100.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
-        assert cold is not None and warm is not None
-        self.assertEqual(warm.instance, home)
-        self.assertLess(warm.predicted_first_ms, cold.predicted_first_ms)
+        with_cache = second_placement.choose(100.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        assert without_cache is not None and with_cache is not None
+        self.assertEqual(with_cache.instance, home)
+        self.assertLess(with_cache.predicted_first_ms, without_cache.predicted_first_ms)
 
     def test_a_cached_prefix_elsewhere_is_used_when_the_home_is_overloaded(self) -> None:
         first_placement, second_placement = make_placement(1, fleet=2), make_placement(2, fleet=2)
@@ -241,9 +241,9 @@
         placement = make_placement(fleet=2)
         placement.handle_peer_dispatches(0.0, ())
         known = placement.choose(1_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
-        presumed = placement.choose(60_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
-        assert known is not None and presumed is not None
-        self.assertLess(presumed.predicted_first_ms, known.predicted_first_ms)
+        without_reports = placement.choose(60_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        assert known is not None and without_reports is not None
+        self.assertLess(without_reports.predicted_first_ms, known.predicted_first_ms)
 
 
 class Urgency(unittest.TestCase):
