--- a/madderwind/replication/actions.py
+++ b/madderwind/replication/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what `Replica.handle` returns, for the host to carry out in order."""
+"""Actions that `Replica.handle` returns and the host executes in order."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send to the replica at this internal address, best effort."""
+    """Send a message to the replica at this internal address, without guaranteed delivery."""
 
     address: str
     message: ReplicationMessage
 
 
 class Write(msgspec.Struct, frozen=True):
-    """Append these records to the replica's file and sync; then WriteCompleted or WriteFailed.
+    """Append records to the replica's file and sync it; completes with WriteCompleted or WriteFailed.
 
-    Writes are done in order; records asked for while a sync is running may share the next one.
+    Writes are executed in order. Writes requested during a sync may share the next sync.
     """
 
     token: int
@@ -29,11 +29,9 @@
 
 
 class Rewrite(msgspec.Struct, frozen=True):
-    """Replace the replica's file by one with just these records, atomically.
+    """Atomically replace the replica's file by one with only these records.
 
-    Then WriteCompleted or WriteFailed.
-
-    Also the way back after a failed write.
+    Completes with WriteCompleted or WriteFailed. Also used to recover from a failed write.
     """
 
     token: int
@@ -41,9 +39,10 @@
 
 
 class Prepare(msgspec.Struct, frozen=True):
-    """Call `preparation` beside the event loop, on any thread; then PreparationCompleted, however it ended.
+    """Call `preparation` on any thread outside the event loop; completes with PreparationCompleted.
 
-    No answer is due within a time, and a preparation that never ends delays its command alone.
+    PreparationCompleted is also due if the call fails. There is no time limit, and a preparation that never
+    ends delays only its own command.
     """
 
     token: int
@@ -51,21 +50,21 @@
 
 
 class CommandResolved(msgspec.Struct, frozen=True):
-    """The end of a command that was submitted here."""
+    """The result of a command that was submitted to this replica."""
 
     token: int
     result: CommandResult
 
 
 class ReadResolved(msgspec.Struct, frozen=True):
-    """The end of a read: whether `Replica.committed` is the newest state, proven by a majority."""
+    """The result of a read: whether a majority confirmed that `Replica.committed` is the newest state."""
 
     token: int
     is_newest: bool
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The committed configuration changed; it is `Replica.committed`."""
+    """The committed configuration, `Replica.committed`, changed to this version."""
 
     version: int
 
--- a/madderwind/replication/context.py
+++ b/madderwind/replication/context.py
@@ -1,4 +1,4 @@
-"""What every part of a replica is given: who it is, its durable state, its times, and the way out."""
+"""The context shared by the components of a replica: identity, durable state, times and outbox."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class ReplicaContext:
-    """Shared by the parts of one replica. Only `store` and `outbox` change.
+    """State shared by the components of one replica. Only `store` and `outbox` are mutable.
 
     Attributes:
-        store: The durable state; its methods are the only way to change it.
-        outbox: What the present event leads to.
-        times: Time-outs and intervals, ms.
-        rng: The replica's only source of chance.
+        store: The durable state, which is only changed through its methods.
+        outbox: The actions and messages that result from the current event.
+        times: Timeouts and intervals, ms.
+        rng: The replica's only source of randomness.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
 
     @property
     def me(self) -> Member:
-        """This replica."""
+        """The identity of this replica."""
         return self.store.me
 
     def notify_view(self, address: str, target: str) -> None:
--- a/madderwind/replication/decision_learner.py
+++ b/madderwind/replication/decision_learner.py
@@ -1,40 +1,41 @@
-"""Learns from the acceptors themselves that a view is decided, so that nobody depends on its proposer.
+"""Learns decided views from the acceptors' broadcasts, so that the decision does not depend on its proposer.
 
-A proposal number is used for one proposal alone, and an acceptor broadcasts once the view is on its disk:
-broadcasts of a majority of the base's members under one number are the decision itself, the same as what the
-proposer counts.
+A proposal number is used for a single proposal, and an acceptor broadcasts once the view is on its disk.
+Broadcasts of a majority of the base view's members under one number therefore are the decision itself, the
+same that the proposer counts.
 """
 
 from __future__ import annotations
 
 from madderwind.messages.replication import AcceptedBroadcast, ProposalNumber, View
 
-# Numbers in progress for one epoch; more are of proposers that were beaten.
+# Limit of proposal numbers tracked for one epoch; further ones belong to proposals that were superseded.
 MAX_PROPOSAL_NUMBERS = 16
 
 
 class DecisionLearner:
-    """Counts the broadcasts about the epoch that follows the newest view known here."""
+    """Counts the broadcasts for the epoch after the newest view known to this replica."""
 
     def __init__(self) -> None:
         self._accepted: dict[ProposalNumber, set[str]] = {}
 
     def begin_epoch(self) -> None:
-        """Another view is known: broadcasts about its epoch no longer matter."""
+        """Discard all broadcasts, since a newer view is known."""
         self._accepted.clear()
 
     def handle_broadcast(self, base: View, broadcast: AcceptedBroadcast) -> bool:
         """Count a broadcast.
 
-        Of the founding only its proposer tells: it may be begun anew with other members, so that the base
-        known here need not be the one that a broadcast belongs to.
+        Broadcasts for the first view are ignored, and only its proposer announces the decision: a bootstrap
+        may be restarted with other members, so the base known here may differ from the one that a broadcast
+        belongs to.
 
         Args:
-            base: The newest view known here.
-            broadcast: What an acceptor sent.
+            base: The newest view known to this replica.
+            broadcast: The broadcast of an acceptor.
 
         Returns:
-            Whether the broadcast's view is decided with it.
+            Whether this broadcast completes the majority that decides its view.
         """
         is_next = broadcast.view.epoch == base.epoch + 1
         if base.epoch == 0 or not is_next or not base.has_member(broadcast.sender):
--- a/madderwind/replication/dispatch.py
+++ b/madderwind/replication/dispatch.py
@@ -1,4 +1,4 @@
-"""Which part of a replica handles which message."""
+"""Dispatches each received message to the component of the replica that handles it."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 from madderwind.replication.role_machine import RoleMachine
 from madderwind.replication.witness import Witness
 
-# Messages about views, which concern a replica whatever its role is.
-_RoleMessage = ViewNotice | Promise | Accepted | AcceptedBroadcast | Rejected | TransferLeadership
+# Messages about views, which a replica handles in any role.
+_ViewMessage = ViewNotice | Promise | Accepted | AcceptedBroadcast | Rejected | TransferLeadership
 
 
 class MessageDispatcher:
-    """Hands each message to the part that it concerns, and drops what is meant for nobody here."""
+    """Dispatches messages to the components of a replica, and drops messages that do not apply to it."""
 
     def __init__(
         self,
@@ -53,14 +53,15 @@
         """Handle a message.
 
         Args:
-            now_ms: Steady clock, ms.
+            now_ms: Monotonic time, ms.
             sender_address: Internal address of the replica that sent it.
-            message: What it sent.
+            message: The message.
         """
         if not self._store.has_identity_on_disk:
             return
         if message.target not in ("", self._store.me.incarnation):
-            # Meant for an earlier incarnation at this address, whose disk is lost: tell who is here now.
+            # The target is an earlier incarnation at this address that lost its disk. A join request informs
+            # the sender of the current incarnation.
             self._outbox.send(sender_address, self._store.join_request)
             return
         match message:
@@ -79,9 +80,7 @@
             case _:
                 self._handle_in_any_role(now_ms, message)
 
-    # --- any role ---
-
-    def _handle_in_any_role(self, now_ms: float, message: _RoleMessage) -> None:
+    def _handle_in_any_role(self, now_ms: float, message: _ViewMessage) -> None:
         match message:
             case ViewNotice(view=view):
                 self._roles.adopt(now_ms, view)
@@ -106,23 +105,24 @@
         if self._roles.primary is not None:
             self._roles.primary.handle_join_request(now_ms, request)
         elif self._replaces_primary(member):
-            # The primary's machine lost its disk: no message of it will come any more.
+            # The primary's machine lost its disk, so this primary will send no more messages.
             self._follower.forget_primary()
             self._roles.election.expedite(now_ms)
 
     def _replaces_primary(self, member: Member) -> bool:
-        """Whether this is another incarnation at the address of the newest view's primary."""
+        """Whether `member` is another incarnation at the address of the newest view's primary."""
         primary = self._store.primary if self._store.epoch > 0 else None
         if primary is None or primary.incarnation == member.incarnation:
             return False
         return primary.address == member.address
 
-    # --- follower ---
-
     def _is_from_primary(
         self, sender_address: str, message: Heartbeat | AppendEntries | InstallSnapshot
     ) -> bool:
-        """Whether a message is of the newest view's primary; the side that knows less is sent more."""
+        """Whether a message was sent by the primary of the newest view.
+
+        If the epochs differ, requests the newer view from the sender or sends it to the sender.
+        """
         store = self._store
         if message.epoch > store.epoch:
             self._outbox.send(sender_address, store.join_request)
--- a/madderwind/replication/events.py
+++ b/madderwind/replication/events.py
@@ -1,4 +1,4 @@
-"""Events: what the host of a replica hands to `Replica.handle`."""
+"""Events that the host of a replica passes to `Replica.handle`."""
 
 from __future__ import annotations
 
@@ -9,55 +9,55 @@
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A message of another replica; `sender` is its internal address."""
+    """A message from another replica; `sender` is its internal address."""
 
     sender: str
     message: ReplicationMessage
 
 
 class WriteCompleted(msgspec.Struct, frozen=True):
-    """What `Write` or `Rewrite` asked for is on disk, synced."""
+    """The records of a `Write` or `Rewrite` are on disk and synced."""
 
     token: int
 
 
 class WriteFailed(msgspec.Struct, frozen=True):
-    """The disk refused it; nothing of it may be relied on."""
+    """A `Write` or `Rewrite` failed; none of its records may be relied on."""
 
     token: int
 
 
 class PreparationCompleted(msgspec.Struct, frozen=True):
-    """What `Prepare` asked for was called, and has returned or failed."""
+    """The preparation of a `Prepare` has returned or failed."""
 
     token: int
 
 
 class TimePassed(msgspec.Struct, frozen=True):
-    """Nothing happened but time; due at least every 25 ms."""
+    """Time has passed without another event; the host sends this at least every 25 ms."""
 
 
 class CommandSubmitted(msgspec.Struct, frozen=True):
-    """An operator's command reached this replica."""
+    """An operator's command was received by this replica."""
 
     token: int
     command: Command
 
 
 class ReadSubmitted(msgspec.Struct, frozen=True):
-    """The operator asks for the newest configuration."""
+    """An operator's read of the newest configuration was received."""
 
     token: int
 
 
 class SeedsChanged(msgspec.Struct, frozen=True):
-    """The settings file names other control planes now, by internal address."""
+    """The list of seeds in the settings file changed; `seeds` are internal addresses."""
 
     seeds: tuple[str, ...]
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
-    """The process is about to end: the primary's role is to be transferred where it is held."""
+    """The process is about to exit; a primary should transfer leadership first."""
 
 
 Event = (
--- a/madderwind/replication/heartbeat_rounds.py
+++ b/madderwind/replication/heartbeat_rounds.py
@@ -1,29 +1,29 @@
-"""Rounds of heartbeats: what a primary may conclude from their answers.
+"""Rounds of heartbeats, and what a primary may conclude from their acknowledgements.
 
-A majority that answers a round, none of them having accepted a later view, proves that no other replica was
-primary when the round began: whatever was acknowledged before that moment is in this primary's log.
+If a majority acknowledges a round and none of these members has accepted a later view, no other replica was
+primary when the round began. Every command acknowledged before that moment is in this primary's log.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# Rounds that may still be answered; older ones prove nothing that a newer one doesn't.
+# Limit of tracked rounds; acknowledging an older round proves nothing that a newer one doesn't prove.
 MAX_OPEN_ROUNDS = 64
 
 
 class _Round(msgspec.Struct):
     sent_ms: float
-    answered_by: set[str]
+    acknowledged_by: set[str]
 
 
 class HeartbeatRounds:
-    """Counts the answers of members to rounds in one epoch.
+    """Counts the acknowledgements of the rounds in one epoch by the members.
 
     Attributes:
         last_started: Number of the newest round; 0 before the first.
-        last_started_ms: When it began, ms on the steady clock.
-        last_confirmed: Number of the newest round that a majority answered.
+        last_started_ms: When that round began, ms of monotonic time.
+        last_confirmed: Number of the newest round that a majority acknowledged.
         confirmed_ms: When that round began; None before the first.
     """
 
@@ -35,7 +35,7 @@
         self._open: dict[int, _Round] = {}
 
     def start(self, now_ms: float) -> int:
-        """Begin a round; its number."""
+        """Start a round and return its number."""
         self.last_started += 1
         self.last_started_ms = now_ms
         self._open[self.last_started] = _Round(now_ms, set())
@@ -44,17 +44,17 @@
         return self.last_started
 
     def handle_ack(self, number: int, member: str, majority: int) -> bool:
-        """Count a member's answer; whether the round is confirmed by it."""
-        answered = self._open.get(number)
-        if answered is None:
+        """Count a member's acknowledgement; return whether it confirms the round."""
+        acknowledged_round = self._open.get(number)
+        if acknowledged_round is None:
             return False
-        answered.answered_by.add(member)
-        if len(answered.answered_by) < majority:
+        acknowledged_round.acknowledged_by.add(member)
+        if len(acknowledged_round.acknowledged_by) < majority:
             return False
-        self.last_confirmed, self.confirmed_ms = number, answered.sent_ms
+        self.last_confirmed, self.confirmed_ms = number, acknowledged_round.sent_ms
         self._open = {later: data for later, data in self._open.items() if later > number}
         return True
 
     def discard_open(self) -> None:
-        """Answers of an earlier epoch prove nothing about a later one."""
+        """Discard the open rounds, as acknowledgements of one epoch prove nothing about a later one."""
         self._open.clear()
--- a/madderwind/replication/lease.py
+++ b/madderwind/replication/lease.py
@@ -1,4 +1,4 @@
-"""What a primary knows of its own lease: whether a majority still follows it, and as of when."""
+"""The lease of a primary: whether a majority still follows it, and when that was last confirmed."""
 
 from __future__ import annotations
 
@@ -7,13 +7,12 @@
 
 
 class Lease:
-    """Proven by heartbeat rounds that a majority answers.
+    """The lease, confirmed by heartbeat rounds that a majority acknowledges.
 
     Attributes:
-        rounds: The rounds of the present epoch.
-        inherited_index: The last entry of earlier primaries. They may have committed it: only when it is
-        committed here
-            too, it is known what the newest configuration is.
+        rounds: The heartbeat rounds of the current epoch.
+        inherited_index: Index of the last entry of earlier primaries. They may have committed it, so the
+            newest configuration is only known once this entry is committed here too.
     """
 
     def __init__(self, context: ReplicaContext, now_ms: float) -> None:
@@ -25,25 +24,24 @@
 
     @property
     def fresh_ms(self) -> float | None:
-        """When the last round began that a majority answered.
+        """Start time of the last round that a majority acknowledged.
 
-        Whatever was acknowledged before is committed here.
-
-        None while entries of earlier primaries, which may have acknowledged them, are not.
+        All commands acknowledged before that time are committed here. None while entries of earlier
+        primaries, which may have acknowledged them, are not committed yet.
         """
         is_complete = self._store.committed_index >= self.inherited_index
         return self.rounds.confirmed_ms if is_complete else None
 
     def fresh_age_ms(self, now_ms: float) -> float | None:
-        """Time since that moment."""
+        """Time since `fresh_ms`; None where that is None."""
         return None if self.fresh_ms is None else now_ms - self.fresh_ms
 
     def is_quorum_lost(self, now_ms: float) -> bool:
-        """Whether no majority has answered for so long that another primary may be at work."""
+        """Whether no majority has acknowledged a round for so long that another primary may be active."""
         confirmed_ms = self.rounds.confirmed_ms
         last_ms = self._since_ms if confirmed_ms is None else max(confirmed_ms, self._since_ms)
         return now_ms > self._grace_until_ms and now_ms - last_ms > self._times.quorum_timeout_ms
 
     def grant_grace(self, now_ms: float) -> None:
-        """This process stalled: nobody is to be blamed for a time-out before the grace is over."""
+        """Suspend the quorum timeout for the grace period, since this process stalled itself."""
         self._grace_until_ms = now_ms + self._times.grace_ms
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -1,4 +1,4 @@
-"""Which view a primary would rather have: who leaves the in-sync set, who joins it, who becomes a member."""
+"""Rules for the next view: which replicas leave or join the in-sync set, and which become members."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class PeerHealth(msgspec.Struct, frozen=True):
-    """What counts about another replica.
+    """The health of another replica, as input for the next view.
 
     Attributes:
         member: The replica.
-        is_ready: Whether it holds all that is or may be committed, and keeps up.
-        is_lost: Whether it holds commits up, or is about to stop.
-        is_replaceable: Whether another machine may take its place.
+        is_ready: Whether it holds all entries that are or may be committed, and keeps up.
+        is_lost: Whether it delays commits or is about to stop.
+        is_replaceable: Whether another machine may replace it as a member.
         idle_ms: Time since its last message.
     """
 
@@ -26,11 +26,11 @@
 
 
 class MembershipRules(msgspec.Struct, frozen=True):
-    """How large a group of replicas is to be.
+    """Size rules for a group of replicas.
 
     Attributes:
-        tolerance: How many replicas may be lost at once.
-        goal: How many members there are to be.
+        tolerance: Number of replicas that may be lost at once.
+        goal: Target number of members.
     """
 
     tolerance: int
@@ -38,12 +38,12 @@
 
     @property
     def smallest_in_sync(self) -> int:
-        """A command is acknowledged only when this many replicas hold it."""
+        """Minimum number of replicas that must hold a command before it is acknowledged."""
         return self.tolerance + 1
 
 
 def membership_goal(tolerance: int, seeds: int) -> int:
-    """How many members there are to be: enough for the tolerance, and never an even number."""
+    """Return the target number of members: an odd number, large enough for the tolerance."""
     largest_odd_number = seeds if seeds % 2 else seeds - 1
     return max(2 * tolerance + 1, largest_odd_number)
 
@@ -51,8 +51,8 @@
 def next_view(
     view: View, primary: Member, peers: dict[str, PeerHealth], rules: MembershipRules
 ) -> View | None:
-    """The view to propose, by the primary of the present one; None where that is as good as any."""
-    members = _with_newcomer(view, primary, peers, rules)
+    """Return the view that the current primary should propose, or None if no change is needed."""
+    members = _next_members(view, primary, peers, rules)
     in_sync = _next_in_sync(view, primary, members, peers, rules)
     if members == view.members and set(in_sync) == set(view.in_sync):
         return None
@@ -66,17 +66,17 @@
     is_transfer: bool,
     rules: MembershipRules,
 ) -> View:
-    """The view under which a replica of the in-sync set takes the primary's place.
+    """Return the view in which a replica of the in-sync set becomes primary.
 
-    The old primary stays in the set only where it answered and did not transfer its role, or where the set
-    would be too small without it.
+    The old primary stays in the set only if it promised and did not transfer leadership, or if the set would
+    otherwise be too small.
 
     Args:
-        view: The present view.
-        successor: The replica that is to be primary.
+        view: The current view.
+        successor: The candidate that is to become primary.
         promised_by: Incarnations of the members that promised.
-        is_transfer: Whether the old primary transferred its role.
-        rules: The sizes to keep.
+        is_transfer: Whether the old primary transferred leadership.
+        rules: The size rules.
     """
     keeps_primary = view.primary in promised_by and not is_transfer
     in_sync = [name for name in view.in_sync if name != view.primary or keeps_primary]
@@ -85,22 +85,22 @@
     return View(view.epoch + 1, successor.incarnation, tuple(in_sync), view.members)
 
 
-def founding_view(founder: Member, members: tuple[Member, ...]) -> View:
-    """The first view: all seeds are members and in sync, with nothing to be in sync about yet."""
-    return View(1, founder.incarnation, tuple(member.incarnation for member in members), members)
+def initial_view(primary: Member, members: tuple[Member, ...]) -> View:
+    """Return the first view: all given members are in sync, since the log is still empty."""
+    return View(1, primary.incarnation, tuple(member.incarnation for member in members), members)
 
 
-def _with_newcomer(
+def _next_members(
     view: View, primary: Member, peers: dict[str, PeerHealth], rules: MembershipRules
 ) -> tuple[Member, ...]:
-    """The members, with at most one replica that is ready taken in."""
+    """Return the members after at most one ready replica has been added."""
     newcomers = [
         health.member
         for incarnation, health in peers.items()
         if health.is_ready and not view.has_member(incarnation)
     ]
     for newcomer in newcomers:
-        replaced = _replaced_by(newcomer, view, primary, peers)
+        replaced = _member_to_replace(newcomer, view, primary, peers)
         if replaced is not None:
             return tuple(newcomer if member == replaced else member for member in view.members)
         if len(view.members) < rules.goal:
@@ -108,10 +108,14 @@
     return view.members
 
 
-def _replaced_by(
+def _member_to_replace(
     newcomer: Member, view: View, primary: Member, peers: dict[str, PeerHealth]
 ) -> Member | None:
-    """The member whose place a newcomer takes: its own before it lost its disk, else one that is away."""
+    """Return the member that a newcomer replaces; None if there is none.
+
+    This is the newcomer's own earlier incarnation, from before it lost its disk, or else the replaceable
+    member that has been silent for longest.
+    """
     candidates = [member for member in view.members if member != primary]
     for member in candidates:
         if member.address == newcomer.address:
@@ -129,10 +133,10 @@
     peers: dict[str, PeerHealth],
     rules: MembershipRules,
 ) -> tuple[str, ...]:
-    """All that are ready, and those of the present set that are not lost.
+    """Return the ready members, and those of the current set that are not lost.
 
-    A set that would be too small to acknowledge anything keeps lost ones instead: nothing is gained without
-    them.
+    If the set would be too small to acknowledge commands, it keeps lost members up to the minimum size, since
+    removing them would gain nothing.
     """
     candidates = [member.incarnation for member in members if member != primary]
     healths = {name: peers[name] for name in candidates if name in peers}
--- a/madderwind/replication/peer_table.py
+++ b/madderwind/replication/peer_table.py
@@ -1,7 +1,4 @@
-"""The other replicas that a primary knows.
-
-Members of its view, and learners on their way to become members.
-"""
+"""The peers of a primary: the members of its view, and learners that may become members."""
 
 from __future__ import annotations
 
@@ -12,14 +9,14 @@
 from madderwind.replication.known_peers import KnownPeer
 from madderwind.replication.peer import Peer
 
-# Learners beyond these have to wait; a fleet has few control planes.
+# Further replicas are not added as learners; a fleet has few control planes.
 MAX_LEARNERS = 8
-# A learner without a message for so long is dropped; it asks to join again.
+# A learner that sends no message for this long is dropped; it then requests to join again.
 LEARNER_TIMEOUT_MS = 3_000.0
 
 
 class PeerTable:
-    """Peers by incarnation. `view` is the primary's present one."""
+    """Peers by incarnation. `view` is the current view of the primary."""
 
     def __init__(
         self, context: ReplicaContext, view: View, now_ms: float, known_peers: tuple[KnownPeer, ...]
@@ -28,35 +25,35 @@
         self._peers: dict[str, Peer] = {}
         self.view = view
         for known in known_peers:
-            self._inherit(now_ms, known)
+            self._add_known_peer(now_ms, known)
 
     def get(self, incarnation: str) -> Peer | None:
-        """A peer; None where it is not known."""
+        """Return a peer, or None if it is unknown."""
         return self._peers.get(incarnation)
 
     def items(self) -> ItemsView[str, Peer]:
-        """All peers with their incarnations."""
+        """Return all pairs of incarnation and peer."""
         return self._peers.items()
 
     def values(self) -> ValuesView[Peer]:
-        """All peers."""
+        """Return all peers."""
         return self._peers.values()
 
     def begin_epoch(self, now_ms: float) -> None:
-        """Add the members that are not known yet; nothing that was acknowledged counts in another epoch."""
+        """Add the members of the view that are not known yet."""
         for member in self.view.members:
             if member != self._store.me and member.incarnation not in self._peers:
                 self._peers[member.incarnation] = self._new_peer(now_ms, member)
 
     def enter_view(self, now_ms: float, view: View) -> None:
-        """Another view of this primary: who fell out of the in-sync set is on probation."""
+        """Switch to a later view of this primary; replicas removed from the in-sync set go on probation."""
         for incarnation in set(self.view.in_sync) - set(view.in_sync):
             if incarnation in self._peers:
                 self._peers[incarnation].put_on_probation(now_ms)
         self.view = view
 
     def add_learner(self, now_ms: float, member: Member) -> Peer | None:
-        """Add a replica that asks to join; None where it is known already or there are too many."""
+        """Add a replica that requested to join; return None if it is known already or there are too many."""
         if member.incarnation in self._peers or self._learner_count() >= MAX_LEARNERS:
             return None
         if member.incarnation == self._store.me.incarnation:
@@ -65,7 +62,7 @@
         return peer
 
     def expire_learners(self, now_ms: float) -> None:
-        """Drop learners that timed out."""
+        """Drop the learners that have timed out."""
         expired = [
             incarnation
             for incarnation, peer in self._peers.items()
@@ -75,28 +72,28 @@
             del self._peers[incarnation]
 
     def statuses(self, now_ms: float) -> tuple[PeerStatus, ...]:
-        """What this primary reports of the others."""
+        """Return the peer statuses that this primary reports in its heartbeats."""
         return tuple(
             PeerStatus(peer.member, peer.idle_ms(now_ms), peer.stopping, is_direct=True)
             for peer in self._peers.values()
         )
 
     def in_sync(self) -> list[Peer]:
-        """The peers of the in-sync set."""
+        """Return the peers in the in-sync set."""
         return [peer for name, peer in self._peers.items() if name in self.view.in_sync]
 
-    def _inherit(self, now_ms: float, known: KnownPeer) -> None:
-        """Go on with a member or learner where the former primary left off."""
+    def _add_known_peer(self, now_ms: float, known: KnownPeer) -> None:
+        """Add a member or learner with the state known from before this primary took over."""
         name = known.member.incarnation
         if name == self._store.me.incarnation:
             return
-        if not (self.view.has_member(name) or self._may_learn(now_ms, known)):
+        if not (self.view.has_member(name) or self._may_be_learner(now_ms, known)):
             return
         peer = self._new_peer(now_ms, known.member)
-        peer.inherit(now_ms, known, self._times)
+        peer.initialize_from(now_ms, known, self._times)
         self._peers[name] = peer
 
-    def _may_learn(self, now_ms: float, known: KnownPeer) -> bool:
+    def _may_be_learner(self, now_ms: float, known: KnownPeer) -> bool:
         is_recent = now_ms - known.last_received_ms < self._times.replica_timeout_ms
         return is_recent and self._learner_count() < MAX_LEARNERS
 
--- a/madderwind/replication/proposer.py
+++ b/madderwind/replication/proposer.py
@@ -1,4 +1,4 @@
-"""One attempt to have a view decided as the successor of another."""
+"""One Paxos proposal for the view that succeeds a given view."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from madderwind.messages.replication import NO_PROPOSAL, Accepted, Member, Promise, ProposalNumber, View
 
-# Builds the proposal from the incarnations that promised.
+# Builds the proposed view from the incarnations that promised.
 ViewBuilder = Callable[[frozenset[str]], View]
 
 
 class Phase(Enum):
-    """How far the attempt is."""
+    """Progress of a proposal."""
 
     PREPARING = "preparing"
     ACCEPTING = "accepting"
@@ -27,18 +27,19 @@
 
 
 class Proposer:
-    """Counts promises and acceptances of the members of `base`.
+    """Counts the promises and acceptances of the members of `base`.
 
-    Where a member has accepted another proposal already, that one may be decided, and is proposed again in
-    place of the own one.
+    If a member has already accepted another proposal, that proposal may be decided, so it is proposed again
+    instead of the view that this replica would build.
 
     Attributes:
         base: The view whose successor is to be decided.
-        number: The number of this attempt.
-        started_ms: When it began, ms on the steady clock.
-        phase: How far it is.
+        number: The proposal number of this attempt.
+        started_ms: Monotonic time at which the attempt began, ms.
+        phase: The current phase.
         proposal: The proposed view; None while promises are collected.
-        is_own_proposal: Whether this replica built it, rather than another whose proposal is completed.
+        is_own_proposal: Whether this replica built the proposed view; False if it completes another replica's
+            proposal.
     """
 
     def __init__(self, base: View, number: ProposalNumber, build: ViewBuilder, now_ms: float) -> None:
@@ -54,14 +55,14 @@
         self._accepted_view: View | None = None
 
     @property
-    def unanswered(self) -> tuple[Member, ...]:
-        """The members of `base` that have not answered the present phase's question."""
-        answered = self._promised if self.phase is Phase.PREPARING else self._accepted
-        return tuple(member for member in self.base.members if member.incarnation not in answered)
+    def pending_members(self) -> tuple[Member, ...]:
+        """The members of `base` that have not responded to the request of the current phase."""
+        responders = self._promised if self.phase is Phase.PREPARING else self._accepted
+        return tuple(member for member in self.base.members if member.incarnation not in responders)
 
     def handle_promise(self, sender: str, promise: Promise) -> bool:
-        """Whether this promise completes the majority, so that `proposal` is to be sent out."""
-        if self.phase is not Phase.PREPARING or not self._concerns(sender, promise.epoch, promise.number):
+        """Count a promise; return whether it completes the majority, so that `proposal` can be sent."""
+        if self.phase is not Phase.PREPARING or not self._is_response(sender, promise.epoch, promise.number):
             return False
         self._promised.add(sender)
         if promise.accepted_view is not None and promise.accepted_number > self._highest_accepted_number:
@@ -75,8 +76,10 @@
         return True
 
     def handle_accepted(self, sender: str, accepted: Accepted) -> bool:
-        """Whether this acceptance completes the majority: `proposal` is decided."""
-        if self.phase is not Phase.ACCEPTING or not self._concerns(sender, accepted.epoch, accepted.number):
+        """Count an acceptance; return whether it completes the majority, which decides `proposal`."""
+        if self.phase is not Phase.ACCEPTING or not self._is_response(
+            sender, accepted.epoch, accepted.number
+        ):
             return False
         self._accepted.add(sender)
         if len(self._accepted) < self.base.majority():
@@ -85,9 +88,9 @@
         return True
 
     def _enter(self, phase: Phase) -> None:
-        """The one place where the phase changes."""
+        """Change the phase; no other code assigns it."""
         assert phase in PHASE_TRANSITIONS[self.phase], f"{self.phase} to {phase}"
         self.phase = phase
 
-    def _concerns(self, sender: str, epoch: int, number: ProposalNumber) -> bool:
+    def _is_response(self, sender: str, epoch: int, number: ProposalNumber) -> bool:
         return epoch == self.base.epoch + 1 and number == self.number and self.base.has_member(sender)
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the configuration: events in, actions out, no input or output of its own."""
+"""One replica of the configuration: handles events and returns actions, without any I/O of its own."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 from madderwind.replication.witness import Witness
 from madderwind.storage.record_file import RecoveredFile
 
-# Without a message of the primary for so long, a replica asks all known addresses for it.
-SEARCH_AFTER_MS = 300.0
-# For so long after its last message a primary counts as the one that is followed.
-FOLLOWED_MS = 1_000.0
+# A replica without a message from the primary for this long sends join requests to all known addresses.
+JOIN_REQUEST_AFTER_MS = 300.0
+# How long after its last message the primary is still reported as the one that this replica follows.
+PRIMARY_STATUS_TIMEOUT_MS = 1_000.0
 
-_NAME_BITS = 64
+_IDENTIFIER_BITS = 64
 _NO_ROUND = 0
 
 
 class ReplicaOptions(msgspec.Struct, frozen=True):
-    """The options of a replica at its start.
+    """Startup options of a replica.
 
     Attributes:
         address: Its internal address, ip:port.
-        control_address: Where operators and upstreams call it, ip:port.
+        control_address: Its address for operators and upstreams, ip:port.
         zone: Its zone.
-        seeds: Internal addresses of the control planes that the settings file names.
-        bootstrap: Whether this is the very first start of the whole system.
-        tolerance: How many replicas may be lost at once.
-        times: Time-outs and intervals, ms.
+        seeds: Internal addresses of the control planes listed in the settings file.
+        bootstrap: Whether this is the first start of the whole system.
+        tolerance: Number of replicas that may be lost at once.
+        times: Timeouts and intervals, ms.
     """
 
     address: str
@@ -71,8 +71,8 @@
 class Replica:
     """A member or learner of the replicated configuration, and a witness of its views.
 
-    The host calls `handle` with each event and carries out the actions that come back, in order. It hands in
-    `TimePassed` at least every 25 ms.
+    The host calls `handle` with each event and executes the returned actions in order. It must pass a
+    `TimePassed` event at least every 25 ms.
     """
 
     def __init__(
@@ -83,20 +83,20 @@
         rng: random.Random,
         now_ms: float,
     ) -> None:
-        """Start on what the disk holds.
+        """Start from the records on disk.
 
         Args:
-            options: Its options.
+            options: Startup options.
             recovered: The records of its file; none on an empty disk.
-            states: How the replicated state begins.
-            rng: The only source of chance.
-            now_ms: Steady clock, ms.
+            states: Creates and restores the replicated state.
+            rng: The only source of randomness.
+            now_ms: Monotonic time, ms.
 
         Raises:
             MessageError: A record is of an unknown kind.
         """
         stored = stored_state(recovered.records)
-        identity = stored.identity or IdentityRecord(_draw_name(rng), options.bootstrap)
+        identity = stored.identity or IdentityRecord(_draw_identifier(rng), options.bootstrap)
         me = Member(identity.incarnation, options.address, options.control_address, options.zone)
         rules = MembershipRules(options.tolerance, membership_goal(options.tolerance, len(options.seeds)))
         self._outbox = Outbox(me.address)
@@ -106,7 +106,7 @@
         self._follower = Follower(context)
         self._discovery = Discovery(context, options.seeds, now_ms)
         self._roles = RoleMachine(
-            context, self._follower, rules, _draw_name(rng), self._discovery.search_now, now_ms
+            context, self._follower, rules, _draw_identifier(rng), self._discovery.request_join_now, now_ms
         )
         witness = Witness(context, self._follower, self._roles, now_ms)
         self._messages = MessageDispatcher(context, self._discovery, self._roles, self._follower, witness)
@@ -115,12 +115,12 @@
 
     @property
     def committed(self) -> ReplicatedState:
-        """The state after all commands that are known to be committed here."""
+        """The state after all commands that this replica knows to be committed."""
         return self._store.committed
 
     @property
     def incarnation(self) -> str:
-        """This replica's name for as long as its disk lasts."""
+        """The identifier of this replica; a new one is drawn if it loses its disk."""
         return self._store.me.incarnation
 
     @property
@@ -130,35 +130,35 @@
 
     @property
     def role(self) -> Role:
-        """What this replica does at present."""
+        """The current role of this replica."""
         return self._roles.role
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Handle an event.
 
         Args:
-            now_ms: Steady clock, ms.
-            event: What happened.
+            now_ms: Monotonic time, ms.
+            event: The event.
 
         Returns:
-            What is to be carried out, in order.
+            The actions to execute, in order.
         """
-        self._notice_stall(now_ms)
+        self._handle_stall(now_ms)
         self._handle_event(now_ms, event)
         self._advance(now_ms)
         self._store.flush(now_ms)
-        while (message := self._outbox.next_to_self()) is not None:
+        while (message := self._outbox.pop_local_message()) is not None:
             self._messages.handle(now_ms, self._store.me.address, message)
             self._advance(now_ms)
             self._store.flush(now_ms)
         return self._outbox.drain()
 
     def status(self, now_ms: float) -> ReplicaStatus:
-        """How this replica stands."""
+        """Return the status of this replica."""
         view = self.view
         return ReplicaStatus(
             is_primary=self._roles.is_primary,
-            primary=self._followed_address(now_ms),
+            primary=self._primary_address(now_ms),
             epoch=self._store.epoch,
             committed_version=self.committed.version,
             fresh_age_ms=self._fresh_age_ms(now_ms),
@@ -167,10 +167,8 @@
             is_needed=self._roles.is_primary or self._store.is_in_sync,
         )
 
-    # --- events ---
-
-    def _notice_stall(self, now_ms: float) -> None:
-        """After a stall of this process, what is queued is read before anyone's time-out counts."""
+    def _handle_stall(self, now_ms: float) -> None:
+        """Postpone timeouts after a stall of this process, so that queued messages are handled first."""
         stall_ms = now_ms - self._last_event_ms
         self._last_event_ms = now_ms
         if stall_ms <= self._times.stall_ms:
@@ -229,14 +227,12 @@
         if self._roles.primary is None:
             self._follower.send_heartbeat_ack(now_ms, _NO_ROUND, self._roles.is_stopping)
 
-    # --- time ---
-
     def _advance(self, now_ms: float) -> None:
-        """Whatever the events so far and the time allow."""
+        """Perform the transitions that are due after an event or the passage of time."""
         if not self._store.has_identity_on_disk:
             return
-        self._roles.time_proposal_out(now_ms)
-        self._roles.proposals.ask_again_if_due(now_ms)
+        self._roles.abandon_timed_out_proposal(now_ms)
+        self._roles.proposals.resend_requests_if_due(now_ms)
         self._roles.promote_if_due(now_ms)
         if self._roles.primary is not None:
             self._advance_primary(now_ms, self._roles.primary)
@@ -253,37 +249,35 @@
             if self._roles.primary is None:
                 return
         primary.advance(now_ms)
-        self._roles.improve_view_if_due(now_ms, primary)
+        self._roles.propose_view_change_if_due(now_ms, primary)
 
     def _advance_follower(self, now_ms: float) -> None:
         self._follower.acknowledge_synced()
-        self._report_disk_change(now_ms)
-        if not self._follower.has_recent_message(now_ms, SEARCH_AFTER_MS):
+        self._report_disk_health_change(now_ms)
+        if not self._follower.has_recent_message(now_ms, JOIN_REQUEST_AFTER_MS):
             self._discovery.request_join_if_due(now_ms)
-        self._found_if_due(now_ms)
-        self._roles.stand_if_due(now_ms)
+        self._bootstrap_if_due(now_ms)
+        self._roles.start_election_if_due(now_ms)
 
-    def _report_disk_change(self, now_ms: float) -> None:
-        """A disk that turns faulty or healthy again is reported at once, not with the next heartbeat."""
+    def _report_disk_health_change(self, now_ms: float) -> None:
+        """Report a change of the disk's health at once instead of with the next heartbeat."""
         is_faulty = not self._store.is_disk_healthy(now_ms)
         if is_faulty is not self._was_disk_faulty:
             self._was_disk_faulty = is_faulty
             self._follower.send_heartbeat_ack(now_ms, _NO_ROUND, self._roles.is_stopping)
 
-    def _found_if_due(self, now_ms: float) -> None:
+    def _bootstrap_if_due(self, now_ms: float) -> None:
         if self._roles.proposals.is_in_progress:
             return
-        members = self._discovery.founding_members(now_ms, self._rules)
+        members = self._discovery.bootstrap_members(now_ms, self._rules)
         if members is not None and self._roles.proposals.may_begin(now_ms):
-            self._roles.found(now_ms, View(0, "", (), members))
-
-    # --- status ---
+            self._roles.propose_initial_view(now_ms, View(0, "", (), members))
 
-    def _followed_address(self, now_ms: float) -> str:
+    def _primary_address(self, now_ms: float) -> str:
         if self._roles.primary is not None:
             return self._store.me.address
         primary = self._store.primary if self._store.epoch > 0 else None
-        if primary is None or not self._follower.has_recent_message(now_ms, FOLLOWED_MS):
+        if primary is None or not self._follower.has_recent_message(now_ms, PRIMARY_STATUS_TIMEOUT_MS):
             return ""
         return primary.address
 
@@ -294,8 +288,8 @@
         return min((age for age in ages if age is not None), default=None)
 
 
-def _draw_name(rng: random.Random) -> str:
-    return f"{rng.getrandbits(_NAME_BITS):016x}"
+def _draw_identifier(rng: random.Random) -> str:
+    return f"{rng.getrandbits(_IDENTIFIER_BITS):016x}"
 
 
 def _in_sync_addresses(view: View) -> tuple[str, ...]:
--- a/madderwind/replication/role_machine.py
+++ b/madderwind/replication/role_machine.py
@@ -1,6 +1,6 @@
-"""The role of a replica: follower, candidate or primary.
+"""The role state machine of a replica: follower, candidate or primary.
 
-Each change of role and of view goes through here.
+Every change of the role and of the view goes through this module.
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 from madderwind.replication.decision_learner import DecisionLearner
 from madderwind.replication.election import Election
 from madderwind.replication.follower import Follower
-from madderwind.replication.membership import MembershipRules, founding_view, takeover_view
+from madderwind.replication.membership import MembershipRules, initial_view, takeover_view
 from madderwind.replication.primary import Primary
 from madderwind.replication.view_proposals import ViewProposals
 
-# How long a primary that transferred its role leaves it to others.
-LEADERSHIP_TRANSFER_MS = 1_500.0
-# A restarted primary stands for election within this.
+# How long a primary that transferred leadership waits before it may become a candidate again.
+LEADERSHIP_TRANSFER_BACKOFF_MS = 1_500.0
+# Maximum random delay before a restarted primary becomes a candidate.
 RESTARTED_PRIMARY_JITTER_MS = 50.0
-# The backoff after a proposal that nobody answered.
+# Bounds of the random backoff after a proposal that timed out.
 MIN_TIMEOUT_BACKOFF_MS, MAX_TIMEOUT_BACKOFF_MS = 10.0, 100.0
-# How many heartbeats a new primary that is lost already gets, at the least and the most.
+# Bounds of the election delay, in heartbeats, if the primary of a new view has already timed out.
 MIN_HEARTBEATS_AFTER_LOSS, MAX_HEARTBEATS_AFTER_LOSS = 2, 3
 
 
 class Role(Enum):
-    """What this replica does."""
+    """The role of a replica."""
 
     FOLLOWER = "follower"
-    CANDIDATE = "candidate"  # an own proposal to be primary is in progress
+    CANDIDATE = "candidate"  # its own proposal to become primary is in progress
     PRIMARY = "primary"
 
 
@@ -51,14 +51,14 @@
 
 
 class RoleMachine:
-    """Which role this replica has, and how it gets and loses the primary's.
+    """Holds the role of this replica and performs the transitions between roles.
 
     Attributes:
-        role: The present role.
-        primary: The primary's part; None while this replica is not primary.
-        proposals: Own proposals for the next view.
-        election: When to stand for election.
-        is_stopping: Whether the process is about to end.
+        role: The current role.
+        primary: The state of the primary role; None while this replica is not primary.
+        proposals: This replica's proposals for the next view.
+        election: The election timer.
+        is_stopping: Whether the process is shutting down.
     """
 
     def __init__(
@@ -70,15 +70,15 @@
         on_new_view: Callable[[float], None],
         now_ms: float,
     ) -> None:
-        """Begin as a follower.
+        """Start as a follower.
 
         Args:
-            context: The replica's parts.
-            follower: This replica's part while another is primary.
-            rules: The sizes of views.
-            process_incarnation: Drawn at each start of the process.
-            on_new_view: Called when a view of another primary was taken over.
-            now_ms: Steady clock, ms.
+            context: The state shared by the replica's components.
+            follower: The follower role of this replica, active while it is not primary.
+            rules: The size rules for views.
+            process_incarnation: Drawn at random at each process start.
+            on_new_view: Called after this replica adopts a view in which it is not already acting as primary.
+            now_ms: Monotonic time, ms.
         """
         self._context, self._follower, self._rules = context, follower, rules
         self._store, self._outbox, self._times = context.store, context.outbox, context.times
@@ -89,17 +89,15 @@
         self.role = Role.FOLLOWER
         self.primary: Primary | None = None
         self.is_stopping = False
-        self._won_epoch = 0  # with this replica as primary, by a proposal of this process incarnation
+        self._won_epoch = 0  # epoch that this process won as primary with its own proposal; 0 if none
 
     @property
     def is_primary(self) -> bool:
-        """Whether this replica holds the primary's role."""
+        """Whether this replica is primary."""
         return self.primary is not None
 
-    # --- views ---
-
     def adopt(self, now_ms: float, view: View) -> None:
-        """Take over a view that was decided: follow its primary, or be it."""
+        """Adopt a decided view: follow its primary, or remain or prepare to become the primary."""
         if not self._store.adopt(view):
             return
         is_own = view.primary == self._store.me.incarnation
@@ -115,10 +113,10 @@
             return
         self.step_down(now_ms)
         self._on_new_view(now_ms)
-        self._postpone_election_in(now_ms, view, is_own)
+        self._postpone_election(now_ms, view, is_own)
 
     def step_down(self, now_ms: float) -> None:
-        """Be a follower from now on; what waits at the primary ends without a known outcome."""
+        """Become a follower; requests pending at the primary end with an unknown outcome."""
         if self.primary is not None:
             self.primary.give_up()
             if self.primary.lease.fresh_ms is not None:
@@ -127,25 +125,23 @@
         self._enter(Role.FOLLOWER)
         self.election.restart_timeout(now_ms)
 
-    # --- own proposals ---
-
-    def found(self, now_ms: float, base: View) -> None:
-        """Have the members of a base of epoch 0 decide the first view, with this replica as primary."""
+    def propose_initial_view(self, now_ms: float, base: View) -> None:
+        """Propose the first view, with this replica as primary, to the members of a base of epoch 0."""
         me = self._store.me
         self.proposals.begin(
-            now_ms, base, lambda _promised: founding_view(me, base.members), is_transfer=False
+            now_ms, base, lambda _promised: initial_view(me, base.members), is_transfer=False
         )
 
-    def stand_if_due(self, now_ms: float) -> None:
-        """Stand for election once the primary timed out.
+    def start_election_if_due(self, now_ms: float) -> None:
+        """Become a candidate once the election timer is due.
 
-        Only a replica that holds all that is committed may.
+        Only a replica that holds all committed entries may become a candidate.
         """
         view = self._store.view
         if view is None or self.proposals.is_in_progress:
             return
         if self._store.journal.pending_ms(now_ms) > 0.0:
-            # Perhaps a promise to a rival, which is to get as far as it can with it.
+            # The pending write may be a promise to a rival, whose election must not be disturbed.
             self.election.wait_at_least(now_ms, 2 * self._times.heartbeat_ms)
             return
         if not self.election.is_due(now_ms, self.is_stopping):
@@ -160,22 +156,22 @@
             is_transfer,
         )
 
-    def improve_view_if_due(self, now_ms: float, primary: Primary) -> None:
-        """As primary, propose the view that is better than the present one, if there is one."""
+    def propose_view_change_if_due(self, now_ms: float, primary: Primary) -> None:
+        """As primary, propose the next view if the current one needs a change."""
         if not self.proposals.may_begin(now_ms):
             return
-        wanted = primary.planner.wanted_view(now_ms)
-        if wanted is not None:
-            self.proposals.begin(now_ms, primary.view, lambda _promised: wanted, is_transfer=False)
+        next_view = primary.planner.wanted_view(now_ms)
+        if next_view is not None:
+            self.proposals.begin(now_ms, primary.view, lambda _promised: next_view, is_transfer=False)
 
     def handle_promise(self, now_ms: float, promise: Promise) -> None:
-        """Count a promise, and learn what that witness knows of the others."""
+        """Count a promise, and merge what the witness knows about other replicas."""
         self._follower.known_peers.merge(now_ms, promise.peers)
-        self._follower.known_peers.handle_answer(now_ms, promise.sender)
+        self._follower.known_peers.record_response(now_ms, promise.sender)
         self.proposals.handle_promise(now_ms, promise)
 
     def handle_accepted(self, now_ms: float, accepted: Accepted) -> None:
-        """With a majority that accepted, the proposed view is decided."""
+        """Count an acceptance, and adopt the proposed view once a majority has accepted it."""
         view = self.proposals.handle_accepted(now_ms, accepted)
         if view is None:
             return
@@ -185,20 +181,20 @@
                 self._context.notify_view(member.address, member.incarnation)
 
     def handle_accepted_broadcast(self, now_ms: float, broadcast: AcceptedBroadcast) -> None:
-        """An acceptor tells of another's proposal: with a majority of such broadcasts the view is decided."""
+        """Count an acceptor's broadcast, and adopt its view once a majority has accepted it."""
         view = self._store.view
         if view is not None and self._decision_learner.handle_broadcast(view, broadcast):
             self.adopt(now_ms, broadcast.view)
 
     def handle_rejection(self, now_ms: float, rejection: Rejected) -> None:
-        """A witness rejects the proposal; a higher number than the own one ends the proposal."""
-        if self.proposals.is_beaten(rejection):
+        """Abandon the current proposal if a witness rejects it because of a higher proposal number."""
+        if self.proposals.is_superseded(rejection):
             self._abandon_proposal(now_ms, self.election.draw_backoff_ms())
 
-    def give_way(self, now_ms: float) -> None:
-        """This replica promised to a rival.
+    def defer_to_rival(self, now_ms: float) -> None:
+        """Back off after this replica promised to a rival.
 
-        Its own attempt can't succeed, and a new one would end the rival's.
+        Its own proposal can no longer succeed, and a new one would supersede the rival's.
         """
         backoff_ms = self.election.draw_backoff_ms()
         if self.role is Role.CANDIDATE:
@@ -206,22 +202,20 @@
         self.election.wait_at_least(now_ms, backoff_ms)
 
     def end_candidacy(self, now_ms: float) -> None:
-        """The primary is at work after all."""
+        """Return to the follower role, since the primary turned out to be alive."""
         if self.role is Role.CANDIDATE:
             self._abandon_proposal(now_ms, 0.0)
 
-    def time_proposal_out(self, now_ms: float) -> None:
-        """Give a proposal up that has waited too long for answers."""
+    def abandon_timed_out_proposal(self, now_ms: float) -> None:
+        """Abandon the current proposal if it has waited too long for responses."""
         if self.proposals.is_timed_out(now_ms):
             backoff_ms = self._context.rng.uniform(MIN_TIMEOUT_BACKOFF_MS, MAX_TIMEOUT_BACKOFF_MS)
             self._abandon_proposal(now_ms, backoff_ms)
 
-    # --- the primary's role ---
-
     def promote_if_due(self, now_ms: float) -> None:
-        """Be primary of a view that was won, once it is on the own disk.
+        """Become primary of a view that this process won, once the view is on its own disk.
 
-        A restart must not forget that it was.
+        The view must be durable first, so that a restarted replica knows that it was primary in that epoch.
         """
         store, view = self._store, self._store.view
         if view is None or store.epoch == 0 or self._won_epoch != view.epoch or self.primary is not None:
@@ -233,7 +227,7 @@
             self._enter(Role.PRIMARY)
 
     def transfer_leadership(self, now_ms: float, primary: Primary) -> None:
-        """Give the role to a replica that can do the work and that can be elected, where there is one."""
+        """Transfer leadership to a healthy in-sync replica, if there is one and it can be elected."""
         successor = primary.successor(now_ms)
         if successor is None or not primary.can_be_followed(now_ms):
             return
@@ -243,30 +237,29 @@
         self._outbox.log(LEADERSHIP_TRANSFERRED.line(to=successor.address))
         self.step_down(now_ms)
         self.proposals.drop()
-        self.election.due_ms = now_ms + LEADERSHIP_TRANSFER_MS
+        self.election.due_ms = now_ms + LEADERSHIP_TRANSFER_BACKOFF_MS
 
     def handle_transfer(self, now_ms: float, message: TransferLeadership) -> None:
-        """The primary asks this replica to take its place."""
+        """Handle a leadership transfer from the primary to this replica."""
         view = self._store.view
         if view is None or view.epoch != message.epoch or view.primary != message.sender:
             return
         self._follower.forget_primary()
         self.election.accept_transfer(now_ms, message.epoch)
 
-    # --- parts ---
-
     def _begin_epoch(self, epoch: int) -> None:
-        self.proposals.drop_before(epoch)
+        self.proposals.drop_decided(epoch)
         self._decision_learner.begin_epoch()
         self.election.begin_epoch()
         self._follower.begin_epoch()
 
-    def _postpone_election_in(self, now_ms: float, view: View, is_own: bool) -> None:
+    def _postpone_election(self, now_ms: float, view: View, is_own: bool) -> None:
         if is_own and self._won_epoch != view.epoch:
-            # Proposed before a restart: its log may lack what was sent then.
+            # This replica proposed the view before a restart, so its log may lack entries that it sent then.
             self.election.postpone(now_ms, 0.0, RESTARTED_PRIMARY_JITTER_MS)
         elif not is_own and self._is_timed_out(now_ms, view.primary):
-            # A proposal of a primary that was lost meanwhile: it gets the time of some heartbeats, no more.
+            # The new primary was apparently lost after its proposal, so it gets the time of a few heartbeats
+            # instead of the whole election timeout.
             heartbeat_ms = self._times.heartbeat_ms
             self.election.postpone(
                 now_ms, MIN_HEARTBEATS_AFTER_LOSS * heartbeat_ms, MAX_HEARTBEATS_AFTER_LOSS * heartbeat_ms
@@ -277,7 +270,7 @@
         return idle_ms is not None and idle_ms > self._times.election_timeout_min_ms
 
     def _enter(self, role: Role) -> None:
-        """The one place where the role changes."""
+        """Change the role; no other code assigns it."""
         if role is self.role:
             return
         assert role in ROLE_TRANSITIONS[self.role], f"{self.role} to {role}"
--- a/madderwind/replication/status.py
+++ b/madderwind/replication/status.py
@@ -1,4 +1,4 @@
-"""How a replica stands, as one immutable value."""
+"""The status of a replica as an immutable value."""
 
 from __future__ import annotations
 
@@ -6,19 +6,18 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """What a replica knows of itself and its group at one moment.
+    """A snapshot of what a replica knows about itself and its group.
 
     Attributes:
-        is_primary: Whether it holds the primary's role.
+        is_primary: Whether it is primary.
         primary: Internal address of the primary that it follows; empty if unknown.
-        epoch: Epoch of the newest view; 0 before the system was founded.
+        epoch: Epoch of the newest view; 0 before the system is bootstrapped.
         committed_version: The committed version of the configuration.
-        fresh_age_ms: Since a primary is known to have held its lease, with nothing acknowledged by then that
-        is not
-            committed here; None if unknown.
+        fresh_age_ms: Time since a primary is known to have held its lease, such that every command
+            acknowledged before is committed here; None if unknown.
         members: Internal addresses of the members.
-        in_sync: Internal addresses of the replicas that every commit needs.
-        is_needed: Whether it is the primary or in sync, so that its process should not end yet.
+        in_sync: Internal addresses of the replicas in the in-sync set, which every commit needs.
+        is_needed: Whether it is primary or in sync, so that its process should not exit yet.
     """
 
     is_primary: bool
--- a/madderwind/replication/view_planner.py
+++ b/madderwind/replication/view_planner.py
@@ -1,4 +1,4 @@
-"""Which view the primary wants next, and whose disks its commits need while that is open."""
+"""Plans the view that the primary proposes next, and tracks which replicas its commits need until then."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 
 class ViewPlanner:
-    """Watches the health of the other replicas.
+    """Derives the next view from the health of the other replicas.
 
     Attributes:
-        joining: In-sync replicas of views proposed in this epoch, whose fate is not known: commits need them
-        too. is_contested: Whether a member has accepted a later view, whose fate is not known either.
+        joining: In-sync replicas of the views proposed in this epoch. Commits need them too, because it is
+            not known whether such a view was decided.
+        is_contested: Whether a member has accepted a later view that may or may not be decided.
     """
 
     def __init__(
@@ -29,27 +30,29 @@
         self.is_contested = False
 
     def begin_epoch(self) -> None:
-        """A later view was decided: what was proposed before is settled."""
+        """Reset the state of earlier proposals, which are settled once a later view is decided."""
         self.joining.clear()
         self.is_contested = False
 
     def wanted_view(self, now_ms: float) -> View | None:
-        """What to propose; None where the present view is as good as any.
+        """Return the view to propose, or None if the current view needs no change.
 
-        From here on commits need those that are to join. Asked while no proposal is in progress.
+        From this call on, commits also need the replicas that the returned view adds to the in-sync set. Must
+        only be called while no proposal is in progress.
         """
         view = self._peers.view
         healths = {name: self.health_of(now_ms, peer) for name, peer in self._peers.items()}
         wanted = next_view(view, self._store.me, healths, self._rules)
         if wanted is None and self._has_open_proposal():
-            # Settled by a view like the present one, which leaves no doubt who is needed.
+            # Once an otherwise unchanged view is decided, no earlier proposal can be decided any more, so the
+            # set of replicas that commits need is known again.
             wanted = structs.replace(view, epoch=view.epoch + 1)
         if wanted is not None:
             self.joining |= set(wanted.in_sync)
         return wanted
 
     def health_of(self, now_ms: float, peer: Peer) -> PeerHealth:
-        """What counts about a replica for the next view."""
+        """Return the health of a replica as input for the next view."""
         is_healthy = peer.is_healthy(now_ms, self._times)
         is_ready = (
             is_healthy
@@ -62,10 +65,10 @@
         return PeerHealth(peer.member, is_ready, not is_healthy, is_replaceable, idle_ms)
 
     def _has_enough_in_sync(self, now_ms: float) -> bool:
-        """Whether commands can be acknowledged with those of the in-sync set that are healthy."""
+        """Whether enough in-sync replicas are healthy to acknowledge commands."""
         healthy = [peer for peer in self._peers.in_sync() if peer.is_healthy(now_ms, self._times)]
         return 1 + len(healthy) >= self._rules.smallest_in_sync
 
     def _has_open_proposal(self) -> bool:
-        """Whether a proposal that was begun may yet be decided."""
+        """Whether an earlier proposal may still be decided."""
         return self.is_contested or not self.joining <= set(self._peers.view.in_sync)
--- a/madderwind/replication/witness.py
+++ b/madderwind/replication/witness.py
@@ -1,4 +1,4 @@
-"""This replica as a witness: how it answers replicas that propose a view."""
+"""The witness role of a replica: the Paxos acceptor that responds to replicas proposing a view."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Witness:
-    """Promises and accepts on behalf of the register of views, and protects a primary that is at work."""
+    """Promises and accepts proposals for the view register, and rejects rivals of a live primary."""
 
     def __init__(
         self, context: ReplicaContext, follower: Follower, roles: RoleMachine, now_ms: float
@@ -29,19 +29,19 @@
         self._started_ms, self._started_epoch = now_ms, context.store.epoch
 
     def handle_prepare(self, now_ms: float, sender_address: str, message: Prepare) -> None:
-        """Promise to accept no lower number, once that is on disk, or reject."""
-        if not self._is_open(now_ms, sender_address, message.sender, message.base):
+        """Send a promise to accept no lower number, once it is on disk, or a rejection."""
+        if not self._is_epoch_open(now_ms, sender_address, message.sender, message.base):
             return
         register = self._store.register
         primary_is_alive = self._protects_primary(now_ms, message)
-        is_repeated = register.promised == message.number  # the promise was lost, or is not on disk yet
+        is_repeated = register.promised == message.number  # the promise was lost or is not on disk yet
         if primary_is_alive or not (is_repeated or register.promise(message.number)):
             self._reject(sender_address, message, primary_is_alive)
             return
         if not is_repeated:
             self._store.record_witness()
             if message.sender != self._me.incarnation:
-                self._roles.give_way(now_ms)
+                self._roles.defer_to_rival(now_ms)
         promise = Promise(
             sender=self._me.incarnation,
             target=message.sender,
@@ -54,11 +54,11 @@
         self._store.send_once_synced(sender_address, promise)
 
     def handle_accept(self, now_ms: float, sender_address: str, message: Accept) -> None:
-        """Accept a proposal, once that is on disk, or reject."""
+        """Send an acceptance of the proposal, once it is on disk, or a rejection."""
         epoch = message.base.epoch + 1
         if message.view.epoch != epoch:
             return
-        if not self._is_open(now_ms, sender_address, message.sender, message.base):
+        if not self._is_epoch_open(now_ms, sender_address, message.sender, message.base):
             return
         register = self._store.register
         is_repeated = register.accepted_number == message.number
@@ -83,24 +83,30 @@
         self._outbox.send(address, rejection)
 
     def _broadcast_accepted(self, proposer: str, base: View, number: ProposalNumber, view: View) -> None:
-        """Tell all whom the decision concerns, this replica too: the proposer may be lost before it does."""
+        """Broadcast the acceptance to all members of both views, including this replica.
+
+        The proposer may fail before it announces the decision.
+        """
         for member in dict.fromkeys((*base.members, *view.members)):
             if member.incarnation != proposer:
                 broadcast = AcceptedBroadcast(self._me.incarnation, member.incarnation, number, view)
                 self._store.send_once_synced(member.address, broadcast)
 
-    def _is_open(self, now_ms: float, sender_address: str, sender: str, base: View) -> bool:
-        """Whether the epoch after `base` is open as far as this witness knows, and it has a vote there."""
+    def _is_epoch_open(self, now_ms: float, sender_address: str, sender: str, base: View) -> bool:
+        """Whether this witness has a vote on the epoch after `base` and knows of no decided view for it.
+
+        Sends the newest view to a proposer whose `base` is outdated.
+        """
         self._roles.adopt(now_ms, base)
         if self._store.epoch > base.epoch:
             self._context.notify_view(sender_address, sender)
             return False
-        # The founding is begun by one replica alone, so what its base was before a restart does not matter.
+        # Only one replica bootstraps the system, so it does not matter which base it used before a restart.
         is_same = self._store.view == base or base.epoch == 0
         return is_same and base.has_member(self._me.incarnation)
 
     def _protects_primary(self, now_ms: float, message: Prepare) -> bool:
-        """Whether the primary is at work as far as can be told, so that nobody else is to take its place."""
+        """Whether the primary may be alive as far as this witness knows, so that rivals are rejected."""
         store, times = self._store, self._context.times
         if store.view is None or store.epoch == 0:
             return False
@@ -108,7 +114,7 @@
             return False
         if self._roles.is_primary:
             return True
-        is_just_started = now_ms < self._started_ms + times.grace_ms
-        if is_just_started and store.epoch == self._started_epoch:
-            return True  # a message of that primary may have come just before
+        is_in_start_grace = now_ms < self._started_ms + times.grace_ms
+        if is_in_start_grace and store.epoch == self._started_epoch:
+            return True  # the primary may have sent a heartbeat just before this witness started
         return self._follower.has_recent_message(now_ms, times.witness_lease_ms)
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -92,13 +92,13 @@
             )
 
     def test_inequalities_that_are_not_looked_at(self) -> None:
-        with patch.object(ReplicationTimes, "broken_inequalities", lambda times: ()):
+        with patch.object(ReplicationTimes, "violated_constraints", lambda times: ()):
             self.assert_found_by(
                 test_times.TimesFitTogether("test_given_one_time_that_does_not_fit_then_it_is_notified")
             )
 
     def test_a_question_that_is_requested_once(self) -> None:
-        with patch.object(ViewProposals, "ask_again_if_due", lambda proposals, now_ms: None):
+        with patch.object(ViewProposals, "resend_requests_if_due", lambda proposals, now_ms: None):
             self.assert_found_by(
                 test_decisions.AProposerThatIsLost(
                     "test_given_a_lost_question_then_it_is_requested_again_within_the_proposal"
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -14,7 +14,7 @@
     def test_given_the_times_of_any_deployment_then_no_inequality_is_broken(self) -> None:
         for ack_ms in (1_000.0, 4_000.0, 20_000.0):
             with self.subTest(ack_ms=ack_ms):
-                self.assertEqual((), ReplicationTimes.from_bounds(ack_ms).broken_inequalities())
+                self.assertEqual((), ReplicationTimes.from_bounds(ack_ms).violated_constraints())
 
     def test_given_one_time_that_does_not_fit_then_it_is_notified(self) -> None:
         misfits = {
@@ -31,7 +31,7 @@
         for name, value in misfits.items():
             with self.subTest(time=name):
                 times = structs.replace(ReplicationTimes(), **{name: value})
-                self.assertNotEqual((), times.broken_inequalities())
+                self.assertNotEqual((), times.violated_constraints())
 
 
 class PausesThatAreNoLoss(FleetStory):
