--- a/tests/replication/story.py
+++ b/tests/replication/story.py
@@ -1,4 +1,4 @@
-"""What the stories about replicas have in common."""
+"""Base class of the fleet tests of replication."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
 
-# In calm times, and after one machine was lost.
+# Bounds of the time to an acknowledgement: without faults, and after the loss of one machine.
 CALM_ACKNOWLEDGEMENT_MS = 100.0
 FAILOVER_MS = 1_500.0
 
 
 class FleetStory(unittest.TestCase):
-    """Given a fleet that was founded and has taken its first command, at version 3."""
+    """Base class: a bootstrapped fleet that has committed its first command, at version 3."""
 
     machines = 3
     tolerance = 1
@@ -33,7 +33,7 @@
         return primary
 
     def backups(self) -> list[Machine]:
-        """The machines that run and are not the primary."""
+        """Return the running machines other than the primary."""
         return [machine for machine in self.fleet.running() if machine is not self.primary]
 
     def assert_taken(self, results: list[CommandResult]) -> None:
@@ -43,11 +43,11 @@
         self.assertEqual([CommandOutcome.UNKNOWN], [result.outcome for result in results])
 
     def assert_all_follow(self, version: int) -> None:
-        """All that run know the same primary and version, and all members are in sync."""
+        """Assert that all running machines know the primary and `version`, and all members are in sync."""
         for machine in self.fleet.running():
             status = machine.status()
             assert status is not None
             self.assertEqual((version, self.primary.address), (status.committed_version, status.primary))
-        members = self.primary.status()
-        assert members is not None
-        self.assertEqual(set(members.members), self.fleet.in_sync())
+        primary_status = self.primary.status()
+        assert primary_status is not None
+        self.assertEqual(set(primary_status.members), self.fleet.in_sync())
--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -1,4 +1,4 @@
-"""Processes that end, freeze or lose touch, and disks that are slow, stall or are full."""
+"""Failover after crashes, freezes and network partitions, and with slow, stalled or full disks."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
-    def test_given_a_backup_killed_then_commands_wait_for_its_timeout_alone(self) -> None:
+    def test_given_a_backup_killed_then_commands_wait_only_for_its_timeout(self) -> None:
         self.backups()[0].kill()
         self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
 
-    def test_given_the_primary_killed_at_any_moment_of_a_command_then_it_is_not_lost(self) -> None:
+    def test_given_the_primary_killed_at_any_moment_of_a_command_then_a_retry_commits_it(self) -> None:
         for version in range(3, 23, 2):
             old = self.primary
             results = self.fleet.submit(old, version, version + 2)
@@ -36,7 +36,7 @@
             self.fleet.run(3_000.0)
             self.assert_all_follow(version + 2)
 
-    def test_given_all_killed_then_they_are_back_with_everything(self) -> None:
+    def test_given_all_machines_killed_then_nothing_is_lost_after_their_restart(self) -> None:
         for machine in self.fleet.machines.values():
             machine.kill()
         self.fleet.run(500.0)
@@ -46,7 +46,7 @@
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
-    def test_given_all_lose_power_in_the_middle_of_a_command_then_it_ends_one_way_or_the_other(self) -> None:
+    def test_given_a_power_loss_of_all_machines_during_a_command_then_a_retry_commits_it(self) -> None:
         for version in range(3, 23, 2):
             results = self.fleet.submit(self.primary, version, version + 2)
             self.fleet.run(0.5 * (version - 3))
@@ -59,19 +59,19 @@
             self.fleet.run(2_000.0)
             self.assert_all_follow(version + 2)
 
-    def test_given_the_primary_requested_to_leave_then_another_is_primary_before_it_ends(self) -> None:
+    def test_given_the_primary_requested_to_stop_then_another_takes_over_before_it_exits(self) -> None:
         old = self.primary
         old.leave()
         self.fleet.run(100.0)
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_a_backup_requested_to_leave_then_commands_do_not_wait_for_it(self) -> None:
+    def test_given_a_backup_requested_to_stop_then_commands_do_not_wait_for_it(self) -> None:
         self.backups()[0].leave()
         self.fleet.run(50.0)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_all_stopped_and_started_in_turn_then_each_command_goes_through(self) -> None:
+    def test_given_a_rolling_restart_then_each_command_commits(self) -> None:
         version = 3
         for machine in list(self.fleet.machines.values()):
             machine.leave()
@@ -101,8 +101,8 @@
         self.assertEqual((1, 1), (len(versions), len(names)))
 
 
-class ProcessesFreeze(FleetStory):
-    def test_given_the_primary_frozen_then_another_takes_over_and_it_follows_when_it_wakes(self) -> None:
+class ProcessFreezeTests(FleetStory):
+    def test_given_the_primary_frozen_then_another_takes_over_and_it_follows_after_it_resumes(self) -> None:
         old = self.primary
         old.freeze()
         waiting = self.fleet.submit(old, 3, 4, "queued")
@@ -114,21 +114,22 @@
         self.assert_unclear(waiting)
         self.assert_all_follow(5)
 
-    def test_given_the_primary_frozen_with_a_command_sent_out_when_it_wakes_then_what_it_tells_is_true(
+    def test_given_the_primary_frozen_after_it_sent_a_command_when_it_resumes_then_it_reports_the_commit(
         self,
     ) -> None:
         old = self.primary
         results = self.fleet.submit(old, 3, 5, "frozen")
         old.freeze()
         self.fleet.run(2_000.0)
-        self.assertEqual(5, self.primary.register.version)  # the others had it, so it is committed
+        # The backups had received the entry, so the new primary committed it.
+        self.assertEqual(5, self.primary.register.version)
         self.fleet.submit_and_commit(5, 8, "later")
         old.thaw()
         self.fleet.run(1_500.0)
         self.assert_taken(results)
         self.assert_all_follow(8)
 
-    def test_given_the_primary_frozen_before_a_command_got_out_when_it_wakes_then_it_acknowledges_nothing(
+    def test_given_the_primary_frozen_before_it_sent_a_command_when_it_resumes_then_it_acknowledges_nothing(
         self,
     ) -> None:
         old = self.primary
@@ -143,7 +144,7 @@
         self.assert_unclear(results)
         self.assert_all_follow(8)
 
-    def test_given_a_backup_that_wakes_then_it_does_not_take_over(self) -> None:
+    def test_given_a_backup_that_resumes_then_it_does_not_take_over(self) -> None:
         primary, backup = self.primary, self.backups()[0]
         backup.freeze()
         self.fleet.run(3_000.0)
@@ -152,7 +153,7 @@
         self.assertIs(primary, self.primary)
         self.assert_all_follow(3)
 
-    def test_given_a_short_freeze_then_the_primary_goes_on(self) -> None:
+    def test_given_a_short_freeze_then_the_primary_keeps_its_role(self) -> None:
         primary = self.primary
         epoch = primary.replica.view.epoch if primary.replica and primary.replica.view else 0
         primary.freeze()
@@ -174,12 +175,14 @@
         self.assertIs(primary, self.primary)
         self.assert_all_follow(5)
 
-    def test_given_a_backup_that_cannot_hear_the_primary_then_it_does_not_push_it_out(self) -> None:
+    def test_given_a_backup_that_receives_nothing_from_the_primary_then_it_does_not_replace_it(self) -> None:
         primary = self.primary
         self.fleet.network.cut(primary.address, self.backups()[0].address)
         self.assert_stays_primary(primary)
 
-    def test_given_a_backup_that_the_primary_cannot_hear_then_commands_go_on_without_it(self) -> None:
+    def test_given_a_primary_that_receives_nothing_from_a_backup_then_commands_continue_without_it(
+        self,
+    ) -> None:
         primary = self.primary
         self.fleet.network.cut(self.backups()[0].address, primary.address)
         self.assert_stays_primary(primary)
@@ -196,17 +199,17 @@
         assert before is not None and after is not None
         self.assertEqual((primary, before.epoch), (self.primary, after.epoch))
 
-    def test_given_two_backups_cut_from_each_other_then_nothing_changes(self) -> None:
-        primary, (one, other) = self.primary, self.backups()
-        self.fleet.network.cut_both(one.address, other.address)
+    def test_given_two_backups_without_a_link_then_the_primary_keeps_its_role(self) -> None:
+        primary, (first, second) = self.primary, self.backups()
+        self.fleet.network.cut_both(first.address, second.address)
         self.assert_stays_primary(primary)
 
-    def test_given_a_backup_cut_off_then_it_harms_nothing_when_it_is_back(self) -> None:
+    def test_given_an_isolated_backup_then_its_return_does_not_disturb_the_primary(self) -> None:
         primary = self.primary
         self.fleet.network.isolate(self.backups()[0].address)
         self.assert_stays_primary(primary)
 
-    def test_given_a_primary_that_hears_nobody_then_another_takes_over(self) -> None:
+    def test_given_a_primary_that_receives_no_messages_then_another_takes_over(self) -> None:
         old = self.primary
         for backup in self.backups():
             self.fleet.network.cut(backup.address, old.address)
@@ -214,7 +217,7 @@
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
 
-    def test_given_a_primary_that_nobody_hears_then_another_takes_over(self) -> None:
+    def test_given_a_primary_whose_messages_are_lost_then_another_takes_over(self) -> None:
         old = self.primary
         for backup in self.backups():
             self.fleet.network.cut(old.address, backup.address)
@@ -222,7 +225,9 @@
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
 
-    def test_given_all_cut_from_each_other_then_nothing_is_promised_until_they_are_joined(self) -> None:
+    def test_given_all_machines_isolated_then_nothing_is_acknowledged_until_the_links_are_restored(
+        self,
+    ) -> None:
         for machine in self.fleet.running():
             self.fleet.network.isolate(machine.address)
         results = self.fleet.submit(self.primary, 3, 5)
@@ -233,8 +238,8 @@
         self.assertLess(self.fleet.submit_and_commit(3, 5), 2_000.0)
 
 
-class DisksInTrouble(FleetStory):
-    def test_given_a_stalled_disk_at_the_primary_then_it_transfers_leadership_and_the_command_goes_through(
+class DiskFaultTests(FleetStory):
+    def test_given_a_stalled_disk_at_the_primary_then_it_transfers_leadership_and_the_command_commits(
         self,
     ) -> None:
         old = self.primary
@@ -245,7 +250,7 @@
         self.fleet.run(9_000.0)
         self.assert_all_follow(6)
 
-    def test_given_a_stalled_disk_at_a_backup_then_commands_go_on_without_it(self) -> None:
+    def test_given_a_stalled_disk_at_a_backup_then_commands_continue_without_it(self) -> None:
         self.backups()[0].stalled_until_ms = self.fleet.clock.now_ms + 6_000.0
         self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
@@ -261,7 +266,7 @@
         self.fleet.run(3_000.0)
         self.assert_all_follow(5)
 
-    def test_given_a_full_disk_at_a_backup_then_it_leaves_the_set_and_comes_back(self) -> None:
+    def test_given_a_full_disk_at_a_backup_then_it_leaves_the_in_sync_set_and_rejoins(self) -> None:
         backup = self.backups()[0]
         backup.disk.is_full = True
         self.assertLess(self.fleet.submit_and_commit(3, 5), 300.0)
@@ -270,14 +275,14 @@
         self.fleet.run(3_000.0)
         self.assert_all_follow(5)
 
-    def test_given_slow_disks_everywhere_then_commands_are_still_taken(self) -> None:
+    def test_given_slow_disks_on_all_machines_then_commands_still_commit(self) -> None:
         for machine in self.fleet.running():
             machine.sync_ms = 200.0
         primary = self.primary
         self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
         self.assertIs(primary, self.primary)
 
-    def test_given_failing_syncs_then_nothing_is_promised_on_them(self) -> None:
+    def test_given_failing_syncs_then_nothing_is_acknowledged(self) -> None:
         for machine in self.fleet.running():
             machine.disk.fails_syncs = True
         results = self.fleet.submit(self.primary, 3, 5)
@@ -288,13 +293,13 @@
         self.fleet.submit_and_commit(3, 5)
 
 
-class FiveMachines(FleetStory):
-    """Given five machines that are to bear the loss of two."""
+class FiveMachineTests(FleetStory):
+    """Five machines that tolerate the loss of two."""
 
     machines = 5
     tolerance = 2
 
-    def test_given_the_primary_and_a_backup_killed_then_commands_go_on(self) -> None:
+    def test_given_the_primary_and_a_backup_killed_then_commands_continue(self) -> None:
         self.backups()[0].kill()
         self.primary.kill()
         self.assertLess(self.fleet.submit_and_commit(3, 5), 2_000.0)
@@ -312,7 +317,7 @@
         self.fleet.run(2_000.0)
         self.assert_all_follow(6)
 
-    def test_given_a_minority_cut_off_then_the_majority_goes_on_and_they_join_again(self) -> None:
+    def test_given_an_isolated_minority_then_the_majority_continues_and_the_minority_rejoins(self) -> None:
         minority = [self.primary, self.backups()[0]]
         for machine in minority:
             self.fleet.network.isolate(machine.address)
--- a/tests/replication/test_founding.py
+++ b/tests/replication/test_founding.py
@@ -1,4 +1,4 @@
-"""How a system begins."""
+"""Bootstrap of a system: its first view, and fleets of different sizes."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.fleet.fleet import Fleet
 
 
-class TheFirstStart(unittest.TestCase):
-    def test_given_any_order_of_starts_then_one_system_is_founded_within_a_second(self) -> None:
+class BootstrapTests(unittest.TestCase):
+    def test_given_any_start_order_then_one_system_is_bootstrapped_within_a_second(self) -> None:
         for seed in range(30):
             fleet = Fleet(3, 1, seed=seed)
             fleet.start()
@@ -19,7 +19,7 @@
                 {(status.primary, status.members) for status in statuses if status is not None},
             )
 
-    def test_given_seeds_that_start_late_then_nothing_is_founded_without_a_majority(self) -> None:
+    def test_given_seeds_that_start_late_then_the_bootstrap_waits_for_a_majority(self) -> None:
         fleet = Fleet(3, 1)
         fleet["m1"].start(bootstrap=True)
         fleet.run(5_000.0)
@@ -28,7 +28,7 @@
         fleet.run(500.0)
         self.assertEqual("m1", fleet.stabilize().address)
 
-    def test_given_a_seed_that_never_starts_then_the_others_found_and_it_joins_when_it_comes(self) -> None:
+    def test_given_a_seed_that_starts_late_then_the_others_bootstrap_and_it_joins(self) -> None:
         fleet = Fleet(3, 1)
         fleet["m1"].start(bootstrap=True)
         fleet["m2"].start(bootstrap=True)
@@ -38,7 +38,7 @@
         fleet.run(1_000.0)
         self.assertEqual({"m1", "m2", "m3"}, fleet.in_sync())
 
-    def test_given_the_founder_killed_at_any_moment_of_the_founding_then_it_founds_after_its_restart(
+    def test_given_the_first_seed_killed_at_any_moment_then_it_completes_the_bootstrap_after_its_restart(
         self,
     ) -> None:
         for moment_ms in range(0, 40, 2):
@@ -52,7 +52,9 @@
             fleet.stabilize()
             fleet.submit_and_commit(0, 1)
 
-    def test_given_the_founder_restarted_without_bootstrap_then_its_file_still_knows(self) -> None:
+    def test_given_the_first_seed_restarted_without_the_bootstrap_setting_then_it_uses_the_stored_one(
+        self,
+    ) -> None:
         fleet = Fleet(3, 1)
         fleet["m1"].start(bootstrap=True)
         fleet.run(50.0)
@@ -62,14 +64,14 @@
         fleet.run(1_000.0)
         self.assertEqual("m1", fleet.stabilize().address)
 
-    def test_given_empty_disks_without_bootstrap_then_nobody_founds(self) -> None:
+    def test_given_empty_disks_without_the_bootstrap_setting_then_there_is_no_bootstrap(self) -> None:
         fleet = Fleet(3, 1)
         for machine in fleet.machines.values():
             machine.start()
         fleet.run(10_000.0)
         self.assertIsNone(fleet.primary())
 
-    def test_given_the_founder_wiped_later_then_it_does_not_found_again(self) -> None:
+    def test_given_the_first_seed_wiped_after_the_bootstrap_then_it_does_not_bootstrap_again(self) -> None:
         fleet = Fleet(3, 1)
         fleet.start()
         fleet.stabilize()
@@ -86,15 +88,17 @@
         self.assertEqual(1, fleet.read_committed().version)
 
 
-class LargerAndSmallerFleets(unittest.TestCase):
-    def test_given_five_machines_to_bear_two_losses_then_all_become_members(self) -> None:
+class FleetSizeTests(unittest.TestCase):
+    def test_given_five_machines_that_tolerate_two_losses_then_all_become_members(self) -> None:
         fleet = Fleet(5, 2)
         fleet.start()
         fleet.stabilize()
         fleet.run(500.0)
         self.assertEqual({"m1", "m2", "m3", "m4", "m5"}, fleet.in_sync())
 
-    def test_given_more_machines_than_the_tolerance_needs_then_the_rest_learns_and_has_no_vote(self) -> None:
+    def test_given_more_machines_than_the_tolerance_needs_then_the_rest_are_learners_without_a_vote(
+        self,
+    ) -> None:
         fleet = Fleet(5, 1)
         fleet.start()
         fleet.stabilize()
@@ -105,7 +109,7 @@
         self.assertEqual(("m1", "m2", "m3"), status.members)
         self.assertEqual(1, status.committed_version)
 
-    def test_given_one_machine_then_it_is_a_system_of_its_own(self) -> None:
+    def test_given_a_single_machine_then_it_serves_and_recovers_alone(self) -> None:
         fleet = Fleet(1, 0)
         fleet.start()
         fleet.stabilize()
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -1,4 +1,4 @@
-"""What a replica calls fresh is the newest version, as of the moment that it names."""
+"""A version that a replica reports as fresh was the newest committed one at the reported time."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 from tests.fleet.machine import Machine
 from tests.replication.story import FleetStory
 
-CURRENT_MS = 600.0
-CUT_MS = 20_000.0
+MAX_FRESH_AGE_MS = 600.0
+PARTITION_MS = 20_000.0
 
 
-class FreshnessStory(FleetStory):
-    """Given a fleet at version 3, and a watch that knows what was confirmed."""
+class FreshnessTestCase(FleetStory):
+    """Base class: a fleet at version 3, whose reported freshness is checked against the commits."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.confirmed = Confirmations(self.fleet.clock)
-        self.watch = FreshnessWatch(self.fleet.clock, self.fleet.running, self.confirmed.newest_before)
-        self.confirmed.confirm(3)
+        self.confirmations = Confirmations(self.fleet.clock)
+        self.watch = FreshnessWatch(self.fleet.clock, self.fleet.running, self.confirmations.newest_before)
+        self.confirmations.confirm(3)
 
-    def command(self, base: int, version: int) -> None:
+    def commit_command(self, base: int, version: int) -> None:
         self.fleet.submit_and_commit(base, version)
-        self.confirmed.confirm(version)
+        self.confirmations.confirm(version)
 
     def age_ms(self, machine: Machine) -> float:
         status = machine.status()
@@ -39,46 +39,49 @@
     def is_candidate(self, machine: Machine) -> bool:
         return machine.replica is not None and machine.replica.role is Role.CANDIDATE
 
-    def lose(self, loses: Callable[[str, str, bytes], bool]) -> None:
-        """From now on, messages are lost of which this holds."""
+    def drop_messages(self, should_drop: Callable[[str, str, bytes], bool]) -> None:
+        """Drop all further messages that the given predicate matches."""
         send = self.fleet.network.send
 
-        def send_others(sender: str, receiver: str, data: bytes) -> None:
-            if not loses(sender, receiver, data):
+        def send_unless_dropped(sender: str, receiver: str, data: bytes) -> None:
+            if not should_drop(sender, receiver, data):
                 send(sender, receiver, data)
 
-        lossy = patch.object(self.fleet.network, "send", send_others)
-        lossy.start()
-        self.addCleanup(lossy.stop)
+        dropping_send = patch.object(self.fleet.network, "send", send_unless_dropped)
+        dropping_send.start()
+        self.addCleanup(dropping_send.stop)
 
 
-class AReplicaThatLacksSomething(FreshnessStory):
-    def test_given_heartbeats_without_their_commands_then_the_old_version_is_not_called_fresh(self) -> None:
+class IncompleteReplicaTests(FreshnessTestCase):
+    def test_given_heartbeats_without_entries_then_the_old_version_is_not_reported_as_fresh(self) -> None:
         lagging = self.backups()[0]
 
-        def is_content_for_it(sender: str, receiver: str, data: bytes) -> bool:
+        def is_log_data_for_lagging(sender: str, receiver: str, data: bytes) -> bool:
             message = replication_messages.decode(data)
             return receiver == lagging.address and isinstance(message, AppendEntries | InstallSnapshot)
 
-        self.lose(is_content_for_it)
-        self.command(3, 5)
+        self.drop_messages(is_log_data_for_lagging)
+        self.commit_command(3, 5)
         self.fleet.run(2_000.0)
         self.assertEqual(3, lagging.register.version)
-        self.assertGreater(self.age_ms(lagging), CURRENT_MS)
+        self.assertGreater(self.age_ms(lagging), MAX_FRESH_AGE_MS)
 
-    def test_given_a_new_primary_then_it_first_commits_what_the_old_one_may_have_confirmed(self) -> None:
+    def test_given_a_new_primary_then_it_first_commits_entries_that_the_old_one_may_have_confirmed(
+        self,
+    ) -> None:
         old = self.primary
 
         def is_commit_broadcast(sender: str, receiver: str, data: bytes) -> bool:
-            return sender == old.address and len(old.register.taken) > 1  # it dies before it can tell
+            # The old primary is killed before it can announce the commit.
+            return sender == old.address and len(old.register.taken) > 1
 
-        self.lose(is_commit_broadcast)
+        self.drop_messages(is_commit_broadcast)
         backups = self.backups()
-        self.command(3, 5)
+        self.commit_command(3, 5)
         old.kill()
         self.fleet.run_until(lambda: any(self.is_candidate(backup) for backup in backups), 1_000.0)
         for backup in backups:
-            # Who is not to be primary takes long to write down that another is.
+            # A backup that is not a candidate records the new view late.
             backup.sync_ms = 1.0 if self.is_candidate(backup) else 60.0
         self.fleet.stabilize()
         self.fleet.run(3_000.0)
@@ -86,14 +89,14 @@
         self.assertGreater(self.watch.claims, 0)
 
 
-class MessagesThatWereHeldUp(FreshnessStory):
-    def test_given_a_frozen_backup_when_it_wakes_then_what_it_reads_is_old(self) -> None:
+class DelayedMessageTests(FreshnessTestCase):
+    def test_given_a_frozen_backup_when_it_resumes_then_queued_messages_count_as_old(self) -> None:
         frozen = self.backups()[0]
         frozen.freeze()
         self.fleet.run(300.0)
         self.fleet.network.isolate(frozen.address)
-        self.command(3, 5)
-        self.fleet.run(CUT_MS)
+        self.commit_command(3, 5)
+        self.fleet.run(PARTITION_MS)
         frozen.thaw()
         self.fleet.run(500.0)
         self.fleet.network.heal()
@@ -101,64 +104,64 @@
         self.assert_all_follow(5)
         self.assertLess(self.age_ms(frozen), 300.0)
 
-    def test_given_a_cut_that_holds_messages_when_it_ends_then_they_are_old(self) -> None:
-        held = self.backups()[0]
+    def test_given_a_partition_that_delays_messages_when_it_heals_then_they_count_as_old(self) -> None:
+        delayed = self.backups()[0]
         for other in self.fleet.running():
-            self.fleet.network.hold(other.address, held.address)
-        heals_ms = self.fleet.clock.now_ms + CUT_MS
+            self.fleet.network.hold(other.address, delayed.address)
+        heals_ms = self.fleet.clock.now_ms + PARTITION_MS
 
-        def is_content_in_the_cut(sender: str, receiver: str, data: bytes) -> bool:
+        def is_log_data_during_partition(sender: str, receiver: str, data: bytes) -> bool:
             message = replication_messages.decode(data)
-            is_content = receiver == held.address and isinstance(message, AppendEntries | InstallSnapshot)
-            return is_content and self.fleet.clock.now_ms < heals_ms  # so it reads old heartbeats alone
+            is_log_data = receiver == delayed.address and isinstance(message, AppendEntries | InstallSnapshot)
+            return is_log_data and self.fleet.clock.now_ms < heals_ms  # so that only old heartbeats arrive
 
-        self.lose(is_content_in_the_cut)
-        self.command(3, 5)
+        self.drop_messages(is_log_data_during_partition)
+        self.commit_command(3, 5)
         self.fleet.run(heals_ms - self.fleet.clock.now_ms)
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
         self.assert_all_follow(5)
 
-    def test_given_a_link_that_only_takes_long_then_the_age_tells_so(self) -> None:
+    def test_given_slow_links_then_the_freshness_age_stays_bounded(self) -> None:
         self.fleet.network.least_delay_ms = self.fleet.network.most_delay_ms = 40.0
         self.fleet.run(2_000.0)
-        self.command(3, 5)
+        self.commit_command(3, 5)
         self.fleet.run(1_000.0)
         for machine in self.fleet.running():
-            self.assertLess(self.age_ms(machine), CURRENT_MS)
+            self.assertLess(self.age_ms(machine), MAX_FRESH_AGE_MS)
 
 
-def fresh_as_of_the_round(lease: Lease) -> float | None:
+def fresh_ms_without_inherited_entries(lease: Lease) -> float | None:
     return lease.rounds.confirmed_ms
 
 
-def fresh_as_of_the_arrival(follower: Follower, message: object) -> None:
+def record_arrival_as_fresh(follower: Follower, message: object) -> None:
     follower.record_fresh(follower.last_received_ms or 0.0)
 
 
-class Mutants(unittest.TestCase):
-    """Without its mechanism each story fails."""
+class FreshnessMutantTests(unittest.TestCase):
+    """Each test of this file fails without the mechanism that it covers."""
 
-    def assert_caught(self, story: FreshnessStory) -> None:
+    def assert_detected(self, test_case: FreshnessTestCase) -> None:
         result = unittest.TestResult()
-        story.run(result)
+        test_case.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
-    def test_a_primary_that_calls_fresh_what_it_inherited(self) -> None:
-        name = "test_given_a_new_primary_then_it_first_commits_what_the_old_one_may_have_confirmed"
-        with patch.object(Lease, "fresh_ms", property(fresh_as_of_the_round)):
-            self.assert_caught(AReplicaThatLacksSomething(name))
+    def test_primary_that_reports_inherited_entries_as_fresh_is_detected(self) -> None:
+        name = "test_given_a_new_primary_then_it_first_commits_entries_that_the_old_one_may_have_confirmed"
+        with patch.object(Lease, "fresh_ms", property(fresh_ms_without_inherited_entries)):
+            self.assert_detected(IncompleteReplicaTests(name))
 
-    def test_freshness_that_counts_from_the_arrival(self) -> None:
+    def test_freshness_measured_from_the_arrival_is_detected(self) -> None:
         names = (
-            "test_given_a_frozen_backup_when_it_wakes_then_what_it_reads_is_old",
-            "test_given_a_cut_that_holds_messages_when_it_ends_then_they_are_old",
+            "test_given_a_frozen_backup_when_it_resumes_then_queued_messages_count_as_old",
+            "test_given_a_partition_that_delays_messages_when_it_heals_then_they_count_as_old",
         )
-        with patch.object(Follower, "_update_lease", fresh_as_of_the_arrival):
+        with patch.object(Follower, "_update_lease", record_arrival_as_fresh):
             for name in names:
-                self.assert_caught(MessagesThatWereHeldUp(name))
+                self.assert_detected(DelayedMessageTests(name))
 
-    def test_freshness_taken_from_a_heartbeat_ahead_of_its_commands(self) -> None:
-        name = "test_given_heartbeats_without_their_commands_then_the_old_version_is_not_called_fresh"
-        with patch.object(Follower, "_update_lease", fresh_as_of_the_arrival):
-            self.assert_caught(AReplicaThatLacksSomething(name))
+    def test_freshness_from_a_heartbeat_ahead_of_its_entries_is_detected(self) -> None:
+        name = "test_given_heartbeats_without_entries_then_the_old_version_is_not_reported_as_fresh"
+        with patch.object(Follower, "_update_lease", record_arrival_as_fresh):
+            self.assert_detected(IncompleteReplicaTests(name))
--- a/tests/replication/test_loss_at_each_event.py
+++ b/tests/replication/test_loss_at_each_event.py
@@ -1,23 +1,23 @@
-"""A share of the strikes at each event of a swap; all of them are run by hand."""
+"""A sample of the cases of `loss_at_each_event`, which runs all of them as a script."""
 
 from __future__ import annotations
 
 import unittest
 
-from tests.replication.loss_at_each_event import StruckSwap, Swap, cases
+from tests.replication.loss_at_each_event import FaultyReplacement, ReplacementCause, cases
 
-# Every so many events, another offset for each kind of swap.
+# Distance between the tested events; the offset differs for each kind of replacement.
 STRIDE = 17
 
 
-class SwapsAreStruck(unittest.TestCase):
-    def test_given_a_strike_at_any_event_then_the_set_is_full_and_nothing_is_lost(self) -> None:
-        for offset, swap in enumerate(Swap):
-            events = StruckSwap(swap).count_events()
-            self.assertGreater(events, 50, swap)
-            for case in cases(swap, range(offset, events, STRIDE)):
+class LossAtEachEventTests(unittest.TestCase):
+    def test_given_a_fault_at_any_event_then_the_member_set_is_full_and_nothing_is_lost(self) -> None:
+        for offset, cause in enumerate(ReplacementCause):
+            events = FaultyReplacement(cause).count_events()
+            self.assertGreater(events, 50, cause)
+            for case in cases(cause, range(offset, events, STRIDE)):
                 with self.subTest(case=case):
-                    StruckSwap(swap).run(case)
+                    FaultyReplacement(cause).run(case)
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -1,4 +1,4 @@
-"""Machines that lose their disk, or are replaced by others."""
+"""Machines that lose their disk or are replaced, and lost messages to a learner."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class DisksAreLost(FleetStory):
-    def test_given_a_wiped_backup_then_it_comes_back_as_another_and_is_in_sync(self) -> None:
+    def test_given_a_wiped_backup_then_it_returns_as_another_incarnation_and_is_in_sync(self) -> None:
         backup = self.backups()[0]
         assert backup.replica is not None
         before = backup.replica.incarnation
@@ -20,7 +20,7 @@
         self.assertNotEqual(before, backup.replica.incarnation)
         self.assert_all_follow(3)
 
-    def test_given_a_wiped_primary_then_another_takes_over_as_soon_as_it_is_back(self) -> None:
+    def test_given_a_wiped_primary_then_another_takes_over_as_soon_as_it_restarts(self) -> None:
         old = self.primary
         old.wipe()
         self.fleet.run(100.0)
@@ -29,7 +29,7 @@
         self.fleet.run(1_500.0)
         self.assert_all_follow(5)
 
-    def test_given_each_wiped_in_turn_while_the_others_lose_power_then_nothing_is_lost(self) -> None:
+    def test_given_each_machine_wiped_in_turn_while_the_others_lose_power_then_nothing_is_lost(self) -> None:
         for address in ("m1", "m2", "m3"):
             with self.subTest(wiped=address):
                 version = self.primary.register.version
@@ -60,23 +60,23 @@
         self.fleet.stabilize()
         self.assertEqual(3, self.fleet.read_committed().version)
 
-    def test_given_a_backup_that_was_out_of_sync_when_the_in_sync_one_is_wiped_then_nothing_is_lost(
+    def test_given_an_out_of_sync_backup_when_the_in_sync_one_is_wiped_then_nothing_is_lost(
         self,
     ) -> None:
-        primary, (wiped, late) = self.primary, self.backups()
-        self.fleet.network.isolate(late.address)
+        primary, (wiped, lagging) = self.primary, self.backups()
+        self.fleet.network.isolate(lagging.address)
         self.fleet.submit_and_commit(3, 5)
         self.fleet.network.heal()
         wiped.wipe()
         primary.lose_power()
-        late.lose_power()
-        for machine in (late, wiped, primary):
+        lagging.lose_power()
+        for machine in (lagging, wiped, primary):
             machine.start()
         self.assertLess(self.fleet.submit_and_commit(5, 6), 2_000.0)
 
 
-class MessagesAreLost(FleetStory):
-    def test_given_a_learner_that_missed_the_first_entries_while_commands_go_on_then_it_catches_up(
+class MessageLossTests(FleetStory):
+    def test_given_a_learner_that_missed_the_first_entries_while_commands_continue_then_it_catches_up(
         self,
     ) -> None:
         primary, learner = self.primary, self.backups()[0]
@@ -94,13 +94,13 @@
         self.assert_all_follow(104)
 
 
-class MachinesAreReplaced(FleetStory):
-    def test_given_a_machine_removed_without_broadcast_then_its_successor_takes_its_place(self) -> None:
-        for number, leaves in enumerate((False, True, False, True)):
-            with self.subTest(number=number, leaves=leaves):
+class MachineReplacementTests(FleetStory):
+    def test_given_a_removed_machine_then_its_successor_becomes_a_member(self) -> None:
+        for number, is_planned in enumerate((False, True, False, True)):
+            with self.subTest(number=number, is_planned=is_planned):
                 version = self.primary.register.version
                 removed = next(iter(self.fleet.machines.values()))
-                if leaves:
+                if is_planned:
                     removed.leave()
                     self.fleet.run(350.0)
                 removed.remove()
@@ -116,7 +116,7 @@
                 self.assertEqual(3, len(status.members))
                 self.assert_all_follow(version + 1)
 
-    def test_given_all_replaced_one_after_the_other_then_what_was_acknowledged_is_still_there(self) -> None:
+    def test_given_all_machines_replaced_in_turn_then_no_acknowledged_command_is_lost(self) -> None:
         for number, address in enumerate(("m1", "m2", "m3")):
             self.fleet[address].remove()
             del self.fleet.machines[address]
@@ -124,7 +124,7 @@
             self.fleet.run(5_000.0)
         self.assertEqual(3, self.fleet.read_committed().version)
 
-    def test_given_a_member_whose_place_was_taken_when_it_is_back_then_it_stands_by(self) -> None:
+    def test_given_a_replaced_member_when_it_returns_then_it_is_a_learner(self) -> None:
         member = self.backups()[0]
         member.kill()
         self.fleet.add("new").start()
@@ -138,7 +138,7 @@
         self.fleet.run(200.0)
         self.assertEqual(5, member.register.version)
 
-    def test_given_a_spare_machine_that_stands_by_then_it_takes_the_place_of_a_member_that_is_away(
+    def test_given_a_spare_machine_then_it_replaces_a_lost_member(
         self,
     ) -> None:
         self.fleet.add("spare").start()
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -1,4 +1,4 @@
-"""A second loss shortly after a repair or a replacement, and members that leave."""
+"""A second loss shortly after a repair or a replacement, and planned shutdowns of members."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.fleet.machine import Machine
 from tests.replication.story import FAILOVER_MS, FleetStory
 
-SUCCESSOR_STARTS_MS = 667.0
+SUCCESSOR_START_DELAY_MS = 667.0
 
 
 def status_of(machine: Machine) -> ReplicaStatus:
@@ -17,15 +17,15 @@
     return status
 
 
-class ALossAfterAReplacement(FleetStory):
+class LossAfterReplacementTests(FleetStory):
     def remove(self, machine: Machine) -> None:
-        """Take a machine away for good, without notice."""
+        """Remove a machine permanently, without a shutdown request."""
         machine.remove()
         del self.fleet.machines[machine.address]
 
-    def test_given_a_full_disk_then_a_loss_after_a_replacement_then_the_others_go_on(self) -> None:
+    def test_given_a_full_disk_and_a_loss_after_a_replacement_then_the_others_continue(self) -> None:
         self.remove(self.primary)
-        self.fleet.run(SUCCESSOR_STARTS_MS)
+        self.fleet.run(SUCCESSOR_START_DELAY_MS)
         self.fleet.add("successor").start()
         self.fleet.run(1_062.0)
         second = self.primary
@@ -34,21 +34,21 @@
         second.disk.is_full = False
         self.fleet.run(394.0)
         self.remove(second)
-        self.fleet.run(SUCCESSOR_STARTS_MS)
+        self.fleet.run(SUCCESSOR_START_DELAY_MS)
         self.fleet.add("second").start()
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(1_000.0)
         self.assert_all_follow(5)
 
-    def test_given_a_replaced_primary_then_its_successor_is_a_member_in_half_a_second(self) -> None:
+    def test_given_a_replaced_primary_then_its_successor_is_a_member_within_half_a_second(self) -> None:
         self.remove(self.primary)
-        self.fleet.run(SUCCESSOR_STARTS_MS)
+        self.fleet.run(SUCCESSOR_START_DELAY_MS)
         self.fleet.add("successor").start()
         self.fleet.run(500.0)
         self.assert_all_follow(3)
         self.assertIn("successor", status_of(self.primary).members)
 
-    def test_given_a_lost_backup_then_a_lost_primary_then_the_backup_s_timeout_is_not_counted_anew(
+    def test_given_a_lost_backup_then_a_lost_primary_then_the_timeout_of_the_backup_does_not_restart(
         self,
     ) -> None:
         lost, _ = self.backups()
@@ -64,29 +64,29 @@
         self.assertIn("successor", status_of(self.primary).members)
 
 
-class MembersThatLeave(FleetStory):
-    """A member that is to end stays until enough others hold what it holds."""
+class MemberShutdownTests(FleetStory):
+    """A member that is requested to stop stays until enough other replicas hold its log."""
 
-    def end_when_not_needed(self, machine: Machine, most_ms: float) -> float:
-        """Ask a machine to end; it does so once it is not needed. How long that took."""
+    def stop_when_not_needed(self, machine: Machine, timeout_ms: float) -> float:
+        """Request a machine to stop, remove it once it is not needed, and return how long that took."""
         machine.ask_to_leave()
-        waited_ms = self.fleet.run_until(lambda: not status_of(machine).is_needed, most_ms)
+        waited_ms = self.fleet.run_until(lambda: not status_of(machine).is_needed, timeout_ms)
         machine.remove()
         del self.fleet.machines[machine.address]
         return waited_ms
 
-    def test_given_a_full_set_when_a_member_leaves_then_it_is_gone_at_once(self) -> None:
-        self.assertLess(self.end_when_not_needed(self.backups()[0], 1_000.0), 100.0)
+    def test_given_a_full_set_when_a_backup_stops_then_it_is_released_at_once(self) -> None:
+        self.assertLess(self.stop_when_not_needed(self.backups()[0], 1_000.0), 100.0)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_a_full_set_when_the_primary_leaves_then_it_transfers_leadership_first(self) -> None:
+    def test_given_a_full_set_when_the_primary_stops_then_it_transfers_leadership_first(self) -> None:
         old = self.primary
-        self.assertLess(self.end_when_not_needed(old, 1_000.0), 150.0)
+        self.assertLess(self.stop_when_not_needed(old, 1_000.0), 150.0)
         self.fleet.run(10.0)
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
-    def test_given_a_member_that_holds_one_of_two_copies_then_it_stays_until_there_is_another(self) -> None:
+    def test_given_a_member_that_holds_one_of_two_copies_then_it_stays_until_there_is_a_third(self) -> None:
         away, stopping = self.backups()
         away.wipe()
         self.fleet.submit_and_commit(3, 5)
@@ -104,12 +104,12 @@
         self.fleet.run(1_000.0)
         self.assertEqual(6, self.fleet.read_committed().version)
 
-    def test_given_two_that_leave_at_once_then_the_set_never_holds_less_than_two_copies(self) -> None:
-        one, other = self.backups()
-        one.ask_to_leave()
-        other.ask_to_leave()
+    def test_given_two_backups_that_stop_at_once_then_one_stays_in_sync(self) -> None:
+        first_backup, second_backup = self.backups()
+        first_backup.ask_to_leave()
+        second_backup.ask_to_leave()
         self.fleet.run(1_000.0)
-        needed = [machine for machine in (one, other) if status_of(machine).is_needed]
+        needed = [machine for machine in (first_backup, second_backup) if status_of(machine).is_needed]
         self.assertEqual(1, len(needed))
         self.assertEqual({self.primary.address, needed[0].address}, self.fleet.in_sync())
 
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -1,4 +1,4 @@
-"""What the times of a replica have to keep to each other, and what rests on it."""
+"""Constraints between the timeouts of a replica, and the stability that depends on them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.replication.story import FleetStory
 
 
-class TimesFitTogether(unittest.TestCase):
-    def test_given_the_times_of_any_deployment_then_no_inequality_is_broken(self) -> None:
+class TimeConstraintTests(unittest.TestCase):
+    def test_given_the_times_of_any_deployment_then_no_constraint_is_violated(self) -> None:
         for ack_ms in (1_000.0, 4_000.0, 20_000.0):
             with self.subTest(ack_ms=ack_ms):
                 self.assertEqual((), ReplicationTimes.from_bounds(ack_ms).violated_constraints())
 
-    def test_given_one_time_that_does_not_fit_then_it_is_notified(self) -> None:
-        misfits = {
+    def test_given_one_inconsistent_time_then_a_violation_is_reported(self) -> None:
+        inconsistent_values = {
             "witness_lease_ms": 60.0,
             "election_timeout_min_ms": 240.0,
             "grace_ms": 150.0,
@@ -28,18 +28,18 @@
             "proposal_timeout_ms": 100.0,
             "replica_timeout_ms": 90.0,
         }
-        for name, value in misfits.items():
+        for name, value in inconsistent_values.items():
             with self.subTest(time=name):
                 times = structs.replace(ReplicationTimes(), **{name: value})
                 self.assertNotEqual((), times.violated_constraints())
 
 
-class PausesThatAreNoLoss(FleetStory):
-    """Given processes that do not run for up to 350 ms, as when they read a large configuration."""
+class PausedProcessTests(FleetStory):
+    """Processes that are paused for up to 350 ms, for example while they read a large configuration."""
 
     stall_ms = 350.0
 
-    def test_given_each_process_paused_in_turn_at_any_moment_then_the_view_stays(self) -> None:
+    def test_given_each_process_paused_in_turn_at_any_moment_then_the_view_does_not_change(self) -> None:
         before = self.primary.status()
         for machine in list(self.fleet.machines.values()):
             for offset_ms in range(0, 60, 10):
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -1,4 +1,4 @@
-"""What a replica promises and accepts as a witness, and that it keeps its word."""
+"""Promises and acceptances of a witness, also across restarts and disk faults."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 BOB = Member("b", "bob:1", "bob:2", "zone")
 
 
-class LoneWitness:
-    """One replica whose disk is a list of records; the others are played by the test."""
+class SingleWitness:
+    """A single replica whose disk is a list of records; the test sends the messages of the others."""
 
     def __init__(self) -> None:
         self.records: tuple[bytes, ...] = ()
@@ -44,7 +44,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin a life on what is on disk."""
+        """Start a new process with the records on disk."""
         self.now_ms += 10_000.0
         self.replica = Replica(
             ReplicaOptions(
@@ -61,25 +61,25 @@
             random.Random(3),
             self.now_ms,
         )
-        self.event(TimePassed())
-        self.now_ms += 1_000.0  # a witness that was just started protects whoever is primary
+        self.handle_event(TimePassed())
+        self.now_ms += 1_000.0  # a witness protects the primary for a grace period after its own start
 
     @property
     def me(self) -> Member:
         return Member(self.replica.incarnation, "me:1", "me:2", "zone")
 
     def view(self, epoch: int = 1, primary: Member = ANN) -> View:
-        """A view of the three."""
+        """A view with all three members."""
         members = (ANN, BOB, self.me)
         return View(epoch, primary.incarnation, tuple(member.incarnation for member in members), members)
 
     def receive(self, sender: Member, message: Message) -> list[Message]:
-        """What it answers to a message; it also looks for a primary all the time."""
-        sent = self.event(MessageReceived(sender.address, message))  # type: ignore[arg-type]
-        return [answer for answer in sent if not isinstance(answer, JoinRequest)]
+        """Return what it sends after a message, without the join requests that it sends all the time."""
+        sent = self.handle_event(MessageReceived(sender.address, message))  # type: ignore[arg-type]
+        return [response for response in sent if not isinstance(response, JoinRequest)]
 
-    def event(self, event: Event) -> list[Message]:
-        """What it sends once all its writes are done."""
+    def handle_event(self, event: Event) -> list[Message]:
+        """Handle an event and all resulting writes, and return the messages that it sends."""
         sent: list[Message] = []
         actions = self.replica.handle(self.now_ms, event)
         while actions:
@@ -98,7 +98,7 @@
         return self.replica.handle(self.now_ms, WriteCompleted(action.token))
 
     def prepare(self, sender: Member, proposal_round: int) -> list[Message]:
-        """Ask for a promise about the second epoch."""
+        """Request a promise for the second epoch."""
         number = ProposalNumber(proposal_round, sender.incarnation, "process")
         return self.receive(sender, Prepare(sender.incarnation, "", self.view(), number, False))
 
@@ -109,71 +109,71 @@
         return self.receive(sender, Accept(sender.incarnation, "", self.view(), number, proposal))
 
 
-def kinds(messages: list[Message]) -> list[type[Message]]:
+def message_types(messages: list[Message]) -> list[type[Message]]:
     return [type(message) for message in messages]
 
 
-class PromisesAreKept(unittest.TestCase):
+class PromiseTests(unittest.TestCase):
     def setUp(self) -> None:
-        self.witness = LoneWitness()
+        self.witness = SingleWitness()
 
     def test_given_a_promise_then_a_lower_proposal_number_is_rejected_and_a_higher_one_is_not(self) -> None:
-        self.assertEqual([Promise], kinds(self.witness.prepare(ANN, 5)))
-        self.assertEqual([Rejected], kinds(self.witness.prepare(BOB, 4)))
-        self.assertEqual([Rejected], kinds(self.witness.accept(BOB, 4)))
-        self.assertEqual([Promise], kinds(self.witness.prepare(BOB, 6)))
-        self.assertEqual([Rejected], kinds(self.witness.accept(ANN, 5)))
-        self.assertEqual([Accepted, AcceptedBroadcast], kinds(self.witness.accept(BOB, 6)))
-
-    def test_given_the_same_question_twice_then_it_has_the_same_answer(self) -> None:
+        self.assertEqual([Promise], message_types(self.witness.prepare(ANN, 5)))
+        self.assertEqual([Rejected], message_types(self.witness.prepare(BOB, 4)))
+        self.assertEqual([Rejected], message_types(self.witness.accept(BOB, 4)))
+        self.assertEqual([Promise], message_types(self.witness.prepare(BOB, 6)))
+        self.assertEqual([Rejected], message_types(self.witness.accept(ANN, 5)))
+        self.assertEqual([Accepted, AcceptedBroadcast], message_types(self.witness.accept(BOB, 6)))
+
+    def test_given_a_repeated_request_then_the_response_is_the_same(self) -> None:
         first = self.witness.prepare(ANN, 5)
         self.assertEqual(first, self.witness.prepare(ANN, 5))
-        self.assertEqual([Promise], kinds(first))
+        self.assertEqual([Promise], message_types(first))
         accepted = self.witness.accept(ANN, 5)
         self.assertEqual(accepted, self.witness.accept(ANN, 5))
 
-    def test_given_an_accepted_view_then_later_promises_tell_it(self) -> None:
+    def test_given_an_accepted_view_then_later_promises_report_it(self) -> None:
         self.witness.prepare(ANN, 5)
         self.witness.accept(ANN, 5)
         (promise,) = self.witness.prepare(BOB, 6)
         assert isinstance(promise, Promise)
         self.assertEqual(self.witness.view(2, ANN), promise.accepted_view)
 
-    def test_given_a_view_that_was_chosen_since_then_the_proposer_is_notified(self) -> None:
-        chosen = self.witness.view(2, BOB)
-        self.witness.receive(BOB, ViewNotice("b", "", chosen))
-        (broadcast,) = self.witness.prepare(ANN, 5)
-        assert isinstance(broadcast, ViewNotice)
-        self.assertEqual(chosen, broadcast.view)
+    def test_given_a_view_decided_in_the_meantime_then_the_proposer_is_notified(self) -> None:
+        decided = self.witness.view(2, BOB)
+        self.witness.receive(BOB, ViewNotice("b", "", decided))
+        (notice,) = self.witness.prepare(ANN, 5)
+        assert isinstance(notice, ViewNotice)
+        self.assertEqual(decided, notice.view)
 
-    def test_given_a_message_for_a_earlier_incarnation_at_this_address_then_nothing_is_promised(self) -> None:
+    def test_given_a_message_for_an_earlier_incarnation_then_nothing_is_promised(self) -> None:
         number = ProposalNumber(5, "a", "incarnation")
-        answers = self.witness.receive(
+        responses = self.witness.receive(
             ANN, Prepare("a", "earlier_incarnation", self.witness.view(), number, False)
         )
-        self.assertNotIn(Promise, kinds(answers))
+        self.assertNotIn(Promise, message_types(responses))
 
-    def test_given_a_base_in_which_it_has_no_vote_then_it_does_not_answer(self) -> None:
+    def test_given_a_base_without_its_vote_then_it_does_not_respond(self) -> None:
         base = View(1, "a", ("a", "b"), (ANN, BOB))
         number = ProposalNumber(5, "a", "incarnation")
-        answers = self.witness.receive(ANN, Prepare("a", "", base, number, False))
-        self.assertEqual([], answers)
+        responses = self.witness.receive(ANN, Prepare("a", "", base, number, False))
+        self.assertEqual([], responses)
 
     def test_given_a_failed_write_then_nothing_is_promised(self) -> None:
         self.witness.disk_works = False
-        self.assertNotIn(Promise, kinds(self.witness.prepare(ANN, 5)))
+        self.assertNotIn(Promise, message_types(self.witness.prepare(ANN, 5)))
 
 
 class PromisesOutlastRestarts(unittest.TestCase):
     def setUp(self) -> None:
-        self.witness = LoneWitness()
+        self.witness = SingleWitness()
 
     def test_given_a_promise_when_power_is_lost_then_no_lower_proposal_number_is_accepted(self) -> None:
         self.witness.prepare(ANN, 5)
         self.witness.start()
-        self.assertEqual([Rejected], kinds(self.witness.accept(BOB, 4)))
+        self.assertEqual([Rejected], message_types(self.witness.accept(BOB, 4)))
 
-    def test_given_an_accepted_view_when_power_is_lost_then_it_is_notified_to_the_next(self) -> None:
+    def test_given_an_accepted_view_when_power_is_lost_then_later_promises_report_it(self) -> None:
         self.witness.prepare(ANN, 5)
         self.witness.accept(ANN, 5)
         self.witness.start()
@@ -181,22 +181,22 @@
         assert isinstance(promise, Promise)
         self.assertEqual(self.witness.view(2, ANN), promise.accepted_view)
 
-    def test_given_a_lost_disk_then_it_is_another_incarnation(self) -> None:
+    def test_given_a_restart_then_the_incarnation_stays_the_same(self) -> None:
         before = self.witness.replica.incarnation
         self.witness.start()
         self.assertEqual(before, self.witness.replica.incarnation)
 
 
-class TheRegisterOfOneWitness(unittest.TestCase):
-    def test_given_a_newer_view_then_older_promises_are_of_no_matter(self) -> None:
+class ViewRegisterTests(unittest.TestCase):
+    def test_given_a_newer_view_then_older_promises_are_discarded(self) -> None:
         witness = ViewRegister(None, WitnessRecord(NO_PROPOSAL, NO_PROPOSAL, None))
-        one, two = (View(epoch, "a", ("a",), (ANN,)) for epoch in (1, 2))
-        self.assertTrue(witness.adopt(one))
+        first_view, second_view = (View(epoch, "a", ("a",), (ANN,)) for epoch in (1, 2))
+        self.assertTrue(witness.adopt(first_view))
         self.assertTrue(witness.promise(ProposalNumber(3, "a", "x")))
-        self.assertTrue(witness.accept(ProposalNumber(3, "a", "x"), two))
+        self.assertTrue(witness.accept(ProposalNumber(3, "a", "x"), second_view))
         self.assertEqual(2, witness.accepted_epoch)
-        self.assertTrue(witness.adopt(two))
-        self.assertFalse(witness.adopt(one))
+        self.assertTrue(witness.adopt(second_view))
+        self.assertFalse(witness.adopt(first_view))
         self.assertEqual((2, NO_PROPOSAL), (witness.accepted_epoch, witness.promised))
 
     def test_given_the_same_proposal_number_twice_then_it_is_promised_once(self) -> None:
--- a/tests/replication/time_to_full_set.py
+++ b/tests/replication/time_to_full_set.py
@@ -1,6 +1,7 @@
-"""How long a fleet takes from a loss to a full set of members again, over losses drawn from seeds.
+"""Measures how long a fleet takes from the loss of a machine to a full member set, over seeded random losses.
 
-By hand: `python -m tests.replication.time_to_full_set FIRST_SEED COUNT [large]`; `large`: a state of 4 MiB.
+Usage: `python -m tests.replication.time_to_full_set FIRST_SEED COUNT [large]`, where `large` selects a state
+of 4 MiB.
 """
 
 from __future__ import annotations
@@ -21,34 +22,34 @@
 from tests.fleet.machine import Machine
 from tests.fleet.network import Network
 from tests.fleet.register import command
-from tests.replication.full_set import is_full
+from tests.replication.full_set import is_member_set_full
 
 SMALL_STATE_BYTES = 0
 LARGE_STATE_BYTES = 4 * 1024 * 1024
-# 210 Mbit/s, the narrowest link between control planes that is planned for.
+# 210 Mbit/s, the lowest bandwidth between control planes that the design assumes.
 LINK_BYTES_PER_MS = 26_250.0
-ORDER_INTERVAL_MS = 100.0
-LONGEST_MS = 20_000.0
+COMMAND_INTERVAL_MS = 100.0
+MAX_WAIT_MS = 20_000.0
 POLL_MS = 5.0
 
 
 class Loss(Enum):
-    """How a machine is lost."""
+    """The kind of loss."""
 
-    WIPED = "wiped"  # and back at the same address
-    REPLACED = "replaced"  # by another at another address
-    REPLACED_AS_PLANNED = "replaced as planned"  # asked to leave first
+    WIPED = "wiped"  # and restarted at the same address
+    REPLACED = "replaced"  # by a machine at another address
+    REPLACED_AS_PLANNED = "replaced as planned"  # requested to stop first
 
 
 class Victim(Enum):
-    """Which machine is lost."""
+    """The role of the lost machine."""
 
     PRIMARY = "primary"
     BACKUP = "backup"
 
 
 class Circumstance(Enum):
-    """What else goes on; it costs no further disk."""
+    """What else happens during the loss; it loses no further disk."""
 
     CALM = "calm"
     ELECTION = "during an election"
@@ -57,27 +58,37 @@
     DISK_STALLED = "disk stalled elsewhere"
 
 
-class NarrowNetwork(Network):
-    """Links that carry a limited number of bytes a millisecond, one message after the other."""
+class BandwidthLimitedNetwork(Network):
+    """Links with limited bandwidth that transmit one message at a time."""
 
     def __init__(self, clock: Clock, rng: random.Random) -> None:
         super().__init__(clock, rng)
         self._link_free_ms: dict[tuple[str, str], float] = {}
 
     def send(self, sender: str, receiver: str, data: bytes) -> None:
-        """Deliver once the link has carried what was sent before, and this."""
+        """Deliver a message after the link has transmitted it and all earlier messages."""
         pair = (sender, receiver)
-        begins_ms = max(self._clock.now_ms, self._link_free_ms.get(pair, 0.0))
-        sent_ms = begins_ms + len(data) / LINK_BYTES_PER_MS
-        self._link_free_ms[pair] = sent_ms
-        waits_ms = sent_ms - self._clock.now_ms
-        self._clock.after(waits_ms, lambda: super(NarrowNetwork, self).send(sender, receiver, data))
+        transmit_start_ms = max(self._clock.now_ms, self._link_free_ms.get(pair, 0.0))
+        transmit_end_ms = transmit_start_ms + len(data) / LINK_BYTES_PER_MS
+        self._link_free_ms[pair] = transmit_end_ms
+        transmit_ms = transmit_end_ms - self._clock.now_ms
+        self._clock.after(
+            transmit_ms, lambda: super(BandwidthLimitedNetwork, self).send(sender, receiver, data)
+        )
 
 
 @attrs.frozen
 class Repair:
-    """One loss and how long its repair took, in ms: since the successor's process ran and all else was
-    mended, and since the loss. None: not repaired in time."""
+    """One loss and the durations of its repair in ms; None if it was not repaired in time.
+
+    Attributes:
+        seed: The seed of the run.
+        loss: The kind of loss.
+        victim: The role of the lost machine.
+        circumstance: What else happened.
+        since_repaired_ms: Time since the successor's process was running and all other faults were repaired.
+        since_loss_ms: Time since the loss.
+    """
 
     seed: int
     loss: Loss
@@ -87,8 +98,8 @@
     since_loss_ms: float | None
 
 
-class DrawnLoss:
-    """One fleet, one loss; all of it follows from the seed."""
+class RandomLoss:
+    """One fleet with one loss, fully determined by the seed."""
 
     def __init__(self, seed: int, state_bytes: int) -> None:
         self.seed = seed
@@ -97,7 +108,7 @@
         self.victim = self._rng.choice(list(Victim))
         self.circumstance = self._rng.choice(list(Circumstance))
         self.fleet = Fleet(3, 1, seed=self._rng.getrandbits(64))
-        self._use_narrow_links()
+        self._limit_bandwidth()
         self._state_bytes = state_bytes
         self._repaired_ms = 0.0
         self._faulty: Machine | None = None
@@ -106,50 +117,52 @@
         self._acknowledged: list[Taken] = []
 
     def run(self) -> Repair:
-        """Let the loss happen; Violation where what was acknowledged is gone."""
+        """Run the fleet through the loss and return its repair.
+
+        Raises:
+            Violation: An acknowledged command is lost.
+        """
         fleet = self.fleet
         fleet.start()
         fleet.stabilize()
-        self._fill()
-        fleet.run_until(lambda: is_full(fleet), LONGEST_MS)
+        self._commit_large_state()
+        fleet.run_until(lambda: is_member_set_full(fleet), MAX_WAIT_MS)
         self._send_commands()
         fleet.run(self._rng.uniform(1_000.0, 1_200.0))
-        self._bring_about()
-        began_ms = fleet.clock.now_ms
-        self._lose()
+        self._start_circumstance()
+        loss_ms = fleet.clock.now_ms
+        self._lose_machine()
         fleet.run(max(0.0, self._repaired_ms - fleet.clock.now_ms))
         waited_ms: float | None = None
         try:
-            waited_ms = fleet.run_until(lambda: is_full(fleet), LONGEST_MS)
+            waited_ms = fleet.run_until(lambda: is_member_set_full(fleet), MAX_WAIT_MS)
         except TimeoutError:
             return Repair(self.seed, self.loss, self.victim, self.circumstance, None, None)
         self._check()
-        since_loss_ms = fleet.clock.now_ms - began_ms
+        since_loss_ms = fleet.clock.now_ms - loss_ms
         return Repair(self.seed, self.loss, self.victim, self.circumstance, waited_ms, since_loss_ms)
 
-    # --- the fleet's life before ---
-
-    def _use_narrow_links(self) -> None:
+    def _limit_bandwidth(self) -> None:
         fleet = self.fleet
-        network = NarrowNetwork(fleet.clock, random.Random(self._rng.getrandbits(64)))
+        network = BandwidthLimitedNetwork(fleet.clock, random.Random(self._rng.getrandbits(64)))
         fleet.network = network
         for machine in fleet.machines.values():
             machine.network = network
             network.attach(machine.address, machine._receive)
 
-    def _fill(self) -> None:
-        """A command that makes the state as large as wanted."""
+    def _commit_large_state(self) -> None:
+        """Commit a command that makes the state as large as configured."""
         results: list[CommandResult] = []
         primary = self.fleet.primary()
         assert primary is not None
-        # Random, so that it is as large on the links, where messages are compressed.
+        # The padding is random so that compression on the links does not make it smaller.
         padding = base64.b64encode(random.Random(self.seed).randbytes(self._state_bytes)).decode()
         primary.submit(command(0, 1, "first", padding), results.append)
-        self.fleet.run_until(lambda: bool(results), LONGEST_MS)
+        self.fleet.run_until(lambda: bool(results), MAX_WAIT_MS)
 
     def _send_commands(self) -> None:
-        """A command to whoever is primary, again and again."""
-        self.fleet.clock.after(ORDER_INTERVAL_MS, self._send_commands)
+        """Submit a command to the current primary, and schedule the next one."""
+        self.fleet.clock.after(COMMAND_INTERVAL_MS, self._send_commands)
         primary = self.fleet.primary()
         if primary is None:
             return
@@ -157,11 +170,11 @@
         self._commands += 1
         sent = command(version, version + 1, f"command-{self._commands}")
 
-        def note(result: CommandResult) -> None:
+        def record_result(result: CommandResult) -> None:
             if result.outcome is CommandOutcome.COMMITTED:
                 self._acknowledged.append((sent.base_version, sent.body))
 
-        primary.submit(sent, note)
+        primary.submit(sent, record_result)
 
     def _check(self) -> None:
         acknowledged = self._acknowledged.copy()
@@ -170,10 +183,8 @@
         if lost:
             raise Violation(f"seed {self.seed}: {len(lost)} acknowledged commands are lost")
 
-    # --- what happens ---
-
-    def _bring_about(self) -> None:
-        """What goes on beside the loss; all of it ends by `_mended_ms`."""
+    def _start_circumstance(self) -> None:
+        """Start the circumstance of the loss, which ends by `_repaired_ms`."""
         match self.circumstance:
             case Circumstance.CALM:
                 pass
@@ -196,7 +207,7 @@
         self.fleet.run(rng.uniform(0.0, 1_000.0))
 
     def _begin_snapshot(self) -> None:
-        """A backup that was wiped learns; the primary's process may end meanwhile."""
+        """Let a wiped backup catch up by a snapshot; the primary may be killed in the meantime."""
         rng, primary = self._rng, self._primary()
         learner = rng.choice([machine for machine in self.fleet.running() if machine is not primary])
         learner.wipe()
@@ -211,17 +222,17 @@
     def _fault_disk(self) -> None:
         machine = self._rng.choice(list(self.fleet.machines.values()))
         self._faulty = machine
-        lasts_ms = self._rng.uniform(300.0, 3_000.0)
+        duration_ms = self._rng.uniform(300.0, 3_000.0)
         if self.circumstance is Circumstance.DISK_FULL:
             machine.disk.is_full = True
-            self._repair_after(lasts_ms, lambda: setattr(machine.disk, "is_full", False))
+            self._repair_after(duration_ms, lambda: setattr(machine.disk, "is_full", False))
         else:
-            machine.stalled_until_ms = self.fleet.clock.now_ms + lasts_ms
-            self._repair_after(lasts_ms, lambda: None)
+            machine.stalled_until_ms = self.fleet.clock.now_ms + duration_ms
+            self._repair_after(duration_ms, lambda: None)
         self.fleet.run(self._rng.uniform(0.0, 1_500.0))
 
-    def _lose(self) -> None:
-        """The loss, and the start of who comes in the place of the lost one."""
+    def _lose_machine(self) -> None:
+        """Lose the machine and schedule the start of its replacement."""
         machine = self._lost_machine()
         delay_ms = self._rng.uniform(50.0, 1_500.0)
         if self.loss is Loss.WIPED:
@@ -238,7 +249,11 @@
         self._repair_after(delay_ms, successor.start)
 
     def _lost_machine(self) -> Machine:
-        """Who is lost: of the kind that was drawn where there is one, and nobody beside one in trouble."""
+        """Return the machine to lose.
+
+        This is the learner if there is one, otherwise a machine without another fault, with the drawn role if
+        possible.
+        """
         if self._learner is not None:
             return self._learner
         candidates = [machine for machine in self.fleet.running() if machine is not self._faulty]
@@ -258,8 +273,8 @@
 
 
 @attrs.frozen
-class Figures:
-    """Of several repairs, in ms; `unrepaired` is how many took longer than was waited."""
+class RepairStatistics:
+    """Statistics of several repairs, in ms; `unrepaired` counts those that exceeded the maximum wait."""
 
     count: int
     unrepaired: int
@@ -270,11 +285,11 @@
     worst_since_loss_ms: float
 
 
-def figures(repairs: list[Repair]) -> Figures:
-    """The figures of repairs, of which at least one came to an end."""
+def repair_statistics(repairs: list[Repair]) -> RepairStatistics:
+    """Return the statistics of repairs, at least one of which must have completed."""
     repaired = sorted(repair.since_repaired_ms for repair in repairs if repair.since_repaired_ms is not None)
     lost = sorted(repair.since_loss_ms for repair in repairs if repair.since_loss_ms is not None)
-    return Figures(
+    return RepairStatistics(
         len(repairs),
         len(repairs) - len(repaired),
         repaired[len(repaired) // 2],
@@ -293,21 +308,21 @@
             groups[kind.value].append(repair)
     print("kind, losses, unrepaired, p50, p99, worst (ms since repaired), p50, worst (ms since the loss)")
     for name, group in groups.items():
-        of_group = figures(group)
+        stats = repair_statistics(group)
         print(
-            f"{name}: {of_group.count}, {of_group.unrepaired}, {of_group.median_ms:.0f}, "
-            f"{of_group.p99_ms:.0f}, {of_group.worst_ms:.0f}, {of_group.median_since_loss_ms:.0f}, "
-            f"{of_group.worst_since_loss_ms:.0f}"
+            f"{name}: {stats.count}, {stats.unrepaired}, {stats.median_ms:.0f}, "
+            f"{stats.p99_ms:.0f}, {stats.worst_ms:.0f}, {stats.median_since_loss_ms:.0f}, "
+            f"{stats.worst_since_loss_ms:.0f}"
         )
 
 
 def main() -> None:
-    """Draw losses and print how long the repairs took, by kind, and the slowest."""
+    """Run random losses and print the repair times by kind, and the slowest repairs."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
     state_bytes = LARGE_STATE_BYTES if "large" in sys.argv else SMALL_STATE_BYTES
-    repairs = [DrawnLoss(seed, state_bytes).run() for seed in range(first, first + count)]
+    repairs = [RandomLoss(seed, state_bytes).run() for seed in range(first, first + count)]
     _print_table(repairs)
-    slowest = sorted(repairs, key=lambda repair: -(repair.since_repaired_ms or LONGEST_MS))
+    slowest = sorted(repairs, key=lambda repair: -(repair.since_repaired_ms or MAX_WAIT_MS))
     for repair in slowest[:12]:
         print(
             f"seed {repair.seed}: {repair.loss.value}, {repair.victim.value}, "
