--- a/madderwind/replication/discovery.py
+++ b/madderwind/replication/discovery.py
@@ -7,7 +7,7 @@
 from madderwind.replication.membership import MembershipRules
 
 # Maximum number of addresses kept besides the seeds and members, from replicas that sent join requests.
-MAX_REMEMBERED_ADDRESSES = 16
+MAX_REQUESTER_ADDRESSES = 16
 
 
 class Discovery:
@@ -32,7 +32,7 @@
             return
         self._requester_addresses.pop(member.address, None)
         self._requester_addresses[member.address] = None
-        if len(self._requester_addresses) > MAX_REMEMBERED_ADDRESSES:
+        if len(self._requester_addresses) > MAX_REQUESTER_ADDRESSES:
             del self._requester_addresses[next(iter(self._requester_addresses))]
         if request.epoch == 0:
             self._bootstrap_candidates[member.address] = member
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -13,14 +13,14 @@
     Attributes:
         member: The replica.
         is_ready: Whether it holds all entries that are or may be committed, and keeps up.
-        is_lost: Whether it delays commits or is about to stop.
+        is_unhealthy: Whether it delays commits or is about to stop.
         is_replaceable: Whether another machine may replace it as a member.
         idle_ms: Time since its last message.
     """
 
     member: Member
     is_ready: bool
-    is_lost: bool
+    is_unhealthy: bool
     is_replaceable: bool
     idle_ms: float = 0.0
 
@@ -133,17 +133,17 @@
     peers: dict[str, PeerHealth],
     rules: MembershipRules,
 ) -> tuple[str, ...]:
-    """Return the ready members, and those of the current set that are not lost.
+    """Return the ready members, and the healthy members of the current set.
 
-    If the set would be too small to acknowledge commands, it keeps lost members up to the minimum size, since
-    removing them would gain nothing.
+    If the set would be too small to acknowledge commands, it keeps unhealthy members up to the minimum size,
+    since removing them would gain nothing.
     """
     candidates = [member.incarnation for member in members if member != primary]
     healths = {name: peers[name] for name in candidates if name in peers}
     present = [name for name in candidates if name in view.in_sync]
-    healthy = [name for name in present if name in healths and not healths[name].is_lost]
+    healthy = [name for name in present if name in healths and not healths[name].is_unhealthy]
     joining = [name for name in healths if name not in present and healths[name].is_ready]
     in_sync = [primary.incarnation, *healthy, *joining]
-    lost = [name for name in present if name not in healthy]
+    unhealthy = [name for name in present if name not in healthy]
     missing = rules.smallest_in_sync - len(in_sync)
-    return (*in_sync, *lost[: max(0, missing)])
+    return (*in_sync, *unhealthy[: max(0, missing)])
--- a/madderwind/replication/peer.py
+++ b/madderwind/replication/peer.py
@@ -17,7 +17,7 @@
 MIN_TRANSFER_BYTES_PER_MS = 10_000.0
 # A new primary keeps the known idle time of a peer if it is longer than this many heartbeats.
 SUSPECT_AFTER_HEARTBEATS = 3
-# Number of heartbeats for which such a peer may still respond to the new primary before it times out.
+# Heartbeats for which such a peer may still respond, if only the former primary reported it as silent.
 RESPONSE_ALLOWANCE_HEARTBEATS = 2
 
 
--- a/madderwind/replication/view_proposals.py
+++ b/madderwind/replication/view_proposals.py
@@ -22,7 +22,7 @@
         """Start without a proposal in progress.
 
         Args:
-            context: The replica's parts.
+            context: The state shared by the replica's components.
             process_incarnation: Drawn at random at each process start; part of its proposal numbers.
             now_ms: Monotonic time, ms.
         """
