--- a/madderwind/storage/__init__.py
+++ b/madderwind/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The append-only file of checksummed records that holds a replica's durable state."""
+"""Durable state of a replica: an append-only file of checksummed records."""
--- a/madderwind/storage/disk.py
+++ b/madderwind/storage/disk.py
@@ -1,6 +1,6 @@
-"""The few operations on a folder that durable state needs, and their form on a real file system.
+"""The file operations that durable state needs, and their implementation on a real file system.
 
-All of them wait for the disk; the host calls them from a thread. A failure is a StorageError.
+All of them block on the disk, so the host calls them from a thread. A failure raises StorageError.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 
 class Disk(Protocol):
-    """A flat folder of files."""
+    """A folder of files without subfolders."""
 
     def names(self) -> tuple[str, ...]:
-        """The files that are there."""
+        """Return the names of the files in the folder."""
 
     def read(self, name: str) -> bytes:
-        """A file's bytes."""
+        """Return the contents of a file."""
 
     def create(self, name: str, data: bytes) -> None:
-        """A new file with these bytes, itself and its name synced; one of that name is replaced."""
+        """Write a file and sync both the file and the folder entry; an existing file is replaced."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Bytes at the end of a file, synced."""
+        """Append bytes to a file and sync it."""
 
     def remove(self, name: str) -> None:
-        """Remove a file; the removal need not last through a loss of power."""
+        """Remove a file; the removal need not survive a power loss."""
 
 
 class FileDisk:
-    """A folder of a real file system."""
+    """A folder on a real file system."""
 
     def __init__(self, folder: str) -> None:
         self._folder = Path(folder)
@@ -40,7 +40,7 @@
         self._descriptor = -1
 
     def names(self) -> tuple[str, ...]:
-        """The files that are there."""
+        """Return the names of the files in the folder."""
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
             return tuple(sorted(os.listdir(self._folder)))
@@ -48,14 +48,14 @@
             raise StorageError(f"{self._folder}: {error}") from error
 
     def read(self, name: str) -> bytes:
-        """A file's bytes."""
+        """Return the contents of a file."""
         try:
             return (self._folder / name).read_bytes()
         except OSError as error:
             raise StorageError(f"{name}: {error}") from error
 
     def create(self, name: str, data: bytes) -> None:
-        """A new file with these bytes, itself and its name synced."""
+        """Write a file and sync both the file and the folder entry."""
         try:
             self._open(name, os.O_CREAT | os.O_TRUNC)
             self._write_all(data)
@@ -65,7 +65,7 @@
             raise StorageError(f"{name}: {error}") from error
 
     def append(self, name: str, data: bytes) -> None:
-        """Bytes at the end of a file, synced."""
+        """Append bytes to a file and sync it."""
         try:
             self._open(name)
             self._write_all(data)
@@ -85,18 +85,18 @@
             raise StorageError(f"{name}: {error}") from error
 
     def close(self) -> None:
-        """Close the file that is open."""
+        """Close the open file, if any."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
         self._open_name, self._descriptor = "", -1
 
-    def _open(self, name: str, more_flags: int = 0) -> None:
-        """Hold this file open, for writes at its end."""
-        if name == self._open_name and not more_flags:
+    def _open(self, name: str, extra_flags: int = 0) -> None:
+        """Open a file for appending and keep it open; a file opened before is closed."""
+        if name == self._open_name and not extra_flags:
             return
         self.close()
         path = self._folder / name
-        self._descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC | more_flags, 0o644)
+        self._descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC | extra_flags, 0o644)
         self._open_name = name
 
     def _write_all(self, data: bytes) -> None:
--- a/madderwind/storage/records.py
+++ b/madderwind/storage/records.py
@@ -1,7 +1,7 @@
-"""Encoding of records in a file: length, checksum, payload. Decoding stops at the first that is incomplete.
+"""Encoding of records in a file: length, checksum, payload. Decoding stops at the first incomplete record.
 
-After a loss of power, what was written after the last sync may be present, missing or torn. The checksum
-covers the length as well, so that neither a run of zeros nor half a record is taken for one.
+After a power loss, data written since the last sync may be present, missing or torn. The checksum covers the
+length as well, so that neither a run of zeros nor part of a record decodes as a record.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 import msgspec
 
 _HEADER = struct.Struct("<II")  # length of the payload, checksum
-# Longer than any record; a torn length must not lead to a read beyond reason.
+# Longer than any record; bounds the read that a torn length field asks for.
 MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
 class DecodedRecords(msgspec.Struct, frozen=True):
-    """The complete records at the start of some bytes, and how many bytes they take."""
+    """The complete records at the start of the data, and the number of bytes that they occupy."""
 
     records: tuple[bytes, ...]
     length: int
 
 
 def encode_record(payload: bytes) -> bytes:
-    """One record's bytes."""
+    """Encode one record."""
     return _HEADER.pack(len(payload), _checksum(payload)) + payload
 
 
 def encode_records(payloads: Iterable[bytes]) -> bytes:
-    """The bytes of several records, one after the other."""
+    """Encode several records, one after the other."""
     return b"".join(encode_record(payload) for payload in payloads)
 
 
 def decode_records(data: bytes) -> DecodedRecords:
-    """All records up to the first that is torn, damaged or missing."""
+    """Decode all records before the first that is torn, damaged or missing."""
     records: list[bytes] = []
     position = 0
     while (payload := _record_at(data, position)) is not None:
@@ -56,5 +56,5 @@
 
 
 def _checksum(payload: bytes) -> int:
-    # Seeded by the length, and never 0 for an empty payload: zeros are no record.
+    # Seeded with the length, and not 0 for an empty payload, so that zeros never decode as a record.
     return zlib.crc32(payload, len(payload) ^ 0x5EED) ^ 0xFFFFFFFF
--- a/tests/storage/crashing_folder.py
+++ b/tests/storage/crashing_folder.py
@@ -1,7 +1,7 @@
-"""What a folder may hold after a loss of power, worked out from the calls that a FileDisk made to the system.
+"""Enumerates what a folder may hold after a power loss, from the system calls that a FileDisk made.
 
-Of a file's writes since its last sync all, none, a torn part or zeros may be there. Of the names that were
-created or removed since the folder's last sync each may be kept or lost, independently of the others.
+Of the writes to a file since its last sync, all, none, a torn part or zeros may be present. Each name created
+or removed since the last sync of the folder may be kept or lost, independently of the others.
 """
 
 from __future__ import annotations
@@ -18,7 +18,10 @@
 
 @attrs.frozen
 class Call:
-    """One call that changes something: created, truncated, written, synced, removed or folder synced."""
+    """A system call that changes the folder.
+
+    `kind` is one of created, truncated, written, synced, removed and folder synced.
+    """
 
     kind: str
     name: str = ""
@@ -26,11 +29,13 @@
 
 
 class RecordingSystem:
-    """Stands in for the module `os` within `madderwind.storage.disk`: does what is asked in a real folder,
-    and keeps a list of it."""
+    """Replaces the module `os` within `madderwind.storage.disk`.
+
+    It passes the calls on to a real folder and records those that change it.
+    """
 
     def __init__(self, folder: Path, capacity: int | None = None) -> None:
-        """`capacity`: the most bytes that all files take together."""
+        """`capacity`: maximum total size of all files, in bytes; None for no limit."""
         self.calls: list[Call] = []
         self._folder, self._capacity = folder, capacity
         self._names: dict[int, str] = {}  # by open descriptor; empty for the folder
@@ -50,10 +55,10 @@
         return descriptor
 
     def write(self, descriptor: int, data: memoryview) -> int:
-        room = len(data) if self._capacity is None else self._capacity - self.used()
-        if room <= 0:
+        free_bytes = len(data) if self._capacity is None else self._capacity - self.used_bytes()
+        if free_bytes <= 0:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        written = os.write(descriptor, data[:room])
+        written = os.write(descriptor, data[:free_bytes])
         self.calls.append(Call("written", self._names[descriptor], bytes(data[:written])))
         return written
 
@@ -67,8 +72,8 @@
         os.unlink(path)
         self.calls.append(Call("removed", Path(path).name))
 
-    def used(self) -> int:
-        """Bytes in all files together."""
+    def used_bytes(self) -> int:
+        """Total size of all files, in bytes."""
         return sum(path.stat().st_size for path in self._folder.iterdir())
 
 
@@ -79,30 +84,33 @@
         self.was_truncated = False
 
     def contents(self) -> set[bytes]:
-        """What may be there after a loss of power."""
+        """Return the contents that the file may have after a power loss."""
         pending = b"".join(self.pending)
         if not pending and not self.was_truncated:
             return {self.synced}
         bases = {self.synced, b""} if self.was_truncated else {self.synced}
-        tails = (b"", pending, pending[: len(pending) // 2], bytes(len(pending)))
-        return {base + tail for base in bases for tail in tails}
+        suffixes = (b"", pending, pending[: len(pending) // 2], bytes(len(pending)))
+        return {base + suffix for base in bases for suffix in suffixes}
 
 
 def after_power_loss(calls: list[Call], before: dict[str, bytes]) -> Iterator[dict[str, bytes]]:
-    """Every folder that may be found after these calls on one that held this before, as contents by name."""
+    """Yield each folder, as contents by name, that a power loss after these calls may leave.
+
+    `before` is the folder before the calls.
+    """
     files = {name: _File(data) for name, data in before.items()}
     durable = dict(files)
     for call in calls:
         _replay(call, files, durable)
     choices: list[list[tuple[str, bytes | None]]] = []
     for name in files.keys() | durable.keys():
-        now, retained = files.get(name), durable.get(name)
-        found: set[bytes | None] = set()
-        for file in (now,) if now is retained else (now, retained):
-            found |= {None} if file is None else file.contents()
-        choices.append([(name, content) for content in sorted(found, key=lambda each: each or b"")])
-    for chosen in itertools.product(*choices):
-        yield {name: content for name, content in chosen if content is not None}
+        current, last_durable = files.get(name), durable.get(name)
+        possible: set[bytes | None] = set()
+        for file in (current,) if current is last_durable else (current, last_durable):
+            possible |= {None} if file is None else file.contents()
+        choices.append([(name, content) for content in sorted(possible, key=lambda each: each or b"")])
+    for combination in itertools.product(*choices):
+        yield {name: content for name, content in combination if content is not None}
 
 
 def _replay(call: Call, files: dict[str, _File], durable: dict[str, _File]) -> None:
--- a/tests/storage/test_record_file.py
+++ b/tests/storage/test_record_file.py
@@ -1,4 +1,4 @@
-"""A replica's file through failed writes, kills and losses of power."""
+"""The record file of a replica under failed writes, killed processes and power losses."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     return MemoryDisk(random.Random(seed))
 
 
-class WritesAreReadBack(unittest.TestCase):
-    def test_given_an_empty_disk_then_nothing_is_found_and_nothing_can_be_added(self) -> None:
+class WrittenRecordsAreRecovered(unittest.TestCase):
+    def test_given_an_empty_disk_then_no_record_is_recovered_and_an_append_fails(self) -> None:
         file = RecordFile(new_disk())
         self.assertEqual((), file.recover().records)
         with self.assertRaises(StorageError):
             file.append((b"record",))
 
-    def test_given_records_written_and_added_when_opened_again_then_all_are_found(self) -> None:
+    def test_given_rewritten_and_appended_records_when_reopened_then_all_are_recovered(self) -> None:
         disk = new_disk()
         file = RecordFile(disk)
         file.rewrite((b"one", b"two"))
@@ -32,7 +32,7 @@
         file.append((b"four", b"five"))
         self.assertEqual((b"one", b"two", b"three", b"four", b"five"), RecordFile(disk).recover().records)
 
-    def test_given_a_rewrite_then_only_its_records_are_found_and_one_file_is_left(self) -> None:
+    def test_given_a_rewrite_then_only_its_records_are_recovered_and_one_file_is_left(self) -> None:
         disk = new_disk()
         file = RecordFile(disk)
         file.rewrite((b"one",))
@@ -42,7 +42,7 @@
         self.assertEqual((b"three", b"four"), RecordFile(disk).recover().records)
         self.assertEqual(1, len(disk.names()))
 
-    def test_given_a_file_opened_again_then_it_has_to_be_rewritten_before_anything_is_added(self) -> None:
+    def test_given_a_reopened_file_then_appends_fail_until_it_is_rewritten(self) -> None:
         disk = new_disk()
         RecordFile(disk).rewrite((b"one",))
         file = RecordFile(disk)
@@ -55,7 +55,7 @@
 
 
 class FailedWritesAreNotRepeated(unittest.TestCase):
-    def test_given_a_failed_sync_when_the_disk_is_well_again_then_adding_fails_until_a_rewrite(self) -> None:
+    def test_given_a_failed_sync_when_the_disk_has_recovered_then_appends_fail_until_a_rewrite(self) -> None:
         disk = new_disk()
         file = RecordFile(disk)
         file.rewrite((b"one",))
@@ -70,7 +70,7 @@
         file.append((b"three",))
         self.assertEqual((b"one", b"two", b"three"), RecordFile(disk).recover().records)
 
-    def test_given_a_full_disk_when_a_rewrite_fails_then_the_old_file_is_still_whole(self) -> None:
+    def test_given_a_full_disk_when_a_rewrite_fails_then_the_old_file_is_still_complete(self) -> None:
         disk = new_disk()
         file = RecordFile(disk)
         file.rewrite((b"one",))
@@ -80,7 +80,7 @@
             file.rewrite((b"three" * 100,))
         self.assertEqual((b"one", b"two"), RecordFile(disk).recover().records)
 
-    def test_given_a_failed_rewrite_that_is_whole_after_all_when_power_is_lost_then_nothing_synced_is(
+    def test_given_a_complete_file_of_a_failed_rewrite_when_power_is_lost_then_no_synced_record_is(
         self,
     ) -> None:
         for seed in range(50):
@@ -101,10 +101,10 @@
 
 
 class CrashesAtAnyPoint(unittest.TestCase):
-    """Whatever happens in the middle of a write, a start finds all that was synced before, and perhaps a part
-    of what was being written."""
+    """After a crash in the middle of a write, recovery finds every record synced before it, and possibly part
+    of the interrupted write."""
 
-    def test_given_a_crash_while_adding_then_what_was_synced_is_found(self) -> None:
+    def test_given_a_crash_during_an_append_then_all_synced_records_are_recovered(self) -> None:
         for seed in range(200):
             disk = new_disk(seed)
             file = RecordFile(disk)
@@ -118,7 +118,9 @@
             found = RecordFile(disk).recover().records
             self.assertIn(found, [(b"one", b"two", b"three", b"four")[:count] for count in (2, 3, 4)])
 
-    def test_given_a_crash_while_rewriting_then_the_old_or_the_new_file_is_found_whole(self) -> None:
+    def test_given_a_crash_during_a_rewrite_then_the_old_or_the_new_file_is_recovered_completely(
+        self,
+    ) -> None:
         for seed in range(200):
             disk = new_disk(seed)
             file = RecordFile(disk)
@@ -131,7 +133,7 @@
                 disk.lose_power()
             self.assertIn(RecordFile(disk).recover().records, [(b"one", b"two"), (b"merged",)])
 
-    def test_given_every_prefix_of_a_file_then_it_reads_as_an_older_whole_state(self) -> None:
+    def test_given_every_prefix_of_a_file_then_it_is_recovered_as_an_older_consistent_state(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = RecordFile(FileDisk(folder))
             file.rewrite((b"one", b"two"))
@@ -139,13 +141,13 @@
                 file.append((record,))
             (path,) = Path(folder).iterdir()
             data = path.read_bytes()
-            whole = (b"one", b"two", b"three", b"four", b"five")
-            older = [(), *(whole[:count] for count in range(2, 6))]
+            complete = (b"one", b"two", b"three", b"four", b"five")
+            older = [(), *(complete[:count] for count in range(2, 6))]
             for length in range(len(data)):
                 path.write_bytes(data[:length])
                 self.assertIn(RecordFile(FileDisk(folder)).recover().records, older)
 
-    def test_given_losses_of_power_between_random_writes_then_nothing_synced_is_lost(self) -> None:
+    def test_given_power_losses_between_random_writes_then_no_synced_record_is_lost(self) -> None:
         for seed in range(100):
             rng = random.Random(seed)
             disk = new_disk(seed)
@@ -169,8 +171,8 @@
                     disk.lose_power()
 
 
-class RealFiles(unittest.TestCase):
-    def test_given_a_folder_that_does_not_exist_then_it_is_made(self) -> None:
+class FilesOnARealDisk(unittest.TestCase):
+    def test_given_a_missing_folder_then_it_is_created(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             file = RecordFile(FileDisk(f"{folder}/deep/data"))
             self.assertEqual((), file.recover().records)
@@ -185,7 +187,7 @@
                 ["replica-00000002.log"], [path.name for path in Path(folder, "deep/data").iterdir()]
             )
 
-    def test_given_a_torn_end_then_it_is_notified_how_much_was_cut(self) -> None:
+    def test_given_a_torn_record_at_the_end_then_the_number_of_dropped_bytes_is_reported(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             RecordFile(FileDisk(folder)).rewrite((b"one",))
             (path,) = Path(folder).iterdir()
@@ -193,9 +195,9 @@
                 stream.write(b"torn")
             recovered = RecordFile(FileDisk(folder)).recover()
             self.assertEqual((b"one",), recovered.records)
-            self.assertEqual(4, recovered.cut_bytes)
+            self.assertEqual(4, recovered.dropped_bytes)
 
-    def test_given_a_folder_that_cannot_be_read_then_the_error_has_a_type(self) -> None:
+    def test_given_an_unreadable_folder_then_recovery_raises_a_storage_error(self) -> None:
         with tempfile.NamedTemporaryFile() as file, self.assertRaises(StorageError):
             RecordFile(FileDisk(f"{file.name}/folder")).recover()
 
