--- a/madderwind/replication/commands.py
+++ b/madderwind/replication/commands.py
@@ -1,4 +1,4 @@
-"""Commands: the operator's changes of the configuration, as the replicated state machine takes them."""
+"""Commands of the replicated state machine: configuration changes submitted by the operator."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-# A caller turns elsewhere after a second without an answer, later with a long body.
+# Callers try another replica after 1 s without an answer (later for a long body); these keep within that.
 ANSWER_TIMEOUT_MS = 800.0
 ANSWER_TIMEOUT_BYTES_PER_MS = 2_048
 
@@ -21,11 +21,11 @@
 
 
 class Command(msgspec.Struct, frozen=True):
-    """One change of the configuration, as the operator sent it.
+    """One configuration change, as submitted by the operator.
 
     Attributes:
         kind: Whether the body replaces the configuration or updates it.
-        base_version: The version that the change builds on.
+        base_version: The configuration version that the change is based on.
         body: JSON in UTF-8.
     """
 
@@ -35,27 +35,27 @@
 
     @property
     def answer_timeout_ms(self) -> float:
-        """How long its caller waits for a clear answer; nothing is decided on it later."""
+        """How long the caller waits for a definite result; the command is not decided on after that."""
         return ANSWER_TIMEOUT_MS + len(self.body) / ANSWER_TIMEOUT_BYTES_PER_MS
 
 
 class CommandOutcome(Enum):
-    """How a command ended. The values are those on the wire."""
+    """Outcome of a command. The values are sent on the wire."""
 
-    COMMITTED = "taken"  # on disk at as many replicas as the promise needs
-    STALE_BASE = "stale base"  # another version is current
+    COMMITTED = "taken"  # durable at as many replicas as the durability guarantee requires
+    STALE_BASE = "stale base"  # the base version is not the current version
     INVALID = "invalid"
-    UNKNOWN = "unclear"  # this replica can't tell: the caller asks again elsewhere
+    UNKNOWN = "unclear"  # this replica can't tell; the caller has to ask another one
 
 
 class CommandResult(msgspec.Struct, frozen=True):
-    """The end of a command.
+    """Result of a command.
 
     Attributes:
-        outcome: How it ended.
+        outcome: How the command ended.
         version: The current version of the configuration.
-        field: Where the body is invalid; empty otherwise.
-        reason: What is invalid there.
+        field: The invalid field of the body; empty otherwise.
+        reason: Why that field is invalid.
     """
 
     outcome: CommandOutcome
@@ -68,7 +68,7 @@
 
 
 class ReplicatedState(Protocol):
-    """The state machine that is replicated; `madderwind.configuration.history` implements it."""
+    """The replicated state machine; `madderwind.configuration.history` implements it."""
 
     @property
     def version(self) -> int:
@@ -78,21 +78,21 @@
         """Check a command against the present state.
 
         Returns:
-            None where it is valid on top of the state and is to be appended. Else its result: COMMITTED where
-            this very command was applied before, STALE_BASE, INVALID or UNKNOWN.
+            None if the command is valid for this state and has to be appended. Else its result: COMMITTED if
+            the same command was applied before, STALE_BASE, INVALID or UNKNOWN.
         """
 
     def preparation(self, command: Command) -> Callable[[], None] | None:
-        """What makes `validate` and `apply` of a command short; None where they are short already.
+        """Return a function that does the slow part of `validate` and `apply`; None if they are fast.
 
-        Any thread may call it, as it changes nothing that others can see; it raises nothing.
+        Any thread may call the function: it has no visible side effects and raises no exception.
         """
 
     def apply(self, command: Command) -> None:
-        """Change the state by a command that `validate` let pass on the same state."""
+        """Apply a command that `validate` accepted for the same state."""
 
     def snapshot(self) -> bytes:
-        """The whole state, history included."""
+        """Return the serialized state, including the history."""
 
     def copy(self) -> ReplicatedState:
-        """An independent copy; cheap, as documents are never changed in place."""
+        """Return an independent copy; cheap, as documents are never modified in place."""
--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -1,4 +1,4 @@
-"""What a replica does while another is primary: appends its entries, and acknowledges what is on its disk."""
+"""The follower's role: appends the entries of the primary and acknowledges those that are durable."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from madderwind.replication.known_peers import KnownPeers
 from madderwind.replication.snapshot_transfer import SnapshotReceiver
 
-# Rounds whose answers' times are remembered: a heartbeat that names an older one tells nothing about the
-# lease.
+# Heartbeat rounds whose answer times are remembered. A heartbeat that names an older round as acknowledged
+# provides no information about the lease.
 MAX_REMEMBERED_ANSWERS = 64
 
 
@@ -26,26 +26,27 @@
     """Follows the primary of the newest view.
 
     Attributes:
-        known_peers: What is known of the other replicas.
-        last_received_ms: When the last message of the newest view's primary came, ms on the steady clock;
-        None before
-            the first and once it gave its role up.
+        known_peers: What is known about the other replicas.
+        last_received_ms: When the last message of the newest view's primary arrived, ms on the steady clock;
+            None before the first one and after the primary gave up its role.
     """
 
     def __init__(self, context: ReplicaContext) -> None:
         self._me, self._store, self._outbox = context.me, context.store, context.outbox
         self._snapshot = SnapshotReceiver()
-        self._committed_target = 0  # up to where the primary of this epoch told that entries are committed
-        self._match_index = 0  # up to where the log, in memory, is known to be the primary's
+        self._committed_target = 0  # highest index that the primary of this epoch reported as committed
+        self._match_index = 0  # index up to which the log in memory is known to match the primary's
         self._acknowledged_index = 0
         self._is_ack_due = False
-        self._answered_ms: dict[int, float] = {}  # when rounds of this epoch's heartbeats were answered
-        self._fresh_ms: float | None = None  # when that primary is known to have held its lease
+        self._answered_ms: dict[int, float] = {}  # answer times of this epoch's heartbeat rounds
+        self._last_fresh_ms: float | None = (
+            None  # latest time at which a primary is known to have held its lease
+        )
         self.known_peers = KnownPeers()
         self.last_received_ms: float | None = None
 
     def begin_epoch(self) -> None:
-        """Another view: what the log has in common with its primary's is not known yet."""
+        """Reset what depends on the view: how far the log matches the new primary's is not known yet."""
         self._committed_target = 0
         self._match_index = 0
         self._acknowledged_index = 0
@@ -53,28 +54,24 @@
         self._answered_ms.clear()
         self.last_received_ms = None
 
-    # --- the primary's lease ---
-
     def has_recent_message(self, now_ms: float, within_ms: float) -> bool:
-        """Whether a message of the newest view's primary came lately."""
+        """Whether a message of the newest view's primary arrived within the given time."""
         return self.last_received_ms is not None and now_ms - self.last_received_ms < within_ms
 
     def forget_primary(self) -> None:
-        """The primary gave its role up, or is lost for good."""
+        """Record that the primary gave up its role or is permanently lost."""
         self.last_received_ms = None
 
     def record_fresh(self, fresh_ms: float) -> None:
-        """At this time a primary held its lease, and all that it had committed is committed here."""
-        self._fresh_ms = fresh_ms if self._fresh_ms is None else max(fresh_ms, self._fresh_ms)
+        """Record a time when a primary held its lease and all of its commits so far are committed here."""
+        self._last_fresh_ms = fresh_ms if self._last_fresh_ms is None else max(fresh_ms, self._last_fresh_ms)
 
     def fresh_age_ms(self, now_ms: float) -> float | None:
-        """Time since a primary is known to have held its lease; None where it never was."""
-        return now_ms - self._fresh_ms if self._fresh_ms is not None else None
-
-    # --- messages of the primary ---
+        """Return the time since a primary is last known to have held its lease; None if never."""
+        return now_ms - self._last_fresh_ms if self._last_fresh_ms is not None else None
 
     def handle_heartbeat(self, now_ms: float, message: Heartbeat, is_stopping: bool) -> None:
-        """The primary is at work, and tells what is committed."""
+        """Handle a heartbeat of the primary: commit what it reports as committed, and answer."""
         self._record_received(now_ms)
         self.known_peers.handle_heartbeat(now_ms, message.peers)
         self._commit_to(message.committed_index)
@@ -85,7 +82,7 @@
         self.send_heartbeat_ack(now_ms, message.round, is_stopping)
 
     def handle_append(self, now_ms: float, message: AppendEntries) -> None:
-        """Append the primary's entries. Others in their place were never committed."""
+        """Append the primary's entries; they replace conflicting entries, which were never committed."""
         self._record_received(now_ms)
         entries = [entry for entry in message.entries if entry.index > self._store.committed_index]
         if not self._follows(message):
@@ -98,9 +95,9 @@
         self._store.prepare_next()
 
     def handle_snapshot(self, now_ms: float, message: InstallSnapshot) -> None:
-        """Take a chunk of the whole state.
+        """Handle a chunk of a snapshot.
 
-        Once it is complete, the log begins anew after it, unless it leads there already.
+        The complete snapshot replaces the log, unless the log already contains the entry of the snapshot.
         """
         self._record_received(now_ms)
         store = self._store
@@ -113,14 +110,12 @@
         self._record_match(message.index)
 
     def apply_prepared(self) -> None:
-        """A command was prepared: entries that waited for it are applied, and the next is prepared."""
+        """Apply the entries that waited for a command that is prepared now, and prepare the next one."""
         self._commit_to(self._committed_target)
         self._store.prepare_next()
 
-    # --- answers ---
-
     def send_heartbeat_ack(self, now_ms: float, heartbeat_round: int, is_stopping: bool) -> None:
-        """Tell the primary how this replica is; `heartbeat_round` is 0 where nothing was asked."""
+        """Report this replica's status to the primary; `heartbeat_round` is 0 if it answers no heartbeat."""
         store, primary = self._store, self._store.primary
         if primary is None or primary == self._me:
             return
@@ -137,7 +132,7 @@
         self._outbox.send(primary.address, message)
 
     def acknowledge_synced(self) -> None:
-        """Tell the primary what came onto the disk in its epoch."""
+        """Acknowledge to the primary the entries that became durable in its epoch."""
         store = self._store
         if store.view is None or store.journal.durable.epoch != store.epoch:
             return
@@ -153,8 +148,6 @@
         ack = AppendAck(self._me.incarnation, primary.incarnation, store.epoch, synced)
         self._outbox.send(primary.address, ack)
 
-    # --- parts ---
-
     def _record_received(self, now_ms: float) -> None:
         self.last_received_ms = now_ms
         primary = self._store.primary
@@ -164,8 +157,8 @@
     def _update_lease(self, message: Heartbeat) -> None:
         """Derive from a heartbeat when the primary held its lease.
 
-        A heartbeat may have been held up on its way, or have waited here: it was sent no earlier than the
-        answer that it names, and its age counts from there.
+        A heartbeat may have been delayed on the network or in this process. It was sent no earlier than the
+        answer to the round that it acknowledges, so the age of the lease counts from the time of that answer.
         """
         sent_after_ms = self._answered_ms.get(message.acknowledged_round)
         if message.fresh_age_ms is None or sent_after_ms is None:
@@ -174,12 +167,12 @@
             self.record_fresh(sent_after_ms - message.fresh_age_ms)
 
     def _commit_to(self, index: int) -> None:
-        """The primary told that it committed the entries up to an index."""
+        """Commit entries up to an index that the primary committed, as far as the log matches."""
         self._committed_target = max(self._committed_target, index)
         self._store.commit_to(min(self._committed_target, self._match_index))
 
     def _follows(self, message: AppendEntries) -> bool:
-        """Whether the log holds the entry before these. What is committed is the same everywhere."""
+        """Whether the log holds the entry before these; committed entries are the same at all replicas."""
         if message.previous_index <= self._store.committed_index:
             return True
         return self._store.log.epoch_at(message.previous_index) == message.previous_epoch
--- a/madderwind/replication/journal.py
+++ b/madderwind/replication/journal.py
@@ -1,7 +1,7 @@
-"""What a replica asks of its disk, and what may be sent only once that is done.
+"""Disk writes of a replica, and the messages that may be sent only once these writes are durable.
 
-Writes complete in order. After a failed one nothing is claimed to be on disk until the file was rewritten as
-a whole, from memory. That is also how a replica starts: what it read back may never have been synced.
+Writes complete in order. After a failed write nothing counts as durable until the whole file has been
+rewritten from memory. A replica starts the same way, as what it recovered may never have been synced.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from madderwind.replication.records import StoredRecord, stored_records
 from madderwind.replication.times import ReplicationTimes
 
-# The file is rewritten when it is longer than this and than twice what it was after the last rewrite.
+# The file is rewritten once it is longer than this and more than twice as long as after the last rewrite.
 REWRITE_FROM_BYTES = 8 * 1024 * 1024
-# Of messages that wait for a faulty disk; the oldest have lost their meaning.
-MAX_WAITING_SENDS = 256
+# Messages that wait for a faulty disk; beyond this the oldest are dropped, as they are obsolete.
+MAX_WAITING_MESSAGES = 256
 
 
 class DiskState(Enum):
-    """Whether writes can be added."""
+    """Whether records can be appended to the file."""
 
     NEEDS_REWRITE = "needs rewrite"
-    REWRITING = "rewriting"  # and nothing is on disk before it is done
+    REWRITING = "rewriting"  # nothing counts as durable before it completes
     READY = "ready"
 
 
@@ -38,12 +38,12 @@
 
 
 class DurablePosition(msgspec.Struct, frozen=True):
-    """What is on disk once a write is.
+    """What is durable once a write has completed.
 
     Attributes:
-        epoch: Of the newest view.
-        log_generation: The log's generation; -1 before the file holds this replica's identity.
-        last_index: Index of the log's last entry.
+        epoch: Epoch of the newest view.
+        log_generation: Generation of the log; -1 before the file holds this replica's identity.
+        last_index: Index of the last log entry.
     """
 
     epoch: int = 0
@@ -60,7 +60,7 @@
 
 
 class Journal:
-    """Collects records and the messages that depend on them during an event, and follows the writes."""
+    """Collects the records of an event and the messages that depend on them, and tracks pending writes."""
 
     def __init__(self, times: ReplicationTimes) -> None:
         self.state = DiskState.NEEDS_REWRITE
@@ -77,34 +77,34 @@
         self._rewritten_bytes = 0
 
     def add(self, record: StoredRecord) -> None:
-        """Have this record written by the next flush."""
+        """Add a record to the next flush."""
         self._records.append(stored_records.encode(record))
 
     def send_once_synced(self, send: Send) -> None:
-        """Let this message go when everything added so far is on disk."""
+        """Hold a message back until everything added so far is durable."""
         self._sends.append(send)
-        del self._sends[:-MAX_WAITING_SENDS]
+        del self._sends[:-MAX_WAITING_MESSAGES]
 
     def flush(
         self, now_ms: float, position: DurablePosition, all_records: Callable[[], list[StoredRecord]]
     ) -> list[Action]:
-        """End an event.
+        """Return the actions at the end of an event.
 
         Args:
             now_ms: Steady clock, ms.
-            position: What will be on disk once all that was added is.
-            all_records: Gives the records of a rewritten file.
+            position: What is durable once everything added so far is.
+            all_records: Returns the records of a rewritten file.
 
         Returns:
-            A write or a rewrite, or messages that wait for neither.
+            A write or a rewrite, or the messages that need to wait for neither.
         """
         if self.state is DiskState.NEEDS_REWRITE:
             self._records.clear()
             return [self._rewrite(now_ms, position, all_records())] if now_ms >= self._retry_ms else []
         if self.state is DiskState.REWRITING and self._records:
-            # They follow the rewrite, which does not hold them.
+            # The records follow the rewrite, which was issued without them.
             return [self._write(now_ms, position)]
-        if self._is_long():
+        if self._exceeds_rewrite_limit():
             self._records.clear()
             return [self._rewrite(now_ms, position, all_records())]
         if self._records:
@@ -112,7 +112,7 @@
         return list(self._release_unwritten())
 
     def completed(self, token: int) -> list[Send]:
-        """A write is on disk, and so are those before it: the messages that waited for them."""
+        """Record that a write and all earlier ones are durable; return the messages that waited for them."""
         released: list[Send] = []
         while self._pending and self._pending[0].token <= token:
             pending = self._pending.popleft()
@@ -126,10 +126,10 @@
         return released
 
     def failed(self, token: int, now_ms: float) -> None:
-        """The disk refused a write: only a rewritten file can be relied on."""
+        """Record that a write failed; only a rewritten file is reliable after that."""
         if not any(pending.token == token for pending in self._pending):
             return
-        # What waited for any write goes on waiting, for the rewrite.
+        # Messages that waited for any of the pending writes now wait for the rewrite.
         waiting = [send for pending in self._pending for send in pending.sends]
         self._pending.clear()
         self._sends = waiting + self._sends
@@ -140,21 +140,23 @@
         self._enter(DiskState.NEEDS_REWRITE)
 
     def pending_ms(self, now_ms: float) -> float:
-        """How long the oldest write has been pending."""
+        """Return how long the oldest write has been pending."""
         return now_ms - self._pending[0].issued_ms if self._pending else 0.0
 
     def is_faulty(self, now_ms: float) -> bool:
-        """Whether a write failed and the file was not rewritten since, or a write takes too long."""
+        """Whether a write failed and the file has not been rewritten since, or a write takes too long."""
         return self._faulty_since_ms is not None or self.pending_ms(now_ms) > self._times.slow_write_ms
 
     def reset_timeouts(self, stall_ms: float) -> None:
-        """The process did not run for a while: that was no fault of the disk."""
+        """Exclude a stall of the process from the age of pending writes, as the disk did not cause it."""
         for pending in self._pending:
             pending.issued_ms += stall_ms
 
     def _enter(self, state: DiskState) -> None:
-        """The one place where the state changes."""
-        assert state is self.state or state in DISK_TRANSITIONS[self.state], f"{self.state} to {state}"
+        """Change the state; the only place that does."""
+        assert state is self.state or state in DISK_TRANSITIONS[self.state], (
+            f"invalid disk state transition: {self.state} to {state}"
+        )
         self.state = state
 
     def _write(self, now_ms: float, position: DurablePosition) -> Write:
@@ -177,13 +179,16 @@
         return self._last_token
 
     def _release_unwritten(self) -> list[Send]:
-        """Messages that depend on no record of this event: they wait for pending writes, if any."""
+        """Return the messages if no write is pending; else let them wait for the last pending write.
+
+        They depend on no record of this event.
+        """
         sends, self._sends = self._sends, []
         if not self._pending:
             return sends
         self._pending[-1].sends += sends
         return []
 
-    def _is_long(self) -> bool:
-        bound = max(REWRITE_FROM_BYTES, 2 * self._rewritten_bytes)
-        return self._file_bytes > bound and self.state is DiskState.READY
+    def _exceeds_rewrite_limit(self) -> bool:
+        limit_bytes = max(REWRITE_FROM_BYTES, 2 * self._rewritten_bytes)
+        return self._file_bytes > limit_bytes and self.state is DiskState.READY
--- a/madderwind/replication/log_shipping.py
+++ b/madderwind/replication/log_shipping.py
@@ -1,4 +1,4 @@
-"""How the primary brings its log to other replicas: entries as they come, or the whole state before them."""
+"""Log shipping from the primary to other replicas: entries as they are appended, or a snapshot first."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LogShipping:
-    """Sends to one peer at a time; what is in flight is kept in the peer."""
+    """Sends entries and snapshots to one peer per call; the peer tracks what is in flight to it."""
 
     def __init__(self, context: ReplicaContext) -> None:
         self._me, self._store = context.me, context.store
         self._outbox, self._times = context.outbox, context.times
 
     def handle_snapshot_ack(self, now_ms: float, peer: Peer, message: SnapshotAck) -> None:
-        """The replica has a part of the snapshot that it is sent."""
+        """Handle the acknowledgement of a part of the snapshot that is being sent to the replica."""
         if peer.snapshot is None or peer.snapshot.index != message.index:
             return
         if peer.snapshot.handle_ack(message.received):
@@ -27,7 +27,7 @@
         self._send_chunks(now_ms, peer, peer.snapshot)
 
     def send_entries(self, now_ms: float, peer: Peer) -> None:
-        """Send what a replica that keeps up does not have yet."""
+        """Send the entries that a streaming replica does not have yet, as far as its window allows."""
         last_index = self._store.log.last_index
         while peer.progress is Progress.STREAMING and peer.next_index <= last_index and peer.has_open_window:
             if not self._send_batch(now_ms, peer):
@@ -35,7 +35,7 @@
         peer.update_waiting(now_ms, last_index)
 
     def probe(self, now_ms: float, peer: Peer) -> None:
-        """Send what shows where the replica's log is: the next entries, or a snapshot instead."""
+        """Send the next entries, or a snapshot instead, to find out how far the replica's log matches."""
         peer.progress = Progress.PROBING
         previous_epoch = self._store.log.epoch_at(peer.next_index - 1)
         peer.discard_in_flight()
@@ -48,21 +48,24 @@
         peer.update_waiting(now_ms, self._store.log.last_index)
 
     def probe_from_match(self, now_ms: float, peer: Peer) -> None:
-        """Nothing came of what was sent: begin again after what is known to match."""
+        """Probe again after the last entry known to match, as what was sent since had no effect."""
         if peer.is_in_epoch:
             peer.next_index = peer.match_index + 1
         self.probe(now_ms, peer)
 
     def lags(self, peer: Peer) -> bool:
-        """Whether the replica has still to acknowledge something."""
+        """Whether the replica has entries left to acknowledge."""
         return peer.lags(self._store.log.last_index)
 
     def may_probe(self, now_ms: float, peer: Peer) -> bool:
-        """Whether nothing is in flight that would show where the replica's log is."""
+        """Whether no probe is in flight whose answer may still arrive."""
         return peer.progress is Progress.STREAMING or peer.is_resend_due(now_ms, self._times)
 
     def needed_after(self, now_ms: float, peers: Iterable[Peer]) -> int | None:
-        """The last entry that all have who catch up, those with a snapshot included; None where none does."""
+        """Return the last index that all replicas catching up have; None if none is catching up.
+
+        For a replica that is being sent a snapshot, that is the index of the snapshot.
+        """
         indexes = [
             peer.match_index if peer.snapshot is None else peer.snapshot.index
             for peer in peers
@@ -72,7 +75,7 @@
         return min(indexes, default=None)
 
     def _send_batch(self, now_ms: float, peer: Peer) -> bool:
-        """Send entries from the next on; False where the log no longer has them."""
+        """Send the entries from `next_index` on; return False if the log no longer holds them."""
         previous_epoch = self._store.log.epoch_at(peer.next_index - 1)
         if previous_epoch is None:
             return False
@@ -96,10 +99,10 @@
         )
 
     def _send_snapshot(self, now_ms: float, peer: Peer) -> None:
-        """Begin to send the whole state, or go on with that.
+        """Start or continue to send a snapshot of the state.
 
-        What is committed meanwhile follows by the log, which is retained for it. A replica that timed out
-        gets it when it answers again.
+        Entries committed during the transfer follow from the log, which is retained for that purpose. A
+        replica that timed out gets a snapshot once it answers again.
         """
         if peer.idle_ms(now_ms) > self._times.replica_timeout_ms:
             peer.snapshot = None
--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -1,4 +1,4 @@
-"""Commands and reads that wait at the primary for a proof."""
+"""Commands and reads at the primary whose results wait for a commit or for a heartbeat round."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from madderwind.replication.commands import UNKNOWN_RESULT, CommandResult
 from madderwind.replication.heartbeat_rounds import HeartbeatRounds
 
-# More at once are answered UNKNOWN: every one may hold a body of several MiB.
+# Bounds memory, as each command may hold a body of several MiB; further ones are answered UNKNOWN.
 MAX_PENDING_COMMANDS = 64
 
 
-class Proof(msgspec.Struct, frozen=True):
-    """What must hold before a result may be given.
+class ResultCondition(msgspec.Struct, frozen=True):
+    """What must hold before a result may be returned.
 
     Attributes:
-        index: The entry that must be committed.
+        index: Index of the entry that must be committed.
         round: The heartbeat round that must be confirmed; 0 for none.
-        deadline_ms: When the wait for both ends, ms on the steady clock.
+        deadline_ms: When to stop waiting, ms on the steady clock.
     """
 
     index: int
     round: int
     deadline_ms: float
 
-    def is_given(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
+    def is_met(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
         """Whether the entry is committed and the round confirmed."""
         return self.index <= committed_index and self.round <= rounds.last_confirmed
 
@@ -33,16 +33,16 @@
 class _PendingCommand(msgspec.Struct, frozen=True):
     token: int
     result: CommandResult
-    proof: Proof
+    condition: ResultCondition
 
 
 class _PendingRead(msgspec.Struct, frozen=True):
     token: int
-    proof: Proof
+    condition: ResultCondition
 
 
 class PendingRequests:
-    """Every request gets exactly one end."""
+    """The waiting requests; each one gets exactly one result."""
 
     def __init__(self) -> None:
         self._commands: list[_PendingCommand] = []
@@ -50,33 +50,33 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further request may wait."""
+        """Whether no further request is accepted."""
         return len(self._commands) >= MAX_PENDING_COMMANDS
 
     @property
     def needed_round(self) -> int:
-        """The newest round that anything waits for."""
-        of_commands = max((command.proof.round for command in self._commands), default=0)
-        of_reads = max((read.proof.round for read in self._reads), default=0)
+        """The newest round that a request waits for."""
+        of_commands = max((command.condition.round for command in self._commands), default=0)
+        of_reads = max((read.condition.round for read in self._reads), default=0)
         return max(of_commands, of_reads)
 
-    def add_command(self, token: int, result: CommandResult, proof: Proof) -> None:
-        """A command whose result holds once the proof is given."""
-        self._commands.append(_PendingCommand(token, result, proof))
+    def add_command(self, token: int, result: CommandResult, condition: ResultCondition) -> None:
+        """Add a command whose result is valid once the condition is met."""
+        self._commands.append(_PendingCommand(token, result, condition))
 
-    def add_read(self, token: int, proof: Proof) -> None:
-        """A read that is the newest once the proof is given."""
-        self._reads.append(_PendingRead(token, proof))
+    def add_read(self, token: int, condition: ResultCondition) -> None:
+        """Add a read, which returns the newest state once the condition is met."""
+        self._reads.append(_PendingRead(token, condition))
 
     def resolve(self, now_ms: float, committed_index: int, rounds: HeartbeatRounds) -> list[Action]:
-        """The ends of those that are proven or have waited for too long."""
+        """Remove requests whose condition is met or whose deadline has passed; return their results."""
         return [
             *self._resolve_commands(now_ms, committed_index, rounds),
             *self._resolve_reads(now_ms, committed_index, rounds),
         ]
 
-    def give_up(self) -> list[Action]:
-        """The role is lost: no result can be given any more."""
+    def abort_all(self) -> list[Action]:
+        """Remove all requests, as this replica is no longer primary; return their UNKNOWN results."""
         commands: list[Action] = [CommandResolved(each.token, UNKNOWN_RESULT) for each in self._commands]
         reads: list[Action] = [ReadResolved(read.token, is_newest=False) for read in self._reads]
         self._commands, self._reads = [], []
@@ -86,9 +86,9 @@
         resolved: list[Action] = []
         pending: list[_PendingCommand] = []
         for command in self._commands:
-            if command.proof.is_given(committed_index, rounds):
+            if command.condition.is_met(committed_index, rounds):
                 resolved.append(CommandResolved(command.token, command.result))
-            elif now_ms >= command.proof.deadline_ms:
+            elif now_ms >= command.condition.deadline_ms:
                 resolved.append(CommandResolved(command.token, UNKNOWN_RESULT))
             else:
                 pending.append(command)
@@ -99,9 +99,9 @@
         resolved: list[Action] = []
         pending: list[_PendingRead] = []
         for read in self._reads:
-            if read.proof.is_given(committed_index, rounds):
+            if read.condition.is_met(committed_index, rounds):
                 resolved.append(ReadResolved(read.token, is_newest=True))
-            elif now_ms >= read.proof.deadline_ms:
+            elif now_ms >= read.condition.deadline_ms:
                 resolved.append(ReadResolved(read.token, is_newest=False))
             else:
                 pending.append(read)
--- a/madderwind/replication/preparation.py
+++ b/madderwind/replication/preparation.py
@@ -1,10 +1,11 @@
-"""Long commands are prepared apart from the events: reading one takes as long as several heartbeats.
-
-A replica that reads a configuration of several MiB while it handles an event answers nobody meanwhile, and is
-taken for lost. So a command that takes long to validate and apply is prepared first: the host runs the
-preparation beside its event loop and reports its end. Nothing but time depends on it. An entry is
-acknowledged from the disk before it is prepared; what waits is the decision on a new command, at the primary,
-and the application of a committed one, at the others.
+"""Preparation of long commands outside the event loop, as parsing one takes several heartbeat intervals.
+
+A replica that parses a configuration of several MiB while it handles an event answers no messages meanwhile,
+and the other replicas consider it lost. A command that takes long to validate and apply is therefore prepared
+first: the host runs the preparation outside its event loop and reports its completion. Preparation affects
+timing only, not results. An entry is acknowledged once it is on disk, before it is prepared. What waits for
+the preparation is the decision on a new command, at the primary, and the application of a committed one, at
+the other replicas.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class CommandPreparer:
-    """Has commands prepared one at a time."""
+    """Requests the preparation of commands, one at a time."""
 
     def __init__(self, outbox: Outbox) -> None:
         self._outbox = outbox
@@ -26,8 +27,8 @@
     def is_ready(self, state: ReplicatedState, command: Command) -> bool:
         """Whether a state may validate and apply a command now.
 
-        Where it may not, its preparation begins as soon as no other is in progress. A command that was
-        prepared is ready whatever became of the result, so that each is prepared once at most.
+        If not, the preparation of the command is requested as soon as no other is in progress. The command
+        prepared last counts as ready even if its preparation had no effect, so that it is not prepared again.
         """
         preparation = state.preparation(command)
         if preparation is None or self._last_prepared == command:
@@ -39,6 +40,6 @@
         return False
 
     def handle_completed(self, token: int) -> None:
-        """The host ran the preparation with this token."""
+        """Record that the host has run the preparation with this token."""
         if token == self._token:
             self._last_prepared, self._in_progress = self._in_progress, None
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -1,6 +1,7 @@
 """The primary's role.
 
-Validates and appends commands, commits them, proves reads, brings its log to the others.
+The primary validates and appends commands, commits them, confirms reads and ships its log to the other
+replicas.
 """
 
 from __future__ import annotations
@@ -26,26 +27,26 @@
 from madderwind.replication.membership import MembershipRules
 from madderwind.replication.peer import Peer, Progress
 from madderwind.replication.peer_table import PeerTable
-from madderwind.replication.pending_requests import PendingRequests, Proof
+from madderwind.replication.pending_requests import PendingRequests, ResultCondition
 from madderwind.replication.submitted_commands import SubmittedCommands
 from madderwind.replication.view_planner import ViewPlanner
 
-# Rounds that reads and repeats ask for are shared by those that come within this time.
+# Requests that arrive within this time share one heartbeat round for their reads and rejections.
 MIN_ROUND_INTERVAL_MS = 5.0
-# The number of no round: nothing has to be confirmed.
+# Round number meaning that no round has to be confirmed.
 NO_ROUND = 0
 
 
 class Primary:
-    """Lives from the moment that this replica's view is decided until it loses or gives up the role.
+    """Exists from the decision of a view with this replica as primary until it loses or gives up the role.
 
-    In that time the epoch may rise with this replica as primary.
+    The epoch may increase in that time, with this replica still the primary.
 
     Attributes:
-        view: The present view.
+        view: The current view.
         peers: The other replicas.
         lease: Whether a majority follows this primary.
-        planner: Which view it wants next.
+        planner: Decides which view to propose next.
     """
 
     def __init__(
@@ -56,19 +57,19 @@
         now_ms: float,
         known_peers: tuple[KnownPeer, ...] = (),
     ) -> None:
-        """Take the role.
+        """Start the role.
 
         Args:
-            context: The replica's parts.
+            context: The replica's components.
             view: The view that names this replica as primary.
-            rules: The sizes of views.
+            rules: Rules for the sizes of views.
             now_ms: Steady clock, ms.
             known_peers: What this replica knew of the others as a follower.
         """
         self._context, self._rules = context, rules
         self._me, self._store = context.me, context.store
         self._outbox, self._times = context.outbox, context.times
-        self._shipping = LogShipping(context)
+        self._log_shipping = LogShipping(context)
         self._requests = PendingRequests()
         self._submitted = SubmittedCommands()
         self._appended = AppendedState(context.store)
@@ -79,26 +80,24 @@
 
     @property
     def view(self) -> View:
-        """The present view, with this replica as primary."""
+        """The current view, with this replica as primary."""
         return self.peers.view
 
     def continue_in(self, now_ms: float, view: View) -> None:
-        """A later view names this replica as primary again."""
+        """Continue in a later view that names this replica as primary again."""
         self.peers.enter_view(now_ms, view)
         self._begin_epoch(now_ms)
 
-    # --- the end of the role ---
-
     def successor(self, now_ms: float) -> Member | None:
-        """Who is to take the role over: of the in-sync set, healthy, and with most of the log."""
+        """Return the healthy in-sync replica with the longest matching log; None without one."""
         healthy = [peer for peer in self.peers.in_sync() if peer.is_healthy(now_ms, self._times)]
-        best = max(healthy, key=lambda peer: (peer.match_index, peer.last_received_ms), default=None)
-        return best.member if best is not None else None
+        most_current = max(healthy, key=lambda peer: (peer.match_index, peer.last_received_ms), default=None)
+        return most_current.member if most_current is not None else None
 
     def can_be_followed(self, now_ms: float) -> bool:
-        """Whether enough members can write down what they promise, so that another primary can be elected.
+        """Whether a majority of the members can store their promises, so that another primary can be elected.
 
-        Where they can't, giving up the role would gain nothing.
+        If not, giving up the role would gain nothing.
         """
         voters = [
             name
@@ -110,15 +109,13 @@
         return len(voters) + self._store.is_disk_healthy(now_ms) >= self.view.majority()
 
     def give_up(self) -> None:
-        """The role is lost: whatever waits ends without a known outcome."""
+        """End the role: all waiting requests end with an unknown outcome."""
         self._store.log.needed_after = None
-        self._outbox.extend(self._submitted.give_up())
-        self._outbox.extend(self._requests.give_up())
-
-    # --- commands and reads ---
+        self._outbox.extend(self._submitted.abort_all())
+        self._outbox.extend(self._requests.abort_all())
 
     def submit(self, now_ms: float, token: int, command: Command) -> None:
-        """Validate a command on top of all that is appended, and append it, once it is its turn."""
+        """Queue a command; in its turn it is validated against all appended entries and appended."""
         if self._requests.is_full or self._submitted.is_full:
             self._outbox.add(CommandResolved(token, UNKNOWN_RESULT))
             return
@@ -126,7 +123,7 @@
         self._decide_submitted(now_ms)
 
     def _decide_submitted(self, now_ms: float) -> None:
-        """Decide on commands in the order in which they came, up to one that is still being prepared."""
+        """Decide on commands in the order of arrival, up to the first that is still being prepared."""
         self._outbox.extend(self._submitted.expire(now_ms))
         while (first := self._submitted.first) is not None and self._appended.is_ready(first.command):
             self._submitted.remove_first()
@@ -139,35 +136,34 @@
             self._append(now_ms, command)
             result = CommandResult(CommandOutcome.COMMITTED, self._appended.version)
         elif result.outcome is not CommandOutcome.COMMITTED:
-            # A rejection is only right where no other primary has gone further.
+            # A rejection is valid only if no other primary has committed later entries.
             needed_round = self._round_from_now()
-        # A result tells what is committed, so the entries that it rests on have to be.
+        # A result describes committed state, so the entries that it depends on must be committed.
         deadline_ms = now_ms + self._times.command_timeout_ms
-        proof = Proof(self._store.log.last_index, needed_round, deadline_ms)
-        self._requests.add_command(token, result, proof)
+        condition = ResultCondition(self._store.log.last_index, needed_round, deadline_ms)
+        self._requests.add_command(token, result, condition)
 
     def read(self, now_ms: float, token: int) -> None:
-        """Prove that what is committed here is the newest there is."""
+        """Confirm by a heartbeat round that the state committed here is the newest one."""
         if self._requests.is_full:
             self._outbox.add(ReadResolved(token, is_newest=False))
             return
         deadline_ms = now_ms + self._times.read_timeout_ms
-        proof = Proof(self.lease.inherited_index, self._round_from_now(), deadline_ms)
-        self._requests.add_read(token, proof)
-
-    # --- messages ---
+        condition = ResultCondition(self.lease.inherited_index, self._round_from_now(), deadline_ms)
+        self._requests.add_read(token, condition)
 
     def handle_join_request(self, now_ms: float, request: JoinRequest) -> None:
-        """A replica looks for a primary: one that is not known yet is to learn.
+        """Handle the request of a replica that looks for a primary; an unknown one becomes a learner.
 
-        Of others it is no sign of life, as it may be that they don't receive this primary's messages.
+        For a known replica the request does not reset its time-out, as it may not receive this primary's
+        messages.
         """
         learner = self.peers.add_learner(now_ms, request.member)
         if learner is not None:
-            self._shipping.probe(now_ms, learner)
+            self._log_shipping.probe(now_ms, learner)
 
     def handle_heartbeat_ack(self, now_ms: float, ack: HeartbeatAck) -> None:
-        """A member's or learner's answer to a heartbeat."""
+        """Handle the answer of a member or learner to a heartbeat."""
         peer = self.peers.get(ack.sender)
         if peer is None:
             return
@@ -177,69 +173,64 @@
         if ack.epoch != self._store.epoch:
             return
         peer.acknowledged_round = max(peer.acknowledged_round, ack.round)
-        is_behind = (
-            ack.match_index < peer.match_index
-        )  # after a restart, it is to be told what it may rely on
-        shipping = self._shipping
-        if (is_behind and shipping.may_probe(now_ms, peer)) or (has_returned and shipping.lags(peer)):
-            shipping.probe_from_match(now_ms, peer)
+        # A restarted replica reports a lower index and needs a probe to learn how far its log matches.
+        is_behind = ack.match_index < peer.match_index
+        log_shipping = self._log_shipping
+        if (is_behind and log_shipping.may_probe(now_ms, peer)) or (has_returned and log_shipping.lags(peer)):
+            log_shipping.probe_from_match(now_ms, peer)
         if ack.accepted_epoch > self._store.epoch:
             self.planner.is_contested = True
         else:
             self._count_ack(ack.round, ack.sender)
 
     def handle_append_ack(self, now_ms: float, message: AppendAck) -> None:
-        """Entries are on the disk of another replica."""
+        """Handle the acknowledgement that entries are durable at another replica."""
         peer = self._peer_in_epoch(now_ms, message)
         if peer is not None:
             peer.record_match(now_ms, message.match_index, self._store.log.last_index)
-            self._shipping.send_entries(now_ms, peer)
+            self._log_shipping.send_entries(now_ms, peer)
 
     def handle_append_rejected(self, now_ms: float, message: AppendRejected) -> None:
-        """The log of another replica does not lead up to what was sent: go back to where it does."""
+        """Go back to the last entry that another replica has in common with this log, and probe again."""
         peer = self._peer_in_epoch(now_ms, message)
         if peer is None:
             return
         is_stale = peer.progress is Progress.PROBING and message.previous_index != peer.next_index - 1
         if is_stale or peer.snapshot is not None:
-            return  # the answer to an older probe
+            return  # answers an older probe, or a snapshot is already being sent
         peer.progress = Progress.PROBING
         last_common_index = min(message.committed_index, self._store.log.last_index)
         peer.next_index = max(peer.match_index, last_common_index) + 1
-        self._shipping.probe(now_ms, peer)
+        self._log_shipping.probe(now_ms, peer)
 
     def handle_snapshot_ack(self, now_ms: float, message: SnapshotAck) -> None:
-        """Another replica has a part of the snapshot that it is sent."""
+        """Handle the acknowledgement of a part of the snapshot that is being sent to another replica."""
         peer = self._peer_in_epoch(now_ms, message)
         if peer is not None:
-            self._shipping.handle_snapshot_ack(now_ms, peer, message)
-
-    # --- time ---
+            self._log_shipping.handle_snapshot_ack(now_ms, peer, message)
 
     def advance(self, now_ms: float) -> None:
-        """Whatever time and the events so far allow: heartbeats, commits, the ends of requests."""
+        """Do what has become due: decide on commands, commit, send heartbeats, resend, resolve requests."""
         self.peers.expire_learners(now_ms)
         self._decide_submitted(now_ms)
         self._commit(now_ms)
         if self._is_round_due(now_ms):
             self._start_round(now_ms)
         for peer in self.peers.values():
-            if peer.is_resend_due(now_ms, self._times) and self._shipping.lags(peer):
-                self._shipping.probe_from_match(now_ms, peer)
+            if peer.is_resend_due(now_ms, self._times) and self._log_shipping.lags(peer):
+                self._log_shipping.probe_from_match(now_ms, peer)
         resolved = self._requests.resolve(now_ms, self._store.committed_index, self.lease.rounds)
         self._outbox.extend(resolved)
 
     def reset_timeouts(self, now_ms: float, stall_ms: float) -> None:
-        """The process did not run for a while.
+        """Extend all time-outs after a stall of this process.
 
-        What did not come in that time is no time-out of the others.
+        Messages that did not arrive during the stall must not count against the other replicas.
         """
         self.lease.grant_grace(now_ms)
         for peer in self.peers.values():
             peer.reset_timeouts(now_ms, stall_ms, self._times)
 
-    # --- parts ---
-
     def _begin_epoch(self, now_ms: float) -> None:
         self.planner.begin_epoch()
         self.lease.rounds.discard_open()
@@ -247,11 +238,11 @@
         for peer in self.peers.values():
             peer.begin_epoch(now_ms, self._store.log.last_index + 1)
             self._context.notify_view(peer.member.address, peer.member.incarnation)
-            self._shipping.probe(now_ms, peer)
+            self._log_shipping.probe(now_ms, peer)
         self._start_round(now_ms)
 
     def _peer_in_epoch(self, now_ms: float, message: AppendAck | AppendRejected | SnapshotAck) -> Peer | None:
-        """The sender of a message of this epoch, which is a sign of life; None for any other message."""
+        """Return the sender of a message of this epoch and reset its time-out; None for any other message."""
         peer = self.peers.get(message.sender)
         if peer is None or message.epoch != self._store.epoch:
             return None
@@ -265,23 +256,23 @@
         self._store.append(entry)
         self._appended.apply(entry)
         for peer in self.peers.values():
-            self._shipping.send_entries(now_ms, peer)
+            self._log_shipping.send_entries(now_ms, peer)
 
     def _commit(self, now_ms: float) -> None:
-        """Commit what the whole in-sync set, and all that may join it, have on disk in this epoch."""
+        """Commit the entries that are durable in this epoch at all in-sync and all joining replicas."""
         in_sync = self.view.in_sync
         if len(in_sync) < self._rules.smallest_in_sync:
             return
         index = min(self._synced_by(incarnation) for incarnation in {*in_sync, *self.planner.joining})
         if index <= self._store.committed_index:
             return
-        prepared = self._appended.take_after(index)
-        self._store.log.needed_after = self._shipping.needed_after(now_ms, self.peers.values())
+        prepared = self._appended.pop_state_after(index)
+        self._store.log.needed_after = self._log_shipping.needed_after(now_ms, self.peers.values())
         self._store.commit_to(index, prepared)
         self._start_round(now_ms)
 
     def _synced_by(self, incarnation: str) -> int:
-        """Up to where a replica is known to have the log on disk in this epoch."""
+        """Return the index up to which a replica is known to have the log on disk in this epoch."""
         if incarnation == self._me.incarnation:
             is_in_epoch = self._store.journal.durable.epoch == self._store.epoch
             return self._store.synced_index if is_in_epoch else 0
@@ -289,7 +280,7 @@
         return peer.match_index if peer is not None and peer.is_in_epoch else 0
 
     def _round_from_now(self) -> int:
-        """The first round that begins after this moment."""
+        """Return the number of the first round that begins after this call."""
         return self.lease.rounds.last_started + 1
 
     def _is_round_due(self, now_ms: float) -> bool:
--- a/madderwind/replication/records.py
+++ b/madderwind/replication/records.py
@@ -1,4 +1,4 @@
-"""The records in a replica's file, and the state that they add up to."""
+"""The record types of a replica's file, and the state restored from them."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """The base of all records; each names its tag in the file."""
+    """Base class of all records; each subclass states its tag in the file."""
 
 
 class IdentityRecord(Record, frozen=True, tag="IdentityRecord"):
-    """Who the file belongs to.
+    """The replica that the file belongs to.
 
     Attributes:
-        incarnation: Drawn when the file was created; lasts as long as the disk.
-        bootstrap: Whether that was at the very first start of the system.
+        incarnation: Random identifier chosen when the file was created; it lasts as long as the disk.
+        bootstrap: Whether the file was created at the first start of the whole system.
     """
 
     incarnation: str
@@ -27,7 +27,7 @@
 
 
 class ViewRecord(Record, frozen=True, tag="ViewRecord"):
-    """A view that was decided. What was promised about its epoch no longer matters."""
+    """A decided view; promises made for its epoch are obsolete."""
 
     view: View
 
@@ -41,20 +41,20 @@
 
 
 class EntryRecord(Record, frozen=True, tag="EntryRecord"):
-    """The next entry of the log; `committed_index`: how far the log was known to be committed then."""
+    """The next log entry; `committed_index` is the last index known to be committed at that time."""
 
     entry: LogEntry
     committed_index: int
 
 
 class TruncateRecord(Record, frozen=True, tag="TruncateRecord"):
-    """The entries after `last_index` were another primary's, and never committed."""
+    """Removal of the entries after `last_index`, which another primary appended and never committed."""
 
     last_index: int
 
 
 class SnapshotRecord(Record, frozen=True, tag="SnapshotRecord"):
-    """The state after the committed entry `index`; the log goes on from here."""
+    """The state after the committed entry `index`; the log continues after it."""
 
     index: int
     epoch: int
@@ -67,7 +67,7 @@
 
 
 class StoredState:
-    """Everything that a replica's file tells; `snapshot` is the state at `snapshot_index`."""
+    """The state restored from a replica's file; `snapshot` is the state at `snapshot_index`."""
 
     def __init__(self) -> None:
         self.identity: IdentityRecord | None = None
@@ -79,7 +79,7 @@
         self.committed_index = 0
 
     def apply(self, record: StoredRecord) -> None:
-        """Add the next record of the file."""
+        """Apply the next record of the file."""
         match record:
             case IdentityRecord():
                 self.identity = record
@@ -100,14 +100,14 @@
 
 
 def stored_state(records: tuple[bytes, ...]) -> StoredState:
-    """The state in a file's records.
+    """Restore the state from the records of a file.
 
     Raises:
-        MessageError: A record is of an unknown kind, or the file does not name its owner.
+        MessageError: A record has an unknown type, or the file has no identity record.
     """
     state = StoredState()
     for record in records:
         state.apply(stored_records.decode(record))
     if records and state.identity is None:
-        raise MessageError("the file has no identity record")
+        raise MessageError("replica file has no identity record")
     return state
--- a/madderwind/replication/snapshot_transfer.py
+++ b/madderwind/replication/snapshot_transfer.py
@@ -1,7 +1,7 @@
-"""Both ends of a snapshot on its way to another replica: chunks, acknowledged as they come.
+"""Sender and receiver of a snapshot transfer: chunks that are acknowledged one by one.
 
-A chunk is short, and only a window of them is in flight, so that heartbeats on the same connection are not
-held up by a long state. What is lost is sent again from where the receiver is.
+Chunks are short and only a window of them is in flight, so that a long state does not delay heartbeats on the
+same connection. After a loss the sender resumes at the receiver's position.
 """
 
 from __future__ import annotations
@@ -11,32 +11,35 @@
 from madderwind.messages.replication import InstallSnapshot
 
 CHUNK_BYTES = 128 * 1024
-# Sent ahead of acknowledgements: 20 ms of a link of 210 Mbit/s, 130 ms of one of 32 Mbit/s.
+# Bytes in flight without acknowledgement: 20 ms on a 210 Mbit/s link, 130 ms on a 32 Mbit/s link.
 WINDOW_BYTES = 512 * 1024
 
 
 class SnapshotSender:
-    """The primary's side: one state, that after the entry `index`, on its way to one replica.
+    """The primary's side: sends the state after the entry `index` to one replica.
 
-    It goes on through later epochs of the primary that began to send it in `begun_epoch`.
+    The transfer continues in later epochs of the primary that started it in `begun_epoch`.
     """
 
     def __init__(self, begun_epoch: int, index: int, entry_epoch: int, state: bytes) -> None:
         self.begun_epoch, self.index, self.entry_epoch, self.state = begun_epoch, index, entry_epoch, state
-        self._received = 0  # as the receiver acknowledged last
+        self._received = 0  # position in the last acknowledgement
         self._sent = 0
 
     @property
     def unacknowledged_bytes(self) -> int:
-        """What was sent and not acknowledged.
+        """Number of bytes sent and not acknowledged.
 
-        Once all was sent, that is the whole state, as only its being read, installed and written is
-        acknowledged then.
+        Once everything was sent, that is the length of the whole state: the final acknowledgement follows
+        only after the receiver has read, installed and written it.
         """
         return len(self.state) if self._sent == len(self.state) else self._sent - self._received
 
     def handle_ack(self, received: int) -> bool:
-        """The receiver holds so many bytes; whether that is progress. Fewer than before: it began anew."""
+        """Record how many bytes the receiver holds; return whether that is progress.
+
+        Fewer than before mean that the receiver started over.
+        """
         has_progressed = received > self._received
         if received < self._received:
             self._sent = received
@@ -45,13 +48,13 @@
         return has_progressed
 
     def rewind(self) -> None:
-        """Nothing came of what was sent: go on from where the receiver is."""
+        """Resume at the receiver's position, as the chunks sent since are considered lost."""
         self._sent = min(self._sent, self._received)
 
     def next_chunk(self) -> slice | None:
-        """The next chunk to send, which then counts as sent.
+        """Return the next chunk to send and count it as sent.
 
-        None where the window is full or all was sent.
+        Returns None if the window is full or the whole state was sent.
         """
         if self._sent == len(self.state) or self._sent - self._received >= WINDOW_BYTES:
             return None
@@ -60,8 +63,8 @@
         return chunk
 
 
-class _Source(msgspec.Struct, frozen=True):
-    """Names one state of one process, as an epoch is won by one process incarnation alone."""
+class _SnapshotId(msgspec.Struct, frozen=True):
+    """Identifies one snapshot of one process, as only one process incarnation wins an epoch."""
 
     sender: str
     begun_epoch: int
@@ -69,34 +72,35 @@
 
 
 class SnapshotReceiver:
-    """The other side: puts the chunks of one snapshot together."""
+    """The receiver's side: assembles the chunks of one snapshot."""
 
     def __init__(self) -> None:
-        self._source: _Source | None = None
+        self._snapshot_id: _SnapshotId | None = None
         self._state = bytearray()
 
     @property
     def received(self) -> int:
-        """How many bytes of the snapshot in progress are here."""
+        """Number of bytes received of the snapshot in progress."""
         return len(self._state)
 
     def reset(self) -> None:
-        """Whatever comes next begins anew."""
-        self._source = None
+        """Discard the snapshot in progress; the next chunk starts a new one."""
+        self._snapshot_id = None
         self._state.clear()
 
     def handle_chunk(self, chunk: InstallSnapshot) -> bytes | None:
         """Add a chunk.
 
-        A chunk that does not follow on what is here is dropped; one of another snapshot begins that.
+        A chunk that does not continue the received bytes is dropped. A chunk of another snapshot discards the
+        one in progress.
 
         Returns:
-            The complete state where this chunk ends it.
+            The complete state if this was the last chunk, else None.
         """
-        source = _Source(chunk.sender, chunk.begun_epoch, chunk.index)
-        if source != self._source:
+        snapshot_id = _SnapshotId(chunk.sender, chunk.begun_epoch, chunk.index)
+        if snapshot_id != self._snapshot_id:
             self.reset()
-            self._source = source
+            self._snapshot_id = snapshot_id
         if chunk.offset == len(self._state):
             self._state += chunk.data
         if len(self._state) < chunk.size:
--- a/madderwind/replication/submitted_commands.py
+++ b/madderwind/replication/submitted_commands.py
@@ -1,4 +1,4 @@
-"""Commands that wait at the primary for its decision, while they or others before them are prepared."""
+"""Commands that wait for the primary's decision while they or earlier commands are being prepared."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from madderwind.replication.actions import Action, CommandResolved
 from madderwind.replication.commands import UNKNOWN_RESULT, Command
 
-# More at once are answered UNKNOWN: every one may hold a body of several MiB.
+# Bounds memory, as each command may hold a body of several MiB; further ones are answered UNKNOWN.
 MAX_SUBMITTED_COMMANDS = 64
 
 
 class SubmittedCommand(msgspec.Struct, frozen=True):
-    """A command on which nothing is decided yet.
+    """A command that has not been decided on yet.
 
     Attributes:
-        token: Names the call.
-        command: What is to be decided on.
-        deadline_ms: When the caller gets no clear answer and the command is dropped, ms on the steady clock.
+        token: Identifies the call.
+        command: The command to decide on.
+        deadline_ms: When the command is dropped and answered UNKNOWN, ms on the steady clock.
     """
 
     token: int
@@ -28,41 +28,41 @@
 
 
 class SubmittedCommands:
-    """In the order in which they came: a long command does not lose its turn to a short one behind it."""
+    """A FIFO queue: a long command is decided on before a short one submitted after it."""
 
     def __init__(self) -> None:
         self._commands: deque[SubmittedCommand] = deque()
 
     @property
     def is_full(self) -> bool:
-        """Whether no further command may wait."""
+        """Whether the queue accepts no further command."""
         return len(self._commands) >= MAX_SUBMITTED_COMMANDS
 
     @property
     def first(self) -> SubmittedCommand | None:
-        """The command whose turn it is; None where none waits."""
+        """The command to decide on next; None if the queue is empty."""
         return self._commands[0] if self._commands else None
 
     def add(self, now_ms: float, token: int, command: Command) -> None:
-        """A command comes in."""
+        """Append a command to the queue."""
         self._commands.append(SubmittedCommand(token, command, now_ms + command.answer_timeout_ms))
 
     def remove_first(self) -> None:
-        """The command whose turn it is is decided on."""
+        """Remove the first command, which has been decided on."""
         self._commands.popleft()
 
     def expire(self, now_ms: float) -> list[Action]:
-        """The ends of commands that waited for too long; nothing of them takes effect any more."""
+        """Remove commands past their deadline, which take no effect; return their UNKNOWN results."""
         expired = [command for command in self._commands if now_ms >= command.deadline_ms]
         if expired:
             self._commands = deque(command for command in self._commands if now_ms < command.deadline_ms)
         return _unknown(expired)
 
-    def give_up(self) -> list[Action]:
-        """The role is lost: nothing is decided here any more."""
-        given_up = list(self._commands)
+    def abort_all(self) -> list[Action]:
+        """Remove all commands, as this replica is no longer primary; return their UNKNOWN results."""
+        aborted = list(self._commands)
         self._commands.clear()
-        return _unknown(given_up)
+        return _unknown(aborted)
 
 
 def _unknown(commands: list[SubmittedCommand]) -> list[Action]:
--- a/tests/storage/test_record_file.py
+++ b/tests/storage/test_record_file.py
@@ -80,7 +80,7 @@
             file.rewrite((b"three" * 100,))
         self.assertEqual((b"one", b"two"), RecordFile(disk).recover().records)
 
-    def test_given_a_complete_file_of_a_failed_rewrite_when_power_is_lost_then_no_synced_record_is(
+    def test_given_a_failed_rewrite_that_left_a_complete_file_when_power_is_lost_then_synced_records_survive(
         self,
     ) -> None:
         for seed in range(50):
