--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -39,9 +39,8 @@
         self._acknowledged_index = 0
         self._is_ack_due = False
         self._answered_ms: dict[int, float] = {}  # answer times of this epoch's heartbeat rounds
-        self._last_fresh_ms: float | None = (
-            None  # latest time at which a primary is known to have held its lease
-        )
+        # Latest time at which a primary is known to have held its lease.
+        self._last_fresh_ms: float | None = None
         self.known_peers = KnownPeers()
         self.last_received_ms: float | None = None
 
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -120,9 +120,7 @@
     def test_a_read_without_a_fence(self) -> None:
         with patch.object(Primary, "read", read_without_a_fence):
             self.assert_found_by(
-                test_commands.APrimaryThatIsNoneAnyMore(
-                    "test_when_it_is_requested_to_read_then_it_proves_nothing"
-                )
+                test_commands.DeposedPrimary("test_when_it_is_read_then_the_read_is_not_confirmed")
             )
 
     def test_a_wiped_machine_that_votes(self) -> None:
@@ -144,8 +142,8 @@
     def test_refusals_without_a_fence(self) -> None:
         with patch.object(Primary, "_round_from_now", return_value=0):
             self.assert_found_by(
-                test_commands.APrimaryThatIsNoneAnyMore(
-                    "test_when_a_command_builds_on_what_it_does_not_know_then_it_is_not_refused"
+                test_commands.DeposedPrimary(
+                    "test_when_a_command_has_a_base_version_unknown_to_it_then_the_command_is_not_rejected"
                 )
             )
 
