--- a/tests/replication/test_campaign.py
+++ b/tests/replication/test_campaign.py
@@ -1,4 +1,4 @@
-"""Random campaigns with fixed seeds; more are run by hand with `python -m tests.fleet.campaign`."""
+"""Randomized fault campaigns with fixed seeds; run more with `python -m tests.fleet.campaign`."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 SEEDS = range(1, 13)
 
 
-class CampaignsFindNothing(unittest.TestCase):
-    def test_given_random_faults_then_no_promise_is_broken(self) -> None:
+class RandomizedCampaigns(unittest.TestCase):
+    def test_given_random_faults_then_no_guarantee_is_violated(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 Campaign(seed).run()
 
-    def test_given_one_seed_twice_then_the_same_happens(self) -> None:
+    def test_given_the_same_seed_twice_then_the_runs_are_identical(self) -> None:
         first, second = Campaign(5), Campaign(5)
         first.run()
         second.run()
--- a/tests/replication/test_disks_of_all.py
+++ b/tests/replication/test_disks_of_all.py
@@ -1,4 +1,4 @@
-"""Stories of troubles that strike the disks of all machines at once: they are full, or power is lost."""
+"""Faults that affect the disks of all machines at once: full disks and power losses."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from tests.fleet.register import command
 from tests.replication.story import FAILOVER_MS, FleetStory
 
-# A full disk that has space again, or a machine that has power again, serves within this: far less than any
-# deployment's `recovery_s`.
+# Maximum time until the fleet serves again after disk space or power is back; far less than the `recovery_s`
+# of any deployment.
 RECOVERY_MS = 4_000.0
 STEP_MS = 1.0
 
 
 class FullDisks(FleetStory):
-    def fill(self, *machines: Machine) -> None:
+    def fill_disks(self, *machines: Machine) -> None:
         for machine in machines:
             machine.disk.is_full = True
 
-    def make_space(self) -> None:
+    def free_disks(self) -> None:
         for machine in self.fleet.machines.values():
             machine.disk.is_full = False
 
     def assert_nothing_is_acknowledged(self, version: int) -> None:
-        """Wherever a command is sent to, and however often."""
+        """Submit commands to every machine repeatedly and check that none is acknowledged."""
         results: list[CommandResult] = []
         for _ in range(6):
             for machine in self.fleet.running():
@@ -42,53 +42,55 @@
         self.fleet.run(3_000.0)
         self.assert_all_follow(version)
 
-    def test_given_one_after_the_other_full_then_commands_go_through_at_those_that_are_not(self) -> None:
+    def test_given_one_full_disk_at_a_time_then_commands_are_committed_by_the_other_machines(self) -> None:
         version = 3
         for machine in list(self.fleet.machines.values()):
-            self.fill(machine)
+            self.fill_disks(machine)
             self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
             self.assertNotIn(machine.address, self.fleet.in_sync())
-            self.make_space()
+            self.free_disks()
             self.fleet.run(3_000.0)
             version += 1
             self.assert_all_follow(version)
 
-    def test_given_all_full_then_nothing_is_acknowledged_until_there_is_space(self) -> None:
-        self.fill(*self.fleet.machines.values())
+    def test_given_all_disks_full_then_no_command_is_acknowledged_until_space_is_free(self) -> None:
+        self.fill_disks(*self.fleet.machines.values())
         self.assert_nothing_is_acknowledged(5)
-        self.make_space()
+        self.free_disks()
         self.assert_serves_again(5)
 
-    def test_given_all_full_but_one_then_that_one_acknowledges_nothing_alone(self) -> None:
-        for spared in self.fleet.machines:
+    def test_given_all_disks_but_one_full_then_that_machine_acknowledges_no_command_alone(self) -> None:
+        for healthy_address in self.fleet.machines:
             self.setUp()
-            self.fill(*(m for address, m in self.fleet.machines.items() if address != spared))
+            self.fill_disks(*(m for address, m in self.fleet.machines.items() if address != healthy_address))
             self.assert_nothing_is_acknowledged(5)
-            self.make_space()
+            self.free_disks()
             self.assert_serves_again(5)
 
-    def test_given_all_full_when_they_are_killed_and_start_then_they_serve_once_there_is_space(self) -> None:
-        self.fill(*self.fleet.machines.values())
+    def test_given_all_disks_full_when_all_processes_restart_then_they_serve_once_space_is_free(self) -> None:
+        self.fill_disks(*self.fleet.machines.values())
         for machine in self.fleet.machines.values():
             machine.kill()
         for machine in self.fleet.machines.values():
             machine.start()
         self.assert_nothing_is_acknowledged(5)
-        self.make_space()
+        self.free_disks()
         self.assert_serves_again(5)
 
-    def test_given_a_full_disk_when_its_machine_loses_power_then_what_was_acknowledged_is_there(self) -> None:
+    def test_given_full_disks_when_all_machines_lose_power_then_acknowledged_commands_are_retained(
+        self,
+    ) -> None:
         for machine in list(self.fleet.machines.values()):
-            self.fill(machine)
+            self.fill_disks(machine)
             machine.lose_power()
         for machine in self.fleet.machines.values():
             machine.start()
-        self.make_space()
+        self.free_disks()
         self.assertEqual(3, self.fleet.read_committed(most_ms=RECOVERY_MS).version)
 
 
-class FullDisksAtTheFirstStart(unittest.TestCase):
-    def assert_founded_once_there_is_space(self, *full: str) -> None:
+class FullDisksAtBootstrap(unittest.TestCase):
+    def assert_bootstrapped_once_space_is_free(self, *full: str) -> None:
         fleet = Fleet(3, 1, seed=31)
         for address in full:
             fleet[address].disk.is_full = True
@@ -101,11 +103,11 @@
         fleet.run(3_000.0)
         self.assertEqual({"m1", "m2", "m3"}, fleet.in_sync())
 
-    def test_given_any_of_them_full_then_a_system_is_founded_with_all(self) -> None:
+    def test_given_any_full_disks_then_the_system_is_bootstrapped_with_all_machines(self) -> None:
         for full in (("m1",), ("m2",), ("m2", "m3"), ("m1", "m2", "m3")):
-            self.assert_founded_once_there_is_space(*full)
+            self.assert_bootstrapped_once_space_is_free(*full)
 
-    def test_given_one_beside_the_first_that_stays_full_then_the_others_take_commands(self) -> None:
+    def test_given_one_permanently_full_disk_then_the_other_machines_commit_commands(self) -> None:
         for full in ("m2", "m3"):
             fleet = Fleet(3, 1, seed=31)
             fleet[full].disk.is_full = True
@@ -115,8 +117,8 @@
             self.assertNotIn(full, fleet.in_sync())
 
 
-class PowerIsLostEverywhere(unittest.TestCase):
-    """Each command that was acknowledged is there, whenever that happens, and the fleet serves soon."""
+class PowerLossOfAllMachines(unittest.TestCase):
+    """Whenever power is lost, every acknowledged command is retained and the fleet recovers quickly."""
 
     def setUp(self) -> None:
         self.fleet = Fleet(3, 1, seed=29)
@@ -140,29 +142,33 @@
         primary.submit(command(self.version, version, "operator"), results.append)
         return results
 
-    def assert_is_back(self, acknowledged: int, sent: int) -> None:
-        """A proven read gives what was acknowledged, or what was sent on top of it."""
-        began_ms = self.fleet.clock.now_ms
+    def assert_recovered(self, acknowledged: int, submitted: int) -> None:
+        """Check that a confirmed read returns the acknowledged version, or the one submitted after it."""
+        started_ms = self.fleet.clock.now_ms
         version = self.fleet.read_committed(most_ms=RECOVERY_MS).version
-        self.slowest_ms = max(self.slowest_ms, self.fleet.clock.now_ms - began_ms)
-        self.assertIn(version, (acknowledged, sent))
+        self.slowest_ms = max(self.slowest_ms, self.fleet.clock.now_ms - started_ms)
+        self.assertIn(version, (acknowledged, submitted))
         self.assertGreaterEqual(version, acknowledged)
         self.version = version
 
-    def test_given_any_moment_of_a_command_then_it_is_there_once_it_was_acknowledged(self) -> None:
-        acknowledged_in_all = 0
+    def test_given_a_power_loss_at_any_moment_of_a_command_then_it_is_retained_once_acknowledged(
+        self,
+    ) -> None:
+        acknowledged_total = 0
         for step in range(24):
             results = self.command(self.version + 2)
             self.fleet.run(STEP_MS * step)
-            taken = [result for result in results if result.outcome is CommandOutcome.COMMITTED]
-            acknowledged_in_all += len(taken)
+            committed = [result for result in results if result.outcome is CommandOutcome.COMMITTED]
+            acknowledged_total += len(committed)
             self.lose_power_everywhere()
             self.start_all()
-            self.assert_is_back(self.version + 2 if taken else self.version, self.version + 2)
-        self.assertTrue(0 < acknowledged_in_all < 24)  # before and after the acknowledgement
+            self.assert_recovered(self.version + 2 if committed else self.version, self.version + 2)
+        self.assertTrue(0 < acknowledged_total < 24)  # power was lost before and after the acknowledgement
         self.assertLess(self.slowest_ms, RECOVERY_MS)
 
-    def test_given_a_second_loss_at_any_moment_of_the_start_then_all_is_there(self) -> None:
+    def test_given_a_second_power_loss_at_any_moment_of_the_start_then_all_commands_are_retained(
+        self,
+    ) -> None:
         for step in range(24):
             results = self.command(self.version + 2)
             self.fleet.run_until(lambda: bool(results), 1_000.0)  # noqa: B023
@@ -173,9 +179,9 @@
             self.fleet.run(40.0 * step)
             self.lose_power_everywhere()
             self.start_all()
-            self.assert_is_back(acknowledged, acknowledged)
+            self.assert_recovered(acknowledged, acknowledged)
 
-    def test_given_machines_that_come_back_one_by_one_then_all_is_there(self) -> None:
+    def test_given_machines_that_restart_one_by_one_then_all_commands_are_retained(self) -> None:
         for step in range(6):
             results = self.command(self.version + 2)
             self.fleet.run_until(lambda: bool(results), 1_000.0)  # noqa: B023
@@ -183,26 +189,31 @@
             for machine in self.fleet.rng.sample(list(self.fleet.machines.values()), 3):
                 machine.start()
                 self.fleet.run(100.0 * step)
-            self.assert_is_back(self.version + 2, self.version + 2)
+            self.assert_recovered(self.version + 2, self.version + 2)
 
 
 class MutantsAreFound(unittest.TestCase):
-    def test_a_sync_left_out(self) -> None:
-        def unsynced(disk: MemoryDisk, name: str, data: bytes) -> None:
+    def test_an_append_without_a_sync(self) -> None:
+        def append_without_sync(disk: MemoryDisk, name: str, data: bytes) -> None:
             disk._write(disk._files[name], data)
 
-        with patch.object(MemoryDisk, "append", unsynced), self.assertRaises((AssertionError, TimeoutError)):
-            PowerIsLostEverywhere(
-                "test_given_a_second_loss_at_any_moment_of_the_start_then_all_is_there"
+        with (
+            patch.object(MemoryDisk, "append", append_without_sync),
+            self.assertRaises((AssertionError, TimeoutError)),
+        ):
+            PowerLossOfAllMachines(
+                "test_given_a_second_power_loss_at_any_moment_of_the_start_then_all_commands_are_retained"
             ).debug()
 
-    def test_a_machine_that_acknowledges_alone(self) -> None:
-        def as_if_synced_everywhere(primary: Primary, incarnation: str) -> int:
+    def test_a_commit_rule_that_ignores_other_replicas(self) -> None:
+        def synced_index_of_the_primary(primary: Primary, incarnation: str) -> int:
             return primary._store.synced_index
 
-        alone = patch.object(Primary, "_synced_by", as_if_synced_everywhere)
-        with alone, self.assertRaises(AssertionError):
-            FullDisks("test_given_all_full_but_one_then_that_one_acknowledges_nothing_alone").debug()
+        faulty_commit_rule = patch.object(Primary, "_synced_by", synced_index_of_the_primary)
+        with faulty_commit_rule, self.assertRaises(AssertionError):
+            FullDisks(
+                "test_given_all_disks_but_one_full_then_that_machine_acknowledges_no_command_alone"
+            ).debug()
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into the code on purpose: the campaigns or the stories have to find each of them."""
+"""Mutation tests: the campaigns or the scenarios have to detect each fault injected into the code."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 from tests.fleet.machine import Machine
 from tests.replication import test_commands, test_failover, test_lost_disks, test_witness
 
-MOST_CAMPAIGNS = 40
+MAX_CAMPAIGNS = 40
 
 
-ordinary_promotion = RoleMachine.promote_if_due
+original_promotion = RoleMachine.promote_if_due
 
 
-def read_without_a_fence(primary: Primary, now_ms: float, token: int) -> None:
+def read_without_confirmation(primary: Primary, now_ms: float, token: int) -> None:
     primary._outbox.add(ReadResolved(token, is_newest=True))
 
 
@@ -34,65 +34,65 @@
     disk._write(disk._files[name], data)
 
 
-def chance_by_address(machine: Machine) -> random.Random:
+def rng_seeded_by_address(machine: Machine) -> random.Random:
     return random.Random(machine.address)
 
 
-def ready_without_the_log(planner: ViewPlanner, now_ms: float, peer: Peer) -> PeerHealth:
+def health_without_log_check(planner: ViewPlanner, now_ms: float, peer: Peer) -> PeerHealth:
     is_healthy = peer.is_healthy(now_ms, planner._times)
     return PeerHealth(peer.member, is_healthy, not is_healthy, False)
 
 
-def as_if_synced_everywhere(primary: Primary, incarnation: str) -> int:
+def synced_index_of_the_primary(primary: Primary, incarnation: str) -> int:
     return primary._store.synced_index
 
 
 def promote_after_a_restart(roles: RoleMachine, now_ms: float) -> None:
-    ordinary_promotion(roles, now_ms)
+    original_promotion(roles, now_ms)
     view = roles._store.view
     if roles._won_epoch < 0:
         return
     if view is not None and view.primary == roles._store.me.incarnation and roles.primary is None:
-        roles._won_epoch = -1  # once a life
+        roles._won_epoch = -1  # only once per incarnation
         roles.primary = Primary(roles._context, view, roles._rules, now_ms)
 
 
 class CampaignsFindMutants(unittest.TestCase):
     def assert_found(self, likely_seed: int = 1) -> None:
-        """Within a few campaigns, something happens that must not. The likely seed is only tried first."""
-        for seed in (likely_seed, *range(1, MOST_CAMPAIGNS + 1)):
+        """Check that one of a few campaigns detects the fault; `likely_seed` is only tried first."""
+        for seed in (likely_seed, *range(1, MAX_CAMPAIGNS + 1)):
             try:
                 Campaign(seed).run()
             except (Violation, ValueError):
                 return
-        self.fail(f"not found in {MOST_CAMPAIGNS} campaigns")
+        self.fail(f"fault not detected in {MAX_CAMPAIGNS} campaigns")
 
-    def test_a_read_without_a_fence(self) -> None:
-        with patch.object(Primary, "read", read_without_a_fence):
+    def test_a_read_without_confirmation(self) -> None:
+        with patch.object(Primary, "read", read_without_confirmation):
             self.assert_found()
 
-    def test_a_sync_left_out(self) -> None:
+    def test_an_append_without_a_sync(self) -> None:
         with patch.object(MemoryDisk, "append", append_without_a_sync):
             self.assert_found()
 
     def test_a_wiped_machine_that_votes(self) -> None:
-        with patch.object(Machine, "replica_rng", chance_by_address):
+        with patch.object(Machine, "replica_rng", rng_seeded_by_address):
             self.assert_found(likely_seed=4)
 
-    def test_a_learner_taken_into_the_set_without_the_log(self) -> None:
-        with patch.object(ViewPlanner, "health_of", ready_without_the_log):
+    def test_a_learner_added_to_the_in_sync_set_without_the_log(self) -> None:
+        with patch.object(ViewPlanner, "health_of", health_without_log_check):
             self.assert_found()
 
-    def test_members_that_only_grow(self) -> None:
+    def test_a_membership_that_never_shrinks(self) -> None:
         with patch("madderwind.replication.replica.membership_goal", return_value=9):
             self.assert_found(likely_seed=9)
 
-    def test_a_set_too_small_to_acknowledge(self) -> None:
+    def test_an_in_sync_set_too_small_to_acknowledge(self) -> None:
         with patch.object(MembershipRules, "smallest_in_sync", PropertyMock(return_value=1)):
             self.assert_found()
 
-    def test_a_commit_that_does_not_wait_for_the_others(self) -> None:
-        with patch.object(Primary, "_synced_by", as_if_synced_everywhere):
+    def test_a_commit_that_does_not_wait_for_other_replicas(self) -> None:
+        with patch.object(Primary, "_synced_by", synced_index_of_the_primary):
             self.assert_found()
 
     def test_a_takeover_by_a_replica_that_is_not_in_sync(self) -> None:
@@ -100,8 +100,8 @@
             self.assert_found(likely_seed=20)
 
 
-class StoriesFindMutants(unittest.TestCase):
-    def test_a_lease_that_is_not_looked_at(self) -> None:
+class ScenariosFindMutants(unittest.TestCase):
+    def test_a_lease_that_is_ignored(self) -> None:
         with patch.object(Witness, "_protects_primary", return_value=False):
             self.assert_found_by(
                 test_failover.LinksAreCut(
@@ -109,7 +109,7 @@
                 )
             )
 
-    def test_promises_that_are_not_written(self) -> None:
+    def test_promises_that_are_not_recorded(self) -> None:
         with patch.object(ReplicaStore, "record_witness", lambda store: None):
             self.assert_found_by(
                 test_witness.PromisesOutlastRestarts(
@@ -117,21 +117,21 @@
                 )
             )
 
-    def test_a_read_without_a_fence(self) -> None:
-        with patch.object(Primary, "read", read_without_a_fence):
+    def test_a_read_without_confirmation(self) -> None:
+        with patch.object(Primary, "read", read_without_confirmation):
             self.assert_found_by(
                 test_commands.DeposedPrimary("test_when_it_is_read_then_the_read_is_not_confirmed")
             )
 
     def test_a_wiped_machine_that_votes(self) -> None:
-        with patch.object(Machine, "replica_rng", chance_by_address):
+        with patch.object(Machine, "replica_rng", rng_seeded_by_address):
             self.assert_found_by(
                 test_lost_disks.DisksAreLost(
                     "test_given_a_wiped_machine_when_another_is_away_then_its_vote_does_not_count"
                 )
             )
 
-    def test_a_restarted_primary_that_goes_on_in_its_epoch(self) -> None:
+    def test_a_restarted_primary_that_continues_its_epoch(self) -> None:
         with patch.object(RoleMachine, "promote_if_due", promote_after_a_restart):
             self.assert_found_by(
                 test_failover.ProcessesEnd(
@@ -139,7 +139,7 @@
                 )
             )
 
-    def test_refusals_without_a_fence(self) -> None:
+    def test_rejections_without_confirmation(self) -> None:
         with patch.object(Primary, "_round_from_now", return_value=0):
             self.assert_found_by(
                 test_commands.DeposedPrimary(
@@ -147,10 +147,10 @@
                 )
             )
 
-    def assert_found_by(self, story: unittest.TestCase) -> None:
-        """The story fails."""
+    def assert_found_by(self, scenario: unittest.TestCase) -> None:
+        """Check that the scenario fails."""
         result = unittest.TestResult()
-        story.run(result)
+        scenario.run(result)
         self.assertEqual(1, result.testsRun)
         self.assertTrue(result.failures)
 
