--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -1,4 +1,4 @@
-"""Commands and reads that wait at the primary for a proof."""
+"""Commands and reads at the primary whose results wait for a commit or for a heartbeat round."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from madderwind.replication.commands import UNKNOWN_RESULT, CommandResult
 from madderwind.replication.heartbeat_rounds import HeartbeatRounds
 
-# More at once are answered UNKNOWN: every one may hold a body of several MiB.
+# Bounds memory, as each command may hold a body of several MiB; further ones are answered UNKNOWN.
 MAX_PENDING_COMMANDS = 64
 
 
 class Proof(msgspec.Struct, frozen=True):
-    """What must hold before a result may be given.
+    """Precondition of a result: a committed entry and a confirmed heartbeat round.
 
     Attributes:
-        index: The entry that must be committed.
+        index: Index of the entry that must be committed.
         round: The heartbeat round that must be confirmed; 0 for none.
-        deadline_ms: When the wait for both ends, ms on the steady clock.
+        deadline_ms: When to stop waiting, ms on the steady clock.
     """
 
     index: int
@@ -42,7 +42,7 @@
 
 
 class PendingRequests:
-    """Every request gets exactly one end."""
+    """The waiting requests; each one gets exactly one result."""
 
     def __init__(self) -> None:
         self._commands: list[_PendingCommand] = []
@@ -50,33 +50,33 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further request may wait."""
+        """Whether no further request is accepted."""
         return len(self._commands) >= MAX_PENDING_COMMANDS
 
     @property
     def needed_round(self) -> int:
-        """The newest round that anything waits for."""
+        """The newest round that a request waits for."""
         of_commands = max((command.proof.round for command in self._commands), default=0)
         of_reads = max((read.proof.round for read in self._reads), default=0)
         return max(of_commands, of_reads)
 
     def add_command(self, token: int, result: CommandResult, proof: Proof) -> None:
-        """A command whose result holds once the proof is given."""
+        """Add a command whose result is valid once the proof holds."""
         self._commands.append(_PendingCommand(token, result, proof))
 
     def add_read(self, token: int, proof: Proof) -> None:
-        """A read that is the newest once the proof is given."""
+        """Add a read, whose state is confirmed as the newest once the proof holds."""
         self._reads.append(_PendingRead(token, proof))
 
     def resolve(self, now_ms: float, committed_index: int, rounds: HeartbeatRounds) -> list[Action]:
-        """The ends of those that are proven or have waited for too long."""
+        """Remove requests whose proof holds or whose deadline has passed; return their results."""
         return [
             *self._resolve_commands(now_ms, committed_index, rounds),
             *self._resolve_reads(now_ms, committed_index, rounds),
         ]
 
-    def give_up(self) -> list[Action]:
-        """The role is lost: no result can be given any more."""
+    def abort_all(self) -> list[Action]:
+        """Remove all requests, as the primary role has ended; return their UNKNOWN or unconfirmed results."""
         commands: list[Action] = [CommandResolved(each.token, UNKNOWN_RESULT) for each in self._commands]
         reads: list[Action] = [ReadResolved(read.token, is_newest=False) for read in self._reads]
         self._commands, self._reads = [], []
