--- a/madderwind/configuration/__init__.py
+++ b/madderwind/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's configuration: its documents, their checks, the history of commands, and look-ups in it."""
+"""The operator's configuration: document parsing, validation, command history and request look-ups."""
--- a/madderwind/configuration/command_preparation.py
+++ b/madderwind/configuration/command_preparation.py
@@ -1,4 +1,4 @@
-"""What commands make of documents: read once, however many copies of the state ask for it."""
+"""A cache for the document that results from a command, so that all copies of the state parse it once."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PreparedCommand(msgspec.Struct, frozen=True):
-    """What a command makes of its base, kept so that checking and applying read it once."""
+    """The cached result of a command on its base document, shared by validation and application."""
 
     base: Document | None
     command: Command
@@ -23,63 +23,66 @@
 
 
 class PreparationCache:
-    """The last command's document, shared by a history and its copies.
+    """Caches the result of the last prepared command, for a history and all its copies.
 
-    A replica checks a command, appends it and commits it, each on a copy of its own. Any thread may prepare:
-    documents are never changed, and the last one prepared is replaced at once.
+    A replica validates, appends and commits a command, each on its own copy of the state. Any thread may
+    prepare a command: documents are immutable, and the cached entry is replaced by a single assignment.
     """
 
     def __init__(self) -> None:
         self._last: PreparedCommand | None = None
 
     def document(self, base: Document | None, command: Command) -> Document:
-        """What the command makes of the base; raises ConfigurationError."""
-        result = self.prepared(base, command).result
+        """The document that results from the command on the base; raises ConfigurationError."""
+        result = self.get_or_prepare(base, command).result
         if isinstance(result, ConfigurationError):
-            # A new one each time: an error that is kept would keep all that its traceback refers to.
+            # Raises a new exception each time: raising the cached one would attach a traceback to it, which
+            # would keep alive every object that its frames refer to.
             raise ConfigurationError(result.field, result.reason)
         return result
 
-    def prepared(self, base: Document | None, command: Command) -> PreparedCommand:
-        """All that is known of the command on top of the base."""
-        found = self.find(base, command)
-        if found is None:
-            found = PreparedCommand(base, command, _read(base, command), digest_of(command))
-            self._last = found
-        return found
+    def get_or_prepare(self, base: Document | None, command: Command) -> PreparedCommand:
+        """The cached result of the command on the base; computed now if it is not cached."""
+        entry = self.cached_result(base, command)
+        if entry is None:
+            entry = PreparedCommand(base, command, _compute_result(base, command), command_digest(command))
+            self._last = entry
+        return entry
 
     def prepare(self, base: Document | None, command: Command) -> None:
-        """Have `prepared` at hand."""
-        self.prepared(base, command)
+        """Compute and cache the result of the command on the base."""
+        self.get_or_prepare(base, command)
 
-    def find(self, base: Document | None, command: Command) -> PreparedCommand | None:
-        """The command on top of the base, where it was prepared last."""
+    def cached_result(self, base: Document | None, command: Command) -> PreparedCommand | None:
+        """The cached result, if this command on this base was prepared last; else None."""
         last = self._last
         is_same = last is not None and last.base is base and last.command == command
         return last if is_same else None
 
 
-def digest_of(command: Command) -> bytes:
-    """Names a command by its kind, base version and body."""
+def command_digest(command: Command) -> bytes:
+    """A digest that identifies a command by its kind, base version and body."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     digest.update(f"{command.kind.value} {command.base_version} ".encode())
     digest.update(command.body)
     return digest.digest()
 
 
-def _read(base: Document | None, command: Command) -> Document | ConfigurationError:
-    """The document that a command makes of the present one, or why it makes none."""
+def _compute_result(base: Document | None, command: Command) -> Document | ConfigurationError:
+    """The document that results from the command, or the error that rejects it."""
     try:
-        return _ordered(base, command)
+        return _document_after(base, command)
     except ConfigurationError as error:
         return error.with_traceback(None)
 
 
-def _ordered(base: Document | None, command: Command) -> Document:
-    """The document that a command makes of the present one; raises ConfigurationError."""
+def _document_after(base: Document | None, command: Command) -> Document:
+    """The document that results from the command; raises ConfigurationError."""
     if command.kind is CommandKind.UPDATE:
         if base is None:
-            raise ConfigurationError("document", "there is no configuration yet that could be updated")
+            raise ConfigurationError(
+                "document", "an update needs an existing configuration, and there is none yet"
+            )
         return base.updated(command.body)
     document = read_document(command.body, base)
     if base is not None and document.version <= base.version:
--- a/madderwind/configuration/consistency.py
+++ b/madderwind/configuration/consistency.py
@@ -1,4 +1,4 @@
-"""Rules that hold between the parts of a configuration."""
+"""Validation rules that span several sections of a configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def check_consistency(configuration: Configuration) -> None:
-    """Check the rules between parts.
+    """Check the rules that span several sections.
 
     Raises:
         ConfigurationError: A route names an unknown service, two routes share host and prefix, or two
--- a/madderwind/configuration/documents.py
+++ b/madderwind/configuration/documents.py
@@ -1,7 +1,7 @@
-"""What an operator's configuration says, typed. Each class checks its own values as it is made.
+"""Typed classes for an operator's configuration. Each class validates its own values on construction.
 
-A field that is absent or null takes its default. Fields that are not known here are kept in the document's
-raw form and are not looked at. Checks raise ConfigurationError, whose field is relative to the object.
+A field that is absent or null takes its default. Unknown fields are preserved in the document's raw form and
+are not validated. Validation raises ConfigurationError, whose field is relative to the object.
 """
 
 from __future__ import annotations
@@ -23,46 +23,46 @@
 QUOTA_UNITS = frozenset({"requests", "tokens"})
 
 
-def _above_zero(name: str, value: float) -> None:
+def _require_positive(name: str, value: float) -> None:
     if value <= 0:
         raise ConfigurationError(name, f"must be above 0, not {value:g}")
 
 
-def _not_negative(name: str, value: float) -> None:
+def _require_non_negative(name: str, value: float) -> None:
     if value < 0:
         raise ConfigurationError(name, f"must not be negative, not {value:g}")
 
 
-def _not_empty(name: str, value: str) -> None:
+def _require_non_empty(name: str, value: str) -> None:
     if not value:
         raise ConfigurationError(name, "must not be empty")
 
 
-def _one_of(name: str, value: str, allowed: frozenset[str]) -> None:
+def _require_one_of(name: str, value: str, allowed: frozenset[str]) -> None:
     if value not in allowed:
         raise ConfigurationError(name, f"must be one of {', '.join(sorted(allowed))}, not {value!r}")
 
 
-def _between_slashes(name: str, value: str) -> None:
+def _require_enclosing_slashes(name: str, value: str) -> None:
     if not (value.startswith("/") and value.endswith("/")):
         raise ConfigurationError(name, f"must start and end with a slash, not {value!r}")
 
 
 @attrs.frozen
 class Backend:
-    """One of the services that a route's requests are split over, by weight."""
+    """One of the services among which a route's requests are distributed, by weight."""
 
     service: str
     weight: float
 
     def __attrs_post_init__(self) -> None:
-        _not_empty("service", self.service)
-        _not_negative("weight", self.weight)
+        _require_non_empty("service", self.service)
+        _require_non_negative("weight", self.weight)
 
 
 @attrs.frozen
 class Route:
-    """Where requests for a host and a path prefix go, and what holds for them. Times are in milliseconds."""
+    """The target and the policy of requests for a host and a path prefix. Times are in milliseconds."""
 
     name: str
     host: str
@@ -80,24 +80,24 @@
     gap_aim_ms: float = 0.0
 
     def __attrs_post_init__(self) -> None:
-        _not_empty("name", self.name)
-        _not_empty("host", self.host)
-        _between_slashes("path_prefix", self.path_prefix)
-        _above_zero("timeout_ms", self.timeout_ms)
-        _one_of("route_type", self.route_type, ROUTE_TYPES)
-        _not_negative("target_latency_ms", self.target_latency_ms)
-        _not_negative("priority", self.priority)
-        _above_zero("max_attempts", self.max_attempts)
-        _not_negative("gap_aim_ms", self.gap_aim_ms)
+        _require_non_empty("name", self.name)
+        _require_non_empty("host", self.host)
+        _require_enclosing_slashes("path_prefix", self.path_prefix)
+        _require_positive("timeout_ms", self.timeout_ms)
+        _require_one_of("route_type", self.route_type, ROUTE_TYPES)
+        _require_non_negative("target_latency_ms", self.target_latency_ms)
+        _require_non_negative("priority", self.priority)
+        _require_positive("max_attempts", self.max_attempts)
+        _require_non_negative("gap_aim_ms", self.gap_aim_ms)
         if self.backends:
             if math.fsum(backend.weight for backend in self.backends) <= 0:
-                raise ConfigurationError("backends", "the weights sum to 0")
+                raise ConfigurationError("backends", "the sum of the weights must be above 0")
         elif not self.service:
-            raise ConfigurationError("service", "names neither a service nor backends with a weight")
+            raise ConfigurationError("service", "is required if there are no backends")
 
     @property
     def service_names(self) -> tuple[str, ...]:
-        """Every service that the route names, those of weight 0 included."""
+        """Every service that the route names, including those of weight 0."""
         if self.service is not None and not self.backends:
             return (self.service,)
         named = tuple(backend.service for backend in self.backends)
@@ -115,16 +115,19 @@
     stride: int = 1
 
     def __attrs_post_init__(self) -> None:
-        _above_zero("slots", self.slots)
-        _above_zero("kv_tokens", self.kv_tokens)
-        _not_negative("kv_token_bytes", self.kv_token_bytes)
-        _not_negative("link_mbps", self.link_mbps)
-        _above_zero("stride", self.stride)
+        _require_positive("slots", self.slots)
+        _require_positive("kv_tokens", self.kv_tokens)
+        _require_non_negative("kv_token_bytes", self.kv_token_bytes)
+        _require_non_negative("link_mbps", self.link_mbps)
+        _require_positive("stride", self.stride)
 
 
 @attrs.frozen
 class Service:
-    """A group of upstreams that do the same work; one of them takes `max_connections` from all callers."""
+    """A group of equivalent upstreams.
+
+    `max_connections` is the limit on connections to one upstream, shared by all data planes.
+    """
 
     name: str
     health_path: str = "/health"
@@ -134,16 +137,16 @@
     engine: Engine | None = None
 
     def __attrs_post_init__(self) -> None:
-        _not_empty("name", self.name)
-        _not_empty("health_path", self.health_path)
+        _require_non_empty("name", self.name)
+        _require_non_empty("health_path", self.health_path)
         if self.max_connections is not None:
-            _above_zero("max_connections", self.max_connections)
-        _not_empty("protocol", self.protocol)
+            _require_positive("max_connections", self.max_connections)
+        _require_non_empty("protocol", self.protocol)
 
 
 @attrs.frozen
 class Tenant:
-    """Who holds which keys, and the tenant's quota: `rate_per_s` 0 means no limit."""
+    """A tenant's API keys and quota; a `rate_per_s` of 0 means no limit."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -154,13 +157,13 @@
     burst: float = 0.0
 
     def __attrs_post_init__(self) -> None:
-        _not_empty("name", self.name)
+        _require_non_empty("name", self.name)
         if self.priority is not None:
-            _not_negative("priority", self.priority)
-        _one_of("unit", self.unit, QUOTA_UNITS)
-        _not_negative("prompt_tokens", self.prompt_tokens)
-        _not_negative("rate_per_s", self.rate_per_s)
-        _not_negative("burst", self.burst)
+            _require_non_negative("priority", self.priority)
+        _require_one_of("unit", self.unit, QUOTA_UNITS)
+        _require_non_negative("prompt_tokens", self.prompt_tokens)
+        _require_non_negative("rate_per_s", self.rate_per_s)
+        _require_non_negative("burst", self.burst)
         for index, key in enumerate(self.api_keys):
             if not key:
                 raise ConfigurationError(f"api_keys[{index}]", "must not be empty")
@@ -168,7 +171,7 @@
 
 @attrs.frozen
 class ClientLimits:
-    """What a client may send, and how long it may take or rest."""
+    """Size limits for a client's requests, and its time-outs for sending headers and for being idle."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -176,15 +179,15 @@
     idle_timeout_ms: float = DEFAULT_IDLE_TIMEOUT_MS
 
     def __attrs_post_init__(self) -> None:
-        _above_zero("max_header_bytes", self.max_header_bytes)
-        _above_zero("max_body_bytes", self.max_body_bytes)
-        _above_zero("header_timeout_ms", self.header_timeout_ms)
-        _above_zero("idle_timeout_ms", self.idle_timeout_ms)
+        _require_positive("max_header_bytes", self.max_header_bytes)
+        _require_positive("max_body_bytes", self.max_body_bytes)
+        _require_positive("header_timeout_ms", self.header_timeout_ms)
+        _require_positive("idle_timeout_ms", self.idle_timeout_ms)
 
 
 @attrs.frozen
 class Configuration:
-    """A whole configuration; `consistency.check_consistency` tells whether its parts fit together."""
+    """A complete configuration; `consistency.check_consistency` validates it across sections."""
 
     version: int
     routes: tuple[Route, ...] = ()
--- a/madderwind/configuration/history.py
+++ b/madderwind/configuration/history.py
@@ -1,10 +1,10 @@
-"""The replicated state machine of the configuration: the document in force and the commands that led to it.
+"""The replicated state machine of the configuration: the current document and the commands that led to it.
 
-The digests of commands that were committed are part of the state, so that a command whose answer was lost is
-acknowledged again by whichever replica it reaches. Each version was followed by one command alone, so they
-are kept by the version that they built on. A command older than all of them can't be told from one that lost
-a race: its outcome is unknown, as a command that was committed must never be rejected. Recent commands are
-retained for data planes that lag.
+The digests of committed commands are part of the state, so that any replica can acknowledge a retried command
+whose first reply was lost. Exactly one command was committed on top of each version, so the digests are keyed
+by base version. A command whose base version is older than all retained digests cannot be distinguished from
+one that lost a race against another command; its outcome is reported as unknown, because a committed command
+must never be rejected. Recent commands are retained for data planes that lag behind.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from madderwind.configuration.command_preparation import PreparationCache, digest_of
+from madderwind.configuration.command_preparation import PreparationCache, command_digest
 from madderwind.configuration.reading import Document, read_document
 from madderwind.errors import ConfigurationError, MessageError
 from madderwind.messages.distribution import CommandRecord
@@ -26,21 +26,21 @@
 RETAINED_COMMANDS = 256
 RETAINED_COMMAND_BYTES = 2 * 1024 * 1024
 NO_VERSION = 0
-# Reading this much takes about 10 ms of a busy core.
+# Commands from this length on are prepared in advance: parsing this much takes about 10 ms of a busy core.
 LONG_COMMAND_BYTES = 128 * 1024
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
     document: bytes  # empty before the first command
-    # By the version that the command built on; the digest alone in a snapshot of the first form.
+    # Pairs of base version and digest; in the legacy format the digest alone.
     digests: tuple[tuple[int, bytes] | bytes, ...]
     commands: tuple[CommandRecord, ...]
 
     def digests_by_base(self) -> dict[int, bytes]:
         """The digests by base version.
 
-        Of a snapshot of the first form those whose commands are kept are known; older commands count as
-        forgotten.
+        In a snapshot of the legacy format only the commands that it retains can be assigned to a base
+        version; the digests of older commands are dropped.
         """
         pairs = [digest for digest in self.digests if not isinstance(digest, bytes)]
         if len(pairs) == len(self.digests):
@@ -48,7 +48,7 @@
         commands = (
             Command(CommandKind(record.kind), record.base_version, record.body) for record in self.commands
         )
-        return {command.base_version: digest_of(command) for command in commands}
+        return {command.base_version: command_digest(command) for command in commands}
 
 
 class ConfigurationHistory:
@@ -56,10 +56,10 @@
 
     def __init__(self) -> None:
         self.document: Document | None = None
-        self._digests: dict[int, bytes] = {}  # by base version, which rises
+        self._digests: dict[int, bytes] = {}  # by base version, in ascending order
         self._commands: deque[CommandRecord] = deque()
         self._command_bytes = 0
-        self._prepared = PreparationCache()
+        self._preparation_cache = PreparationCache()
 
     @property
     def version(self) -> int:
@@ -67,26 +67,29 @@
         return NO_VERSION if self.document is None else self.document.version
 
     def validate(self, command: Command) -> CommandResult | None:
-        """None where the command is valid on top of the present state, else its result."""
+        """None if the command is valid on top of the current state, else its result."""
         if command.base_version != self.version:
             return CommandResult(self._outcome_on_other_base(command), self.version)
         try:
-            self._prepared.document(self.document, command)
+            self._preparation_cache.document(self.document, command)
         except ConfigurationError as error:
             return CommandResult(CommandOutcome.INVALID, self.version, error.field, error.reason)
         return None
 
     def preparation(self, command: Command) -> Callable[[], None] | None:
-        """What reads a long command beforehand; None where it is short, read already, or on another base."""
+        """A callable that parses a long command in advance.
+
+        None if the command is short, already prepared, or based on another version.
+        """
         is_long = len(command.body) >= LONG_COMMAND_BYTES and command.base_version == self.version
-        if not is_long or self._prepared.find(self.document, command) is not None:
+        if not is_long or self._preparation_cache.cached_result(self.document, command) is not None:
             return None
-        return partial(self._prepared.prepare, self.document, command)
+        return partial(self._preparation_cache.prepare, self.document, command)
 
     def apply(self, command: Command) -> None:
-        """Change the state by a command that `validate` let pass on the same state."""
-        prepared = self._prepared.prepared(self.document, command)
-        document = self._prepared.document(self.document, command)
+        """Apply a command for which `validate` returned None on the same state."""
+        prepared = self._preparation_cache.get_or_prepare(self.document, command)
+        document = self._preparation_cache.document(self.document, command)
         record = CommandRecord(document.version, self.version, command.kind.value, command.body)
         self.document = document
         self._digests[command.base_version] = prepared.digest
@@ -95,10 +98,7 @@
         self._retain(record)
 
     def commands_since(self, version: int) -> tuple[CommandRecord, ...] | None:
-        """The commands that lead from a version to the current one.
-
-        None where they are no longer all record.
-        """
+        """The commands that lead from a version to the current one; None if not all of them are retained."""
         if version == self.version:
             return ()
         for index, record in enumerate(self._commands):
@@ -107,7 +107,7 @@
         return None
 
     def snapshot(self) -> bytes:
-        """The whole state."""
+        """The complete state, serialized."""
         document = b"" if self.document is None else self.document.raw
         return msgspec.msgpack.encode(
             _Snapshot(document, tuple(self._digests.items()), tuple(self._commands))
@@ -115,11 +115,11 @@
 
     @classmethod
     def restore(cls, data: bytes) -> ConfigurationHistory:
-        """The state that `snapshot` wrote. Raises MessageError where the bytes are none."""
+        """The state that `snapshot` serialized; raises MessageError if the data is not a valid snapshot."""
         try:
             snapshot = msgspec.msgpack.decode(data, type=_Snapshot)
         except msgspec.MsgspecError as error:
-            raise MessageError(f"no snapshot of the configuration: {error}") from None
+            raise MessageError(f"invalid configuration snapshot: {error}") from None
         history = cls()
         if snapshot.document:
             history.document = read_document(snapshot.document)
@@ -129,23 +129,23 @@
         return history
 
     def copy(self) -> ConfigurationHistory:
-        """An independent copy; the document is shared, as it is never changed in place."""
+        """An independent copy that shares the document, which is immutable."""
         duplicate = ConfigurationHistory()
         duplicate.document = self.document
         duplicate._digests = self._digests.copy()
         duplicate._commands = self._commands.copy()
         duplicate._command_bytes = self._command_bytes
-        duplicate._prepared = self._prepared
+        duplicate._preparation_cache = self._preparation_cache
         return duplicate
 
     def _outcome_on_other_base(self, command: Command) -> CommandOutcome:
-        """What a command gets that does not build on the current version."""
-        followed_by = self._digests.get(command.base_version)
-        if followed_by is not None:
-            is_same = followed_by == digest_of(command)
+        """The outcome of a command whose base version is not the current version."""
+        committed_digest = self._digests.get(command.base_version)
+        if committed_digest is not None:
+            is_same = committed_digest == command_digest(command)
             return CommandOutcome.COMMITTED if is_same else CommandOutcome.STALE_BASE
-        is_forgotten = NO_VERSION <= command.base_version < next(iter(self._digests), NO_VERSION)
-        return CommandOutcome.UNKNOWN if is_forgotten else CommandOutcome.STALE_BASE
+        is_digest_dropped = NO_VERSION <= command.base_version < next(iter(self._digests), NO_VERSION)
+        return CommandOutcome.UNKNOWN if is_digest_dropped else CommandOutcome.STALE_BASE
 
     def _retain(self, record: CommandRecord) -> None:
         self._commands.append(record)
--- a/madderwind/configuration/index.py
+++ b/madderwind/configuration/index.py
@@ -1,4 +1,4 @@
-"""What look-ups and checks need to know of a configuration, brought up to date by the size of a change."""
+"""The index behind look-ups and validation; an update costs time in proportion to the size of the change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ItemType = TypeVar("ItemType")
 
-Prefixes = PersistentMap[str, Route]
+RoutesByPrefix = PersistentMap[str, Route]
 
 
 class ConflictingPartsError(Exception):
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Difference(Generic[ItemType]):
-    """The typed items that a change took away, and those that it brought; what it replaced is in both."""
+    """The typed items that a change removed and added; a replaced item is in both."""
 
     removed: tuple[ItemType, ...] = ()
     added: tuple[ItemType, ...] = ()
@@ -36,8 +36,8 @@
     tenants: Difference[Tenant] = Difference()
 
     @classmethod
-    def from_nothing(cls, configuration: Configuration) -> ConfigurationChange:
-        """How a whole configuration differs from an empty one."""
+    def from_empty(cls, configuration: Configuration) -> ConfigurationChange:
+        """The change from an empty configuration to this one."""
         return cls(
             Difference(added=configuration.routes),
             Difference(added=configuration.services),
@@ -47,12 +47,12 @@
 
 @attrs.frozen
 class ConfigurationIndex:
-    """Never changed in place. Hosts are in lower case."""
+    """An immutable index of a configuration. Hosts are in lower case."""
 
-    prefixes_of_host: PersistentMap[str, Prefixes] = attrs.field(factory=PersistentMap)
+    prefixes_by_host: PersistentMap[str, RoutesByPrefix] = attrs.field(factory=PersistentMap)
     services: PersistentMap[str, Service] = attrs.field(factory=PersistentMap)
-    tenant_of_key: PersistentMap[str, Tenant] = attrs.field(factory=PersistentMap)
-    uses_of_service: PersistentMap[str, int] = attrs.field(factory=PersistentMap)  # how often routes name it
+    tenant_by_key: PersistentMap[str, Tenant] = attrs.field(factory=PersistentMap)
+    reference_counts: PersistentMap[str, int] = attrs.field(factory=PersistentMap)  # by service
     tenant_count: int = 0
 
     def changed(self, change: ConfigurationChange) -> ConfigurationIndex:
@@ -60,39 +60,39 @@
         removed = [service.name for service in change.services.removed]
         added = {service.name: service for service in change.services.added}
         services = self.services.changed(added, removed)
-        uses = self._changed_uses(change.routes)
-        for name in (*uses, *removed):
-            if name not in services and (uses[name] if name in uses else self.uses_of_service.get(name)):
+        counts = self._changed_reference_counts(change.routes)
+        for name in (*counts, *removed):
+            if name not in services and (counts[name] if name in counts else self.reference_counts.get(name)):
                 raise ConflictingPartsError
         return ConfigurationIndex(
             self._hosts_after(change.routes),
             services,
             self._keys_after(change.tenants),
-            self.uses_of_service.changed(uses),
+            self.reference_counts.changed(counts),
             self.tenant_count + len(change.tenants.added) - len(change.tenants.removed),
         )
 
-    def _hosts_after(self, routes: Difference[Route]) -> PersistentMap[str, Prefixes]:
+    def _hosts_after(self, routes: Difference[Route]) -> PersistentMap[str, RoutesByPrefix]:
         changed_prefixes: dict[str, dict[str, Route | None]] = {}
         for route in routes.removed:
             changed_prefixes.setdefault(route.host.lower(), {})[route.path_prefix] = None
         for route in routes.added:
             host, prefix = route.host.lower(), route.path_prefix
-            of_host = changed_prefixes.setdefault(host, {})
-            if (of_host[prefix] if prefix in of_host else self._route_at(host, prefix)) is not None:
+            changes = changed_prefixes.setdefault(host, {})
+            if (changes[prefix] if prefix in changes else self._find_route(host, prefix)) is not None:
                 raise ConflictingPartsError
-            of_host[prefix] = route
-        changed = {host: self._prefixes_after(host, of_host) for host, of_host in changed_prefixes.items()}
+            changes[prefix] = route
+        changed = {host: self._prefixes_after(host, changes) for host, changes in changed_prefixes.items()}
         remaining = {host: prefixes for host, prefixes in changed.items() if len(prefixes)}
-        return self.prefixes_of_host.changed(remaining, changed.keys() - remaining.keys())
+        return self.prefixes_by_host.changed(remaining, changed.keys() - remaining.keys())
 
-    def _route_at(self, host: str, prefix: str) -> Route | None:
-        prefixes = self.prefixes_of_host.get(host)
+    def _find_route(self, host: str, prefix: str) -> Route | None:
+        prefixes = self.prefixes_by_host.get(host)
         return None if prefixes is None else prefixes.get(prefix)
 
-    def _prefixes_after(self, host: str, changed: dict[str, Route | None]) -> Prefixes:
+    def _prefixes_after(self, host: str, changed: dict[str, Route | None]) -> RoutesByPrefix:
         added = {prefix: route for prefix, route in changed.items() if route is not None}
-        prefixes = self.prefixes_of_host.get(host)
+        prefixes = self.prefixes_by_host.get(host)
         return (
             PersistentMap(added)
             if prefixes is None
@@ -104,14 +104,18 @@
         added: dict[str, Tenant] = {}
         for tenant in tenants.added:
             for key in tenant.api_keys:
-                owner = added.get(key) or (None if key in removed else self.tenant_of_key.get(key))
+                owner = added.get(key) or (None if key in removed else self.tenant_by_key.get(key))
                 if owner is not None and owner is not tenant:
                     raise ConflictingPartsError
                 added[key] = tenant
-        return self.tenant_of_key.changed(added, removed)
-
-    def _changed_uses(self, routes: Difference[Route]) -> dict[str, int]:
-        """How often services are named after a change, those that are named otherwise than before."""
-        more = Counter(name for route in routes.added for name in route.service_names)
-        more.subtract(Counter(name for route in routes.removed for name in route.service_names))
-        return {name: count + (self.uses_of_service.get(name) or 0) for name, count in more.items() if count}
+        return self.tenant_by_key.changed(added, removed)
+
+    def _changed_reference_counts(self, routes: Difference[Route]) -> dict[str, int]:
+        """The new reference count of each service whose count the change alters."""
+        count_changes = Counter(name for route in routes.added for name in route.service_names)
+        count_changes.subtract(Counter(name for route in routes.removed for name in route.service_names))
+        return {
+            name: count + (self.reference_counts.get(name) or 0)
+            for name, count in count_changes.items()
+            if count
+        }
--- a/madderwind/configuration/lookup.py
+++ b/madderwind/configuration/lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups in a configuration for each request: its route, the tenant of its key, a service."""
+"""Look-ups for each request: its route, the tenant of its API key, and a service by name."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 
 
 class RoutingTable:
-    """A look-up costs a few accesses to maps, however many routes there are."""
+    """A routing table; the cost of a look-up does not depend on the number of routes."""
 
     def __init__(self, index: ConfigurationIndex) -> None:
-        self._prefixes_of_host = index.prefixes_of_host
+        self._prefixes_by_host = index.prefixes_by_host
         self._services = index.services
-        self._tenant_of_key = index.tenant_of_key
-        self.has_tenants = index.tenant_count > 0  # whether requests of routes that are not public need a key
+        self._tenant_by_key = index.tenant_by_key
+        self.has_tenants = index.tenant_count > 0  # if true, routes that are not public require a key
 
     @classmethod
     def of(cls, configuration: Configuration) -> RoutingTable:
-        """The table of a configuration that was not read from a document."""
-        return cls(ConfigurationIndex().changed(ConfigurationChange.from_nothing(configuration)))
+        """The table for a configuration that was built in code and not parsed from a document."""
+        return cls(ConfigurationIndex().changed(ConfigurationChange.from_empty(configuration)))
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path, among those of the host.
+        """The route of the host with the longest prefix of the path.
 
-        `host` is the Host header, in any case, with or without a port; `path` may carry a query string, which
-        doesn't count.
+        `host` is the Host header, in any case, with or without a port; `path` may contain a query string,
+        which is ignored.
         """
-        prefixes = self._prefixes_of_host.get(without_port(host).lower())
+        prefixes = self._prefixes_by_host.get(without_port(host).lower())
         if prefixes is None:
             return None
         end = _path_end(path)
@@ -38,20 +38,23 @@
         return None
 
     def tenant_of(self, key: str) -> Tenant | None:
-        """The tenant that holds the key."""
-        return self._tenant_of_key.get(key)
+        """The tenant that owns the key."""
+        return self._tenant_by_key.get(key)
 
     def service(self, name: str) -> Service:
         """A service that a route of this configuration names."""
         service = self._services.get(name)
-        assert service is not None  # checked as the configuration was made
+        assert service is not None  # validated when the configuration was built
         return service
 
 
 def choose_backend(route: Route, random_number: float) -> str:
-    """The service for one request of a route, by weight where it is split; `random_number` is in [0, 1)."""
+    """The service for one request of a route, drawn by weight if it has backends.
+
+    `random_number` is in [0, 1).
+    """
     if not route.backends:
-        assert route.service is not None  # checked as the route was made
+        assert route.service is not None  # validated by Route
         return route.service
     remaining = random_number * sum(backend.weight for backend in route.backends)
     service = ""
@@ -65,7 +68,7 @@
 
 
 def without_port(host: str) -> str:
-    """The host of a Host header; the brackets of an IPv6 address stay."""
+    """The host of a Host header; the brackets of an IPv6 address are kept."""
     if host.endswith("]"):
         return host
     name, colon, port = host.rpartition(":")
--- a/madderwind/configuration/persistent_map.py
+++ b/madderwind/configuration/persistent_map.py
@@ -1,4 +1,4 @@
-"""An immutable hash map whose changed versions share all buckets that the change did not touch."""
+"""An immutable hash map; a changed version shares all unmodified buckets with the original."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 KeyType = TypeVar("KeyType")
 ValueType = TypeVar("ValueType")
 
-# A change copies a bucket and the list of buckets: together they stay short at this many entries a bucket.
+# A change copies one bucket and the list of buckets; this limit keeps both short.
 MAX_PER_BUCKET = 32
-_GROWTH = 4
+_GROWTH_FACTOR = 4
 
 
 class PersistentMap(Generic[KeyType, ValueType]):
-    """A map of hashable keys.
+    """An immutable map with hashable keys.
 
-    A change costs by what it changes and by the square root of the map's length at most; the map before it
-    stays as it was. Iteration follows no command that means anything.
+    The cost of a change grows with the number of changed entries and at most with the square root of the
+    map's length. The original map is not modified. The iteration order is undefined.
     """
 
     __slots__ = ("_buckets", "_length", "_mask")
 
     def __init__(self, entries: Mapping[KeyType, ValueType] | None = None) -> None:
-        """A map of these entries; empty without any."""
+        """A map of these entries; empty by default."""
         entries = entries or {}
-        count = 1
-        while count * MAX_PER_BUCKET < len(entries):
-            count *= _GROWTH
-        self._fill(entries.items(), count)
+        bucket_count = 1
+        while bucket_count * MAX_PER_BUCKET < len(entries):
+            bucket_count *= _GROWTH_FACTOR
+        self._fill(entries.items(), bucket_count)
 
     def get(self, key: KeyType) -> ValueType | None:
-        """The value of a key; None where it is not there."""
+        """The value of a key; None if it is absent."""
         return self._buckets[hash(key) & self._mask].get(key)
 
     def __contains__(self, key: KeyType) -> bool:
@@ -41,7 +41,7 @@
         return self._length
 
     def items(self) -> Iterator[tuple[KeyType, ValueType]]:
-        """All entries, in no particular command."""
+        """All entries, in no particular order."""
         for bucket in self._buckets:
             yield from bucket.items()
 
@@ -53,27 +53,27 @@
         changed._buckets, changed._mask = self._buckets.copy(), self._mask
         copied: set[int] = set()
         for key in removed:
-            changed._own_bucket(key, copied).pop(key, None)
+            changed._writable_bucket(key, copied).pop(key, None)
         for key, value in assigned.items():
-            changed._own_bucket(key, copied)[key] = value
-        grown = sum(len(changed._buckets[number]) - len(self._buckets[number]) for number in copied)
-        changed._length = self._length + grown
+            changed._writable_bucket(key, copied)[key] = value
+        length_change = sum(len(changed._buckets[number]) - len(self._buckets[number]) for number in copied)
+        changed._length = self._length + length_change
         if changed._length > len(changed._buckets) * MAX_PER_BUCKET:
-            changed._fill(list(changed.items()), len(changed._buckets) * _GROWTH)
+            changed._fill(list(changed.items()), len(changed._buckets) * _GROWTH_FACTOR)
         return changed
 
-    def _own_bucket(self, key: KeyType, copied: set[int]) -> dict[KeyType, ValueType]:
-        """The key's bucket, copied before its first change so that other maps keep theirs."""
+    def _writable_bucket(self, key: KeyType, copied: set[int]) -> dict[KeyType, ValueType]:
+        """The key's bucket; copied before its first change, because other maps share it."""
         number = hash(key) & self._mask
         if number not in copied:
             copied.add(number)
             self._buckets[number] = self._buckets[number].copy()
         return self._buckets[number]
 
-    def _fill(self, entries: Iterable[tuple[KeyType, ValueType]], count: int) -> None:
-        """Distribute the entries over so many buckets, a power of two."""
-        self._mask = count - 1
-        self._buckets: list[dict[KeyType, ValueType]] = [{} for _ in range(count)]
+    def _fill(self, entries: Iterable[tuple[KeyType, ValueType]], bucket_count: int) -> None:
+        """Distribute the entries over `bucket_count` buckets, a power of two."""
+        self._mask = bucket_count - 1
+        self._buckets: list[dict[KeyType, ValueType]] = [{} for _ in range(bucket_count)]
         for key, value in entries:
             self._buckets[hash(key) & self._mask][key] = value
         self._length = sum(len(bucket) for bucket in self._buckets)
--- a/madderwind/configuration/reading.py
+++ b/madderwind/configuration/reading.py
@@ -1,7 +1,8 @@
-"""Documents of the operator: read from JSON, checked, and changed by updates.
+"""Configuration documents: parsed from JSON, validated, and changed by updates.
 
-A document keeps every part as it came, unknown fields included, beside its typed form. It is never changed in
-place; what an update or a replacement leaves as it was is shared with the document before, unchecked.
+A document keeps every part both as the original JSON, unknown fields included, and in typed form. It is
+immutable. Parts that an update or a replacement does not change are shared with the previous document and are
+not validated again.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from madderwind.configuration.documents import ClientLimits, Configuration, Route, Service, Tenant
 from madderwind.configuration.index import ConfigurationChange, ConfigurationIndex, ConflictingPartsError
 from madderwind.configuration.json_parts import (
-    check_text,
+    check_utf8,
+    encode_json,
     read_list,
     read_names,
     read_object,
     read_value,
-    write,
 )
 from madderwind.configuration.lookup import RoutingTable
 from madderwind.configuration.sections import Section, SectionChange
 from madderwind.configuration.structuring import structure
 from madderwind.errors import ConfigurationError
 
-# The name of the place where nothing in particular of a document is wrong.
+# The field name for errors that concern no particular part of a document.
 ENTIRE_DOCUMENT = "document"
 
 ROUTES, SERVICES, TENANTS, LIMITS = "routes", "services", "tenants", "limits"
@@ -40,7 +41,7 @@
 
 
 class Document:
-    """A whole configuration as the operator has it: `version`, typed `configuration`, and `raw` JSON."""
+    """A complete configuration: its `version`, the typed `configuration` and the `raw` JSON."""
 
     def __init__(
         self,
@@ -50,10 +51,14 @@
         change: ConfigurationChange,
         previous: Document | None,
     ) -> None:
-        """Checked as it is made.
-
-        `members` holds all of the top level but `version`; those that are in `sections` are taken from there.
-        `change`: since the previous document, or since nothing.
+        """Build and validate a document.
+
+        Args:
+            version: Its version.
+            members: All top-level members except `version`; `sections` takes precedence over them.
+            sections: The parsed sections by name.
+            change: The difference from the previous document, or from an empty configuration.
+            previous: The previous document, with which unchanged parts are shared.
         """
         self.version = version
         self._members = members
@@ -63,19 +68,19 @@
 
     @cached_property
     def raw(self) -> bytes:
-        """The JSON of the whole document."""
-        contents = {name: self._contents(name) for name in self._members}
-        return write({"version": self.version, **contents})
+        """The JSON of the complete document."""
+        contents = {name: self._member_contents(name) for name in self._members}
+        return encode_json({"version": self.version, **contents})
 
     @cached_property
     def raw_bytes(self) -> int:
-        """About how long `raw` is, without building it."""
-        rest = sum(len(part) for name, part in self._members.items() if name not in self._sections)
-        return rest + sum(section.raw_bytes for section in self._sections.values())
+        """The approximate length of `raw`, computed without building it."""
+        other_bytes = sum(len(raw) for name, raw in self._members.items() if name not in self._sections)
+        return other_bytes + sum(section.raw_bytes for section in self._sections.values())
 
     @cached_property
     def configuration(self) -> Configuration:
-        """All parts, typed, each in its order."""
+        """All parts in typed form, with items in document order."""
         return Configuration(self.version, self.routes, self.services, self.limits, self.tenants)
 
     @cached_property
@@ -85,36 +90,37 @@
 
     @property
     def route_count(self) -> int:
-        """How many routes there are."""
+        """The number of routes."""
         return len(self.section(ROUTES))
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """All routes in their order.
+        """All routes in document order.
 
-        The same tuple as in the document before where none changed, and so with services and tenants.
+        If no route changed, this is the same tuple object as in the previous document. The same holds for
+        `services` and `tenants`.
         """
         return self.section(ROUTES).typed
 
     @property
     def services(self) -> tuple[Service, ...]:
-        """All services in their order."""
+        """All services in document order."""
         return self.section(SERVICES).typed
 
     @property
     def tenants(self) -> tuple[Tenant, ...]:
-        """All tenants in their order."""
+        """All tenants in document order."""
         return self.section(TENANTS).typed
 
     def updated(self, body: bytes) -> Document:
         """This document with an update applied to it.
 
-        Raises ConfigurationError, also where the update's version isn't above the present one.
+        Raises ConfigurationError, also if the update's version is not above the current one.
         """
         return _Update(body).applied_to(self)
 
     def section(self, name: str) -> Section[Any]:
-        """A section by name; an unknown one is read now, an absent one is empty."""
+        """A section by name; one of unknown kind is parsed on demand, an absent one is empty."""
         known = self._sections.get(name)
         if known is not None:
             return known
@@ -127,42 +133,45 @@
 
     @property
     def members(self) -> Mapping[str, msgspec.Raw]:
-        """All of the top level but the version. Sections' contents are in `section`."""
+        """All top-level members except the version. `section` returns the contents of the sections."""
         return self._members
 
     @property
     def sections(self) -> Mapping[str, Section[Any]]:
-        """Sections that have been read."""
+        """The sections that have been parsed."""
         return self._sections
 
-    def _contents(self, name: str) -> object:
+    def _member_contents(self, name: str) -> object:
         section = self._sections.get(name)
         return self._members[name] if section is None else section.raw()
 
     def _limits_after(self, previous: Document | None) -> ClientLimits:
-        part = self._members.get(LIMITS, _EMPTY_OBJECT)
-        if previous is not None and previous._members.get(LIMITS, _EMPTY_OBJECT) is part:
+        raw_limits = self._members.get(LIMITS, _EMPTY_OBJECT)
+        if previous is not None and previous._members.get(LIMITS, _EMPTY_OBJECT) is raw_limits:
             return previous.limits
-        limits = read_value(part, LIMITS)
+        limits = read_value(raw_limits, LIMITS)
         return ClientLimits() if limits is None else structure(limits, ClientLimits, LIMITS)
 
     def _index_after(self, change: ConfigurationChange, previous: Document | None) -> ConfigurationIndex:
-        """Checked by the size of the change; only what is refused is read over whole, to tell the place."""
+        """The index after the change, validated at a cost in proportion to the change.
+
+        Only after a conflict is the complete document validated, to find the path of the error.
+        """
         index = ConfigurationIndex() if previous is None else previous._index
         try:
             return index.changed(change)
         except ConflictingPartsError:
             check_consistency(self.configuration)
-            raise ConfigurationError(ENTIRE_DOCUMENT, "its parts do not fit together") from None
+            raise ConfigurationError(ENTIRE_DOCUMENT, "its sections are inconsistent") from None
 
 
 def read_document(body: bytes, previous: Document | None = None) -> Document:
-    """The document that a whole configuration's JSON describes.
+    """Parse the JSON of a complete configuration.
 
-    Items that `previous` holds in the same words are taken from it. Raises ConfigurationError; the version
-    is not compared with that of `previous`.
+    Items whose JSON is identical in `previous` are taken from it. Raises ConfigurationError; the version is
+    not compared with that of `previous`.
     """
-    check_text(body, ENTIRE_DOCUMENT)
+    check_utf8(body, ENTIRE_DOCUMENT)
     members = read_object(body, ENTIRE_DOCUMENT)
     version = _read_version(members)
     changes = {}
@@ -170,8 +179,8 @@
         is_absent = _is_absent(members, name)
         if is_absent and name in _REQUIRED:
             raise ConfigurationError(name, "is missing")
-        before = _EMPTY_SECTIONS[name] if previous is None else previous.section(name)
-        changes[name] = before.replaced([] if is_absent else read_list(members[name], name), name)
+        previous_section = _EMPTY_SECTIONS[name] if previous is None else previous.section(name)
+        changes[name] = previous_section.replaced([] if is_absent else read_list(members[name], name), name)
     for name in members.keys() - _ITEM_TYPES.keys():
         read_value(members[name], name)
     sections = {name: change.section for name, change in changes.items() if not _is_absent(members, name)}
@@ -186,17 +195,17 @@
 
 
 class _Update:
-    """A change of named items: lists to upsert and lists of names to delete, by section."""
+    """A change of named items: by section, the items to upsert and the names to delete."""
 
     def __init__(self, body: bytes) -> None:
-        check_text(body, ENTIRE_DOCUMENT)
+        check_utf8(body, ENTIRE_DOCUMENT)
         members = read_object(body, ENTIRE_DOCUMENT)
         self.version = _read_version(members)
         self._upsert = _optional_object(members, "upsert")
         self._delete = _optional_object(members, "delete")
         for name in (*_ITEM_TYPES, LIMITS):
             if name in members:
-                raise ConfigurationError(name, "in an update this stands under upsert or delete")
+                raise ConfigurationError(name, "an update must list this under upsert or delete")
 
     def applied_to(self, document: Document) -> Document:
         if self.version <= document.version:
@@ -205,7 +214,7 @@
         changes = {}
         for name in dict.fromkeys((*self._upsert, *self._delete)):
             if name == "version":
-                raise ConfigurationError("upsert.version", "is no list of named items")
+                raise ConfigurationError("upsert.version", "is not a list of named items")
             if name == LIMITS:
                 members[LIMITS] = self._changed_limits(members)
             else:
@@ -217,17 +226,17 @@
     def _changed_section(self, document: Document, name: str) -> SectionChange[Any]:
         path = f"upsert.{name}"
         upsert = read_list(self._upsert[name], path) if name in self._upsert else []
-        return document.section(name).changed(upsert, self._deleted(name), path)
+        return document.section(name).changed(upsert, self._names_to_delete(name), path)
 
     def _changed_limits(self, members: Mapping[str, msgspec.Raw]) -> msgspec.Raw:
-        """The limits are one object, not a list: its fields are what is named, each is set or removed."""
+        """The limits after the update; they are a single object, whose fields are set or removed by name."""
         fields = read_object(members.get(LIMITS, _EMPTY_OBJECT), LIMITS)
         fields |= read_object(self._upsert.get(LIMITS, _EMPTY_OBJECT), f"upsert.{LIMITS}")
-        for name in self._deleted(LIMITS):
+        for name in self._names_to_delete(LIMITS):
             fields.pop(name, None)
-        return msgspec.Raw(write(fields))
+        return msgspec.Raw(encode_json(fields))
 
-    def _deleted(self, name: str) -> list[str]:
+    def _names_to_delete(self, name: str) -> list[str]:
         return read_names(self._delete[name], f"delete.{name}") if name in self._delete else []
 
 
@@ -245,5 +254,5 @@
 
 
 def _is_absent(members: Mapping[str, msgspec.Raw], name: str) -> bool:
-    """Whether a member isn't there, or is null."""
+    """Whether a member is missing or null."""
     return name not in members or members[name] == _NULL
--- a/madderwind/configuration/sections.py
+++ b/madderwind/configuration/sections.py
@@ -1,7 +1,7 @@
-"""A section of a document: a list of named items, each kept as it came and, where its kind is known, typed.
+"""A section of a document: a list of named items, as raw JSON and, for known kinds of section, in typed form.
 
-Sections are never changed in place: a change makes a new one that shares all untouched items. The items stand
-in chunks, in their order, so that a change copies one chunk and the list of chunks, not the whole section.
+Sections are immutable: a change creates a new section that shares all unchanged items. The items are stored
+in order in chunks, so that a change copies one chunk and the list of chunks, not the complete section.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class SectionItem(msgspec.Struct, Generic[ItemType], frozen=True, gc=False):
-    """One item: its JSON as it came, and typed; `typed` is None in a section of a kind that isn't known."""
+    """One item: its original JSON and its typed form, which is None in a section of unknown kind."""
 
     name: str
     raw: msgspec.Raw
@@ -32,141 +32,150 @@
 
 @attrs.frozen
 class SectionChange(Generic[ItemType]):
-    """The section after a change, and how its typed items differ from those before."""
+    """The section after a change, and the difference in its typed items."""
 
     section: Section[ItemType]
     difference: Difference[ItemType]
 
 
 class Section(Generic[ItemType]):
-    """Items by name, in their order. `item_type` is None for a section that this version doesn't know."""
+    """Items by name, in order. `item_type` is None for a kind of section that this version does not know."""
 
     def __init__(self, item_type: type[ItemType] | None) -> None:
-        """An empty section."""
+        """Create an empty section."""
         self.item_type = item_type
         self._chunks: list[dict[str, SectionItem[ItemType]]] = []
-        self._chunk_of: PersistentMap[str, int] = PersistentMap()
+        self._chunk_number_by_name: PersistentMap[str, int] = PersistentMap()
         self.raw_bytes = 0  # of all items
 
     def __len__(self) -> int:
-        return len(self._chunk_of)
+        return len(self._chunk_number_by_name)
 
     def get(self, name: str) -> SectionItem[ItemType] | None:
-        """An item by name; None where there is none."""
-        number = self._chunk_of.get(name)
+        """An item by name; None if it is absent."""
+        number = self._chunk_number_by_name.get(name)
         return None if number is None else self._chunks[number][name]
 
     @cached_property
     def typed(self) -> tuple[ItemType, ...]:
-        """All typed items in their order; none in a section of a kind that isn't known."""
+        """All typed items in order; empty in a section of unknown kind."""
         return tuple(item.typed for item in self.values() if item.typed is not None)
 
     def raw(self) -> list[msgspec.Raw]:
-        """All items in their order, as they came."""
+        """The original JSON of all items, in order."""
         return [item.raw for item in self.values()]
 
     def replaced(self, items: list[msgspec.Raw], path: str) -> SectionChange[ItemType]:
-        """A section of just these items. What is the same as here is not checked again."""
+        """A section with exactly these items; those identical in this section are not validated again."""
         after = Section(self.item_type)
         before = {item.name: item for item in self.values()}
         read = self._read(items, path, before)
-        after._chunk_of = PersistentMap(after._append(read))
+        after._chunk_number_by_name = PersistentMap(after._append(read))
         if not before:
             return SectionChange(after, Difference(added=after.typed))
-        return SectionChange(after, Difference(_missing(before, read), _missing(read, before)))
+        return SectionChange(
+            after, Difference(_typed_differences(before, read), _typed_differences(read, before))
+        )
 
     def changed(self, upsert: list[msgspec.Raw], delete: list[str], path: str) -> SectionChange[ItemType]:
-        """The section with items replaced in field or appended, and others removed.
+        """The section with items replaced in place or appended, and others deleted.
 
-        Deleting a name that isn't there changes nothing; a name that is both upserted and deleted is refused.
+        Deleting an absent name has no effect; a name that is both upserted and deleted is rejected.
         """
         read = self._read(upsert, path, self)
         for name in delete:
             if name in read:
-                raise ConfigurationError(path, f"{name!r} is to be both upserted and deleted")
+                raise ConfigurationError(path, f"{name!r} is both upserted and deleted")
         before = {name: item for name in (*read, *delete) if (item := self.get(name)) is not None}
-        after = self._with(read, [name for name in dict.fromkeys(delete) if name in before])
-        return SectionChange(after, Difference(_missing(before, read), _missing(read, self)))
+        after = self._with_changes(read, [name for name in dict.fromkeys(delete) if name in before])
+        return SectionChange(
+            after, Difference(_typed_differences(before, read), _typed_differences(read, self))
+        )
 
-    def _with(self, upsert: dict[str, SectionItem[ItemType]], delete: list[str]) -> Section[ItemType]:
-        """A new section; `delete` names items that are there, each once."""
+    def _with_changes(self, upsert: dict[str, SectionItem[ItemType]], delete: list[str]) -> Section[ItemType]:
+        """A new section; `delete` holds the names of existing items, without duplicates."""
         after = Section(self.item_type)
         after._chunks, after.raw_bytes = self._chunks.copy(), self.raw_bytes
-        own: set[int] = set()
+        copied: set[int] = set()
         for name in delete:
-            after.raw_bytes -= len(after._own_chunk(self._chunk_number(name), own).pop(name).raw)
+            after.raw_bytes -= len(after._writable_chunk(self._chunk_number(name), copied).pop(name).raw)
         appended: dict[str, SectionItem[ItemType]] = {}
         for name, item in upsert.items():
-            if name not in self._chunk_of:
+            if name not in self._chunk_number_by_name:
                 appended[name] = item
                 continue
-            chunk = after._own_chunk(self._chunk_number(name), own)
+            chunk = after._writable_chunk(self._chunk_number(name), copied)
             after.raw_bytes += len(item.raw) - len(chunk[name].raw)
             chunk[name] = item
-        chunk_numbers = after._append(appended, own)
-        after._chunk_of = self._chunk_of.changed(chunk_numbers, delete)
+        chunk_numbers = after._append(appended, copied)
+        after._chunk_number_by_name = self._chunk_number_by_name.changed(chunk_numbers, delete)
         if len(after._chunks) * ITEMS_PER_CHUNK > 4 * (len(after) + ITEMS_PER_CHUNK):
-            after._close_gaps()
+            after._compact()
         return after
 
     def _chunk_number(self, name: str) -> int:
-        number = self._chunk_of.get(name)
+        number = self._chunk_number_by_name.get(name)
         assert number is not None
         return number
 
-    def _own_chunk(self, number: int, own: set[int]) -> dict[str, SectionItem[ItemType]]:
-        """A chunk, copied before its first change so that other sections keep theirs."""
-        if number not in own:
-            own.add(number)
+    def _writable_chunk(self, number: int, copied: set[int]) -> dict[str, SectionItem[ItemType]]:
+        """A chunk; copied before its first change, because other sections share it."""
+        if number not in copied:
+            copied.add(number)
             self._chunks[number] = self._chunks[number].copy()
         return self._chunks[number]
 
-    def _append(self, items: dict[str, SectionItem[ItemType]], own: set[int] | None = None) -> dict[str, int]:
-        """Put items after all others; the chunks that they are in."""
-        own = set() if own is None else own
+    def _append(
+        self, items: dict[str, SectionItem[ItemType]], copied: set[int] | None = None
+    ) -> dict[str, int]:
+        """Append items; returns the chunk number of each."""
+        copied = set() if copied is None else copied
         remaining = iter(items.items())
         chunk_numbers: dict[str, int] = {}
         while len(chunk_numbers) < len(items):
             if not self._chunks or len(self._chunks[-1]) >= ITEMS_PER_CHUNK:
                 self._chunks.append({})
             last = len(self._chunks) - 1
-            chunk = self._own_chunk(last, own)
-            more = dict(islice(remaining, ITEMS_PER_CHUNK - len(chunk)))
-            chunk.update(more)
-            chunk_numbers.update(dict.fromkeys(more, last))
+            chunk = self._writable_chunk(last, copied)
+            batch = dict(islice(remaining, ITEMS_PER_CHUNK - len(chunk)))
+            chunk.update(batch)
+            chunk_numbers.update(dict.fromkeys(batch, last))
         self.raw_bytes += sum(len(item.raw) for item in items.values())
         return chunk_numbers
 
-    def _close_gaps(self) -> None:
-        """Fill the chunks anew where deletions have left too many of them nearly empty."""
+    def _compact(self) -> None:
+        """Rebuild the chunks after deletions have left too many of them nearly empty."""
         items = {item.name: item for item in self.values()}
         self._chunks, self.raw_bytes = [], 0
-        self._chunk_of = PersistentMap(self._append(items))
+        self._chunk_number_by_name = PersistentMap(self._append(items))
 
     def values(self) -> Iterator[SectionItem[ItemType]]:
-        """All items in their order."""
+        """All items in order."""
         for chunk in self._chunks:
             yield from chunk.values()
 
     def _read(
-        self, items: list[msgspec.Raw], path: str, before: _Items[ItemType]
+        self, items: list[msgspec.Raw], path: str, before: _ItemCollection[ItemType]
     ) -> dict[str, SectionItem[ItemType]]:
-        """The items by name; what is the same as before is taken from there."""
+        """Parse items by name; items that are identical in `before` are taken from it."""
         read: dict[str, SectionItem[ItemType]] = {}
-        in_command = iter(before.values())
+        in_previous_order = iter(before.values())
         for index, raw in enumerate(items):
             field = f"{path}[{index}]"
-            candidate = next(in_command, None)  # the same one, where nothing came or went before it
+            # The item at the same position is identical unless an earlier item was inserted or deleted.
+            candidate = next(in_previous_order, None)
             if candidate is not None and candidate.raw == raw:
                 item = SectionItem(candidate.name, raw, candidate.typed)
             else:
                 item = self._read_item(raw, field, before)
             if item.name in read:
-                raise ConfigurationError(f"{field}.name", f"{item.name!r} is there twice")
+                raise ConfigurationError(f"{field}.name", f"{item.name!r} is duplicated")
             read[item.name] = item
         return read
 
-    def _read_item(self, raw: msgspec.Raw, field: str, before: _Items[ItemType]) -> SectionItem[ItemType]:
+    def _read_item(
+        self, raw: msgspec.Raw, field: str, before: _ItemCollection[ItemType]
+    ) -> SectionItem[ItemType]:
         if self.item_type is None:
             return SectionItem(read_name(raw, field), raw, None)
         if len(before):
@@ -178,23 +187,25 @@
         return SectionItem(typed.name, raw, typed)
 
 
-class _Items(Protocol[ItemType]):
-    """A section's items, or some of them."""
+class _ItemCollection(Protocol[ItemType]):
+    """Some or all items of a section."""
 
     def __len__(self) -> int: ...
 
     def values(self) -> Iterable[SectionItem[ItemType]]:
-        """All of them, in their order."""
+        """All items in order."""
 
     def get(self, name: str, /) -> SectionItem[ItemType] | None:
-        """An item by name; None where there is none."""
+        """An item by name; None if it is absent."""
 
 
-def _missing(items: dict[str, SectionItem[ItemType]], other: _Items[ItemType]) -> tuple[ItemType, ...]:
-    """The typed items that aren't the same in the other."""
-    missing = []
+def _typed_differences(
+    items: dict[str, SectionItem[ItemType]], other: _ItemCollection[ItemType]
+) -> tuple[ItemType, ...]:
+    """The typed items of `items` that are absent or different in `other`."""
+    differing = []
     for name, item in items.items():
         known = other.get(name)
         if item.typed is not None and (known is None or known.typed is not item.typed):
-            missing.append(item.typed)
-    return tuple(missing)
+            differing.append(item.typed)
+    return tuple(differing)
--- a/madderwind/configuration/structuring.py
+++ b/madderwind/configuration/structuring.py
@@ -1,4 +1,4 @@
-"""Turns decoded JSON into the typed classes of `documents`, by cattrs, with the exact place of an error."""
+"""Converts decoded JSON into the typed classes of `documents` with cattrs; errors carry the exact path."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 
 
 class NamedItem(Protocol):
-    """What stands in a section."""
+    """An item of a section."""
 
     @property
     def name(self) -> str:
-        """Its name, one of a kind in the section."""
+        """Its name, unique in the section."""
 
 
 ItemType = TypeVar("ItemType", bound=NamedItem)
 
 
 class _WrongTypeError(Exception):
-    """A value of another type than the field's; the text says which was expected."""
+    """A value whose type is not that of the field; the message names the expected type."""
 
 
 def read_item(raw: msgspec.Raw, item_type: type[ItemType], path: str) -> ItemType:
-    """The item of a section that JSON in UTF-8 describes; raises ConfigurationError.
+    """Parse an item of a section from JSON in UTF-8; raises ConfigurationError.
 
-    Nearly all items are decoded into their class at once, which costs a third of the way by cattrs. What that
-    refuses is read again by cattrs, which alone decides, takes null for absent, and tells the place.
+    msgspec decodes nearly all items directly into their class, at a third of the cost of cattrs. An item that
+    msgspec rejects is parsed again with cattrs, whose result is authoritative: it treats null as absent and
+    reports the path of an error.
     """
     try:
         item: ItemType = _decoder(item_type).decode(raw)
@@ -50,16 +51,16 @@
 def read_name(raw: msgspec.Raw, path: str) -> str:
     """The name of an item of any kind; raises ConfigurationError."""
     try:
-        return _names.decode(raw).name
+        return _name_decoder.decode(raw).name
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise ConfigurationError(f"{path}.name", "must be there, as a string") from None
+        raise ConfigurationError(f"{path}.name", "is required and must be a string") from None
 
 
-class _Named(msgspec.Struct):
+class _NameOnly(msgspec.Struct):
     name: str
 
 
-_names = msgspec.json.Decoder(_Named)
+_name_decoder = msgspec.json.Decoder(_NameOnly)
 
 
 @cache
@@ -68,15 +69,15 @@
 
 
 def structure(value: object, item_type: type[StructuredType], path: str) -> StructuredType:
-    """The object that decoded JSON describes. ConfigurationError names the place, starting with `path`."""
+    """Build an object from decoded JSON; the ConfigurationError has the path of the error, below `path`."""
     try:
         return _converter.structure(value, item_type)
     except (BaseValidationError, ConfigurationError, _WrongTypeError) as error:
-        raise _located(error, path) from None
+        raise _with_path(error, path) from None
 
 
-def _located(error: BaseException, path: str) -> ConfigurationError:
-    """The first thing that is wrong, with its place: cattrs notes on each nested error where it arose."""
+def _with_path(error: BaseException, path: str) -> ConfigurationError:
+    """The first error with its full path, which cattrs attaches to the nested errors as notes."""
     while isinstance(error, BaseValidationError):
         error = cast(BaseException, error.exceptions[0])
         for note in getattr(error, "__notes__", ()):
@@ -91,7 +92,7 @@
     return ConfigurationError(path, str(error))
 
 
-def _integer(value: Any, _: object) -> int:
+def _structure_integer(value: Any, _: object) -> int:
     if type(value) is int:
         return value
     if type(value) is float and value.is_integer():
@@ -99,7 +100,7 @@
     raise _WrongTypeError("must be a whole number")
 
 
-def _number(value: Any, _: object) -> float:
+def _structure_number(value: Any, _: object) -> float:
     if type(value) not in (int, float):
         raise _WrongTypeError("must be a number")
     try:
@@ -111,19 +112,19 @@
     return number
 
 
-def _text(value: Any, _: object) -> str:
+def _structure_string(value: Any, _: object) -> str:
     if type(value) is not str:
         raise _WrongTypeError("must be a string")
     return value
 
 
-def _flag(value: Any, _: object) -> bool:
+def _structure_boolean(value: Any, _: object) -> bool:
     if type(value) is not bool:
         raise _WrongTypeError("must be true or false")
     return value
 
 
-def _list_of(item_type: type[StructuredType]) -> Any:
+def _list_hook(item_type: type[StructuredType]) -> Any:
     def structure_list(value: Any, _: object) -> tuple[StructuredType, ...]:
         if type(value) is not list:
             raise _WrongTypeError("must be a list")
@@ -132,8 +133,8 @@
     return structure_list
 
 
-def _object_of(item_type: type[StructuredType]) -> Any:
-    """Structures an object into one of our classes; a field that is null counts as absent."""
+def _object_hook(item_type: type[StructuredType]) -> Any:
+    """Structures an object into an attrs class; a field that is null counts as absent."""
     structure_fields = make_dict_structure_fn(item_type, _converter)
 
     def structure_object(value: Any, _: object) -> StructuredType:
@@ -147,13 +148,13 @@
 
 def _make_converter() -> Converter:
     converter = Converter(detailed_validation=True)
-    converter.register_structure_hook(int, _integer)
-    converter.register_structure_hook(float, _number)
-    converter.register_structure_hook(str, _text)
-    converter.register_structure_hook(bool, _flag)
-    converter.register_structure_hook_factory(attrs.has, _object_of)
-    converter.register_structure_hook_func(lambda cls: cls == tuple[Backend, ...], _list_of(Backend))
-    converter.register_structure_hook_func(lambda cls: cls == tuple[str, ...], _list_of(str))
+    converter.register_structure_hook(int, _structure_integer)
+    converter.register_structure_hook(float, _structure_number)
+    converter.register_structure_hook(str, _structure_string)
+    converter.register_structure_hook(bool, _structure_boolean)
+    converter.register_structure_hook_factory(attrs.has, _object_hook)
+    converter.register_structure_hook_func(lambda cls: cls == tuple[Backend, ...], _list_hook(Backend))
+    converter.register_structure_hook_func(lambda cls: cls == tuple[str, ...], _list_hook(str))
     return converter
 
 
--- a/tests/configuration/samples.py
+++ b/tests/configuration/samples.py
@@ -1,4 +1,4 @@
-"""Configurations for the tests, as operators send them."""
+"""Sample configurations for the tests, in the form that operators send."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def route(name: str, **fields: Any) -> dict[str, Any]:
-    """A route on a prefix of its own."""
+    """A route whose path prefix is its name."""
     return {
         "name": name,
         "host": "api.example",
@@ -52,8 +52,8 @@
     }
 
 
-def whole(version: int = 7, **members: Any) -> dict[str, Any]:
-    """A valid configuration; members replace its top-level parts."""
+def complete_configuration(version: int = 7, **members: Any) -> dict[str, Any]:
+    """A valid configuration; `members` replace its top-level members."""
     engine = {
         "slots": 128,
         "kv_tokens": 598962,
@@ -61,10 +61,14 @@
         "stride": 3,
         "models": [{"name": "m"}],
     }
-    split = [{"service": "model", "weight": 90}, {"service": "stock", "weight": 10}]
+    weighted_backends = [{"service": "model", "weight": 90}, {"service": "stock", "weight": 10}]
     return {
         "version": version,
-        "routes": [route("a"), route("b", service=None, backends=split), route("c", service="stock")],
+        "routes": [
+            route("a"),
+            route("b", service=None, backends=weighted_backends),
+            route("c", service="stock"),
+        ],
         "services": [service("model", engine=engine), service("stock", max_connections=96)],
         "limits": {
             "max_header_bytes": 16384,
@@ -82,4 +86,4 @@
 
 
 def document(version: int = 7, **members: Any) -> Document:
-    return read_document(encoded(whole(version, **members)))
+    return read_document(encoded(complete_configuration(version, **members)))
--- a/tests/configuration/test_history.py
+++ b/tests/configuration/test_history.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: decisions, repeated commands, snapshots, and commands for those who lag."""
+"""Tests of the replicated configuration history: outcomes, retried commands, snapshots and retention."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from madderwind.configuration.reading import Document
 from madderwind.errors import ConfigurationError, MessageError
 from madderwind.replication.commands import Command, CommandKind, CommandOutcome, ReplicatedState
-from tests.configuration.samples import encoded, route, tenant, whole
+from tests.configuration.samples import complete_configuration, encoded, route, tenant
 
 
 def replacement(base: int, version: int, **members: Any) -> Command:
-    return Command(CommandKind.REPLACE, base, encoded(whole(version, **members)))
+    return Command(CommandKind.REPLACE, base, encoded(complete_configuration(version, **members)))
 
 
 def update(base: int, version: int, **parts: Any) -> Command:
@@ -32,43 +32,43 @@
         result = self.history.validate(command)
         return None if result is None else result.outcome
 
-    def take(self, *commands: Command) -> None:
+    def commit(self, *commands: Command) -> None:
         for command in commands:
             self.assertIsNone(self.history.validate(command))
             self.history.apply(command)
 
 
-class Deciding(HistoryCase):
-    def test_the_first_configuration_builds_on_nothing(self) -> None:
+class CommandOutcomes(HistoryCase):
+    def test_first_configuration_has_base_version_zero(self) -> None:
         self.assertEqual(self.outcome(replacement(3, 7)), CommandOutcome.STALE_BASE)
-        self.take(replacement(0, 7))
+        self.commit(replacement(0, 7))
         self.assertEqual(self.history.version, 7)
 
-    def test_an_update_of_nothing_is_invalid(self) -> None:
+    def test_update_without_a_configuration_is_invalid(self) -> None:
         self.assertEqual(self.outcome(update(0, 7)), CommandOutcome.INVALID)
 
-    def test_one_of_two_operators_on_the_same_base_wins(self) -> None:
-        self.take(replacement(0, 7), replacement(7, 9))
-        loser = self.history.validate(replacement(7, 9, routes=[route("x")]))
-        assert loser is not None
-        self.assertEqual((loser.outcome, loser.version), (CommandOutcome.STALE_BASE, 9))
+    def test_second_command_on_the_same_base_is_rejected(self) -> None:
+        self.commit(replacement(0, 7), replacement(7, 9))
+        rejected = self.history.validate(replacement(7, 9, routes=[route("x")]))
+        assert rejected is not None
+        self.assertEqual((rejected.outcome, rejected.version), (CommandOutcome.STALE_BASE, 9))
 
-    def test_a_taken_command_is_acknowledged_again_also_after_others(self) -> None:
+    def test_retried_command_is_acknowledged_after_later_commands(self) -> None:
         commands = [replacement(0, 7), update(7, 9, delete={"routes": ["a"]}), replacement(9, 12)]
-        self.take(*commands)
+        self.commit(*commands)
         for command in commands:
             result = self.history.validate(command)
             assert result is not None
             self.assertEqual((result.outcome, result.version), (CommandOutcome.COMMITTED, 12))
 
-    def test_the_same_body_on_another_base_or_of_another_kind_is_another_command(self) -> None:
-        self.take(replacement(0, 7))
+    def test_command_identity_includes_base_version_and_kind(self) -> None:
+        self.commit(replacement(0, 7))
         body = replacement(0, 7).body
         self.assertEqual(self.outcome(Command(CommandKind.REPLACE, 7, body)), CommandOutcome.INVALID)
         self.assertEqual(self.outcome(Command(CommandKind.UPDATE, 0, body)), CommandOutcome.STALE_BASE)
 
-    def test_invalid_commands_name_the_place_and_change_nothing(self) -> None:
-        self.take(replacement(0, 7))
+    def test_invalid_command_reports_the_field_and_changes_nothing(self) -> None:
+        self.commit(replacement(0, 7))
         for command, field in (
             (replacement(7, 7), "version"),
             (replacement(7, 5), "version"),
@@ -84,58 +84,58 @@
                 self.assertTrue(result.reason)
         self.assertEqual(self.history.version, 7)
 
-    def test_a_base_that_was_not_given_is_never_right(self) -> None:
+    def test_missing_base_version_is_rejected(self) -> None:
         self.assertEqual(self.outcome(replacement(-1, 7)), CommandOutcome.STALE_BASE)
 
-    def test_an_invalid_command_cannot_be_applied(self) -> None:
+    def test_applying_an_invalid_command_raises(self) -> None:
         with self.assertRaises(ConfigurationError):
             self.history.apply(update(0, 7))
 
 
-class Copies(HistoryCase):
-    def test_it_is_what_replication_replicates(self) -> None:
+class HistoryCopies(HistoryCase):
+    def test_history_implements_replicated_state(self) -> None:
         state: ReplicatedState = self.history
         state.apply(replacement(0, 7))
         self.assertEqual(ConfigurationHistory.restore(state.copy().snapshot()).version, 7)
 
-    def test_a_copy_goes_its_own_way(self) -> None:
-        self.take(replacement(0, 7))
-        ahead = self.history.copy()
+    def test_copy_is_independent(self) -> None:
+        self.commit(replacement(0, 7))
+        copy_with_update = self.history.copy()
         command = update(7, 9, delete={"routes": ["a"]})
-        self.assertIsNone(ahead.validate(command))
-        ahead.apply(command)
-        self.assertEqual((self.history.version, ahead.version), (7, 9))
+        self.assertIsNone(copy_with_update.validate(command))
+        copy_with_update.apply(command)
+        self.assertEqual((self.history.version, copy_with_update.version), (7, 9))
         self.assertIsNone(self.history.validate(command))
         self.assertEqual(self.history.commands_since(7), ())
 
-    def test_two_branches_on_the_same_number_are_notified_apart(self) -> None:
-        # A primary's unacknowledged version 9 is lost and another version 9 is committed in its place.
-        self.take(replacement(0, 7))
+    def test_branches_with_the_same_version_number_stay_separate(self) -> None:
+        # A former primary's uncommitted version 9 is lost, and another version 9 is committed in its place.
+        self.commit(replacement(0, 7))
         other = self.history.copy()
-        self.take(replacement(7, 9))
-        first = replacement(7, 9, routes=[route("a"), route("z")])
-        self.assertIsNone(other.validate(first))
-        other.apply(first)
-        second = update(9, 11, delete={"routes": ["b"]})
-        self.take(second)
-        self.assertIsNone(other.validate(second))
-        other.apply(second)
+        self.commit(replacement(7, 9))
+        competing = replacement(7, 9, routes=[route("a"), route("z")])
+        self.assertIsNone(other.validate(competing))
+        other.apply(competing)
+        following = update(9, 11, delete={"routes": ["b"]})
+        self.commit(following)
+        self.assertIsNone(other.validate(following))
+        other.apply(following)
         self.assertEqual([r.name for r in _configuration(self.history).routes], ["a", "c"])
         self.assertEqual([r.name for r in _configuration(other).routes], ["a", "z"])
 
-    def test_a_command_is_read_once_for_all_copies(self) -> None:
-        self.take(replacement(0, 7))
+    def test_command_is_parsed_once_for_all_copies(self) -> None:
+        self.commit(replacement(0, 7))
         committed = self.history.copy()
         command = replacement(7, 9)
-        self.take(command)
+        self.commit(command)
         committed.apply(command)
         self.assertIs(committed.document, self.history.document)
 
 
-class Snapshots(HistoryCase):
-    def test_a_restored_history_decides_as_the_first_did(self) -> None:
+class HistorySnapshots(HistoryCase):
+    def test_restored_history_returns_the_same_outcomes(self) -> None:
         commands = [replacement(0, 7, note=1.50), update(7, 9, delete={"routes": ["a"]})]
-        self.take(*commands)
+        self.commit(*commands)
         restored = ConfigurationHistory.restore(self.history.snapshot())
         self.assertEqual(restored.version, 9)
         for command in commands:
@@ -147,74 +147,74 @@
         self.assertEqual(restored.commands_since(7), self.history.commands_since(7))
         self.assertEqual(restored.snapshot(), self.history.snapshot())
 
-    def test_an_empty_history(self) -> None:
+    def test_empty_history_is_restored(self) -> None:
         restored = ConfigurationHistory.restore(self.history.snapshot())
         self.assertEqual((restored.version, restored.document), (0, None))
 
-    def test_of_the_first_form_knows_the_commands_that_it_keeps(self) -> None:
-        """A snapshot on disk from before digests were kept by base version: a list of digests alone."""
+    def test_legacy_snapshot_acknowledges_its_retained_commands(self) -> None:
+        """The legacy snapshot format stored a list of digests without their base versions."""
         commands = [replacement(version, version + 1) for version in range(6)]
         with patch.object(history_module, "RETAINED_COMMANDS", 3):
-            self.take(*commands)
+            self.commit(*commands)
         document, digests, retained = msgspec.msgpack.decode(self.history.snapshot())
-        first_form = msgspec.msgpack.encode([document, [digest for _, digest in digests], retained])
+        legacy_snapshot = msgspec.msgpack.encode([document, [digest for _, digest in digests], retained])
 
-        self.history = ConfigurationHistory.restore(first_form)
+        self.history = ConfigurationHistory.restore(legacy_snapshot)
 
         self.assertEqual(self.history.version, 6)
         self.assertEqual([self.outcome(command) for command in commands[:3]], [CommandOutcome.UNKNOWN] * 3)
         self.assertEqual([self.outcome(command) for command in commands[3:]], [CommandOutcome.COMMITTED] * 3)
         self.assertEqual(self.outcome(replacement(5, 9)), CommandOutcome.STALE_BASE)
 
-    def test_bytes_that_are_no_snapshot(self) -> None:
+    def test_invalid_snapshot_is_rejected(self) -> None:
         for data in (b"", b"\x93", b"hello", self.history.snapshot()[:-1]):
             with self.subTest(data), self.assertRaises(MessageError):
                 ConfigurationHistory.restore(data)
 
 
-class MutantsAreFound(unittest.TestCase):
-    def test_digests_left_out_of_the_snapshot(self) -> None:
+class SnapshotTestsDetectMutants(unittest.TestCase):
+    def test_missing_digests_are_detected(self) -> None:
         def without_digests(data: bytes) -> ConfigurationHistory:
-            history = ordinary(data)
+            history = original_restore(data)
             history._digests.clear()
             return history
 
-        ordinary = ConfigurationHistory.restore
+        original_restore = ConfigurationHistory.restore
         result = unittest.TestResult()
         with patch.object(ConfigurationHistory, "restore", without_digests):
-            Snapshots("test_a_restored_history_decides_as_the_first_did").run(result)
+            HistorySnapshots("test_restored_history_returns_the_same_outcomes").run(result)
         self.assertTrue(result.failures)
 
 
-class OrdersForThoseWhoLag(HistoryCase):
-    def grow(self, count: int, padding: int = 0) -> None:
-        self.take(replacement(0, 1))
+class RetainedCommands(HistoryCase):
+    def commit_updates(self, count: int, padding: int = 0) -> None:
+        self.commit(replacement(0, 1))
         for version in range(1, count):
             changed = route("a", note="x" * padding, number=version)
-            self.take(update(version, version + 1, upsert={"routes": [changed]}))
+            self.commit(update(version, version + 1, upsert={"routes": [changed]}))
 
-    def test_the_commands_from_a_version_on(self) -> None:
-        self.grow(5)
+    def test_commands_since_a_version(self) -> None:
+        self.commit_updates(5)
         records = self.history.commands_since(3)
         assert records is not None
         self.assertEqual(
             [(r.base_version, r.version, r.kind) for r in records], [(3, 4, "update"), (4, 5, "update")]
         )
-        everything = self.history.commands_since(0)
-        assert everything is not None
-        self.assertEqual(everything[0].kind, "replace")
+        all_records = self.history.commands_since(0)
+        assert all_records is not None
+        self.assertEqual(all_records[0].kind, "replace")
         self.assertEqual(self.history.commands_since(5), ())
         self.assertIsNone(self.history.commands_since(99))
 
-    def test_retained_by_count(self) -> None:
-        self.grow(history_module.RETAINED_COMMANDS + 10)
+    def test_retention_is_limited_by_count(self) -> None:
+        self.commit_updates(history_module.RETAINED_COMMANDS + 10)
         self.assertIsNone(self.history.commands_since(3))
         retained = self.history.commands_since(self.history.version - history_module.RETAINED_COMMANDS)
         assert retained is not None
         self.assertEqual(len(retained), history_module.RETAINED_COMMANDS)
 
-    def test_retained_by_bytes(self) -> None:
-        self.grow(30, padding=history_module.RETAINED_COMMAND_BYTES // 10)
+    def test_retention_is_limited_by_bytes(self) -> None:
+        self.commit_updates(30, padding=history_module.RETAINED_COMMAND_BYTES // 10)
         self.assertIsNone(self.history.commands_since(10))
         retained = self.history.commands_since(25)
         assert retained is not None
@@ -222,35 +222,35 @@
             sum(len(record.body) for record in retained), history_module.RETAINED_COMMAND_BYTES
         )
 
-    def test_digests_are_retained_much_longer(self) -> None:
-        self.grow(history_module.RETAINED_COMMANDS + 10)
+    def test_digests_are_retained_longer_than_commands(self) -> None:
+        self.commit_updates(history_module.RETAINED_COMMANDS + 10)
         self.assertEqual(self.outcome(replacement(0, 1)), CommandOutcome.COMMITTED)
 
 
-class OrdersOlderThanAllDigests(HistoryCase):
+class DroppedDigests(HistoryCase):
     def setUp(self) -> None:
         super().setUp()
         self.commands = [replacement(0, 1)]
         self.commands += [update(version, version + 1) for version in range(1, 9)]
         with patch.object(history_module, "RETAINED_DIGESTS", 4):
-            self.take(*self.commands)
+            self.commit(*self.commands)
 
-    def test_given_a_command_whose_digest_is_retained_then_it_is_acknowledged_again(self) -> None:
+    def test_retried_command_with_retained_digest_is_acknowledged(self) -> None:
         for command in self.commands[-4:]:
             self.assertEqual(self.outcome(command), CommandOutcome.COMMITTED)
 
-    def test_given_a_taken_command_whose_digest_is_forgotten_then_it_is_not_refused(self) -> None:
+    def test_retried_command_with_dropped_digest_is_not_rejected(self) -> None:
         for command in self.commands[:-4]:
             self.assertEqual(self.outcome(command), CommandOutcome.UNKNOWN)
 
-    def test_given_another_command_on_a_base_that_is_retained_then_it_is_refused(self) -> None:
+    def test_other_command_on_a_retained_base_is_rejected(self) -> None:
         self.assertEqual(self.outcome(update(6, 99)), CommandOutcome.STALE_BASE)
         self.assertEqual(self.outcome(update(99, 100)), CommandOutcome.STALE_BASE)
 
-    def test_given_a_command_on_a_base_that_is_forgotten_then_whether_it_was_taken_is_unclear(self) -> None:
+    def test_other_command_on_a_dropped_base_has_unknown_outcome(self) -> None:
         self.assertEqual(self.outcome(update(2, 99)), CommandOutcome.UNKNOWN)
 
-    def test_given_a_snapshot_then_the_same_is_known_and_the_same_forgotten(self) -> None:
+    def test_snapshot_preserves_all_outcomes(self) -> None:
         outcomes = [self.outcome(command) for command in self.commands]
         self.history = ConfigurationHistory.restore(self.history.snapshot())
         self.assertEqual([self.outcome(command) for command in self.commands], outcomes)
--- a/tests/configuration/test_item_reading.py
+++ b/tests/configuration/test_item_reading.py
@@ -1,4 +1,4 @@
-"""Items are decoded at once where that is possible, and by cattrs where it isn't: both ways have to agree."""
+"""Tests that parsing an item with msgspec and with cattrs gives the same result."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     | st.floats(allow_nan=False, allow_infinity=False)
     | st.sampled_from(["", "/", "/a/", "streaming", "requests", "x", "é", "\n"])
     | st.text(max_size=3),
-    lambda inner: (
-        st.lists(inner, max_size=2) | st.dictionaries(st.sampled_from(["service", "weight"]), inner)
+    lambda children: (
+        st.lists(children, max_size=2) | st.dictionaries(st.sampled_from(["service", "weight"]), children)
     ),
     max_leaves=4,
 )
@@ -40,55 +40,55 @@
 
 @st.composite
 def items(draw: st.DrawFn) -> tuple[type[Any], dict[str, Any]]:
-    """A kind, and an item of it in which some fields are changed, missing or unknown."""
-    kind = draw(st.sampled_from(list(SAMPLES)))
-    item = dict(SAMPLES[kind])
+    """An item type, and an item of it with some fields changed, missing or unknown."""
+    item_type = draw(st.sampled_from(list(SAMPLES)))
+    item = dict(SAMPLES[item_type])
     for name in draw(st.lists(st.sampled_from([*item, "unknown"]), max_size=3)):
         if draw(st.booleans()) and name in item:
             del item[name]
         else:
             item[name] = draw(VALUES)
-    return kind, item
+    return item_type, item
 
 
-def outcome(reading: Any) -> object:
-    """What reading gives, with its type throughout; where it refuses, the place."""
+def outcome(parse: Any) -> object:
+    """The repr of the parsed item, which shows all types, or the field of the error."""
     try:
-        return repr(reading())
+        return repr(parse())
     except ConfigurationError as error:
         return error.field
 
 
-def assert_agreed(kind: type[NamedItem], item: dict[str, Any]) -> None:
+def assert_same_outcome(item_type: type[NamedItem], item: dict[str, Any]) -> None:
     raw = msgspec.Raw(json.dumps(item).encode())
-    by_cattrs = outcome(lambda: structure(json.loads(bytes(raw)), kind, "here"))
-    by_both = outcome(lambda: read_item(raw, kind, "here"))
-    assert by_both == by_cattrs, (item, by_both, by_cattrs)
+    by_cattrs = outcome(lambda: structure(json.loads(bytes(raw)), item_type, "here"))
+    by_msgspec_and_cattrs = outcome(lambda: read_item(raw, item_type, "here"))
+    assert by_msgspec_and_cattrs == by_cattrs, (item, by_msgspec_and_cattrs, by_cattrs)
 
 
-class BothWaysAgree(unittest.TestCase):
+class MsgspecAndCattrsAgree(unittest.TestCase):
     @settings(max_examples=250, deadline=None, derandomize=True)
     @given(items())
-    def test_given_any_item_then_decoding_and_cattrs_agree(
-        self, drawn: tuple[type[Any], dict[str, Any]]
-    ) -> None:
-        assert_agreed(*drawn)
+    def test_any_item_has_the_same_outcome_either_way(self, drawn: tuple[type[Any], dict[str, Any]]) -> None:
+        assert_same_outcome(*drawn)
 
-    def test_given_an_ordinary_item_then_cattrs_is_not_requested(self) -> None:
+    def test_valid_item_is_parsed_without_cattrs(self) -> None:
         with patch.object(structuring, "structure", side_effect=AssertionError):
-            for kind, item in SAMPLES.items():
-                self.assertEqual(item["name"], read_item(_raw(item), kind, "here").name)
+            for item_type, item in SAMPLES.items():
+                self.assertEqual(item["name"], read_item(_raw(item), item_type, "here").name)
 
-    def test_given_an_item_that_only_cattrs_takes_then_it_is_taken(self) -> None:
+    def test_item_that_only_cattrs_accepts_is_parsed(self) -> None:
         item = {**SAMPLES[Route], "max_attempts": 2.0, "gap_aim_ms": None}
         read = read_item(_raw(item), Route, "here")
         self.assertEqual((2, 0.0), (read.max_attempts, read.gap_aim_ms))
 
-    def test_a_decoder_that_takes_what_cattrs_refuses_is_found(self) -> None:
+    def test_too_lenient_decoder_is_detected(self) -> None:
         item = {**SAMPLES[Route], "timeout_ms": "8000"}
-        lax = patch.object(structuring, "_decoder", return_value=msgspec.json.Decoder(Route, strict=False))
-        with lax, self.assertRaises(AssertionError):
-            assert_agreed(Route, item)
+        lenient_decoder = patch.object(
+            structuring, "_decoder", return_value=msgspec.json.Decoder(Route, strict=False)
+        )
+        with lenient_decoder, self.assertRaises(AssertionError):
+            assert_same_outcome(Route, item)
 
 
 def _raw(item: dict[str, Any]) -> msgspec.Raw:
--- a/tests/configuration/test_lookup.py
+++ b/tests/configuration/test_lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups of routes, tenants and services."""
+"""Tests of the look-ups of routes, tenants and services."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tests.configuration.samples import document
 
 
-def plain_route(name: str, host: str, prefix: str) -> Route:
+def simple_route(name: str, host: str, prefix: str) -> Route:
     return Route(name=name, host=host, path_prefix=prefix, timeout_ms=1, service="s")
 
 
-class Matching(unittest.TestCase):
+class RouteMatching(unittest.TestCase):
     def setUp(self) -> None:
         routes = (
-            plain_route("root", "One.example", "/"),
-            plain_route("deep", "one.example", "/a/b/"),
-            plain_route("a", "one.example", "/a/"),
-            plain_route("only", "two.example", "/x/"),
+            simple_route("root", "One.example", "/"),
+            simple_route("deep", "one.example", "/a/b/"),
+            simple_route("a", "one.example", "/a/"),
+            simple_route("only", "two.example", "/x/"),
         )
         self.table = RoutingTable.of(Configuration(1, routes, (Service(name="s"),)))
 
@@ -28,41 +28,41 @@
         route = self.table.match(host, path)
         return None if route is None else route.name
 
-    def test_the_longest_prefix_wins(self) -> None:
+    def test_longest_prefix_wins(self) -> None:
         self.assertEqual(self.matched("one.example", "/a/b/c/d"), "deep")
         self.assertEqual(self.matched("one.example", "/a/b/"), "deep")
         self.assertEqual(self.matched("one.example", "/a/bb/c"), "a")
         self.assertEqual(self.matched("one.example", "/b/a/b/"), "root")
 
-    def test_a_prefix_without_its_last_slash_does_not_match(self) -> None:
+    def test_path_without_the_final_slash_of_the_prefix_does_not_match(self) -> None:
         self.assertEqual(self.matched("one.example", "/a/b"), "a")
         self.assertIsNone(self.matched("two.example", "/x"))
         self.assertIsNone(self.matched("two.example", "/"))
         self.assertIsNone(self.matched("two.example", ""))
         self.assertIsNone(self.matched("two.example", "*"))
 
-    def test_hosts_in_any_case_and_with_a_port(self) -> None:
+    def test_host_is_case_insensitive_and_may_have_a_port(self) -> None:
         self.assertEqual(self.matched("ONE.Example:8360", "/a/1"), "a")
         self.assertIsNone(self.matched("three.example", "/a/1"))
         self.assertIsNone(self.matched("", "/a/1"))
 
-    def test_the_query_is_no_part_of_the_path(self) -> None:
+    def test_query_string_is_ignored(self) -> None:
         self.assertEqual(self.matched("one.example", "/a/x?next=/b/"), "a")
         self.assertIsNone(self.matched("two.example", "/?to=/x/"))
 
-    def test_paths_are_taken_as_they_are(self) -> None:
+    def test_paths_are_not_normalized(self) -> None:
         self.assertEqual(self.matched("one.example", "/a/../x/"), "a")
         self.assertIsNone(self.matched("two.example", "/%78/1"))
 
-    def test_ports_and_addresses(self) -> None:
+    def test_port_is_removed_from_the_host(self) -> None:
         self.assertEqual(without_port("[::1]:80"), "[::1]")
         self.assertEqual(without_port("[::1]"), "[::1]")
         self.assertEqual(without_port("h:"), "h")
         self.assertEqual(without_port("h"), "h")
 
 
-class KeysAndServices(unittest.TestCase):
-    def test_tenants_by_key(self) -> None:
+class TenantAndServiceLookups(unittest.TestCase):
+    def test_tenant_is_found_by_key(self) -> None:
         table = document().routing
         tenant = table.tenant_of("key-3")
         assert tenant is not None
@@ -71,18 +71,18 @@
         self.assertTrue(table.has_tenants)
         self.assertFalse(document(tenants=[]).routing.has_tenants)
 
-    def test_services_by_name(self) -> None:
+    def test_service_is_found_by_name(self) -> None:
         table = document().routing
         self.assertEqual(table.service("stock").max_connections, 96)
 
 
-class ChoosingABackend(unittest.TestCase):
-    def test_an_unsplit_route(self) -> None:
-        self.assertEqual(choose_backend(plain_route("a", "h", "/"), 0.99), "s")
+class BackendSelection(unittest.TestCase):
+    def test_route_with_a_single_service(self) -> None:
+        self.assertEqual(choose_backend(simple_route("a", "h", "/"), 0.99), "s")
 
-    def test_a_split_follows_the_weights(self) -> None:
-        split = (Backend("none", 0), Backend("most", 90), Backend("few", 10), Backend("never", 0))
-        route = Route(name="a", host="h", path_prefix="/", timeout_ms=1, backends=split)
+    def test_backends_are_chosen_by_weight(self) -> None:
+        backends = (Backend("none", 0), Backend("most", 90), Backend("few", 10), Backend("never", 0))
+        route = Route(name="a", host="h", path_prefix="/", timeout_ms=1, backends=backends)
         generator = random.Random(4)
         chosen = [choose_backend(route, generator.random()) for _ in range(20_000)]
         self.assertEqual(set(chosen), {"most", "few"})
