--- a/madderwind/registry/__init__.py
+++ b/madderwind/registry/__init__.py
@@ -1,6 +1,7 @@
-"""The registry of upstreams: what control planes store of them, and what a data plane knows.
+"""The registry of upstreams, as control planes store it and as data planes see it.
 
-Upstreams send heartbeats to any control plane; control planes gossip what they learned and merge it by the
-heartbeats' sequence numbers. `registry` is a control plane's side, `known_upstreams` a data plane's, `states`
-what both share, `heartbeats` the reading of an upstream's call, `checkpoint` the copy on disk.
+Upstreams send heartbeats to any control plane. Control planes gossip changes and merge them by the sequence
+numbers of the heartbeats. `registry` is the control plane's registry, `known_upstreams` the data plane's
+view, `states` the states that both share, `heartbeats` the parser of heartbeats, `checkpoint` the copy on
+disk.
 """
--- a/madderwind/registry/heartbeats.py
+++ b/madderwind/registry/heartbeats.py
@@ -1,4 +1,4 @@
-"""Reading of an upstream's heartbeat."""
+"""Parsing of upstreams' heartbeats."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """The body of a heartbeat, as far as the system uses it; further fields are ignored.
+    """The body of a heartbeat; unknown fields are ignored.
 
     Attributes:
         service: The service that the instance belongs to.
-        address: Where it listens, ip:port.
+        address: The address at which it listens, ip:port.
         state: Ready or draining.
-        sequence: Rises with each call, so that a late one can be known.
+        sequence: Increases with each heartbeat, so that a late one is recognized.
         zone: Its zone.
-        version: Of its software.
-        slots: How many requests it runs at once.
-        slow_start_remaining_ms: How much longer it is slow from its start.
+        version: The version of its software.
+        slots: The number of requests that it runs concurrently.
+        slow_start_remaining_ms: The remaining duration of its slow start.
     """
 
     service: str
@@ -40,21 +40,21 @@
 
 
 def read_heartbeat(instance: str, body: bytes) -> Heartbeat:
-    """Read the body of a heartbeat.
+    """Parse the body of a heartbeat.
 
     Raises:
-        HeartbeatError: It is too long, is no JSON of this form, or names no service or address.
+        HeartbeatError: The body is too long, is not valid JSON of this form, or has no service or address.
     """
     if not 0 < len(instance) <= MAX_INSTANCE_CHARACTERS:
-        raise HeartbeatError("the instance's id is empty or too long")
+        raise HeartbeatError("the instance ID is empty or too long")
     if len(body) > MAX_HEARTBEAT_BYTES:
-        raise HeartbeatError(f"more than {MAX_HEARTBEAT_BYTES} bytes")
+        raise HeartbeatError(f"the body is longer than {MAX_HEARTBEAT_BYTES} bytes")
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise HeartbeatError(str(error)) from None
     if not heartbeat.service or not _is_address(heartbeat.address):
-        raise HeartbeatError("no service, or an address that is not ip:port")
+        raise HeartbeatError("the service is missing, or the address is not ip:port")
     return heartbeat
 
 
--- a/madderwind/registry/states.py
+++ b/madderwind/registry/states.py
@@ -1,4 +1,4 @@
-"""The states of an upstream's instance, which only ever advance."""
+"""The states of an upstream instance, which only ever advance."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class UpstreamState(Enum):
-    """The values are those on the wire."""
+    """The state of an instance; the values are those on the wire."""
 
-    READY = "ready"  # takes requests
-    DRAINING = "draining"  # takes no new ones
-    DEREGISTERED = "gone"  # takes none; its address may belong to another instance
+    READY = "ready"  # accepts requests
+    DRAINING = "draining"  # accepts no new requests
+    DEREGISTERED = "gone"  # accepts no requests; its address may belong to another instance
 
 
 _RANKS = {UpstreamState.READY: 0, UpstreamState.DRAINING: 1, UpstreamState.DEREGISTERED: 2}
 
 
 def furthest(first: UpstreamState, second: UpstreamState) -> UpstreamState:
-    """The later of two states: an instance never goes back to an earlier one."""
+    """The later of two states, as an instance never returns to an earlier one."""
     return first if _RANKS[first] >= _RANKS[second] else second
 
 
 def state_named(name: str) -> UpstreamState:
-    """The state that a record names; one that this version does not know takes no new requests."""
+    """Parse the state of a record; one that this version does not know counts as draining."""
     try:
         return UpstreamState(name)
     except ValueError:
--- a/tests/registry/test_checkpoint.py
+++ b/tests/registry/test_checkpoint.py
@@ -1,4 +1,4 @@
-"""The registry's copy on disk, and what a start makes of it."""
+"""Tests of the registry's checkpoint: saving, loading, the writer thread and restoring the registry."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 HEARTBEAT_MS = 1_000.0
 
 
-class FolderInMemory:
-    """Files by name; `is_full` refuses every write and tears the file."""
+class InMemoryDisk:
+    """An in-memory disk; while `is_full`, each write fails and leaves a torn file."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -34,7 +34,7 @@
         self.files[name] = data
 
     def append(self, name: str, data: bytes) -> None:
-        raise AssertionError("a copy is never appended to")
+        raise AssertionError("a checkpoint is never appended to")
 
     def remove(self, name: str) -> None:
         del self.files[name]
@@ -44,75 +44,75 @@
     return UpstreamRecord(instance, "service", "10.0.0.1:80", "a", "v1", 8, state, sequence, 0.0, 0.0)
 
 
-class SavingAndLoading(unittest.TestCase):
-    def test_given_two_saves_then_a_start_reads_the_newer(self) -> None:
-        folder = FolderInMemory()
-        copy = RegistryCheckpoint(folder)
-        copy.save([upstream("i-1")])
-        copy.save([upstream("i-1"), upstream("i-2")])
-        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-1"), upstream("i-2")))
+class SaveAndLoad(unittest.TestCase):
+    def test_newer_of_two_checkpoints_is_loaded(self) -> None:
+        disk = InMemoryDisk()
+        checkpoint = RegistryCheckpoint(disk)
+        checkpoint.save([upstream("i-1")])
+        checkpoint.save([upstream("i-1"), upstream("i-2")])
+        self.assertEqual(RegistryCheckpoint(disk).load(), (upstream("i-1"), upstream("i-2")))
 
-    def test_given_a_torn_write_then_a_start_reads_the_copy_before_it(self) -> None:
-        folder = FolderInMemory()
-        copy = RegistryCheckpoint(folder)
-        copy.save([upstream("i-1")])
-        folder.is_full = True
+    def test_previous_checkpoint_is_loaded_after_a_torn_write(self) -> None:
+        disk = InMemoryDisk()
+        checkpoint = RegistryCheckpoint(disk)
+        checkpoint.save([upstream("i-1")])
+        disk.is_full = True
         with self.assertRaises(StorageError):
-            copy.save([upstream("i-2")])
-        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-1"),))
-
-    def test_given_every_prefix_of_a_file_then_it_reads_as_nothing_or_whole(self) -> None:
-        folder = FolderInMemory()
-        RegistryCheckpoint(folder).save([upstream("i-1")])
-        (name,) = folder.files
-        whole = folder.files[name]
-        for length in range(len(whole)):
-            folder.files[name] = whole[:length]
-            self.assertEqual(RegistryCheckpoint(folder).load(), ())
-        folder.files[name] = whole
-        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-1"),))
-
-    def test_given_a_load_then_the_next_save_is_newer_than_what_was_loaded(self) -> None:
-        folder = FolderInMemory()
-        RegistryCheckpoint(folder).save([upstream("i-1")])
-        again = RegistryCheckpoint(folder)
-        again.load()
-        again.save([upstream("i-2")])
-        self.assertEqual(RegistryCheckpoint(folder).load(), (upstream("i-2"),))
-
-
-class OfferingToTheThread(unittest.TestCase):
-    def test_given_what_is_saved_already_then_it_is_not_handed_over_again(self) -> None:
-        saver = CheckpointWriter(RegistryCheckpoint(FolderInMemory()), lambda records: None)
-        self.assertTrue(saver.offer([upstream("i-1")]))
-        saver._wanted.clear()  # as the thread does after its write
-        self.assertFalse(saver.offer([upstream("i-1", sequence=9)]))
-        self.assertTrue(saver.offer([upstream("i-1", "draining")]))
-
-    def test_given_a_write_under_way_then_an_offer_waits_for_the_next(self) -> None:
-        saver = CheckpointWriter(RegistryCheckpoint(FolderInMemory()), lambda records: None)
-        self.assertTrue(saver.offer([upstream("i-1")]))
-        self.assertFalse(saver.offer([upstream("i-2")]))
-        saver._wanted.clear()
-        self.assertTrue(saver.offer([upstream("i-2")]))
-
-    def test_given_a_disk_that_refuses_then_the_same_is_offered_again(self) -> None:
-        folder = FolderInMemory()
-        folder.is_full = True
-        notified: list[Sequence[UpstreamRecord]] = []
-        saver = CheckpointWriter(RegistryCheckpoint(folder), notified.append)
-        saver.offer([upstream("i-1")])
-        saver._save()
-        saver._wanted.clear()
-        self.assertEqual(notified, [])
-        self.assertTrue(saver.offer([upstream("i-1")]))
-        folder.is_full = False
-        saver._save()
-        self.assertEqual(notified, [[upstream("i-1")]])
-
-
-class RestoringTheRegistry(unittest.TestCase):
-    def test_given_a_copy_then_its_upstreams_are_known_until_they_stay_timed_out(self) -> None:
+            checkpoint.save([upstream("i-2")])
+        self.assertEqual(RegistryCheckpoint(disk).load(), (upstream("i-1"),))
+
+    def test_truncated_file_is_loaded_as_empty(self) -> None:
+        disk = InMemoryDisk()
+        RegistryCheckpoint(disk).save([upstream("i-1")])
+        (name,) = disk.files
+        complete = disk.files[name]
+        for length in range(len(complete)):
+            disk.files[name] = complete[:length]
+            self.assertEqual(RegistryCheckpoint(disk).load(), ())
+        disk.files[name] = complete
+        self.assertEqual(RegistryCheckpoint(disk).load(), (upstream("i-1"),))
+
+    def test_save_after_a_load_has_a_newer_generation(self) -> None:
+        disk = InMemoryDisk()
+        RegistryCheckpoint(disk).save([upstream("i-1")])
+        reloaded = RegistryCheckpoint(disk)
+        reloaded.load()
+        reloaded.save([upstream("i-2")])
+        self.assertEqual(RegistryCheckpoint(disk).load(), (upstream("i-2"),))
+
+
+class CheckpointWriterOffers(unittest.TestCase):
+    def test_saved_records_are_not_written_again(self) -> None:
+        writer = CheckpointWriter(RegistryCheckpoint(InMemoryDisk()), lambda records: None)
+        self.assertTrue(writer.offer([upstream("i-1")]))
+        writer._wanted.clear()  # as the writer thread does after a write
+        self.assertFalse(writer.offer([upstream("i-1", sequence=9)]))
+        self.assertTrue(writer.offer([upstream("i-1", "draining")]))
+
+    def test_offer_is_declined_during_a_write(self) -> None:
+        writer = CheckpointWriter(RegistryCheckpoint(InMemoryDisk()), lambda records: None)
+        self.assertTrue(writer.offer([upstream("i-1")]))
+        self.assertFalse(writer.offer([upstream("i-2")]))
+        writer._wanted.clear()
+        self.assertTrue(writer.offer([upstream("i-2")]))
+
+    def test_failed_write_is_retried(self) -> None:
+        disk = InMemoryDisk()
+        disk.is_full = True
+        saved: list[Sequence[UpstreamRecord]] = []
+        writer = CheckpointWriter(RegistryCheckpoint(disk), saved.append)
+        writer.offer([upstream("i-1")])
+        writer._save()
+        writer._wanted.clear()
+        self.assertEqual(saved, [])
+        self.assertTrue(writer.offer([upstream("i-1")]))
+        disk.is_full = False
+        writer._save()
+        self.assertEqual(saved, [[upstream("i-1")]])
+
+
+class RegistryRestoration(unittest.TestCase):
+    def test_restored_upstreams_are_known_and_time_out_without_heartbeats(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         registry.merge(0.0, [upstream("i-1"), upstream("i-2", "draining")])
         known = {record.instance: record.state for record in registry.snapshot(10.0)}
@@ -123,7 +123,7 @@
         ]
         self.assertEqual({record.instance for record in timed_out}, {"i-1", "i-2"})
 
-    def test_given_an_old_ready_copy_then_a_peers_draining_prevails(self) -> None:
+    def test_draining_from_a_peer_overrides_a_restored_ready_state(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         registry.merge(0.0, [upstream("i-1")])
         registry.merge(1.0, [upstream("i-1", "draining", sequence=4)])
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -1,4 +1,4 @@
-"""Stories of the control planes' registry: merging, finality and silence."""
+"""Tests of the control planes' registry: merging, final states, time-outs and restoration."""
 
 from __future__ import annotations
 
@@ -10,27 +10,29 @@
 from madderwind.registry.registry import DROP_AFTER_MS, Registry
 
 HEARTBEAT_MS = 1000.0
-SILENT_MS = 3501.0
+TIMED_OUT_MS = 3501.0
 
 
-def body(sequence: int, state: str = "ready", address: str = "10.0.0.1:80", cold_ms: int = 0) -> bytes:
+def body(sequence: int, state: str = "ready", address: str = "10.0.0.1:80", slow_start_ms: int = 0) -> bytes:
     return (
         f'{{"service":"s","address":"{address}","zone":"z","version":"v1","slots":4,"state":"{state}",'
-        f'"cold_remaining_ms":{cold_ms},"stage":"dual","models":[{{"name":"m"}}],"sequence":{sequence}}}'
+        f'"cold_remaining_ms":{slow_start_ms},"stage":"dual","models":[{{"name":"m"}}],"sequence":{sequence}}}'
     ).encode()
 
 
-def heard(registry: Registry, now_ms: float, sequence: int, state: str = "ready") -> UpstreamRecord | None:
+def handle_heartbeat(
+    registry: Registry, now_ms: float, sequence: int, state: str = "ready"
+) -> UpstreamRecord | None:
     return registry.handle_heartbeat(now_ms, "i-1", read_heartbeat("i-1", body(sequence, state)))
 
 
-class HeartbeatsAreRead(unittest.TestCase):
-    def test_unknown_fields_are_passed_over(self) -> None:
+class HeartbeatParsing(unittest.TestCase):
+    def test_unknown_fields_are_ignored(self) -> None:
         self.assertEqual(read_heartbeat("i-1", body(4)).sequence, 4)
 
-    def test_what_is_no_heartbeat_has_a_typed_error(self) -> None:
+    def test_invalid_heartbeat_raises_heartbeat_error(self) -> None:
         too_long = body(1)[:-1] + b',"more":"' + b"x" * MAX_HEARTBEAT_BYTES + b'"}'
-        invalid = [
+        invalid_bodies = [
             b"",
             b"{",
             b"[]",
@@ -40,121 +42,125 @@
             body(1, address="nowhere"),
             too_long,
         ]
-        invalid += [body(1, address="10.0.0.1:0"), body(1, address="10.0.0.1:99999"), body(1, address=":80")]
-        for bad in invalid:
-            with self.subTest(bad[:60]), self.assertRaises(HeartbeatError):
-                read_heartbeat("i-1", bad)
+        invalid_bodies += [
+            body(1, address="10.0.0.1:0"),
+            body(1, address="10.0.0.1:99999"),
+            body(1, address=":80"),
+        ]
+        for invalid_body in invalid_bodies:
+            with self.subTest(invalid_body[:60]), self.assertRaises(HeartbeatError):
+                read_heartbeat("i-1", invalid_body)
         with self.assertRaises(HeartbeatError):
             read_heartbeat("", body(1))
 
 
-class RecordsMergeBySequence(unittest.TestCase):
-    def test_a_new_upstream_is_notified_and_a_plain_heartbeat_is_not(self) -> None:
+class MergeBySequence(unittest.TestCase):
+    def test_new_upstream_is_published_and_an_unchanged_one_is_not(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        first = heard(registry, 0.0, 1)
+        first = handle_heartbeat(registry, 0.0, 1)
         assert first is not None
         self.assertEqual((first.instance, first.state, first.slots), ("i-1", "ready", 4))
-        self.assertIsNone(heard(registry, 1000.0, 2))
+        self.assertIsNone(handle_heartbeat(registry, 1000.0, 2))
 
-    def test_a_moved_address_is_notified_and_a_late_heartbeat_changes_nothing(self) -> None:
+    def test_new_address_is_published_and_a_late_heartbeat_is_ignored(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        heard(registry, 0.0, 1)
-        moved = registry.handle_heartbeat(1.0, "i-1", read_heartbeat("i-1", body(3, address="10.0.0.2:80")))
-        assert moved is not None
-        self.assertEqual(moved.address, "10.0.0.2:80")
-        self.assertIsNone(heard(registry, 2.0, 2))
+        handle_heartbeat(registry, 0.0, 1)
+        changed = registry.handle_heartbeat(1.0, "i-1", read_heartbeat("i-1", body(3, address="10.0.0.2:80")))
+        assert changed is not None
+        self.assertEqual(changed.address, "10.0.0.2:80")
+        self.assertIsNone(handle_heartbeat(registry, 2.0, 2))
         self.assertEqual(registry.snapshot(3.0)[0].address, "10.0.0.2:80")
 
-    def test_draining_is_final_even_with_a_late_sequence(self) -> None:
+    def test_draining_is_final_even_with_an_older_sequence(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        heard(registry, 0.0, 5)
-        drained = heard(registry, 10.0, 4, "draining")
-        assert drained is not None
-        self.assertEqual(drained.state, "draining")
-        heard(registry, 20.0, 9)
+        handle_heartbeat(registry, 0.0, 5)
+        draining = handle_heartbeat(registry, 10.0, 4, "draining")
+        assert draining is not None
+        self.assertEqual(draining.state, "draining")
+        handle_heartbeat(registry, 20.0, 9)
         self.assertEqual(registry.snapshot(30.0)[0].state, "draining")
 
-    def test_gone_is_final_also_for_an_instance_never_heard(self) -> None:
+    def test_deregistration_of_an_unknown_instance_is_final(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        gone = registry.deregister(0.0, "i-1")
-        assert gone is not None
-        self.assertEqual(gone.state, "gone")
+        deregistered = registry.deregister(0.0, "i-1")
+        assert deregistered is not None
+        self.assertEqual(deregistered.state, "gone")
         self.assertIsNone(registry.deregister(1.0, "i-1"))
-        heard(registry, 10.0, 1)
+        handle_heartbeat(registry, 10.0, 1)
         self.assertEqual(registry.snapshot(20.0)[0].state, "gone")
 
-    def test_two_registries_end_alike_whatever_the_order(self) -> None:
-        ours, theirs = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
-        heard(ours, 0.0, 1)
-        drained = heard(ours, 1.0, 2, "draining")
-        heard(theirs, 0.0, 1)
-        heard(theirs, 1.0, 3)
-        assert drained is not None
-        self.assertEqual(len(theirs.merge(2.0, [drained])), 1)
-        ours.merge(2.0, theirs.snapshot(2.0))
-        self.assertEqual([r.state for r in ours.snapshot(3.0)], ["draining"])
-        self.assertEqual(ours.snapshot(3.0), theirs.snapshot(3.0))
-        self.assertEqual(ours.merge(4.0, theirs.snapshot(4.0)), ())
-
-
-class SilenceIsAHint(unittest.TestCase):
-    def ticked_until(
-        self, registry: Registry, start_ms: float, end_ms: float, hears_all: bool = True
+    def test_registries_converge_in_any_merge_order(self) -> None:
+        first_registry, second_registry = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
+        handle_heartbeat(first_registry, 0.0, 1)
+        draining = handle_heartbeat(first_registry, 1.0, 2, "draining")
+        handle_heartbeat(second_registry, 0.0, 1)
+        handle_heartbeat(second_registry, 1.0, 3)
+        assert draining is not None
+        self.assertEqual(len(second_registry.merge(2.0, [draining])), 1)
+        first_registry.merge(2.0, second_registry.snapshot(2.0))
+        self.assertEqual([r.state for r in first_registry.snapshot(3.0)], ["draining"])
+        self.assertEqual(first_registry.snapshot(3.0), second_registry.snapshot(3.0))
+        self.assertEqual(first_registry.merge(4.0, second_registry.snapshot(4.0)), ())
+
+
+class Timeouts(unittest.TestCase):
+    def tick_until(
+        self, registry: Registry, start_ms: float, end_ms: float, all_peers_reported: bool = True
     ) -> list[UpstreamRecord]:
-        notified: list[UpstreamRecord] = []
+        published: list[UpstreamRecord] = []
         now_ms = start_ms
         while now_ms <= end_ms:
-            notified += registry.tick(now_ms, hears_all)
+            published += registry.tick(now_ms, all_peers_reported)
             now_ms += 250.0
-        return notified
+        return published
 
-    def test_timeout_is_notified_once_and_the_return_as_well(self) -> None:
+    def test_timeout_and_recovery_are_each_published_once(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        heard(registry, 0.0, 1)
-        notified = self.ticked_until(registry, 0.0, SILENT_MS + 1000.0)
-        self.assertEqual(len(notified), 1)
-        self.assertGreater(notified[0].heartbeat_age_ms, 3500.0)
-        self.assertEqual(notified[0].state, "ready")
-        heard(registry, 5000.0, 2)
-        back = registry.tick(5000.0, True)
-        self.assertEqual([record.heartbeat_age_ms for record in back], [0.0])
-
-    def test_who_does_not_hear_all_control_planes_tells_no_timeout(self) -> None:
+        handle_heartbeat(registry, 0.0, 1)
+        published = self.tick_until(registry, 0.0, TIMED_OUT_MS + 1000.0)
+        self.assertEqual(len(published), 1)
+        self.assertGreater(published[0].heartbeat_age_ms, 3500.0)
+        self.assertEqual(published[0].state, "ready")
+        handle_heartbeat(registry, 5000.0, 2)
+        recovered = registry.tick(5000.0, True)
+        self.assertEqual([record.heartbeat_age_ms for record in recovered], [0.0])
+
+    def test_no_timeout_is_published_without_reports_of_all_peers(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        heard(registry, 0.0, 1)
-        self.assertEqual(self.ticked_until(registry, 0.0, 9000.0, hears_all=False), [])
+        handle_heartbeat(registry, 0.0, 1)
+        self.assertEqual(self.tick_until(registry, 0.0, 9000.0, all_peers_reported=False), [])
 
-    def test_another_control_plane_hears_it(self) -> None:
-        here, there = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
-        record = heard(there, 0.0, 1)
+    def test_upstream_that_a_peer_reports_does_not_time_out(self) -> None:
+        local, peer = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
+        record = handle_heartbeat(peer, 0.0, 1)
         assert record is not None
-        here.merge(0.0, [record])
+        local.merge(0.0, [record])
         for second in range(1, 9):
-            heard(there, second * 1000.0, 1 + second)
-            self.assertTrue(here.merge_liveness(second * 1000.0, there.take_liveness(second * 1000.0)))
-            self.assertEqual(here.tick(second * 1000.0, True), ())
-        self.assertEqual(there.take_liveness(9000.0), ())
+            handle_heartbeat(peer, second * 1000.0, 1 + second)
+            self.assertTrue(local.merge_liveness(second * 1000.0, peer.take_liveness(second * 1000.0)))
+            self.assertEqual(local.tick(second * 1000.0, True), ())
+        self.assertEqual(peer.take_liveness(9000.0), ())
 
-    def test_an_unknown_instance_in_a_report_asks_for_all(self) -> None:
-        here, there = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
-        heard(there, 0.0, 1)
-        self.assertFalse(here.merge_liveness(1.0, there.take_liveness(1.0)))
+    def test_report_with_an_unknown_instance_is_incomplete(self) -> None:
+        local, peer = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
+        handle_heartbeat(peer, 0.0, 1)
+        self.assertFalse(local.merge_liveness(1.0, peer.take_liveness(1.0)))
 
-    def test_a_pause_of_this_process_is_no_timeout(self) -> None:
+    def test_stall_of_this_process_causes_no_timeout(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        heard(registry, 0.0, 1)
+        handle_heartbeat(registry, 0.0, 1)
         registry.tick(100.0, True)
         self.assertEqual(registry.tick(20_000.0, True), ())
         self.assertLess(registry.snapshot(20_000.0)[0].heartbeat_age_ms, 200.0)
 
-    def test_the_long_timed_out_is_forgotten_without_a_word(self) -> None:
+    def test_long_timed_out_upstream_is_dropped_without_notification(self) -> None:
         registry = Registry(HEARTBEAT_MS)
-        heard(registry, 0.0, 1)
-        notified = self.ticked_until(registry, 0.0, DROP_AFTER_MS + 500.0)
-        self.assertEqual([record.state for record in notified], ["ready"])
+        handle_heartbeat(registry, 0.0, 1)
+        published = self.tick_until(registry, 0.0, DROP_AFTER_MS + 500.0)
+        self.assertEqual([record.state for record in published], ["ready"])
         self.assertEqual(len(registry), 0)
 
-    def test_an_old_record_of_a_peer_is_not_taken_up_again(self) -> None:
+    def test_expired_record_of_a_peer_is_not_added(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         old = UpstreamRecord("i-1", "s", "10.0.0.1:80", "z", "v1", 4, "ready", 1, 0.0, DROP_AFTER_MS + 1.0)
         self.assertEqual(registry.merge(0.0, [old]), ())
@@ -165,9 +171,9 @@
     unittest.main()
 
 
-class ARegistryThatIsRestored(unittest.TestCase):
+class RestoredRegistry(unittest.TestCase):
     def restored(self, *records: UpstreamRecord) -> dict[str, float]:
-        """The ages of the heartbeats of what a control plane with this checkpoint publishes first."""
+        """The heartbeat ages that a control plane publishes after restoring these records."""
         registry = Registry(HEARTBEAT_MS)
         registry.restore(90_000.0, records)
         return {record.instance: record.heartbeat_age_ms for record in registry.snapshot(90_000.0)}
@@ -175,21 +181,21 @@
     def stored(self, instance: str, age_ms: float, address: str = "10.0.0.1:80") -> UpstreamRecord:
         return UpstreamRecord(instance, "s", address, "z", "v1", 4, "ready", 1, 0.0, age_ms)
 
-    def test_takes_who_called_lately_as_heard_of_now(self) -> None:
-        self.assertEqual(self.restored(self.stored("i-1", SILENT_MS - 2.0)), {"i-1": 0.0})
+    def test_instance_with_a_recent_heartbeat_is_restored_as_alive(self) -> None:
+        self.assertEqual(self.restored(self.stored("i-1", TIMED_OUT_MS - 2.0)), {"i-1": 0.0})
 
-    def test_still_counts_who_had_timed_out_as_timed_out(self) -> None:
+    def test_timed_out_instance_is_restored_as_timed_out(self) -> None:
         self.assertEqual(self.restored(self.stored("i-1", 9_000.0)), {"i-1": 9_000.0})
 
-    def test_counts_who_lost_its_address_as_timed_out(self) -> None:
+    def test_superseded_instance_is_restored_as_timed_out(self) -> None:
         ages = self.restored(
             self.stored("old", 2_000.0), self.stored("new", 100.0), self.stored("far", 2_000.0, "b:1")
         )
         self.assertEqual((ages["new"], ages["far"]), (0.0, 0.0))
-        self.assertGreaterEqual(ages["old"], SILENT_MS - 1.0)
+        self.assertGreaterEqual(ages["old"], TIMED_OUT_MS - 1.0)
 
-    def test_hears_of_one_that_calls_again(self) -> None:
+    def test_restored_instance_recovers_with_its_next_heartbeat(self) -> None:
         registry = Registry(HEARTBEAT_MS)
         registry.restore(90_000.0, (self.stored("i-1", 9_000.0),))
-        self.assertIsNone(heard(registry, 90_100.0, 2))
+        self.assertIsNone(handle_heartbeat(registry, 90_100.0, 2))
         self.assertEqual([record.heartbeat_age_ms for record in registry.tick(90_200.0, True)], [100])
