--- a/madderwind/messages/__init__.py
+++ b/madderwind/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between the system's processes, in MessagePack by msgspec."""
+"""Typed messages between the system's processes, encoded as MessagePack by msgspec."""
--- a/madderwind/messages/codec.py
+++ b/madderwind/messages/codec.py
@@ -1,7 +1,7 @@
-"""Encoding of messages: tagged structs as MessagePack, bounded in length, invalid ones a typed error.
+"""Encodes messages as MessagePack of tagged structs, with a maximum length; invalid data raises MessageError.
 
-Long messages (whole configurations, which repeat the same names) are compressed: to a tenth, as measured.
-They begin with a byte that no MessagePack begins with.
+Long messages are compressed. These are complete configurations, in which the same names repeat and which
+shrink to a tenth of their size. Compressed messages start with a byte that never occurs in MessagePack.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from madderwind.errors import MessageError
 
-# A whole configuration is at most 4 MiB; a snapshot holds it with its history.
+# A configuration is at most 4 MiB; a snapshot contains the configuration and its history.
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-# From this length on the transfer costs more than the compression.
+# From this length on, transferring the uncompressed message costs more than compressing it.
 MIN_COMPRESSED_BYTES = 16 * 1024
 COMPRESSION_LEVEL = 1
-COMPRESSED_PREFIX = b"\xc1"  # never used by MessagePack
+COMPRESSED_PREFIX = b"\xc1"  # unused in MessagePack
 
 MessageType = TypeVar("MessageType")
 
@@ -31,31 +31,31 @@
         self._decoder: msgspec.msgpack.Decoder[MessageType] = msgspec.msgpack.Decoder(union)
 
     def encode(self, message: MessageType) -> bytes:
-        """The message's bytes."""
+        """Serialize a message."""
         data = self._encoder.encode(message)
         if len(data) < MIN_COMPRESSED_BYTES:
             return data
         return COMPRESSED_PREFIX + zlib.compress(data, COMPRESSION_LEVEL)
 
     def decode(self, data: bytes) -> MessageType:
-        """The message; MessageError where the bytes are none."""
+        """Parse a message; raises MessageError if the data is not a valid message."""
         if data[:1] == COMPRESSED_PREFIX:
-            data = _decompressed(data[1:])
+            data = _decompress(data[1:])
         if len(data) > MAX_MESSAGE_BYTES:
-            raise MessageError(f"{len(data)} bytes are more than a message may hold")
+            raise MessageError(f"{len(data)} bytes exceed the maximum message size")
         try:
             return self._decoder.decode(data)
         except msgspec.MsgspecError as error:
             raise MessageError(str(error)) from None
 
 
-def _decompressed(data: bytes) -> bytes:
-    """The bytes before compression; MessageError where these are none, or more than a message may hold."""
+def _decompress(data: bytes) -> bytes:
+    """Decompress data; raises MessageError if it is invalid or exceeds the maximum message size."""
     decompressor = zlib.decompressobj()
     try:
         data = decompressor.decompress(data, MAX_MESSAGE_BYTES + 1)
     except zlib.error as error:
-        raise MessageError(f"a compressed message: {error}") from None
+        raise MessageError(f"invalid compressed message: {error}") from None
     if len(data) <= MAX_MESSAGE_BYTES and not decompressor.eof:
-        raise MessageError("a compressed message that is incomplete")
+        raise MessageError("incomplete compressed message")
     return data
--- a/madderwind/messages/distribution.py
+++ b/madderwind/messages/distribution.py
@@ -1,8 +1,8 @@
-"""Messages between a control plane and a data plane, on the one connection that the data plane opens.
+"""Messages between a control plane and a data plane, over a single connection that the data plane opens.
 
-The data plane subscribes to several control planes at once. Each publishes which configuration version is
-committed (`Freshness`) and pushes registry changes; the data plane fetches a version from the first that
-offers it.
+A data plane subscribes to several control planes at once. Each of them publishes the committed configuration
+version (`Freshness`) and pushes registry changes. The data plane fetches a new version from the first control
+plane that announces it.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """The base of all messages of this module; each names its tag on the wire."""
+    """The base of all messages of this module; each message declares its tag on the wire."""
 
 
 class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One upstream as the registry knows it.
+    """An upstream as the registry knows it.
 
-    `heartbeat_age_ms`: since its last heartbeat, when this was sent.
+    `heartbeat_age_ms`: the time since its last heartbeat when this record was sent.
     """
 
     instance: str
@@ -35,7 +35,7 @@
 
 
 class CommandRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One operator's change as it came: `kind` is replace or update, `body` its JSON."""
+    """An operator's command as received: `kind` is replace or update, `body` is its JSON."""
 
     version: int
     base_version: int
@@ -43,11 +43,11 @@
     body: bytes
 
 
-# --- data plane to control plane ---
+# Sent by data planes to control planes.
 
 
 class Subscribe(Message, frozen=True, tag="Subscribe"):
-    """First message of a connection. `incarnation` is drawn anew at each start of the process."""
+    """The first message of a connection. `incarnation` is generated at each start of the process."""
 
     node: str
     incarnation: str
@@ -57,24 +57,24 @@
 
 
 class FetchConfiguration(Message, frozen=True, tag="FetchConfiguration"):
-    """Ask for what leads from `base_version` to the newest committed version."""
+    """Requests the changes from `base_version` to the newest committed version."""
 
     base_version: int
 
 
 class ConfigurationApplied(Message, frozen=True, tag="ConfigurationApplied"):
-    """The acknowledgement: this version is in force at the data plane."""
+    """Acknowledges that the data plane has applied this version."""
 
     version: int
 
 
 class UsageReport(Message, frozen=True, tag="UsageReport"):
-    """What tenants used at this data plane, sent to the primary alone.
+    """The usage by tenants at this data plane, sent only to the primary.
 
     Attributes:
-        sequence: Rises with each report.
+        sequence: Increases with each report.
         used: Tokens (or requests) admitted since the last report, by tenant.
-        demand_per_s: The rate at which each tenant asks for more.
+        demand_per_s: The rate at which each tenant requests more.
     """
 
     sequence: int
@@ -83,13 +83,13 @@
 
 
 class LoadReport(Message, frozen=True, tag="LoadReport"):
-    """What this data plane has at upstreams now, by instance: prompt tokens waiting, sequences, tokens."""
+    """The current load of this data plane by instance: waiting prompt tokens, sequences, tokens."""
 
     load: dict[str, tuple[float, float, float]]
 
 
 class DispatchedPrompt(msgspec.Struct, frozen=True, array_like=True):
-    """A prompt that went to an upstream: ids and lengths in tokens of its chunks, in order."""
+    """A prompt that was sent to an upstream: the IDs and token counts of its chunks, in order."""
 
     instance: str
     chunk_ids: tuple[str, ...]
@@ -97,30 +97,33 @@
 
 
 class DispatchReport(Message, frozen=True, tag="SendReport"):
-    """Prompts that this data plane sent to upstreams since its last report. To the primary alone."""
+    """The prompts that this data plane sent to upstreams since its last report; sent only to the primary."""
 
     prompts: tuple[DispatchedPrompt, ...]
 
 
 class ClockRequest(Message, frozen=True, tag="ClockRequested"):
-    """Ask for the control plane's steady clock. `requested_ms`: the data plane's own, which comes back."""
+    """Requests the control plane's monotonic clock.
+
+    `requested_ms`: the data plane's own clock, which the response returns.
+    """
 
     requested_ms: float
 
 
 class Goodbye(Message, frozen=True, tag="Farewell"):
-    """The data plane shuts down: it accepts no more requests."""
+    """The data plane is shutting down and accepts no more requests."""
 
 
-# --- control plane to data plane ---
+# Sent by control planes to data planes.
 
 
 class Freshness(Message, frozen=True, tag="Freshness"):
-    """What is committed.
+    """The committed version, and how recent that information is.
 
-    `age_ms`: since the primary of `epoch` was last known to hold its lease; None where that is unknown.
-    `data_planes`: how many there are, as far as is known. `clock_ms`: the sender's steady clock when this was
-    sent.
+    `age_ms`: the time since the primary of `epoch` was last known to hold its lease; None if unknown.
+    `data_planes`: the known number of data planes. `clock_ms`: the sender's monotonic clock when this message
+    was sent.
     """
 
     version: int
@@ -132,14 +135,14 @@
 
 
 class ClockReading(Message, frozen=True, tag="ClockTold"):
-    """The control plane's steady clock when it read the request that was sent at `requested_ms`."""
+    """The control plane's monotonic clock when it received the request that was sent at `requested_ms`."""
 
     requested_ms: float
     clock_ms: float
 
 
 class ConfigurationSnapshot(Message, frozen=True, tag="ConfigurationSnapshot"):
-    """A whole configuration document (JSON) and its version."""
+    """A complete configuration document (JSON) and its version."""
 
     version: int
     document: bytes
@@ -154,7 +157,7 @@
 
 
 class RegistrySnapshot(Message, frozen=True, tag="RegistrySnapshot"):
-    """All upstreams that this control plane knows. What is absent here is not gone for that."""
+    """All upstreams that this control plane knows; an upstream that is absent here is not deregistered."""
 
     upstreams: tuple[UpstreamRecord, ...]
 
@@ -166,24 +169,24 @@
 
 
 class ControlPlanes(Message, frozen=True, tag="ControlPlanes"):
-    """Internal addresses of the control planes, the primary's first where it is known."""
+    """The internal addresses of the control planes; the primary's is the first if it is known."""
 
     addresses: tuple[str, ...]
     primary: str
 
 
 class PeerSample(Message, frozen=True, tag="PeerSample"):
-    """Internal addresses of some other data planes."""
+    """The internal addresses of some other data planes."""
 
     addresses: tuple[str, ...]
 
 
 class PeerUsage(Message, frozen=True, tag="UsageOfOthers"):
-    """What tenants used at all other data planes, sent by the primary alone.
+    """The usage by tenants at all other data planes, sent only by the primary.
 
     Attributes:
         used: Tokens (or requests) since the last message of this kind on this connection, by tenant.
-        demand_per_s: The rate at which each tenant asks for more there.
+        demand_per_s: The rate at which each tenant requests more there.
     """
 
     used: dict[str, float]
@@ -197,7 +200,7 @@
 
 
 class PeerDispatches(Message, frozen=True, tag="SendsOfOthers"):
-    """Prompts that other data planes sent since the last message of this kind; it comes without any too."""
+    """The prompts that other data planes sent since the last message of this kind; it may be empty."""
 
     prompts: tuple[DispatchedPrompt, ...]
 
--- a/madderwind/messages/peering.py
+++ b/madderwind/messages/peering.py
@@ -1,7 +1,7 @@
-"""Messages between control planes beside replication: the registry, and operators' calls for the primary.
+"""Messages between control planes other than replication: registry gossip and operators' forwarded requests.
 
-They share the connection of the replicas' messages: each control plane dials its own to every other, says
-`Hello` and sends on it alone.
+They share the connection of the replication messages. Each control plane opens a connection to every other
+one, sends `Hello` and then uses it for sending only.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class PeeringMessageBase(msgspec.Struct, frozen=True, array_like=True):
-    """The base of all messages of this module; each names its tag on the wire."""
+    """The base of all messages of this module; each message declares its tag on the wire."""
 
 
 class Liveness(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream whose heartbeat the sender itself received, `heartbeat_age_ms` before this was sent."""
+    """An upstream whose heartbeat the sender itself received, `heartbeat_age_ms` before sending this."""
 
     instance: str
     sequence: int
@@ -28,47 +28,47 @@
 
 
 class Hello(PeeringMessageBase, frozen=True, tag="Hello"):
-    """First message of a connection: the internal address of who dialled it, where answers go."""
+    """The first message of a connection: the internal address of its initiator, to which replies are sent."""
 
     sender: str
 
 
 class RegistryGossip(PeeringMessageBase, frozen=True, tag="RegistryGossip"):
-    """Upstreams of which something changed; on a new connection all that are known."""
+    """The upstreams that changed; on a new connection, all known upstreams."""
 
     upstreams: tuple[UpstreamRecord, ...]
 
 
 class FinalStateNotice(PeeringMessageBase, frozen=True, tag="FinalStateNotice"):
-    """An upstream drains or is gone.
+    """An upstream is draining or deregistered.
 
-    Its acknowledgement waits until the receiver has notified its data planes and has the state on disk.
+    The receiver acknowledges this after it has notified its data planes and has written the state to disk.
     """
 
     upstream: UpstreamRecord
 
 
 class FinalStateConfirmed(PeeringMessageBase, frozen=True, tag="FinalStateNoted"):
-    """The sender's data planes were notified that the instance has this state, and its disk holds it."""
+    """The sender has notified its data planes of the instance's state and has written it to disk."""
 
     instance: str
     state: Literal["draining", "gone"]
 
 
 class RegistryRequest(PeeringMessageBase, frozen=True, tag="RegistryRequested"):
-    """The sender lacks some upstream: all are to be sent again."""
+    """The sender is missing an upstream and requests the records of all of them."""
 
 
 class LivenessReport(PeeringMessageBase, frozen=True, tag="LivenessReport"):
-    """Upstreams whose heartbeats the sender received since its last report; sent also when there are none."""
+    """Upstreams whose heartbeats the sender received since its last report; sent even if it is empty."""
 
     observed: tuple[Liveness, ...]
 
 
 class ForwardCommand(PeeringMessageBase, frozen=True, tag="ForwardOrder"):
-    """An operator's command that reached a control plane which is not the primary.
+    """An operator's command, forwarded by a control plane that is not the primary.
 
-    `token` is unique over the sender's lives.
+    `token` is unique across restarts of the sender.
     """
 
     token: int
@@ -78,7 +78,7 @@
 
 
 class CommandReply(PeeringMessageBase, frozen=True, tag="OrderReply"):
-    """How a forwarded command ended; the fields are those of `CommandResult`."""
+    """The result of a forwarded command; the fields are those of `CommandResult`."""
 
     token: int
     outcome: Literal["taken", "stale base", "invalid", "unclear"]
@@ -88,13 +88,13 @@
 
 
 class ForwardRead(PeeringMessageBase, frozen=True, tag="ForwardRead"):
-    """The operator asks for the newest configuration."""
+    """An operator's forwarded request for the newest configuration."""
 
     token: int
 
 
 class ReadReply(PeeringMessageBase, frozen=True, tag="ReadReply"):
-    """The newest configuration where `is_newest`; else the sender could not prove that it is."""
+    """A configuration; unless `is_newest`, the sender could not prove that it is the newest."""
 
     token: int
     is_newest: bool
@@ -115,7 +115,7 @@
     | ReadReply
 )
 
-# All that goes over the connection.
+# All messages on a connection between control planes.
 PeerFrame = ReplicationMessage | PeeringMessage
 
 peer_frames: Codec[PeerFrame] = Codec(PeerFrame)
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -1,8 +1,7 @@
 """Messages between replicas of the configuration.
 
-Every message names the incarnation that sends it and, where it is known, the one that it is meant for: a
-machine whose disk was lost is another incarnation at the same address, and has no part in what the
-earlier one promised.
+Every message names the incarnation of its sender and, if known, that of its receiver. A machine that lost its
+disk is a new incarnation at the same address and is not bound by the promises of the previous one.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One replica: `incarnation` is drawn when its file is created and lasts as long as its disk."""
+    """A replica; `incarnation` is generated when its file is created and is valid as long as its disk."""
 
     incarnation: str
     address: str  # internal, ip:port
@@ -22,7 +21,7 @@
 
 
 class View(msgspec.Struct, frozen=True, array_like=True):
-    """Which replicas are primary, in sync and members from this epoch on, by incarnation."""
+    """The primary, the in-sync replicas and the members from this epoch on, by incarnation."""
 
     epoch: int
     primary: str
@@ -30,23 +29,23 @@
     members: tuple[Member, ...]
 
     def member(self, incarnation: str) -> Member | None:
-        """The member of that incarnation."""
+        """The member with this incarnation; None if there is none."""
         return next((member for member in self.members if member.incarnation == incarnation), None)
 
     def has_member(self, incarnation: str) -> bool:
-        """Whether that incarnation has a vote in this view."""
+        """Whether this incarnation has a vote in this view."""
         return self.member(incarnation) is not None
 
     def majority(self) -> int:
-        """How many members decide what the next view is."""
+        """The number of members that can decide the next view."""
         return len(self.members) // 2 + 1
 
 
 class PeerStatus(msgspec.Struct, frozen=True, array_like=True):
     """What a replica knows of a member or learner.
 
-    `idle_ms`: since the last message of that one; `stopping`: its process is about to end; `is_direct`: the
-    sender would receive its messages.
+    `idle_ms`: the time since its last message; `stopping`: its process is about to end; `is_direct`:
+    whether the sender would receive its messages.
     """
 
     member: Member
@@ -56,9 +55,9 @@
 
 
 class ProposalNumber(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Orders proposals for one epoch.
+    """Orders the proposals for one epoch.
 
-    `life` is drawn at each start, so that no proposal number is ever used twice.
+    `process_incarnation` is generated at each start, so that no proposal number is ever used twice.
     """
 
     round: int
@@ -70,7 +69,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One operator's command in the log: index and epoch together name it."""
+    """An operator's command in the log, identified by index and epoch together."""
 
     index: int
     epoch: int
@@ -80,20 +79,20 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """The base of all messages: incarnations of sender and receiver; `target` is empty if unknown."""
+    """The base of all messages: the incarnations of sender and receiver; `target` is empty if unknown."""
 
     sender: str
     target: str
 
 
-# --- finding each other ---
+# Discovery.
 
 
 class JoinRequest(Message, frozen=True, tag="Announce"):
     """Sent to known addresses by a replica that follows no primary.
 
-    `epoch` is the newest it knows (0: none); `bootstrap`: its file was created at the very first start of the
-    system.
+    `epoch`: the newest epoch that it knows, 0 if none; `bootstrap`: whether its file was created at the very
+    first start of the system.
     """
 
     member: Member
@@ -102,18 +101,18 @@
 
 
 class ViewNotice(Message, frozen=True, tag="ViewNotice"):
-    """A view that was decided."""
+    """A decided view."""
 
     view: View
 
 
-# --- the register of views ---
+# Consensus on views.
 
 
 class Prepare(Message, frozen=True, tag="Prepare"):
-    """Asks the members of `base`, the newest decided view, for a promise about the epoch that follows it.
+    """Requests a promise for the next epoch from the members of `base`, the newest decided view.
 
-    `leadership_transferred`: the primary of `base` gave its role up.
+    `leadership_transferred`: the primary of `base` gave up its role.
     """
 
     base: View
@@ -122,9 +121,9 @@
 
 
 class Promise(Message, frozen=True, tag="Promise"):
-    """No lower proposal number will be accepted for this epoch; with what was accepted for it so far.
+    """Promises to accept no lower proposal number for this epoch; carries the last accepted proposal, if any.
 
-    `peers`: what this witness knows of the others, which does not bear on the decision.
+    `peers`: what this witness knows of the other replicas, which does not affect the decision.
     """
 
     epoch: int
@@ -135,7 +134,7 @@
 
 
 class Accept(Message, frozen=True, tag="Accept"):
-    """Asks the members of `base` to accept `view` as what follows it."""
+    """Requests the members of `base` to accept `view` as its successor."""
 
     base: View
     number: ProposalNumber
@@ -143,17 +142,18 @@
 
 
 class Accepted(Message, frozen=True, tag="Accepted"):
-    """The view proposed under this proposal number is on this witness's disk."""
+    """Confirms that the view with this proposal number is on this witness's disk."""
 
     epoch: int
     number: ProposalNumber
 
 
 class AcceptedBroadcast(Message, frozen=True, tag="AcceptedNotice"):
-    """`view` is on the sender's disk under this proposal number.
+    """Reports that `view` is on the sender's disk under this proposal number.
 
-    Sent to all members of the base and of `view` but the proposer, so that a decision is known without it:
-    with a majority of the base under one proposal number.
+    Sent to all members of the base and of `view` except the proposer, so that they learn of a decision
+    without the proposer: a view is decided when a majority of the base has accepted it under one proposal
+    number.
     """
 
     number: ProposalNumber
@@ -161,10 +161,10 @@
 
 
 class Rejected(Message, frozen=True, tag="Refused"):
-    """This witness rejects the proposal.
+    """Rejects a proposal.
 
-    `promised` is the highest proposal number it knows; `primary_is_alive`: the primary is at work, as far as
-    it can tell.
+    `promised`: the highest proposal number that the witness knows; `primary_is_alive`: whether the witness
+    considers the primary alive.
     """
 
     epoch: int
@@ -173,16 +173,20 @@
     primary_is_alive: bool
 
 
-# --- the primary and the others ---
+# Replication from the primary to the other replicas.
 
 
 class Heartbeat(Message, frozen=True, tag="Heartbeat"):
-    """The primary is at work.
-
-    `committed_index`: index of the newest committed entry; `fresh_age_ms`: since the start of its last round
-    of heartbeats that a majority answered, None while it can't call that newest; `acknowledged_round`: the
-    newest round of this epoch that the receiver answered, 0 where it answered none; `peers`: all that it
-    sends heartbeats to, for whoever is primary after it.
+    """The primary's heartbeat.
+
+    Attributes:
+        epoch: The primary's epoch.
+        round: The heartbeat round.
+        committed_index: The index of the newest committed entry.
+        fresh_age_ms: The time since the start of the last heartbeat round that a majority acknowledged; None
+            while the primary cannot claim that its committed state is the newest.
+        acknowledged_round: The newest round of this epoch that the receiver acknowledged; 0 if none.
+        peers: All receivers of its heartbeats, for the next primary.
     """
 
     epoch: int
@@ -194,10 +198,10 @@
 
 
 class HeartbeatAck(Message, frozen=True, tag="HeartbeatAnswer"):
-    """Given by those that know the epoch.
+    """Acknowledges a heartbeat; sent by replicas that know the epoch.
 
-    `accepted_epoch`: of the newest view that this witness accepted; `match_index`: up to where its synced log
-    is the primary's. `round` is 0 where nothing was asked.
+    `round`: the acknowledged round, 0 if this is unsolicited; `accepted_epoch`: the epoch of the newest view
+    that this witness accepted; `match_index`: the index up to which its synced log matches the primary's.
     """
 
     epoch: int
@@ -209,7 +213,7 @@
 
 
 class AppendEntries(Message, frozen=True, tag="Append"):
-    """Entries that follow the entry named by `previous_index` and `previous_epoch`."""
+    """The entries that follow the one at `previous_index` with `previous_epoch`."""
 
     epoch: int
     previous_index: int
@@ -219,14 +223,17 @@
 
 
 class AppendAck(Message, frozen=True, tag="Appended"):
-    """Up to `match_index`, this replica's synced log is the primary's of `epoch`."""
+    """Reports that this replica's synced log matches that of `epoch`'s primary up to `match_index`."""
 
     epoch: int
     match_index: int
 
 
 class AppendRejected(Message, frozen=True, tag="AppendRefused"):
-    """The entry before these is not in this replica's log, which is sure up to `committed_index`."""
+    """Reports that the preceding entry is not in this replica's log.
+
+    `committed_index`: the index up to which that log is committed.
+    """
 
     epoch: int
     previous_index: int
@@ -234,9 +241,10 @@
 
 
 class InstallSnapshot(Message, frozen=True, tag="InstallSnapshot"):
-    """A part of the state as it is after the committed entry `index`, which has `entry_epoch`.
+    """A chunk of the state after the committed entry at `index` with `entry_epoch`.
 
-    Bytes from `offset` on, of `size` in all. `begun_epoch`: the sender's when it began with this snapshot.
+    `data` is the chunk at `offset` of a snapshot of `size` bytes. `begun_epoch`: the sender's epoch when it
+    started to send this snapshot.
     """
 
     epoch: int
@@ -249,7 +257,7 @@
 
 
 class SnapshotAck(Message, frozen=True, tag="SnapshotReceived"):
-    """So many bytes of the state after the entry `index` are here, and more are expected."""
+    """Acknowledges the first `received` bytes of the snapshot at `index`; more are expected."""
 
     epoch: int
     index: int
@@ -257,7 +265,7 @@
 
 
 class TransferLeadership(Message, frozen=True, tag="HandOver"):
-    """The primary of `epoch` gives its role up: the receiver is to take it at once."""
+    """The primary of `epoch` gives up its role; the receiver is to become primary immediately."""
 
     epoch: int
 
--- a/madderwind/messages/status.py
+++ b/madderwind/messages/status.py
@@ -1,4 +1,4 @@
-"""How a control plane stands, as it tells operators at GET /status of its internal address, in JSON."""
+"""The status of a control plane, which it serves as JSON at GET /status of its internal address."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class DataPlaneStatus(msgspec.Struct, frozen=True):
-    """A data plane that is subscribed here.
+    """A data plane that is subscribed to this control plane.
 
-    `lag`: how many versions were committed after the one it has in force, as far as the history here tells;
-    None where it does not reach back.
+    `lag`: the number of versions that were committed after the one that it applied; None if the retained
+    history does not reach back that far.
     """
 
     node: str
@@ -21,7 +21,10 @@
 
 
 class UpstreamStatus(msgspec.Struct, frozen=True):
-    """An upstream as the registry here knows it. `heartbeat_age_ms`: since its last heartbeat anywhere."""
+    """An upstream in this registry.
+
+    `heartbeat_age_ms`: the time since any control plane received its last heartbeat.
+    """
 
     instance: str
     service: str
@@ -32,10 +35,10 @@
 
 
 class ControlPlaneStatus(msgspec.Struct, frozen=True):
-    """One control plane.
+    """The status of one control plane.
 
-    `primary`, `members` and `in_sync` are internal addresses; `fresh_age_ms`: since the primary was last
-    known to hold its lease, None where that is unknown.
+    `primary`, `members` and `in_sync` are internal addresses. `fresh_age_ms`: the time since the primary was
+    last known to hold its lease; None if unknown.
     """
 
     node: str
--- a/tests/messages/test_codec.py
+++ b/tests/messages/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages come back as they were, also long ones; other bytes are a typed error."""
+"""Tests of the message codec: round trips, compression, and MessageError for invalid data."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
 from madderwind.messages.peering import peer_frames
 
 
-class MessagesComeBack(unittest.TestCase):
-    def test_long_ones_are_shorter_on_the_wire(self) -> None:
+class RoundTrips(unittest.TestCase):
+    def test_long_message_is_compressed(self) -> None:
         message = ConfigurationSnapshot(7, b'{"name":"a route"}' * 10_000)
         data = to_data_plane.encode(message)
         self.assertLess(len(data), len(message.document) / 5)
         self.assertEqual(to_data_plane.decode(data), message)
 
-    def test_ones_that_compress_badly_come_back_too(self) -> None:
-        noise = random.Random(1).randbytes(MIN_COMPRESSED_BYTES)
-        message = ConfigurationSnapshot(7, noise)
+    def test_incompressible_message_is_decoded(self) -> None:
+        incompressible = random.Random(1).randbytes(MIN_COMPRESSED_BYTES)
+        message = ConfigurationSnapshot(7, incompressible)
         self.assertEqual(to_data_plane.decode(to_data_plane.encode(message)), message)
 
-    def test_short_ones_are_plain(self) -> None:
+    def test_short_message_is_not_compressed(self) -> None:
         data = to_data_plane.encode(ConfigurationSnapshot(7, b"x" * 100))
         self.assertNotEqual(data[:1], COMPRESSED_PREFIX)
 
 
-class OddBytesAreATypedError(unittest.TestCase):
+class InvalidData(unittest.TestCase):
     @given(st.binary(max_size=200))
-    def test_whatever_they_are(self, data: bytes) -> None:
+    def test_arbitrary_bytes_raise_message_error(self, data: bytes) -> None:
         for codec in (to_data_plane, to_control_plane, peer_frames):
             for frame in (data, COMPRESSED_PREFIX + data, COMPRESSED_PREFIX + zlib.compress(data)):
                 with self.assertRaises(MessageError):
                     codec.decode(frame + b"\xc1")
 
-    def test_what_would_grow_beyond_the_limit(self) -> None:
-        bomb = COMPRESSED_PREFIX + zlib.compress(b"\x00" * (4 * MAX_MESSAGE_BYTES))
-        self.assertLess(len(bomb), MAX_MESSAGE_BYTES)
+    def test_decompression_beyond_the_size_limit_raises_message_error(self) -> None:
+        decompression_bomb = COMPRESSED_PREFIX + zlib.compress(b"\x00" * (4 * MAX_MESSAGE_BYTES))
+        self.assertLess(len(decompression_bomb), MAX_MESSAGE_BYTES)
         with self.assertRaises(MessageError):
-            to_data_plane.decode(bomb)
+            to_data_plane.decode(decompression_bomb)
 
-    def test_a_compressed_message_that_was_cut_short(self) -> None:
+    def test_truncated_compressed_message_raises_message_error(self) -> None:
         data = to_data_plane.encode(ConfigurationSnapshot(7, b'{"name":"a route"}' * 10_000))
         with self.assertRaises(MessageError):
             to_data_plane.decode(data[:-20])
