--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -1,4 +1,4 @@
-"""One sample of each message between the system's processes; the golden files hold their bytes."""
+"""One sample of each message between the system's processes; the golden files contain their encodings."""
 
 from __future__ import annotations
 
@@ -67,34 +67,47 @@
 )
 from madderwind.messages.status import ControlPlaneStatus, DataPlaneStatus, UpstreamStatus
 
-ONE = Member("incarnation-1", "10.0.0.1:7500", "10.0.0.1:7000", "zone-a")
-TWO = Member("incarnation-2", "10.0.0.2:7500", "10.0.0.2:7000", "zone-b")
-VIEW = View(7, ONE.incarnation, (ONE.incarnation, TWO.incarnation), (ONE, TWO))
-NEXT_VIEW = View(8, TWO.incarnation, (TWO.incarnation,), (ONE, TWO))
-LOWER = ProposalNumber(3, ONE.incarnation, "process-1")
-HIGHER = ProposalNumber(4, TWO.incarnation, "process-2")
-PEERS = (PeerStatus(TWO, 12.5, True, False),)
+FIRST_MEMBER = Member("incarnation-1", "10.0.0.1:7500", "10.0.0.1:7000", "zone-a")
+SECOND_MEMBER = Member("incarnation-2", "10.0.0.2:7500", "10.0.0.2:7000", "zone-b")
+VIEW = View(
+    7,
+    FIRST_MEMBER.incarnation,
+    (FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation),
+    (FIRST_MEMBER, SECOND_MEMBER),
+)
+NEXT_VIEW = View(8, SECOND_MEMBER.incarnation, (SECOND_MEMBER.incarnation,), (FIRST_MEMBER, SECOND_MEMBER))
+LOWER_PROPOSAL = ProposalNumber(3, FIRST_MEMBER.incarnation, "process-1")
+HIGHER_PROPOSAL = ProposalNumber(4, SECOND_MEMBER.incarnation, "process-2")
+PEERS = (PeerStatus(SECOND_MEMBER, 12.5, True, False),)
 ENTRY = LogEntry(41, 7, "update", 17, b'{"version":18}')
 UPSTREAM = UpstreamRecord("i-1", "chat", "10.0.1.1:8000", "zone-a", "v3", 16, "draining", 9, 250.0, 1500.0)
 PROMPT = DispatchedPrompt("i-1", ("part-1", "part-2"), (128, 64))
 
 REPLICATION_SAMPLES: tuple[PeerFrame, ...] = (
-    JoinRequest(ONE.incarnation, "", ONE, 7, True),
-    ViewNotice(ONE.incarnation, TWO.incarnation, VIEW),
-    Prepare(ONE.incarnation, TWO.incarnation, VIEW, LOWER, True),
-    Promise(TWO.incarnation, ONE.incarnation, 8, HIGHER, LOWER, NEXT_VIEW, PEERS),
-    Accept(ONE.incarnation, TWO.incarnation, VIEW, LOWER, NEXT_VIEW),
-    Accepted(TWO.incarnation, ONE.incarnation, 8, LOWER),
-    AcceptedBroadcast(TWO.incarnation, ONE.incarnation, LOWER, NEXT_VIEW),
-    Rejected(TWO.incarnation, ONE.incarnation, 8, LOWER, HIGHER, True),
-    Heartbeat(ONE.incarnation, TWO.incarnation, 7, 99, 41, 3.5, 98, PEERS),
-    HeartbeatAck(TWO.incarnation, ONE.incarnation, 7, 99, 8, 40, True, False),
-    AppendEntries(ONE.incarnation, TWO.incarnation, 7, 40, 6, (ENTRY,), 39),
-    AppendAck(TWO.incarnation, ONE.incarnation, 7, 41),
-    AppendRejected(TWO.incarnation, ONE.incarnation, 7, 40, 38),
-    InstallSnapshot(ONE.incarnation, TWO.incarnation, 7, 6, 40, 6, 128, 256, b"state"),
-    SnapshotAck(TWO.incarnation, ONE.incarnation, 7, 40, 133),
-    TransferLeadership(ONE.incarnation, TWO.incarnation, 7),
+    JoinRequest(FIRST_MEMBER.incarnation, "", FIRST_MEMBER, 7, True),
+    ViewNotice(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, VIEW),
+    Prepare(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, VIEW, LOWER_PROPOSAL, True),
+    Promise(
+        SECOND_MEMBER.incarnation,
+        FIRST_MEMBER.incarnation,
+        8,
+        HIGHER_PROPOSAL,
+        LOWER_PROPOSAL,
+        NEXT_VIEW,
+        PEERS,
+    ),
+    Accept(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, VIEW, LOWER_PROPOSAL, NEXT_VIEW),
+    Accepted(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, 8, LOWER_PROPOSAL),
+    AcceptedBroadcast(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, LOWER_PROPOSAL, NEXT_VIEW),
+    Rejected(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, 8, LOWER_PROPOSAL, HIGHER_PROPOSAL, True),
+    Heartbeat(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, 7, 99, 41, 3.5, 98, PEERS),
+    HeartbeatAck(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, 7, 99, 8, 40, True, False),
+    AppendEntries(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, 7, 40, 6, (ENTRY,), 39),
+    AppendAck(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, 7, 41),
+    AppendRejected(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, 7, 40, 38),
+    InstallSnapshot(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, 7, 6, 40, 6, 128, 256, b"state"),
+    SnapshotAck(SECOND_MEMBER.incarnation, FIRST_MEMBER.incarnation, 7, 40, 133),
+    TransferLeadership(FIRST_MEMBER.incarnation, SECOND_MEMBER.incarnation, 7),
 )
 
 PEERING_SAMPLES: tuple[PeerFrame, ...] = (
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -1,4 +1,4 @@
-"""Data folders and messages of version 0.2.0 are read, and messages are written in the same bytes."""
+"""Tests that data directories and messages of version 0.2.0 are read, and messages encoded identically."""
 
 from __future__ import annotations
 
@@ -33,49 +33,49 @@
 from madderwind.storage.record_file import RecordFile, RecoveredFile
 from tests.controlplane.configurations import replacement, replacement_body, update
 from tests.golden import samples
-from tests.golden.write_golden_files import ReplicaOnDisk
+from tests.golden.write_golden_files import DiskReplica
 
-DATA = Path(__file__).parent / "data"
-MESSAGES: dict[str, list[str]] = json.loads((DATA / "messages.json").read_text())
-KINDS: dict[str, tuple[Codec[Any], tuple[Any, ...]]] = {
+DATA_DIRECTORY = Path(__file__).parent / "data"
+GOLDEN_MESSAGES: dict[str, list[str]] = json.loads((DATA_DIRECTORY / "messages.json").read_text())
+SAMPLES_BY_KIND: dict[str, tuple[Codec[Any], tuple[Any, ...]]] = {
     "replication": (peer_frames, samples.REPLICATION_SAMPLES),
     "peering": (peer_frames, samples.PEERING_SAMPLES),
     "to_control_plane": (to_control_plane, samples.TO_CONTROL_PLANE_SAMPLES),
     "to_data_plane": (to_data_plane, samples.TO_DATA_PLANE_SAMPLES),
 }
-CASES = [
+MESSAGE_CASES = [
     pytest.param(codec, message, bytes.fromhex(data), id=type(message).__name__)
-    for kind, (codec, messages) in KINDS.items()
-    for message, data in zip(messages, MESSAGES[kind], strict=True)
+    for kind, (codec, messages) in SAMPLES_BY_KIND.items()
+    for message, data in zip(messages, GOLDEN_MESSAGES[kind], strict=True)
 ]
 
 
 @pytest.fixture
-def golden_folder(tmp_path: Path) -> Callable[[str], Path]:
-    """Copies a data folder, as a start writes to it."""
+def copy_golden_directory(tmp_path: Path) -> Callable[[str], Path]:
+    """A function that copies a data directory, because a replica writes to it when it starts."""
 
-    def copied(name: str) -> Path:
-        return Path(shutil.copytree(DATA / name, tmp_path / name))
+    def copy_directory(name: str) -> Path:
+        return Path(shutil.copytree(DATA_DIRECTORY / name, tmp_path / name))
 
-    return copied
+    return copy_directory
 
 
-def recovered(folder: Path) -> RecoveredFile:
-    """What a start reads from a replica's folder."""
-    return RecordFile(FileDisk(str(folder))).recover()
+def recover(directory: Path) -> RecoveredFile:
+    """The contents that a replica reads from its directory when it starts."""
+    return RecordFile(FileDisk(str(directory))).recover()
 
 
-def record_types(folder: Path) -> list[type[StoredRecord]]:
-    """The kinds of the records in a replica's file."""
-    return [type(stored_records.decode(record)) for record in recovered(folder).records]
+def record_types(directory: Path) -> list[type[StoredRecord]]:
+    """The types of the records in a replica's file."""
+    return [type(stored_records.decode(record)) for record in recover(directory).records]
 
 
-@pytest.mark.parametrize(("codec", "message", "data"), CASES)
+@pytest.mark.parametrize(("codec", "message", "data"), MESSAGE_CASES)
 def test_message_is_read_from_golden_bytes(codec: Codec[Any], message: object, data: bytes) -> None:
     assert codec.decode(data) == message
 
 
-@pytest.mark.parametrize(("codec", "message", "data"), CASES)
+@pytest.mark.parametrize(("codec", "message", "data"), MESSAGE_CASES)
 def test_message_is_written_as_golden_bytes(codec: Codec[Any], message: object, data: bytes) -> None:
     assert codec.encode(message) == data
 
@@ -93,76 +93,80 @@
 
 
 def test_status_is_written_as_golden_json() -> None:
-    assert msgspec.json.encode(samples.STATUS) == bytes.fromhex(MESSAGES["status"][0])
+    assert msgspec.json.encode(samples.STATUS) == bytes.fromhex(GOLDEN_MESSAGES["status"][0])
 
 
 def test_status_is_read_from_golden_json() -> None:
-    data = bytes.fromhex(MESSAGES["status"][0])
+    data = bytes.fromhex(GOLDEN_MESSAGES["status"][0])
     assert msgspec.json.decode(data, type=ControlPlaneStatus) == samples.STATUS
 
 
-@pytest.mark.parametrize("folder", ["primary", "restarted", "backup", "first-form"])
-def test_records_are_written_as_golden_bytes(folder: str, golden_folder: Callable[[str], Path]) -> None:
-    records = recovered(golden_folder(folder)).records
+@pytest.mark.parametrize("directory", ["primary", "restarted", "backup", "first-form"])
+def test_records_are_written_as_golden_bytes(
+    directory: str, copy_golden_directory: Callable[[str], Path]
+) -> None:
+    records = recover(copy_golden_directory(directory)).records
     assert records
     for record in records:
         assert stored_records.encode(stored_records.decode(record)) == record
 
 
-def test_golden_folders_hold_every_kind_of_record(golden_folder: Callable[[str], Path]) -> None:
-    found = {*record_types(golden_folder("primary")), *record_types(golden_folder("backup"))}
+def test_golden_directories_contain_every_record_type(copy_golden_directory: Callable[[str], Path]) -> None:
+    found = {*record_types(copy_golden_directory("primary")), *record_types(copy_golden_directory("backup"))}
     assert found == set(get_args(StoredRecord))
 
 
 @pytest.mark.parametrize(
-    ("folder", "types"),
+    ("directory", "types"),
     [
         ("restarted", [IdentityRecord, ViewRecord, WitnessRecord, SnapshotRecord, EntryRecord]),
         ("first-form", [IdentityRecord, SnapshotRecord]),
     ],
 )
-def test_rewritten_file_holds_a_snapshot(
-    folder: str, types: list[type[StoredRecord]], golden_folder: Callable[[str], Path]
+def test_rewritten_file_starts_with_a_snapshot(
+    directory: str, types: list[type[StoredRecord]], copy_golden_directory: Callable[[str], Path]
 ) -> None:
-    assert record_types(golden_folder(folder))[: len(types)] == types
+    assert record_types(copy_golden_directory(directory))[: len(types)] == types
 
 
-def test_backup_recovers_truncated_log_and_accepted_view(golden_folder: Callable[[str], Path]) -> None:
-    state = stored_state(recovered(golden_folder("backup")).records)
-    assert TruncateRecord in record_types(DATA / "backup")
+def test_backup_recovers_truncated_log_and_accepted_view(
+    copy_golden_directory: Callable[[str], Path],
+) -> None:
+    state = stored_state(recover(copy_golden_directory("backup")).records)
+    assert TruncateRecord in record_types(DATA_DIRECTORY / "backup")
     assert state.view is not None
     assert (state.view.epoch, state.log.last_index, state.log.epoch_at(2)) == (2, 2, 2)
     assert state.committed_index == 1
     assert state.witness.accepted_view is not None
     assert state.witness.accepted_view.epoch == 3
-    assert EntryRecord in record_types(DATA / "backup")
+    assert EntryRecord in record_types(DATA_DIRECTORY / "backup")
 
 
-@pytest.mark.parametrize("folder", ["primary", "restarted"])
-def test_replica_starts_on_golden_folder_with_the_same_configuration(
-    folder: str, golden_folder: Callable[[str], Path]
+@pytest.mark.parametrize("directory", ["primary", "restarted"])
+def test_replica_starts_from_golden_directory_with_the_same_configuration(
+    directory: str, copy_golden_directory: Callable[[str], Path]
 ) -> None:
-    machine = ReplicaOnDisk(golden_folder(folder), tolerance=0, bootstrap=False)
-    machine.run(3_000.0)
-    committed = cast(ConfigurationHistory, machine.replica.committed)
-    assert machine.replica.status(machine.now_ms).is_primary
+    disk_replica = DiskReplica(copy_golden_directory(directory), tolerance=0, bootstrap=False)
+    disk_replica.run(3_000.0)
+    committed = cast(ConfigurationHistory, disk_replica.replica.committed)
+    assert disk_replica.replica.status(disk_replica.now_ms).is_primary
     assert committed.document is not None
     assert committed.document.raw == replacement_body(8, routes=2)
 
 
-def test_repeated_command_is_recognized_after_start_on_golden_folder(
-    golden_folder: Callable[[str], Path],
+def test_retried_command_is_recognized_after_start_from_golden_directory(
+    copy_golden_directory: Callable[[str], Path],
 ) -> None:
-    machine = ReplicaOnDisk(golden_folder("restarted"), tolerance=0, bootstrap=False)
-    machine.run(3_000.0)
+    disk_replica = DiskReplica(copy_golden_directory("restarted"), tolerance=0, bootstrap=False)
+    disk_replica.run(3_000.0)
     for command in (replacement(0, 3), update(3, 5), replacement(5, 8, routes=2)):
-        result = machine.replica.committed.validate(command)
+        result = disk_replica.replica.committed.validate(command)
         assert result is not None
         assert (result.outcome.value, result.version) == ("taken", 8)
 
 
-def test_snapshot_of_the_first_form_is_read(golden_folder: Callable[[str], Path]) -> None:
-    state = stored_state(recovered(golden_folder("first-form")).records)
+def test_legacy_snapshot_is_read(copy_golden_directory: Callable[[str], Path]) -> None:
+    state = stored_state(recover(copy_golden_directory("first-form")).records)
     assert state.snapshot is not None
     history = ConfigurationHistory.restore(state.snapshot)
     assert history.document is not None
@@ -172,23 +176,23 @@
     assert result.outcome.value == "taken"
 
 
-def test_registry_is_read_from_golden_files(golden_folder: Callable[[str], Path]) -> None:
-    copy = RegistryCheckpoint(FileDisk(str(golden_folder("registry"))))
-    second = msgspec.structs.replace(samples.UPSTREAM, instance="i-2", state="ready")
-    assert copy.load() == (samples.UPSTREAM, second)
+def test_registry_is_read_from_golden_files(copy_golden_directory: Callable[[str], Path]) -> None:
+    checkpoint = RegistryCheckpoint(FileDisk(str(copy_golden_directory("registry"))))
+    second_upstream = msgspec.structs.replace(samples.UPSTREAM, instance="i-2", state="ready")
+    assert checkpoint.load() == (samples.UPSTREAM, second_upstream)
 
 
 def test_registry_is_written_as_golden_bytes(tmp_path: Path) -> None:
-    copy = RegistryCheckpoint(FileDisk(str(tmp_path)))
-    copy.load()
-    copy.save([samples.UPSTREAM])
+    checkpoint = RegistryCheckpoint(FileDisk(str(tmp_path)))
+    checkpoint.load()
+    checkpoint.save([samples.UPSTREAM])
     written = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
-    assert written == {"registry-1.copy": (DATA / "registry" / "registry-1.copy").read_bytes()}
+    assert written == {"registry-1.copy": (DATA_DIRECTORY / "registry" / "registry-1.copy").read_bytes()}
 
 
-def test_golden_replica_keeps_its_identity(golden_folder: Callable[[str], Path]) -> None:
-    folder = golden_folder("primary")
-    stored = stored_state(recovered(folder).records)
+def test_golden_replica_keeps_its_identity(copy_golden_directory: Callable[[str], Path]) -> None:
+    directory = copy_golden_directory("primary")
+    stored = stored_state(recover(directory).records)
     assert stored.identity is not None
-    machine = ReplicaOnDisk(folder, tolerance=0, bootstrap=False, rng=random.Random(2))
-    assert machine.replica.incarnation == stored.identity.incarnation
+    disk_replica = DiskReplica(directory, tolerance=0, bootstrap=False, rng=random.Random(2))
+    assert disk_replica.replica.incarnation == stored.identity.incarnation
--- a/tests/golden/write_golden_files.py
+++ b/tests/golden/write_golden_files.py
@@ -1,8 +1,8 @@
-"""Writes the golden files anew: `python -m tests.golden.write_golden_files FOLDER`.
+"""Writes golden files: `python -m tests.golden.write_golden_files FOLDER`.
 
-The committed files were written by this script at version 0.2.0 (commit de54336) and are never written
-again for that version: they stand for what deployed control planes have on their disks and send to each
-other. A change of a stored form or a message adds files of its own beside them.
+The committed files were written by this script at version 0.2.0 (commit de54336) and must not be regenerated
+for that version: they represent what deployed control planes store on disk and send to each other. A change
+of a stored format or a message adds new files beside them.
 """
 
 from __future__ import annotations
@@ -44,16 +44,16 @@
 from tests.golden import samples
 
 ADDRESS = "10.0.0.9:7500"
-PEER = Member("incarnation-peer", "10.0.0.8:7500", "10.0.0.8:7000", "zone-b")
+PEER_MEMBER = Member("incarnation-peer", "10.0.0.8:7500", "10.0.0.8:7000", "zone-b")
 
 
-class ReplicaOnDisk:
-    """One replica whose writes go to a folder and complete at once."""
+class DiskReplica:
+    """A replica whose writes go to a directory and complete immediately."""
 
     def __init__(
-        self, folder: Path, tolerance: int, bootstrap: bool, rng: random.Random | None = None
+        self, directory: Path, tolerance: int, bootstrap: bool, rng: random.Random | None = None
     ) -> None:
-        self._file = RecordFile(FileDisk(str(folder)))
+        self._file = RecordFile(FileDisk(str(directory)))
         self.now_ms = 0.0
         self.replica = Replica(
             ReplicaOptions(
@@ -72,21 +72,21 @@
         )
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass, in steps of a host's tick."""
+        """Advance the time in steps of the host's tick."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += 25.0
             self.handle(TimePassed())
 
     def receive(self, message: ReplicationMessage) -> None:
-        """Take a message of the peer."""
-        self.handle(MessageReceived(PEER.address, message))
+        """Handle a message from the peer."""
+        self.handle(MessageReceived(PEER_MEMBER.address, message))
 
     def handle(self, event: Event) -> None:
-        """Take an event and carry out what it leads to."""
-        self._carry_out(self.replica.handle(self.now_ms, event))
+        """Handle an event and execute the resulting actions."""
+        self._execute(self.replica.handle(self.now_ms, event))
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, Write):
                 self._file.append(action.records)
@@ -97,47 +97,62 @@
             self.handle(WriteCompleted(action.token))
 
 
-def write_primary(folder: Path) -> None:
-    """A replica that founded the system and took three commands: identity, view, witness, snapshot,
-    entries."""
-    machine = ReplicaOnDisk(folder, tolerance=0, bootstrap=True)
-    machine.run(3_000.0)
+def write_primary(directory: Path) -> None:
+    """Write the file of a replica that bootstrapped the system and committed three commands.
+
+    It contains identity, view, witness, snapshot and entry records.
+    """
+    disk_replica = DiskReplica(directory, tolerance=0, bootstrap=True)
+    disk_replica.run(3_000.0)
     for token, command in enumerate((replacement(0, 3), update(3, 5), replacement(5, 8, routes=2))):
-        machine.handle(CommandSubmitted(token, command))
-        machine.run(100.0)
+        disk_replica.handle(CommandSubmitted(token, command))
+        disk_replica.run(100.0)
+
+
+def write_restarted(directory: Path, earlier_directory: Path) -> None:
+    """Write the file of the same replica after a restart, which rewrote the file.
 
+    It contains a snapshot of the current format, with digests by the base version of their commands.
+    """
+    shutil.copytree(earlier_directory, directory, dirs_exist_ok=True)
+    DiskReplica(directory, tolerance=0, bootstrap=False).run(1_000.0)
 
-def write_restarted(folder: Path, earlier: Path) -> None:
-    """The same replica after another start, which wrote its file anew: a snapshot of the second form, whose
-    digests stand by the version that each command built on."""
-    shutil.copytree(earlier, folder, dirs_exist_ok=True)
-    ReplicaOnDisk(folder, tolerance=0, bootstrap=False).run(1_000.0)
 
+def write_backup(directory: Path) -> None:
+    """Write the file of a replica that followed two primaries and has accepted a proposal.
 
-def write_backup(folder: Path) -> None:
-    """A replica that followed two primaries, the second of which took back an entry of the first, and that
-    has accepted a proposal: views, a truncation, entries, a witness with an accepted view."""
-    machine = ReplicaOnDisk(folder, tolerance=1, bootstrap=False)
-    machine.run(50.0)
-    me = Member(machine.replica.incarnation, ADDRESS, "10.0.0.9:7000", "zone-a")
+    The second primary replaced an entry of the first. The file contains views, a truncation, entries and a
+    witness record with an accepted view.
+    """
+    disk_replica = DiskReplica(directory, tolerance=1, bootstrap=False)
+    disk_replica.run(50.0)
+    local_member = Member(disk_replica.replica.incarnation, ADDRESS, "10.0.0.9:7000", "zone-a")
     first, second = (
-        View(epoch, PEER.incarnation, (PEER.incarnation, me.incarnation), (PEER, me)) for epoch in (1, 2)
+        View(
+            epoch,
+            PEER_MEMBER.incarnation,
+            (PEER_MEMBER.incarnation, local_member.incarnation),
+            (PEER_MEMBER, local_member),
+        )
+        for epoch in (1, 2)
     )
-    sender, target = PEER.incarnation, me.incarnation
+    sender, target = PEER_MEMBER.incarnation, local_member.incarnation
     entries = [_entry(1, 1, replacement(0, 3)), _entry(2, 1, update(3, 5)), _entry(2, 2, update(3, 6))]
-    machine.receive(ViewNotice(sender, target, first))
-    machine.receive(AppendEntries(sender, target, 1, 0, 0, (entries[0], entries[1]), 1))
-    machine.receive(ViewNotice(sender, target, second))
-    machine.receive(AppendEntries(sender, target, 2, 1, 1, (entries[2],), 1))
-    number = ProposalNumber(2, PEER.incarnation, "process-2")
-    machine.receive(Prepare(sender, target, second, number, True))
-    machine.receive(
-        Accept(sender, target, second, number, View(3, PEER.incarnation, second.in_sync, second.members))
+    disk_replica.receive(ViewNotice(sender, target, first))
+    disk_replica.receive(AppendEntries(sender, target, 1, 0, 0, (entries[0], entries[1]), 1))
+    disk_replica.receive(ViewNotice(sender, target, second))
+    disk_replica.receive(AppendEntries(sender, target, 2, 1, 1, (entries[2],), 1))
+    number = ProposalNumber(2, PEER_MEMBER.incarnation, "process-2")
+    disk_replica.receive(Prepare(sender, target, second, number, True))
+    disk_replica.receive(
+        Accept(
+            sender, target, second, number, View(3, PEER_MEMBER.incarnation, second.in_sync, second.members)
+        )
     )
 
 
-def write_first_form(folder: Path) -> None:
-    """A replica's file with a snapshot of the first form, which held the digests alone."""
+def write_legacy_snapshot(directory: Path) -> None:
+    """Write a replica's file with a snapshot of the legacy format, whose digests have no base versions."""
     history = ConfigurationHistory()
     command = replacement(0, 3)
     history.apply(command)
@@ -145,21 +160,23 @@
     retained = (CommandRecord(3, 0, command.kind.value, command.body),)
     state = msgspec.msgpack.encode((history.document.raw, (b"0123456789abcdef",), retained))
     records: list[StoredRecord] = [IdentityRecord("incarnation-first", True), SnapshotRecord(4, 1, state)]
-    file = RecordFile(FileDisk(str(folder)))
+    file = RecordFile(FileDisk(str(directory)))
     file.recover()
     file.rewrite(tuple(stored_records.encode(record) for record in records))
 
 
-def write_registry(folder: Path) -> None:
-    """The registry's two copies, the second the newer."""
-    copy = RegistryCheckpoint(FileDisk(str(folder)))
-    copy.load()
-    copy.save([samples.UPSTREAM])
-    copy.save([samples.UPSTREAM, msgspec.structs.replace(samples.UPSTREAM, instance="i-2", state="ready")])
+def write_registry(directory: Path) -> None:
+    """Write the registry's two checkpoints, of which the second is the newer one."""
+    checkpoint = RegistryCheckpoint(FileDisk(str(directory)))
+    checkpoint.load()
+    checkpoint.save([samples.UPSTREAM])
+    checkpoint.save(
+        [samples.UPSTREAM, msgspec.structs.replace(samples.UPSTREAM, instance="i-2", state="ready")]
+    )
 
 
 def write_messages(path: Path) -> None:
-    """Each sample's bytes in hexadecimal digits, by the list that it stands in."""
+    """Write the encodings of all samples in hexadecimal, by list of samples."""
     content = {
         "replication": [peer_frames.encode(each).hex() for each in samples.REPLICATION_SAMPLES],
         "peering": [peer_frames.encode(each).hex() for each in samples.PEERING_SAMPLES],
@@ -176,15 +193,15 @@
     return LogEntry(index, epoch, command.kind.value, command.base_version, command.body)
 
 
-def main(folder: Path) -> None:
-    """Write all files."""
-    folder.mkdir(parents=True, exist_ok=True)
-    write_messages(folder / "messages.json")
-    write_primary(folder / "primary")
-    write_restarted(folder / "restarted", folder / "primary")
-    write_backup(folder / "backup")
-    write_first_form(folder / "first-form")
-    write_registry(folder / "registry")
+def main(directory: Path) -> None:
+    """Write all golden files."""
+    directory.mkdir(parents=True, exist_ok=True)
+    write_messages(directory / "messages.json")
+    write_primary(directory / "primary")
+    write_restarted(directory / "restarted", directory / "primary")
+    write_backup(directory / "backup")
+    write_legacy_snapshot(directory / "first-form")
+    write_registry(directory / "registry")
 
 
 if __name__ == "__main__":
