--- a/madderwind/configuration/history.py
+++ b/madderwind/configuration/history.py
@@ -40,7 +40,7 @@
         """The digests by base version.
 
         In a snapshot of the legacy format only the commands that it retains can be assigned to a base
-        version; the digests of older commands are dropped.
+        version. The digests of older commands are dropped, so the outcome of those commands is unknown.
         """
         pairs = [digest for digest in self.digests if not isinstance(digest, bytes)]
         if len(pairs) == len(self.digests):
--- a/madderwind/configuration/index.py
+++ b/madderwind/configuration/index.py
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class ConfigurationChange:
-    """How one configuration differs from another."""
+    """The difference between two configurations."""
 
     routes: Difference[Route] = Difference()
     services: Difference[Service] = Difference()
