--- a/madderwind/distribution/__init__.py
+++ b/madderwind/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""The stream of versioned updates from control planes to data planes, both sides as state machines."""
+"""The stream of versioned updates from control planes to data planes; both sides are state machines."""
--- a/madderwind/distribution/configuration_feed.py
+++ b/madderwind/distribution/configuration_feed.py
@@ -1,4 +1,7 @@
-"""What leads a data plane to the committed configuration: one message for all that have the same version."""
+"""Builds the message that brings a data plane to the committed configuration.
+
+Data planes at the same version share one message.
+"""
 
 from __future__ import annotations
 
@@ -7,38 +10,38 @@
 
 
 class ConfigurationFeed:
-    """Builds each answer once, by the version that a data plane has."""
+    """Caches one response per base version of a data plane."""
 
     def __init__(self, configuration: PublishedConfiguration) -> None:
         self._configuration = configuration
-        self._answers: dict[int, ConfigurationDelta | ConfigurationSnapshot] = {}
-        self._answered_version = configuration.version
+        self._responses: dict[int, ConfigurationDelta | ConfigurationSnapshot] = {}
+        self._responses_version = configuration.version
 
     @property
     def version(self) -> int:
-        """The committed version, 0 where there is none."""
+        """The committed version; 0 if there is none."""
         return self._configuration.version
 
     def update(self, configuration: PublishedConfiguration) -> None:
-        """Take over what is committed now."""
+        """Set the committed configuration."""
         self._configuration = configuration
-        if configuration.version != self._answered_version:
-            self._answered_version = configuration.version
-            self._answers.clear()
+        if configuration.version != self._responses_version:
+            self._responses_version = configuration.version
+            self._responses.clear()
 
-    def answer_from(self, base_version: int) -> ConfigurationDelta | ConfigurationSnapshot:
-        """What leads from a version to the committed one."""
-        answer = self._answers.get(base_version)
-        if answer is None:
-            answer = self._answers[base_version] = self._build_from(base_version)
-        return answer
+    def response_from(self, base_version: int) -> ConfigurationDelta | ConfigurationSnapshot:
+        """Return the delta or snapshot that brings `base_version` to the committed version."""
+        response = self._responses.get(base_version)
+        if response is None:
+            response = self._responses[base_version] = self._build_response(base_version)
+        return response
 
     def versions_behind(self, version: int) -> int | None:
-        """How many versions were committed after this one; None where the history does not reach back."""
+        """Return how many versions were committed after this one; None if it is no longer in the history."""
         missing = self._configuration.commands_since(version)
         return None if missing is None else len(missing)
 
-    def _build_from(self, base_version: int) -> ConfigurationDelta | ConfigurationSnapshot:
+    def _build_response(self, base_version: int) -> ConfigurationDelta | ConfigurationSnapshot:
         document = self._configuration.document
         version = self._configuration.version
         if document is None:
--- a/madderwind/distribution/deliveries.py
+++ b/madderwind/distribution/deliveries.py
@@ -1,6 +1,6 @@
-"""What the publisher is given and gives back.
+"""Inputs and outputs of the publisher.
 
-The committed configuration, the replica's status, deliveries.
+The inputs are the committed configuration and the replica's status, the outputs are deliveries.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 
 
 class PublishedDocument(Protocol):
-    """A whole configuration as JSON."""
+    """A complete configuration as JSON."""
 
     @property
     def raw(self) -> bytes:
-        """The document's bytes."""
+        """The encoded document."""
 
     @property
     def raw_bytes(self) -> int:
-        """About how many they are, known without building them."""
+        """Approximate length of `raw` in bytes, available without encoding the document."""
 
 
 class PublishedConfiguration(Protocol):
-    """The committed configuration with its history; configuration.history implements it."""
+    """The committed configuration with its history, as implemented by configuration.history."""
 
     @property
     def version(self) -> int:
-        """The committed version, 0 where there is none."""
+        """The committed version; 0 if there is none."""
 
     @property
     def document(self) -> PublishedDocument | None:
-        """The whole document of that version."""
+        """The complete document of the committed version."""
 
     def commands_since(self, version: int) -> Sequence[CommandRecord] | None:
-        """What leads from a version to the committed one; None where the history does not reach back."""
+        """Return the commands after `version`; None if it is no longer in the history."""
 
 
 class PublishedStatus(msgspec.Struct, frozen=True):
-    """What the replica of this control plane knows of the others."""
+    """The state of the replica group as this control plane's replica knows it."""
 
     epoch: int
     fresh_age_ms: float | None
@@ -51,20 +51,20 @@
 
 
 class SendTo(msgspec.Struct, frozen=True):
-    """Send to one connection."""
+    """Send a message on one connection."""
 
     connection: int
     message: ToDataPlane
 
 
 class SendToAll(msgspec.Struct, frozen=True):
-    """Send to every subscribed connection: one encoding for all."""
+    """Send a message on every subscribed connection; it is encoded once."""
 
     message: ToDataPlane
 
 
 class Close(msgspec.Struct, frozen=True):
-    """End a connection: its data plane has a newer one."""
+    """Close a connection that a newer connection of the same data plane replaces."""
 
     connection: int
 
--- a/madderwind/distribution/peer_exchanges.py
+++ b/madderwind/distribution/peer_exchanges.py
@@ -1,7 +1,4 @@
-"""What data planes learn of each other through the primary.
-
-Usage, load and dispatched prompts, kept together.
-"""
+"""The exchanges between data planes through the primary: usage, load and dispatched prompts."""
 
 from __future__ import annotations
 
@@ -11,19 +8,19 @@
 
 
 class PeerExchanges:
-    """The three exchanges of one control plane, whose participants come and go together."""
+    """The three exchanges of one control plane, which share the same set of participants."""
 
     def __init__(self) -> None:
         self.usage, self.load, self.dispatches = UsageExchange(), LoadExchange(), DispatchExchange()
 
     def join(self, participant: Participant) -> None:
-        """A participant that is new or comes back."""
+        """Add a participant that is new or returns."""
         self.usage.join(participant)
         self.load.join(participant)
         self.dispatches.join(participant)
 
     def report(self, participant: Participant, message: UsageReport | LoadReport | DispatchReport) -> None:
-        """A participant's report."""
+        """Add a participant's report to the exchange that it belongs to."""
         match message:
             case UsageReport():
                 self.usage.report(participant, message)
@@ -33,12 +30,12 @@
                 self.dispatches.report(participant, message)
 
     def suspend(self, participant: Participant) -> None:
-        """A participant is away: it has nothing at upstreams and asks for nothing."""
+        """Remove the load and the demand of a disconnected participant."""
         self.usage.suspend(participant)
         self.load.suspend(participant)
 
     def remove(self, participant: Participant) -> None:
-        """A participant won't come back."""
+        """Remove a participant that will not return."""
         self.usage.remove(participant)
         self.load.remove(participant)
         self.dispatches.remove(participant)
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -1,6 +1,6 @@
 """The control plane's side of the stream to data planes, as a state machine without input or output.
 
-Each call returns the messages to send, in order. Connections are named by numbers that the host draws.
+Each call returns the messages to send, in order. The host assigns a number to each connection.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
     SendTo,
     SendToAll,
 )
-from madderwind.distribution.exchange import AWAY_COUNTS_MS, REMOVE_AFTER_MS
+from madderwind.distribution.exchange import REMOVE_AFTER_MS, SUSPEND_AFTER_MS
 from madderwind.distribution.peer_exchanges import PeerExchanges
 from madderwind.distribution.subscriber_session import Participant, SubscriberSession, SubscriberState
 from madderwind.messages.distribution import (
@@ -42,60 +42,59 @@
 
 FRESHNESS_INTERVAL_MS = 250.0
 USAGE_INTERVAL_MS = 200.0
-# Dispatches and loads are sent this often, and less often the more data planes there are. A dispatch is sent
-# once however often, and stands for its load until the next; a load is sent whole each time.
+# Dispatches and loads are sent at an interval that grows with the number of data planes, from this minimum.
+# Each dispatch is sent only once whatever the interval, and accounts for its load until the next
+# load message. A load message repeats the complete load.
 MIN_EXCHANGE_INTERVAL_MS = 25.0
 DISPATCH_INTERVAL_MS_PER_DATA_PLANE, LOAD_INTERVAL_MS_PER_DATA_PLANE = 0.33, 0.66
 SAMPLE_INTERVAL_MS = 10_000.0
 PEERS_PER_SAMPLE = 8
-# A data plane that asks again for what was just sent to it has that in flight.
+# A repeated fetch within this time is ignored: the response to the first one is still in flight.
 FETCH_REPEAT_MS = 500.0
 
 _UNKNOWN_STATUS = PublishedStatus(0, None, False, "", ())
 
 
 class Publisher:
-    """Tells all subscribed data planes of the configuration, the upstreams and each other."""
+    """Sends the configuration, the upstreams and peer information to all subscribed data planes."""
 
     def __init__(self, configuration: PublishedConfiguration, rng: Random) -> None:
-        """Begin without subscribers; `rng` draws the samples of peers."""
+        """Create a publisher without subscribers; `rng` draws the peer samples."""
         self._feed = ConfigurationFeed(configuration)
         self._rng = rng
         self._status = _UNKNOWN_STATUS
         self._published_version = configuration.version
         self._sessions: dict[int, SubscriberSession] = {}
-        self._away_since_ms: dict[Participant, float] = {}
+        self._disconnected_since_ms: dict[Participant, float] = {}
         self._exchanges = PeerExchanges()
         self._freshness_due_ms = self._usage_due_ms = self._sample_due_ms = 0.0
         self._dispatches_due_ms = self._load_due_ms = 0.0
 
-    # --- what the control plane itself learns ---
-
     def update(
         self, now_ms: float, status: PublishedStatus, configuration: PublishedConfiguration
     ) -> list[Delivery]:
-        """Take over what is committed and how the replica stands; changes are published at once."""
-        before, self._status = self._status, status
+        """Set the committed configuration and the replica's status; changes are published at once."""
+        previous, self._status = self._status, status
         self._feed.update(configuration)
-        has_other_role = before.is_primary is not status.is_primary
-        if has_other_role:
-            self._restart_exchanges()
+        role_changed = previous.is_primary is not status.is_primary
+        if role_changed:
+            self._reset_exchanges()
         deliveries: list[Delivery] = []
-        if (before.members, before.primary) != (status.members, status.primary):
+        if (previous.members, previous.primary) != (status.members, status.primary):
             deliveries.append(SendToAll(self._control_planes()))
-        if configuration.version != self._published_version or has_other_role:
+        if configuration.version != self._published_version or role_changed:
             deliveries.append(SendToAll(self._freshness(now_ms)))
         return deliveries if self._sessions else []
 
     def publish_upstreams(self, records: Sequence[UpstreamRecord]) -> list[Delivery]:
-        """Tell all of changed upstreams."""
+        """Publish changed upstreams to all data planes."""
         if not records or not self._sessions:
             return []
         return [SendToAll(RegistryDelta(tuple(records)))]
 
     def tick(self, now_ms: float) -> list[Delivery]:
-        """What is due by time."""
-        self._remove_those_away(now_ms)
+        """Return the periodic messages that are due."""
+        self._expire_disconnected(now_ms)
         deliveries: list[Delivery] = []
         if now_ms >= self._freshness_due_ms and self._sessions:
             deliveries.append(SendToAll(self._freshness(now_ms)))
@@ -106,40 +105,38 @@
             deliveries += self._exchange_deliveries(now_ms)
         if now_ms >= self._sample_due_ms:
             self._sample_due_ms = now_ms + SAMPLE_INTERVAL_MS
-            deliveries += [SendTo(connection, self._sample(connection)) for connection in self._sessions]
+            deliveries += [SendTo(connection, self._peer_sample(connection)) for connection in self._sessions]
         return deliveries
 
-    # --- what data planes send ---
-
     def subscribe(
         self, now_ms: float, connection: int, message: Subscribe, upstreams: tuple[UpstreamRecord, ...]
     ) -> list[Delivery]:
-        """A data plane's connection begins; it is sent all there is."""
+        """Start a data plane's session; the complete state but the configuration is sent to it."""
         participant = Participant(message.node, message.incarnation)
-        replaced = [Close(older) for older in self._connections_of(participant) if older != connection]
+        replaced = [Close(old) for old in self._connections_of(participant) if old != connection]
         for close in replaced:
             del self._sessions[close.connection]
         self._sessions[connection] = SubscriberSession(
             participant, message.address, message.zone, message.version
         )
-        self._away_since_ms.pop(participant, None)
+        self._disconnected_since_ms.pop(participant, None)
         self._exchanges.join(participant)
         first = (
             self._control_planes(),
             RegistrySnapshot(upstreams),
             self._freshness_message(now_ms),
-            self._sample(connection),
+            self._peer_sample(connection),
         )
         return [*replaced, *(SendTo(connection, message) for message in first)]
 
     def receive(self, now_ms: float, connection: int, message: ToControlPlane) -> list[Delivery]:
-        """A message on a subscribed connection."""
+        """Handle a message on a subscribed connection."""
         session = self._sessions.get(connection)
         if session is None:
             return []
         match message:
             case FetchConfiguration(base_version):
-                return self._answer_fetch(now_ms, connection, session, base_version)
+                return self._handle_fetch(now_ms, connection, session, base_version)
             case ConfigurationApplied(version):
                 session.applied_version = max(session.applied_version, version)
                 session.enter(SubscriberState.FOLLOWING)
@@ -155,44 +152,43 @@
         return []
 
     def disconnect(self, now_ms: float, connection: int) -> None:
-        """A connection ended."""
+        """End the session of a closed connection."""
         session = self._sessions.pop(connection, None)
         if session is None:
             return
         if session.state is SubscriberState.STOPPING:
             self._exchanges.remove(session.participant)
         else:
-            self._away_since_ms[session.participant] = now_ms
-
-    # --- what commands wait for ---
+            self._disconnected_since_ms[session.participant] = now_ms
 
     def is_applied_by_all(self, version: int) -> bool:
-        """Whether each data plane that is connected and keeps up has this version or a later one in force."""
-        return not any(session.lacks(version) for session in self._sessions.values())
+        """Whether each connected data plane that is not lagging has applied this version or a later one."""
+        return not any(session.is_awaited_for(version) for session in self._sessions.values())
 
     def stop_waiting_for(self, version: int) -> int:
-        """Wait no more for those that lack a version, until they acknowledge again; how many they are."""
-        lacking = [session for session in self._sessions.values() if session.lacks(version)]
-        for session in lacking:
+        """Mark the data planes that have not applied a version as lagging, and return how many they are.
+
+        Commands do not wait for them until their next acknowledgement.
+        """
+        lagging = [session for session in self._sessions.values() if session.is_awaited_for(version)]
+        for session in lagging:
             session.enter(SubscriberState.LAGGING)
-        return len(lacking)
+        return len(lagging)
 
     def data_plane_count(self) -> int:
-        """How many data planes are known."""
+        """Count the data planes that are connected, or disconnected less than REMOVE_AFTER_MS ago."""
         nodes = {
             session.participant.node
             for session in self._sessions.values()
             if session.state is not SubscriberState.STOPPING
         }
-        return len(nodes | {participant.node for participant in self._away_since_ms})
+        return len(nodes | {participant.node for participant in self._disconnected_since_ms})
 
     def overview(self) -> tuple[DataPlaneStatus, ...]:
-        """All subscribed data planes, for an operator."""
+        """The status of all subscribed data planes, for operators."""
         sessions = sorted(self._sessions.values(), key=lambda each: each.participant.node)
         return tuple(self._status_of(session) for session in sessions)
 
-    # --- parts ---
-
     def _status_of(self, session: SubscriberSession) -> DataPlaneStatus:
         return DataPlaneStatus(
             node=session.participant.node,
@@ -208,7 +204,7 @@
             connection for connection, session in self._sessions.items() if session.participant == participant
         ]
 
-    def _answer_fetch(
+    def _handle_fetch(
         self, now_ms: float, connection: int, session: SubscriberSession, base_version: int
     ) -> list[Delivery]:
         version = self._feed.version
@@ -216,7 +212,7 @@
         if version <= base_version or (is_repeat and now_ms - session.answered_ms < FETCH_REPEAT_MS):
             return []
         session.answered_version, session.answered_ms = version, now_ms
-        return [SendTo(connection, self._feed.answer_from(base_version))]
+        return [SendTo(connection, self._feed.response_from(base_version))]
 
     def _freshness(self, now_ms: float) -> Freshness:
         self._freshness_due_ms = now_ms + FRESHNESS_INTERVAL_MS
@@ -239,14 +235,12 @@
         backups = [member for member in self._status.members if member != primary]
         return ControlPlanes(tuple([primary, *backups] if primary else backups), primary)
 
-    def _sample(self, connection: int) -> PeerSample:
+    def _peer_sample(self, connection: int) -> PeerSample:
         own = self._sessions[connection].address
         peers = {session.address for session in self._sessions.values()} - {own, ""}
         count = min(PEERS_PER_SAMPLE, len(peers))
         return PeerSample(tuple(self._rng.sample(sorted(peers), count)))
 
-    # --- the exchanges ---
-
     def _usage_deliveries(self) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
@@ -255,7 +249,7 @@
         return deliveries
 
     def _exchange_deliveries(self, now_ms: float) -> list[Delivery]:
-        """Dispatches and loads where they are due; a load is sent behind the dispatches that it includes."""
+        """Return the dispatches and loads that are due; a load follows the dispatches that it includes."""
         load_is_due = now_ms >= self._load_due_ms
         deliveries: list[Delivery] = []
         if load_is_due or now_ms >= self._dispatches_due_ms:
@@ -284,16 +278,16 @@
                 deliveries.append(SendTo(connection, load))
         return deliveries
 
-    def _restart_exchanges(self) -> None:
-        """The primary changed: whoever is primary now begins with what data planes report from here on."""
+    def _reset_exchanges(self) -> None:
+        """Discard what was exchanged: a new primary starts with what data planes report from now on."""
         self._exchanges = PeerExchanges()
         for session in self._sessions.values():
             self._exchanges.join(session.participant)
 
-    def _remove_those_away(self, now_ms: float) -> None:
-        for participant, since_ms in list(self._away_since_ms.items()):
-            if now_ms - since_ms > AWAY_COUNTS_MS:
+    def _expire_disconnected(self, now_ms: float) -> None:
+        for participant, since_ms in list(self._disconnected_since_ms.items()):
+            if now_ms - since_ms > SUSPEND_AFTER_MS:
                 self._exchanges.suspend(participant)
             if now_ms - since_ms > REMOVE_AFTER_MS:
-                del self._away_since_ms[participant]
+                del self._disconnected_since_ms[participant]
                 self._exchanges.remove(participant)
--- a/madderwind/distribution/reading_ahead.py
+++ b/madderwind/distribution/reading_ahead.py
@@ -1,4 +1,4 @@
-"""Reads what control planes send of the configuration, apart from the subscriber where that takes long."""
+"""Parses configuration messages, so that long ones can be parsed outside the subscriber."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 from madderwind.messages.distribution import ConfigurationDelta, ConfigurationSnapshot
 from madderwind.replication.commands import CommandKind
 
-# Reading this much takes about 10 ms of a busy core: shorter than the pauses that a stream's client notices.
+# Parsing this much takes about 10 ms on a busy core, less than a pause that the client of a stream notices.
 LONG_CONFIGURATION_BYTES = 256 * 1024
 
 ConfigurationMessage = ConfigurationSnapshot | ConfigurationDelta
 
 
 class ReadAhead(msgspec.Struct, frozen=True):
-    """What a message makes of the document that was in force when reading began."""
+    """The document after a message, with the base document that was in force when parsing began."""
 
     base: Document | None
     document: Document
 
 
 def is_long(message: ConfigurationMessage) -> bool:
-    """Whether reading it would hold up whatever else there is to do."""
+    """Whether parsing the message would block the event loop for too long."""
     if isinstance(message, ConfigurationSnapshot):
         return len(message.document) >= LONG_CONFIGURATION_BYTES
     return sum(len(command.body) for command in message.commands) >= LONG_CONFIGURATION_BYTES
 
 
 def document_after(base: Document | None, message: ConfigurationMessage) -> Document:
-    """The document that a message makes of one, which stays as it is: any thread may read.
+    """Return the document that results from applying a message to `base`.
 
-    Raises ConfigurationError.
+    The base is not modified, so any thread may call this. Raises ConfigurationError.
     """
     if isinstance(message, ConfigurationSnapshot):
         return read_document(message.document, base)
@@ -43,5 +43,7 @@
         else:
             document = document.updated(command.body)
     if document is None or document.version != message.version:
-        raise ConfigurationError("version", f"the commands do not lead to {message.version}")
+        raise ConfigurationError(
+            "version", f"the commands of the delta do not result in version {message.version}"
+        )
     return document
--- a/madderwind/distribution/subscriber_events.py
+++ b/madderwind/distribution/subscriber_events.py
@@ -1,4 +1,4 @@
-"""Events that the subscriber is handed, and actions that its host carries out."""
+"""Events that the subscriber handles, and actions that its host executes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """Who subscribes; `incarnation` is drawn at each start of the process."""
+    """The identity of the subscribing process; `incarnation` is drawn at each start of the process."""
 
     node: str
     incarnation: str
@@ -19,23 +19,20 @@
     zone: str
 
 
-# --- events ---
-
-
 class LinkOpened(msgspec.Struct, frozen=True):
-    """The connection to this control plane is up."""
+    """The connection to this control plane was opened."""
 
     address: str
 
 
 class LinkClosed(msgspec.Struct, frozen=True):
-    """It ended, or never came up."""
+    """The connection to this control plane ended, or could not be opened."""
 
     address: str
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A control plane's message. `read_ahead`: a configuration's document, where the host has read it."""
+    """A control plane sent a message. `read_ahead`: the document, if the host has parsed a configuration."""
 
     address: str
     message: ToDataPlane
@@ -43,19 +40,19 @@
 
 
 class ConfigurationArrived(msgspec.Struct, frozen=True):
-    """A long configuration has come, and is being read; then MessageReceived."""
+    """A long configuration was received and is being parsed; MessageReceived follows."""
 
     address: str
 
 
 class SeedsChanged(msgspec.Struct, frozen=True):
-    """The settings name other seeds."""
+    """The seeds in the settings changed."""
 
     addresses: tuple[str, ...]
 
 
 class TimePassed(msgspec.Struct, frozen=True):
-    """Nothing happened but time; due at least every 50 ms."""
+    """Time passed without another event; due at least every 50 ms."""
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
@@ -72,36 +69,34 @@
     | ShutdownRequested
 )
 
-# --- actions ---
-
 
 class Connect(msgspec.Struct, frozen=True):
-    """Open a connection; then LinkOpened or LinkClosed."""
+    """Open a connection; LinkOpened or LinkClosed follows."""
 
     address: str
 
 
 class Disconnect(msgspec.Struct, frozen=True):
-    """Close the connection; LinkClosed need not follow."""
+    """Close the connection; LinkClosed may not follow."""
 
     address: str
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send on the connection to this control plane."""
+    """Send a message on the connection to this control plane."""
 
     address: str
     message: ToControlPlane
 
 
 class ApplyConfiguration(msgspec.Struct, frozen=True):
-    """This configuration is in force from now on."""
+    """Put this configuration in force."""
 
     document: Document
 
 
 class Deliver(msgspec.Struct, frozen=True):
-    """A message that is not about the configuration: registry, limits, load, other data planes."""
+    """Pass on a message that is not about the configuration: registry, limits, load, other data planes."""
 
     address: str
     message: ToDataPlane
--- a/madderwind/distribution/subscriber_session.py
+++ b/madderwind/distribution/subscriber_session.py
@@ -1,4 +1,4 @@
-"""One data plane's subscription, as the control plane sees it."""
+"""The control plane's state of one data plane's subscription."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class SubscriberState(Enum):
-    """Whether commands wait for a data plane. The values are those of the status page."""
+    """Whether commands wait for a data plane. The values are shown on the status page."""
 
     FOLLOWING = "following"
-    LAGGING = "lagging"  # it kept a command waiting too long: none waits until it has acknowledged again
-    STOPPING = "leaving"  # it said goodbye
+    LAGGING = "lagging"  # delayed a command too long: no command waits for it until it acknowledges again
+    STOPPING = "leaving"  # it sent Goodbye
 
 
 SUBSCRIBER_TRANSITIONS = {
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Participant:
-    """One process of a data plane: its node, and the incarnation that it drew at its start."""
+    """One process of a data plane: its node, and the incarnation that it drew at startup."""
 
     node: str
     incarnation: str
@@ -32,16 +32,16 @@
 
 @attrs.define
 class SubscriberSession:
-    """A connection of a subscribed data plane.
+    """The session of a subscribed data plane on one connection.
 
     Attributes:
-        participant: Who subscribed.
+        participant: The process that subscribed.
         address: Its internal address, ip:port.
         zone: Its zone.
-        applied_version: The newest version that it acknowledged.
-        state: Whether commands wait for it.
-        answered_version: The version that it was last sent; -1 before the first.
-        answered_ms: When that was, ms on the steady clock.
+        applied_version: The newest version that the data plane acknowledged.
+        state: Whether commands wait for the data plane.
+        answered_version: The version sent in response to its last fetch; -1 before the first.
+        answered_ms: Time of that response, ms of the monotonic clock.
     """
 
     participant: Participant
@@ -53,10 +53,10 @@
     answered_ms: float = 0.0
 
     def enter(self, state: SubscriberState) -> None:
-        """Change state where that is legal: one that stops goes on stopping."""
+        """Change the state if the transition is allowed; STOPPING is final."""
         if state in SUBSCRIBER_TRANSITIONS[self.state]:
             self.state = state
 
-    def lacks(self, version: int) -> bool:
-        """Whether a command that led to this version waits for it."""
+    def is_awaited_for(self, version: int) -> bool:
+        """Whether the command that committed this version waits for this data plane."""
         return self.state is SubscriberState.FOLLOWING and self.applied_version < version
