--- a/madderwind/controlplane/sockets.py
+++ b/madderwind/controlplane/sockets.py
@@ -1,6 +1,6 @@
 """Options of the sockets between the system's own processes.
 
-A peer without power or behind a network partition sends nothing: connections to it have to time out.
+A peer that lost power or is behind a network partition sends nothing, so connections to it have to time out.
 """
 
 from __future__ import annotations
@@ -8,14 +8,14 @@
 import socket
 from typing import Any
 
-# Bytes that are not acknowledged for so long end the connection.
+# A connection with unacknowledged data for this long is closed.
 ACKNOWLEDGEMENT_TIMEOUT_MS = 1_500
-# Where nothing is sent, probes tell whether the other side is there.
+# Keepalive probes detect a lost peer on an idle connection.
 PROBE_AFTER_S, PROBE_INTERVAL_S, PROBES = 3, 1, 3
 
 
 def set_options(tcp_socket: socket.socket) -> None:
-    """Send at once, and give up on a peer that no longer answers."""
+    """Disable Nagle's algorithm, and time out connections to a peer that no longer responds."""
     tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGEMENT_TIMEOUT_MS)
     tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -25,7 +25,7 @@
 
 
 def connecting_socket(address: Any) -> socket.socket:
-    """A socket for a connection that the client library is about to make."""
+    """Create the socket for an outgoing connection of the client library."""
     family, kind, protocol, _, _ = address
     tcp_socket = socket.socket(family=family, type=kind, proto=protocol)
     set_options(tcp_socket)
--- a/madderwind/controlplane/subscriber_streams.py
+++ b/madderwind/controlplane/subscriber_streams.py
@@ -1,4 +1,4 @@
-"""The connections of subscribed data planes, each with a bounded queue; one that does not read is closed."""
+"""The connections of subscribed data planes, each with a bounded queue; a slow reader is disconnected."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from madderwind.distribution.deliveries import Close, SendTo, SendToAll
 from madderwind.messages.distribution import ToDataPlane, to_data_plane
 
-# A whole configuration and what comes beside it.
+# Fits a complete configuration and the messages sent along with it.
 MAX_QUEUED_BYTES = 12 * 1024 * 1024
-# Frames from this length on are copied into sockets' buffers only within a budget over all connections.
+# Frames of at least this length are copied into socket buffers only within a budget of all connections.
 LARGE_FRAME_BYTES = 64 * 1024
 MAX_LARGE_BYTES_IN_FLIGHT = 64 * 1024 * 1024
 
@@ -25,27 +25,27 @@
 
 
 class SubscriberStreams:
-    """Queues frames for data planes by connection."""
+    """Queues frames for data planes, with one queue per connection."""
 
     def __init__(self) -> None:
         self._streams: dict[int, _Stream] = {}
         self._last_connection = 0
         self._encoded_message: ToDataPlane | None = None
-        self._encoded = b""
+        self._encoded_frame = b""
         self._large_frames = ByteBudget(MAX_LARGE_BYTES_IN_FLIGHT)
 
     def open(self, transport: asyncio.BaseTransport) -> int:
-        """A new connection's number."""
+        """Register a connection and return its number."""
         self._last_connection += 1
         self._streams[self._last_connection] = _Stream(transport, FrameQueue(MAX_QUEUED_BYTES))
         return self._last_connection
 
     def remove(self, connection: int) -> None:
-        """The connection ended."""
+        """Remove a closed connection."""
         self._streams.pop(connection, None)
 
     async def send_queued(self, connection: int, socket: web.WebSocketResponse) -> None:
-        """Send what is queued for a connection, until cancelled."""
+        """Send the frames queued for a connection, until cancelled."""
 
         async def send(frame: bytes) -> None:
             if len(frame) < LARGE_FRAME_BYTES:
@@ -56,32 +56,32 @@
 
         await self._streams[connection].queue.send_all(send)
 
-    def send_to(self, effect: SendTo) -> None:
-        """Queue a message for one."""
-        if (stream := self._streams.get(effect.connection)) is not None:
-            self._offer(stream, self._frame(effect.message))
+    def send_to(self, delivery: SendTo) -> None:
+        """Queue a message for one connection."""
+        if (stream := self._streams.get(delivery.connection)) is not None:
+            self._offer(stream, self._frame(delivery.message))
 
-    def send_to_all(self, effect: SendToAll) -> None:
-        """Queue a message for all, encoded once."""
-        frame = self._frame(effect.message)
+    def send_to_all(self, delivery: SendToAll) -> None:
+        """Queue a message for all connections; it is encoded once."""
+        frame = self._frame(delivery.message)
         for stream in self._streams.values():
             self._offer(stream, frame)
 
-    def close(self, effect: Close) -> None:
-        """End a connection."""
-        if (stream := self._streams.get(effect.connection)) is not None:
+    def close(self, delivery: Close) -> None:
+        """Abort a connection."""
+        if (stream := self._streams.get(delivery.connection)) is not None:
             _abort(stream.transport)
 
     def close_all(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         for stream in self._streams.values():
             stream.transport.close()
 
     def _frame(self, message: ToDataPlane) -> bytes:
-        """The message's bytes; one that goes to several in a row is encoded once."""
+        """Encode a message, or return the cached frame if it is the one encoded last."""
         if message is not self._encoded_message:
-            self._encoded_message, self._encoded = message, to_data_plane.encode(message)
-        return self._encoded
+            self._encoded_message, self._encoded_frame = message, to_data_plane.encode(message)
+        return self._encoded_frame
 
     def _offer(self, stream: _Stream, frame: bytes) -> None:
         if not stream.queue.offer(asyncio.get_running_loop().time(), frame):
