--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -111,7 +111,7 @@
     def subscribe(
         self, now_ms: float, connection: int, message: Subscribe, upstreams: tuple[UpstreamRecord, ...]
     ) -> list[Delivery]:
-        """Start a data plane's session; the complete state but the configuration is sent to it."""
+        """Start a data plane's session; control planes, upstreams, freshness and peers are sent to it."""
         participant = Participant(message.node, message.incarnation)
         replaced = [Close(old) for old in self._connections_of(participant) if old != connection]
         for close in replaced:
--- a/tests/distribution/test_reading_ahead.py
+++ b/tests/distribution/test_reading_ahead.py
@@ -1,4 +1,4 @@
-"""Long configurations are read apart from the subscriber, which takes them as if it had read them itself."""
+"""Long configurations are parsed outside the subscriber, which applies them like those it parses itself."""
 
 from __future__ import annotations
 
@@ -22,55 +22,61 @@
     ConfigurationDelta,
     ConfigurationSnapshot,
 )
-from tests.distribution.test_subscriber import FIRST, SECOND, Story, body, update
+from tests.distribution.test_subscriber import (
+    FIRST,
+    SECOND,
+    SubscriberTestCase,
+    configuration_body,
+    update_body,
+)
 
-SNAPSHOT = ConfigurationSnapshot(5, body(5))
+SNAPSHOT = ConfigurationSnapshot(5, configuration_body(5))
 
 
-class LongConfigurations(Story):
+class LongConfigurationTest(SubscriberTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.happens(TimePassed())
-        self.connects(FIRST, SECOND)
+        self.handle(TimePassed())
+        self.connect(FIRST, SECOND)
         for address in (FIRST, SECOND):
-            self.receives_freshness(address, 5)
-        ((self.requested, _),) = self.fetches()
+            self.receive_freshness(address, 5)
+        ((self.fetch_address, _),) = self.fetches()
 
-    def test_given_one_that_is_being_read_then_nobody_else_is_requested_for_it(self) -> None:
-        self.happens(ConfigurationArrived(self.requested))
+    def test_configuration_being_parsed_is_not_fetched_again(self) -> None:
+        self.handle(ConfigurationArrived(self.fetch_address))
         for address in (FIRST, SECOND) * 5:
-            self.receives_freshness(address, 5, after_ms=FETCH_TIMEOUT_MS / 4)
+            self.receive_freshness(address, 5, after_ms=FETCH_TIMEOUT_MS / 4)
         self.assertEqual(1, len(self.fetches()))
 
-    def test_given_one_that_is_never_read_to_its_end_then_another_is_requested(self) -> None:
-        self.happens(ConfigurationArrived(self.requested))
+    def test_fetched_again_when_parsing_times_out(self) -> None:
+        self.handle(ConfigurationArrived(self.fetch_address))
         for address in (FIRST, SECOND) * 10:
-            self.receives_freshness(address, 5, after_ms=READING_TIMEOUT_MS / 15)
+            self.receive_freshness(address, 5, after_ms=READING_TIMEOUT_MS / 15)
         self.assertGreater(len(self.fetches()), 1)
 
-    def test_given_one_that_was_read_then_it_is_put_in_force_as_it_is(self) -> None:
+    def test_parsed_document_is_applied_without_parsing_again(self) -> None:
         document = document_after(None, SNAPSHOT)
-        actions = self.happens(MessageReceived(self.requested, SNAPSHOT, ReadAhead(None, document)))
-        put = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
-        self.assertIs(document, put[0])
+        actions = self.handle(MessageReceived(self.fetch_address, SNAPSHOT, ReadAhead(None, document)))
+        applied = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
+        self.assertIs(document, applied[0])
 
-    def test_given_another_document_in_force_meanwhile_then_it_is_read_on_top_of_that(self) -> None:
-        early = document_after(None, SNAPSHOT)
-        self.hears(FIRST, ConfigurationSnapshot(4, body(4)))
-        actions = self.happens(MessageReceived(SECOND, SNAPSHOT, ReadAhead(None, early)))
-        put = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
-        self.assertIsNot(early, put[0])
-        self.assertEqual([4, 5], self.in_force)
+    def test_parsed_again_when_the_base_document_changed_meanwhile(self) -> None:
+        parsed = document_after(None, SNAPSHOT)
+        self.receive(FIRST, ConfigurationSnapshot(4, configuration_body(4)))
+        actions = self.handle(MessageReceived(SECOND, SNAPSHOT, ReadAhead(None, parsed)))
+        applied = [action.document for action in actions if isinstance(action, ApplyConfiguration)]
+        self.assertIsNot(parsed, applied[0])
+        self.assertEqual([4, 5], self.applied_versions)
 
-    def test_given_an_older_one_that_was_read_for_long_then_the_version_does_not_fall(self) -> None:
-        self.hears(FIRST, ConfigurationSnapshot(6, body(6)))
-        self.happens(MessageReceived(SECOND, SNAPSHOT, ReadAhead(None, document_after(None, SNAPSHOT))))
-        self.assertEqual([6], self.in_force)
+    def test_older_parsed_document_does_not_lower_the_version(self) -> None:
+        self.receive(FIRST, ConfigurationSnapshot(6, configuration_body(6)))
+        self.handle(MessageReceived(SECOND, SNAPSHOT, ReadAhead(None, document_after(None, SNAPSHOT))))
+        self.assertEqual([6], self.applied_versions)
 
 
-class WhatIsLong(unittest.TestCase):
-    def test_by_the_bytes_that_have_to_be_read(self) -> None:
-        command = CommandRecord(4, 5, "update", update(5) + b" " * (LONG_CONFIGURATION_BYTES // 2))
+class IsLongTest(unittest.TestCase):
+    def test_long_by_the_number_of_bytes_to_parse(self) -> None:
+        command = CommandRecord(4, 5, "update", update_body(5) + b" " * (LONG_CONFIGURATION_BYTES // 2))
         self.assertFalse(is_long(SNAPSHOT))
         self.assertTrue(is_long(ConfigurationSnapshot(5, b" " * LONG_CONFIGURATION_BYTES)))
         self.assertFalse(is_long(ConfigurationDelta(4, 5, (command,))))
