--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -199,7 +199,7 @@
         self._set_link_state(link, LinkState.WAITING, now_ms)
 
     def _handle_configuration_arrival(self, now_ms: float, address: str) -> None:
-        """A configuration that has been received is not fetched from another control plane."""
+        """Mark the fetch as answered, so that it is not repeated at another control plane during parsing."""
         if self._fetch is not None and self._fetch.address == address:
             self._fetch = _Fetch(address, now_ms, is_answered=True)
 
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -165,7 +165,7 @@
         self.publisher.receive(2.0, 2, ConfigurationApplied(7))
         self.assertTrue(self.publisher.is_applied_by_all(5))
 
-    def test_command_does_not_wait_for_a_lagging_data_plane(self) -> None:
+    def test_command_does_not_wait_for_a_lagging_data_plane_until_it_acknowledges(self) -> None:
         self.subscribe(1, "front-1")
         self.assertEqual(self.publisher.stop_waiting_for(5), 1)
         self.assertTrue(self.publisher.is_applied_by_all(9))
