--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -1,6 +1,6 @@
-"""The control plane without input or output: replica, registry, publisher and the operator's calls together.
+"""The control plane's logic without I/O: combines replica, registry, publisher and the operator's calls.
 
-Each method takes the steady clock's milliseconds and returns what the host is to do, in order.
+Each method takes the monotonic clock's time in ms and returns the effects that the host carries out in order.
 """
 
 from __future__ import annotations
@@ -56,38 +56,38 @@
 )
 from madderwind.replication.status import ReplicaStatus
 
-# How often the host calls `tick`.
+# Interval at which the host calls `tick`.
 TICK_MS = 25.0
-# A primary that is unknown for no longer is still named to others.
+# The last known primary is still published while no primary has been known for at most this time.
 PRIMARY_UNKNOWN_AFTER_MS = 300.0
-# A control plane that reached a primary and its majority so long ago is connected to its peers.
+# A control plane counts as connected if it reached a primary and its majority within this time.
 CONNECTED_MS = 1_500.0
 
 _TOKEN_BITS = 62
 
 
 class Replica(Protocol):
-    """What the core needs of madderwind.replication's replica."""
+    """The part of the interface of `replication.replica.Replica` that the core uses."""
 
     @property
     def committed(self) -> PublishedConfiguration:
         """The committed state."""
 
     def handle(self, now_ms: float, event: Event) -> Iterable[Action]:
-        """Handle an event; what is to be done."""
+        """Handle an event; returns the resulting actions."""
 
     def status(self, now_ms: float) -> ReplicaStatus:
-        """How the replica stands."""
+        """The replica's current status."""
 
 
 class CoreOptions(msgspec.Struct, frozen=True):
-    """The options of a control plane at its start.
+    """The start options of a control plane.
 
     Attributes:
         own_address: Its internal address, ip:port.
         seeds: Internal addresses of the control planes that the settings file names.
-        heartbeat_ms: The interval at which upstreams call.
-        tolerance: How many control planes may be lost at once.
+        heartbeat_ms: Interval between an upstream's heartbeats.
+        tolerance: Number of control planes that may fail at the same time.
     """
 
     own_address: str
@@ -97,10 +97,10 @@
 
 
 class ControlPlaneCore:
-    """Everything that a control plane decides."""
+    """Makes all decisions of a control plane."""
 
     def __init__(self, replica: Replica, options: CoreOptions, rng: Random) -> None:
-        """Put the parts together; `rng` is the only source of chance."""
+        """Create the components; `rng` is the only source of randomness."""
         self._replica, self._own_address = replica, options.own_address
         self._publisher = Publisher(replica.committed, rng)
         self._peers = Peers(options.own_address, options.seeds)
@@ -116,20 +116,18 @@
         self._last_primary = self._logged_primary = ""
         self._last_primary_ms = 0.0
         self._calls = OperatorCalls(
-            rng.getrandbits(_TOKEN_BITS), lambda: self._status, self._publisher, self._newest
+            rng.getrandbits(_TOKEN_BITS), lambda: self._status, self._publisher, self._newest_document
         )
 
-    # --- the replica ---
-
     def handle_replica_event(
         self, now_ms: float, event: WriteCompleted | WriteFailed | PreparationCompleted | ShutdownRequested
     ) -> list[Effect]:
-        """Something happened that concerns the replica alone."""
-        return self._run(now_ms, self._handle(now_ms, event))
+        """Handle an event that concerns only the replica."""
+        return self._run(now_ms, self._handle_event(now_ms, event))
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Let time pass."""
-        outputs = self._handle(now_ms, TimePassed())
+        """Handle the passing of time; called every TICK_MS."""
+        outputs = self._handle_event(now_ms, TimePassed())
         self._peers.expire(now_ms)
         outputs += self._registry.tick(now_ms)
         effects = self._run(now_ms, outputs)
@@ -138,36 +136,32 @@
 
     @property
     def can_stop(self) -> bool:
-        """Whether this process may end.
+        """Whether this process may exit.
 
-        It is not the primary, the in-sync set does without it, and nobody waits for an answer.
+        It may if it is not the primary, the in-sync set does not need it, and no caller waits for an answer.
         """
         is_needed = self._status.is_primary or self._status.is_needed
         return not is_needed and not self._calls and self._registry.is_idle
 
     def set_seeds(self, now_ms: float, seeds: tuple[str, ...]) -> list[Effect]:
-        """The settings file names other seeds now."""
+        """Apply the seeds of a changed settings file."""
         self._peers.set_seeds(seeds)
-        return self._run(now_ms, self._handle(now_ms, SeedsChanged(seeds)))
-
-    # --- other control planes ---
+        return self._run(now_ms, self._handle_event(now_ms, SeedsChanged(seeds)))
 
     def handle_peer_connected(self, now_ms: float, address: str) -> list[Effect]:
-        """The connection to a peer is up, and empty so far."""
-        return [self._registry.registry_for(now_ms, address)]
+        """Handle a new connection to a peer: the registry is the first message on it."""
+        return [self._registry.registry_message(now_ms, address)]
 
     def handle_peer_message(self, now_ms: float, sender: str, message: PeerFrame) -> list[Effect]:
-        """A message from the control plane at this internal address."""
+        """Handle a message from the control plane at the internal address `sender`."""
         self._peers.record_message(now_ms, sender)
         if isinstance(message, PeeringMessageBase):
             outputs = self._refresh_status(now_ms)
-            return self._run(now_ms, outputs + self._handle_peering(now_ms, sender, message))
-        return self._run(now_ms, self._handle(now_ms, MessageReceived(sender, message)))
-
-    # --- data planes ---
+            return self._run(now_ms, outputs + self._handle_peering_message(now_ms, sender, message))
+        return self._run(now_ms, self._handle_event(now_ms, MessageReceived(sender, message)))
 
     def subscribe(self, now_ms: float, connection: int, message: Subscribe) -> list[Effect]:
-        """A data plane's connection begins."""
+        """Handle the subscription that a data plane sends at the start of a connection."""
         outputs = self._refresh_status(now_ms)
         outputs += self._publisher.subscribe(now_ms, connection, message, self._registry.snapshot(now_ms))
         outputs.append(DATA_PLANE_SUBSCRIBED.line(data_plane=message.node, version=message.version))
@@ -176,45 +170,41 @@
     def handle_data_plane_message(
         self, now_ms: float, connection: int, message: ToControlPlane
     ) -> list[Effect]:
-        """A message of a subscribed data plane."""
+        """Handle a message from a subscribed data plane."""
         effects: list[Effect] = [*self._publisher.receive(now_ms, connection, message)]
         return effects + self._advance_calls(now_ms)
 
     def handle_data_plane_closed(self, now_ms: float, connection: int) -> list[Effect]:
-        """A data plane's connection ended."""
+        """Handle the end of a data plane's connection."""
         self._publisher.disconnect(now_ms, connection)
         return self._advance_calls(now_ms)
 
-    # --- upstreams ---
-
     def restore_upstreams(self, now_ms: float, records: Sequence[UpstreamRecord]) -> None:
-        """What the checkpoint knows of upstreams, read before anything else happens."""
+        """Restore the upstreams from the checkpoint; called before any other event."""
         self._registry.restore(now_ms, records)
 
     def handle_checkpoint_saved(self, now_ms: float, records: Sequence[UpstreamRecord]) -> list[Effect]:
-        """The registry with these records is on disk."""
+        """Handle that a checkpoint with these records is on disk."""
         return self._run(now_ms, [*self._registry.handle_saved(records)])
 
     def upstreams(self, now_ms: float) -> tuple[UpstreamRecord, ...]:
-        """All upstreams that are known."""
+        """The records of all known upstreams."""
         return self._registry.snapshot(now_ms)
 
     def handle_heartbeat(self, now_ms: float, call: int, instance: str, body: bytes) -> list[Effect]:
-        """An upstream's heartbeat, answered under the number `call`.
+        """Handle an upstream's heartbeat; the answer carries the number `call`.
 
         Raises:
-            HeartbeatError: The body is none.
+            HeartbeatError: The body is not a valid heartbeat.
         """
         return self._registry.handle_heartbeat(now_ms, call, instance, body)
 
     def deregister(self, now_ms: float, call: int, instance: str) -> list[Effect]:
-        """An upstream says that it ends; answered as a heartbeat is."""
+        """Handle an upstream's deregistration; the answer carries the number `call`."""
         return self._registry.deregister(now_ms, call, instance)
 
-    # --- the operator ---
-
     def status(self, now_ms: float, node: str, zone: str) -> ControlPlaneStatus:
-        """How this control plane stands, under its node's name and zone."""
+        """The status of this control plane, with its node's name and zone."""
         status = self._replica.status(now_ms)
         return ControlPlaneStatus(
             node=node,
@@ -232,28 +222,26 @@
         )
 
     def submit(self, now_ms: float, call: int, command: Command | None) -> list[Effect]:
-        """A command, or a read where it is None; the host draws `call` and answers when the call ends."""
+        """Start a command, or a read if `command` is None; the host assigns `call` and answers at its end."""
         outputs = self._refresh_status(now_ms)
         return self._run(now_ms, outputs + self._calls.submit(now_ms, LocalCaller(call), command))
 
-    # --- parts ---
-
     def _is_connected(self) -> bool:
-        """Whether a round trip reached a primary with its majority a moment ago.
+        """Whether a round trip reached a primary with its majority within CONNECTED_MS.
 
-        Before there is any view, as the whole system begins, nobody can be asked for that.
+        True before the first view (epoch 0): while the system starts there is no primary to reach.
         """
         age_ms = self._status.fresh_age_ms
         return self._status.epoch == 0 or (age_ms is not None and age_ms < CONNECTED_MS)
 
-    def _newest(self) -> NewestDocument:
+    def _newest_document(self) -> NewestDocument:
         committed = self._replica.committed
         return NewestDocument(committed.version, committed.document.raw if committed.document else b"")
 
     def _advance_calls(self, now_ms: float) -> list[Effect]:
         return self._run(now_ms, self._calls.advance(now_ms)) if self._calls else []
 
-    def _handle_peering(self, now_ms: float, sender: str, message: PeeringMessage) -> list[Output]:
+    def _handle_peering_message(self, now_ms: float, sender: str, message: PeeringMessage) -> list[Output]:
         match message:
             case ForwardCommand(token):
                 command = forwarded_command(message)
@@ -267,19 +255,19 @@
             case _:
                 return [*self._registry.handle_peer_message(now_ms, sender, message)]
 
-    def _handle(self, now_ms: float, event: Event) -> list[Output]:
-        """Let the replica handle an event; its actions, and what its new status leads to."""
+    def _handle_event(self, now_ms: float, event: Event) -> list[Output]:
+        """Let the replica handle an event; returns its actions and the effects of its new status."""
         outputs: list[Output] = []
         for action in self._replica.handle(now_ms, event):
-            outputs += self._outputs_of(now_ms, action)
+            outputs += self._action_outputs(now_ms, action)
         return outputs + self._refresh_status(now_ms)
 
-    def _outputs_of(self, now_ms: float, action: Action) -> list[Output]:
+    def _action_outputs(self, now_ms: float, action: Action) -> list[Output]:
         match action:
             case Send(address, message):
                 return [SendToPeer(address, message)]
             case CommandResolved(token, result):
-                # The version is published before anybody waits for the data planes' acknowledgement.
+                # Publish the version before the call starts to wait for the data planes' acknowledgements.
                 published = self._refresh_status(now_ms)
                 return published + self._calls.command_resolved(now_ms, token, result)
             case ReadResolved(token, is_newest):
@@ -290,7 +278,7 @@
                 return [action]
 
     def _refresh_status(self, now_ms: float) -> list[Output]:
-        """Read the replica's status anew, and publish what changed."""
+        """Read the replica's status again and publish changes."""
         before, self._status = self._status, self._replica.status(now_ms)
         status = self._status
         self._peers.set_members(status.members)
@@ -311,7 +299,11 @@
         return outputs
 
     def _published_primary(self, now_ms: float) -> str:
-        """The primary as others see it: the former until a message of a new view's primary comes."""
+        """The primary to publish.
+
+        While none is known, for example during a view change, this is the last known one, until
+        PRIMARY_UNKNOWN_AFTER_MS have passed.
+        """
         if self._status.primary:
             self._last_primary, self._last_primary_ms = self._status.primary, now_ms
         elif now_ms - self._last_primary_ms > PRIMARY_UNKNOWN_AFTER_MS:
@@ -319,7 +311,7 @@
         return self._last_primary
 
     def _run(self, now_ms: float, outputs: list[Output]) -> list[Effect]:
-        """Carry out what concerns the replica or the calls here; the rest is the host's."""
+        """Submit commands and reads to the replica and advance calls; returns the effects for the host."""
         effects: list[Effect] = []
         pending = deque(outputs)
         if self._calls:
@@ -327,7 +319,7 @@
         while pending:
             output = pending.popleft()
             if isinstance(output, (CommandSubmitted, ReadSubmitted)):
-                pending.extend(self._handle(now_ms, output))
+                pending.extend(self._handle_event(now_ms, output))
             else:
                 effects.append(output)
         return effects
--- a/madderwind/controlplane/drain_tracker.py
+++ b/madderwind/controlplane/drain_tracker.py
@@ -2,9 +2,10 @@
 
 They are delayed until enough control planes have the state on disk.
 
-Such an acknowledgement binds all data planes. A control plane confirms a state once it has published it to
-its data planes and has it on its disk. With one confirmation more than machines may be lost, its own
-included, some control plane knows the state whatever happens next, also where all are killed or lose power.
+Once acknowledged, the state is binding for all data planes. A control plane confirms a state after it has
+published it to its data planes and saved it to its disk. The required number of confirmations, its own
+included, is one more than the number of machines that may be lost. Some control plane therefore knows the
+state after any such loss, and also after all of them were killed or lost power.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from madderwind.messages.peering import FinalStateNotice
 from madderwind.registry.states import UpstreamState, furthest, state_named
 
-# The upstream turns to another control plane after a second.
+# Less than the second after which an upstream calls another control plane.
 CONFIRMATION_TIMEOUT_MS = 500.0
 RESEND_INTERVAL_MS = 150.0
 
 
 @attrs.define
 class _Drain:
-    """An instance's final state.
+    """An instance's final state and its confirmations.
 
     Attributes:
-        record: The state.
-        resend_ms: When the peers are to be notified again, ms on the steady clock.
-        deadlines_ms: Until when each call that waits may wait.
-        confirmed_by: The control planes that confirmed it.
+        record: The instance's record with the state.
+        resend_ms: When to notify the peers again, in ms on the monotonic clock.
+        deadlines_ms: The deadline of each waiting call, by the call's number.
+        confirmed_by: The control planes that confirmed the state.
     """
 
     record: UpstreamRecord
@@ -46,10 +47,10 @@
 
 
 class DrainTracker:
-    """Instances that drain or are deregistered, and the calls that wait for their confirmations."""
+    """Tracks draining and deregistered instances and the calls that wait for their confirmations."""
 
     def __init__(self, required_confirmations: int) -> None:
-        """Begin empty; `required_confirmations`: by how many control planes a state is to be confirmed."""
+        """Create an empty tracker; so many control planes must confirm a state before it is acknowledged."""
         self._required_confirmations = required_confirmations
         self._drains: dict[str, _Drain] = {}
 
@@ -59,9 +60,9 @@
         return any(drain.deadlines_ms for drain in self._drains.values())
 
     def begin(self, now_ms: float, call: int, record: UpstreamRecord) -> FinalStateNotice | RespondToUpstream:
-        """Take an upstream's call.
+        """Handle an upstream's call.
 
-        Its acknowledgement, or what the peers are to be notified of before that.
+        Returns the acknowledgement, or the notice that the peers must confirm first.
         """
         drain = self._drains.get(record.instance)
         if drain is None:
@@ -75,7 +76,7 @@
         return FinalStateNotice(record)
 
     def confirm(self, confirmer: str, instance: str, state: UpstreamState) -> list[RespondToUpstream]:
-        """A control plane has published the instance's state and has it on disk."""
+        """Record that a control plane has published the instance's state and has it on disk."""
         drain = self._drains.get(instance)
         if drain is None or furthest(state, drain.state) is not state:
             return []
@@ -85,18 +86,18 @@
         calls, drain.deadlines_ms = drain.deadlines_ms, {}
         return [RespondToUpstream(call, is_accepted=True) for call in calls]
 
-    def reject_late(self, now_ms: float) -> list[RespondToUpstream]:
-        """Reject the calls that waited long enough: the upstream calls another control plane."""
+    def reject_overdue(self, now_ms: float) -> list[RespondToUpstream]:
+        """Reject the calls whose deadline has passed, so that the upstream calls another control plane."""
         responses: list[RespondToUpstream] = []
         for drain in self._drains.values():
-            late = [call for call, deadline_ms in drain.deadlines_ms.items() if now_ms >= deadline_ms]
-            responses += [RespondToUpstream(call, is_accepted=False) for call in late]
-            for call in late:
+            overdue = [call for call, deadline_ms in drain.deadlines_ms.items() if now_ms >= deadline_ms]
+            responses += [RespondToUpstream(call, is_accepted=False) for call in overdue]
+            for call in overdue:
                 del drain.deadlines_ms[call]
         return responses
 
     def due_notices(self, now_ms: float) -> list[FinalStateNotice]:
-        """What the peers are to be notified of again."""
+        """The notices that are due to be sent to the peers again."""
         due = [drain for drain in self._drains.values() if drain.deadlines_ms and now_ms >= drain.resend_ms]
         for drain in due:
             drain.resend_ms = now_ms + RESEND_INTERVAL_MS
--- a/madderwind/controlplane/effects.py
+++ b/madderwind/controlplane/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the control plane's core asks of its host."""
+"""The effects that the control plane's core requests from its host."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class SendToPeer(msgspec.Struct, frozen=True):
-    """Send to the control plane at this internal address, best effort."""
+    """Send a message to the control plane at this internal address, best effort."""
 
     address: str
     message: PeerFrame
 
 
 class RespondToCommand(msgspec.Struct, frozen=True):
-    """Answer an operator's command that reached this machine."""
+    """Answer an operator's command that was received by this machine."""
 
     call: int
     result: CommandResult
@@ -30,8 +30,8 @@
 
     Attributes:
         call: The call to answer.
-        version: Of the configuration; 0 where there is none yet.
-        document: JSON; None where no newest configuration could be proven.
+        version: The configuration's version; 0 if there is none yet.
+        document: The configuration as JSON; None if it could not be proven to be the newest.
     """
 
     call: int
@@ -40,14 +40,14 @@
 
 
 class RespondToUpstream(msgspec.Struct, frozen=True):
-    """Answer an upstream's call: accepted, or to be made to another control plane."""
+    """Answer an upstream's call; if it is not accepted, the upstream calls another control plane."""
 
     call: int
     is_accepted: bool
 
 
 class SaveCheckpoint(msgspec.Struct, frozen=True):
-    """Save the registry at once, and tell the core what was saved when it is on disk."""
+    """Save the registry at once, and report the saved records to the core when they are on disk."""
 
 
 Effect = (
--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -1,4 +1,4 @@
-"""The control plane's part that deals with upstreams: their calls, and the exchange with peers about them."""
+"""Manages the upstreams of a control plane: handles their calls and exchanges their states with peers."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 LIVENESS_INTERVAL_MS = 1_000.0
 TIMEOUT_CHECK_INTERVAL_MS = 250.0
-# All upstreams are sent to a peer that lacks some, at most so often.
+# Minimum interval between two complete snapshots for a peer that lacks upstreams.
 SNAPSHOT_INTERVAL_MS = 500.0
 
 Publish = Callable[[Sequence[UpstreamRecord]], list[Delivery]]
 
 
 class RegistryService:
-    """The registry, the drains and their exchange with the peers."""
+    """Combines the registry, the drain tracker and the exchange with the peers."""
 
     def __init__(
         self,
@@ -42,21 +42,21 @@
         publish: Publish,
         is_connected: Callable[[], bool],
     ) -> None:
-        """Begin with an empty registry.
+        """Create a service with an empty registry.
 
         Args:
             own_address: This control plane's internal address.
-            heartbeat_ms: The interval at which upstreams call.
-            tolerance: How many control planes may be lost at once.
+            heartbeat_ms: Interval between an upstream's heartbeats.
+            tolerance: Number of control planes that may fail at the same time.
             peers: The other control planes.
             publish: Publishes records to the data planes.
-            is_connected: Whether a majority was reached a moment ago, so that peers can be notified.
+            is_connected: Whether a majority was reached recently, so that peers can be notified.
         """
         self._registry = Registry(heartbeat_ms)
         self._drains = DrainTracker(tolerance + 1)
         self._own_address = own_address
         self._saved_states: dict[str, UpstreamState] = {}  # final states, as last saved
-        self._unconfirmed: set[tuple[str, str]] = set()  # peers and the instances they want confirmed
+        self._unconfirmed: set[tuple[str, str]] = set()  # (peer, instance) pairs to confirm after a save
         self._tolerance = tolerance
         self._peers = peers
         self._publish = publish
@@ -70,17 +70,15 @@
         return not self._drains.has_waiting_calls
 
     def snapshot(self, now_ms: float) -> tuple[UpstreamRecord, ...]:
-        """All upstreams that are known."""
+        """The records of all known upstreams."""
         return self._registry.snapshot(now_ms)
 
-    # --- the checkpoint ---
-
     def restore(self, now_ms: float, records: Sequence[UpstreamRecord]) -> None:
-        """Know again what was known before the start, as of now; a hint until the upstreams call again."""
+        """Restore the records from before the start, dated now; a hint until the upstreams call again."""
         self._registry.restore(now_ms, records)
 
     def handle_saved(self, records: Sequence[UpstreamRecord]) -> list[Effect]:
-        """The registry with these records is on disk: states that wait for that are confirmed."""
+        """Handle that a checkpoint with these records is on disk: confirm the states that waited for it."""
         states = {record.instance: state_named(record.state) for record in records}
         self._saved_states = {
             name: state for name, state in states.items() if state is not UpstreamState.READY
@@ -93,32 +91,28 @@
             effects.append(SendToPeer(peer, _confirmation(instance, self._saved_states[instance])))
         return effects
 
-    # --- upstreams call ---
-
     def handle_heartbeat(self, now_ms: float, call: int, instance: str, body: bytes) -> list[Effect]:
-        """An upstream's heartbeat.
+        """Handle an upstream's heartbeat.
 
         Raises:
-            HeartbeatError: The body is none.
+            HeartbeatError: The body is not a valid heartbeat.
         """
         heartbeat = read_heartbeat(instance, body)
         changed = self._registry.handle_heartbeat(now_ms, instance, heartbeat)
         return [*self._publish_change(changed), *self._respond(now_ms, call, instance)]
 
     def deregister(self, now_ms: float, call: int, instance: str) -> list[Effect]:
-        """An upstream says that it ends."""
+        """Handle an upstream's deregistration."""
         changed = self._registry.deregister(now_ms, instance)
         return [*self._publish_change(changed), *self._respond(now_ms, call, instance)]
 
-    # --- peers report ---
-
-    def registry_for(self, now_ms: float, address: str) -> SendToPeer:
-        """All that is known, for a peer."""
+    def registry_message(self, now_ms: float, address: str) -> SendToPeer:
+        """The message that sends the complete registry to a peer."""
         self._snapshot_sent_ms[address] = now_ms
         return SendToPeer(address, RegistryGossip(self._registry.snapshot(now_ms)))
 
     def handle_peer_message(self, now_ms: float, sender: str, message: PeeringMessage) -> list[Effect]:
-        """A peer's message, where it concerns upstreams."""
+        """Handle a peer's message about upstreams; others have no effect."""
         match message:
             case LivenessReport():
                 return self._handle_liveness(now_ms, sender, message)
@@ -133,10 +127,8 @@
             case _:
                 return []
 
-    # --- time passes ---
-
     def tick(self, now_ms: float) -> list[Effect]:
-        """What is due by time."""
+        """Check timeouts, and send what is due to the peers."""
         effects: list[Effect] = []
         if now_ms >= self._timeout_check_due_ms:
             self._timeout_check_due_ms = now_ms + TIMEOUT_CHECK_INTERVAL_MS
@@ -146,28 +138,26 @@
             self._liveness_due_ms = now_ms + LIVENESS_INTERVAL_MS
             effects += self._to_peers(LivenessReport(self._registry.take_liveness(now_ms)))
             self._drop_unknown()
-        effects += self._drains.reject_late(now_ms)
+        effects += self._drains.reject_overdue(now_ms)
         for notice in self._drains.due_notices(now_ms):
             effects += self._to_peers(notice)
         return effects
 
-    # --- parts ---
-
     def _drop_unknown(self) -> None:
-        """Keep nothing about instances that the registry has dropped or had no capacity for."""
+        """Drop the state of instances that the registry has dropped or had no capacity for."""
         self._drains.retain_only(self._registry)
         self._unconfirmed = {each for each in self._unconfirmed if each[1] in self._registry}
 
     def _publish_change(self, changed: UpstreamRecord | None) -> list[Effect]:
-        """Notify data planes and peers of a change that was learned here."""
+        """Notify data planes and peers of a change that an upstream reported to this control plane."""
         if changed is None:
             return []
         line = UPSTREAM_CHANGED.line(instance=changed.instance, service=changed.service, state=changed.state)
         return [*self._publish((changed,)), *self._to_peers(RegistryGossip((changed,))), line]
 
     def _respond(self, now_ms: float, call: int, instance: str) -> list[Effect]:
-        """Acknowledge a call at once, or once the state that it leaves the instance in can't be lost."""
-        if instance not in self._registry:  # there are too many
+        """Acknowledge a call: at once, or for a final state once enough control planes have it on disk."""
+        if instance not in self._registry:  # the registry is full
             return [RespondToUpstream(call, is_accepted=False)]
         record = self._registry.final_record(now_ms, instance)
         if record is None:
@@ -182,14 +172,14 @@
         return [*effects, *self._drains.confirm(self._own_address, instance, state)]
 
     def _is_saved(self, record: UpstreamRecord) -> bool:
-        """Whether the checkpoint holds the record's state, or a later one."""
+        """Whether the saved checkpoint contains the record's state or a later one."""
         saved = self._saved_states.get(record.instance, UpstreamState.READY)
         return furthest(saved, state_named(record.state)) is saved
 
     def _is_known_to_peers(self, instance: str) -> bool:
-        """Whether an instance that is ready is known elsewhere, or others are reached to learn of it.
+        """Whether a ready instance is known to a peer, or peers can be reached and will learn of it.
 
-        Else it is to call another control plane, though what it says is stored here, too.
+        Otherwise it must call another control plane, although its state is stored here as well.
         """
         if not self._tolerance or self._registry.is_known_elsewhere(instance):
             return True
@@ -205,7 +195,7 @@
         return [SendToPeer(sender, RegistryRequest())]
 
     def _handle_final_state(self, now_ms: float, sender: str, record: UpstreamRecord) -> list[Effect]:
-        """Publish the state, and confirm it to the sender once it is on disk here."""
+        """Publish the state, and confirm it to the sender once it is on the own disk."""
         published = self._publish(self._registry.merge(now_ms, (record,)))
         if state_named(record.state) is UpstreamState.READY:
             return [*published]
@@ -219,7 +209,7 @@
         last_ms = self._snapshot_sent_ms.get(address, -SNAPSHOT_INTERVAL_MS)
         if now_ms - last_ms < SNAPSHOT_INTERVAL_MS:
             return []
-        return [self.registry_for(now_ms, address)]
+        return [self.registry_message(now_ms, address)]
 
     def _to_peers(self, message: PeeringMessage) -> list[SendToPeer]:
         return [SendToPeer(address, message) for address in self._peers.addresses()]
