--- a/madderwind/controlplane/operator_call.py
+++ b/madderwind/controlplane/operator_call.py
@@ -1,4 +1,4 @@
-"""One call of the operator that is in progress: who made it, where it is, and how it may go on."""
+"""One operator call in progress: its caller, its state and the allowed state transitions."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallState(Enum):
-    """Where a call is."""
+    """The state of a call."""
 
     WAITING_FOR_PRIMARY = "waiting for a primary"
     AT_REPLICA = "at the own replica"
@@ -36,7 +36,7 @@
 
 
 class NewestDocument(msgspec.Struct, frozen=True):
-    """A whole configuration as JSON; version 0 and no bytes before the first."""
+    """A complete configuration as JSON; version 0 and no bytes if there is none yet."""
 
     version: int
     raw: bytes
@@ -44,14 +44,14 @@
 
 @attrs.frozen
 class LocalCaller:
-    """The operator's own connection to this machine."""
+    """An operator that is connected to this machine."""
 
     call: int
 
 
 @attrs.frozen
 class PeerCaller:
-    """A control plane that forwarded the call under its own token."""
+    """A control plane that forwarded the call, with the token that it assigned."""
 
     address: str
     token: int
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class Destination:
-    """The primary that a call was forwarded to, in that role's epoch."""
+    """The primary that a call was forwarded to, and its epoch as primary."""
 
     address: str
     epoch: int
@@ -67,20 +67,20 @@
 
 @attrs.define
 class OperatorCall:
-    """A command or a read.
+    """An operator's command or read.
 
     Attributes:
-        token: Names the call at the own replica and at the primary's machine.
-        caller: Who waits for the answer.
-        command: None for a read.
-        submitted_ms: When it came, ms on the steady clock.
-        deadline_ms: When it ends without a known outcome.
-        state: Where it is.
-        submit_at_ms: When it may be brought to a primary again.
+        token: Identifies the call at the own replica and at the primary's machine.
+        caller: The caller that waits for the answer.
+        command: The command; None for a read.
+        submitted_ms: When the call was received, in ms on the monotonic clock.
+        deadline_ms: When the call ends with an unknown outcome.
+        state: The call's state.
+        submit_at_ms: The earliest time of the next attempt to submit it to a primary.
         wait_until_ms: Until when it waits for data planes.
-        destination: Where it was forwarded to.
+        destination: The primary that it was forwarded to.
         result: The command's result so far.
-        document: What the read found.
+        document: The configuration that was read.
     """
 
     token: int
@@ -96,19 +96,19 @@
     document: NewestDocument | None = None
 
     def enter(self, state: CallState) -> None:
-        """The one place where a call changes state."""
+        """Change the state; all state changes go through this method."""
         assert state in CALL_TRANSITIONS[self.state], f"{self.state} to {state}"
         self.state = state
 
     def forward_message(self) -> ForwardCommand | ForwardRead:
-        """What the primary's machine is sent."""
+        """The message that forwards the call to the primary's machine."""
         command = self.command
         if command is None:
             return ForwardRead(self.token)
         return ForwardCommand(self.token, command.kind.value, command.base_version, command.body)
 
     def response(self) -> Effect:
-        """The answer to the caller."""
+        """The effect that answers the caller."""
         if isinstance(self.caller, PeerCaller):
             return SendToPeer(self.caller.address, self._reply(self.caller.token))
         if self.command is not None:
@@ -126,5 +126,5 @@
 
 
 def forwarded_command(message: ForwardCommand) -> Command:
-    """The command in a peer's message."""
+    """The command in a message that was forwarded by a peer."""
     return Command(CommandKind(message.kind), message.base_version, message.body)
--- a/madderwind/controlplane/operator_calls.py
+++ b/madderwind/controlplane/operator_calls.py
@@ -1,8 +1,8 @@
 """The operator's calls that are in progress at this control plane.
 
-A call goes to the own replica where that is the primary, else to the primary's machine; where no primary is
-known it waits for one, within its deadline. A command may be submitted more than once: what was committed is
-recognized.
+A call is submitted to the own replica if that is the primary, and otherwise forwarded to the primary's
+machine. If no primary is known, the call waits for one until its deadline. A command may be submitted more
+than once: the replica recognizes a command that is already committed.
 """
 
 from __future__ import annotations
@@ -25,31 +25,31 @@
 from madderwind.replication.events import CommandSubmitted, ReadSubmitted
 from madderwind.replication.status import ReplicaStatus
 
-# After an unknown outcome the same call is tried again at the earliest after so long.
+# Minimum interval between two attempts to submit the same call, for example after an unknown outcome.
 RESUBMIT_AFTER_MS = 50.0
-# A committed command waits for the connected data planes no longer than this.
+# Maximum time that a committed command waits for the connected data planes.
 APPLY_TIMEOUT_MS = 400.0
-# Where no primary was known for so long, this machine is likely cut off: calls wait for one only a little.
-CUT_OFF_AFTER_MS = 1_500.0
-CUT_OFF_WAIT_MS = 150.0
+# If no primary has been known for this long, the machine is probably partitioned: calls wait only briefly.
+PARTITIONED_AFTER_MS = 1_500.0
+PARTITIONED_WAIT_MS = 150.0
 MAX_CALLS = 64
 
 
 class AppliedVersions(Protocol):
-    """Which versions the connected data planes have in force; `distribution.publisher` implements it."""
+    """The versions that the connected data planes have applied; `distribution.publisher` implements it."""
 
     def is_applied_by_all(self, version: int) -> bool:
-        """Whether all that keep up have this version."""
+        """Whether all data planes that are not lagging have applied this version."""
 
     def stop_waiting_for(self, version: int) -> int:
-        """Wait no more for those that lack it; how many they are."""
+        """Stop waiting for the data planes without this version; returns their number."""
 
 
 Output = Effect | CommandSubmitted | ReadSubmitted
 
 
 class OperatorCalls:
-    """Brings each call to its end."""
+    """Submits each call to the primary and answers its caller."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         data_planes: AppliedVersions,
         newest: Callable[[], NewestDocument],
     ) -> None:
-        """Begin without calls.
+        """Create an instance without calls.
 
         Args:
-            first_token: Drawn at random at each start: a reply to an earlier process must not fit a call of
-                this one.
-            status: The own replica's status.
-            data_planes: What the connected data planes have applied.
-            newest: The configuration committed here.
+            first_token: Drawn at random at each start, so that a reply to an earlier process does not match a
+                call of this one.
+            status: Returns the own replica's status.
+            data_planes: The versions that the connected data planes have applied.
+            newest: Returns the newest configuration committed at this machine.
         """
         self._last_token = first_token
         self._status = status
@@ -78,30 +78,26 @@
         return len(self._calls)
 
     def record_primary(self, now_ms: float) -> None:
-        """Take note of whether a primary is known now."""
+        """Record the time if a primary is known now."""
         if self._primary_known_ms is None or self._status().primary:
             self._primary_known_ms = now_ms
 
-    # --- calls begin ---
-
     def submit(
         self, now_ms: float, caller: LocalCaller | PeerCaller, command: Command | None
     ) -> list[Output]:
-        """Begin a call; a read where `command` is None."""
+        """Start a call: a read if `command` is None."""
         if any(call.caller == caller for call in self._calls.values()):
-            return []  # forwarded again while it is in progress
+            return []  # the peer forwarded it again while it is in progress
         deadline_ms = now_ms + (command.answer_timeout_ms if command else ANSWER_TIMEOUT_MS)
         self._last_token += 1
         call = OperatorCall(self._last_token, caller, command, now_ms, deadline_ms)
         self._calls[call.token] = call
         if len(self._calls) > MAX_CALLS:
             return self._end(call)
-        return self._bring_to_primary(now_ms, call)
-
-    # --- calls go on ---
+        return self._submit_to_primary(now_ms, call)
 
     def command_resolved(self, now_ms: float, token: int, result: CommandResult) -> list[Output]:
-        """The own replica ended a command."""
+        """Handle the result of a command from the own replica."""
         call = self._calls.get(token)
         if call is None or call.state is not CallState.AT_REPLICA:
             return []
@@ -115,7 +111,7 @@
         return self._advance(now_ms, call)
 
     def read_resolved(self, now_ms: float, token: int, is_newest: bool) -> list[Output]:
-        """The own replica ended a read."""
+        """Handle the result of a read from the own replica."""
         call = self._calls.get(token)
         if call is None or call.state is not CallState.AT_REPLICA:
             return []
@@ -125,7 +121,7 @@
         return self._end(call)
 
     def command_replied(self, now_ms: float, reply: CommandReply) -> list[Output]:
-        """The primary's machine ended a command that was forwarded to it."""
+        """Handle the primary's reply to a forwarded command."""
         call = self._calls.get(reply.token)
         if call is None or call.command is None or call.state is not CallState.FORWARDED:
             return []
@@ -136,7 +132,7 @@
         return self._end(call)
 
     def read_replied(self, now_ms: float, reply: ReadReply) -> list[Output]:
-        """The primary's machine ended a read that was forwarded to it."""
+        """Handle the primary's reply to a forwarded read."""
         call = self._calls.get(reply.token)
         if call is None or call.command is not None or call.state is not CallState.FORWARDED:
             return []
@@ -146,34 +142,32 @@
         return self._end(call)
 
     def advance(self, now_ms: float) -> list[Output]:
-        """Time passed, or the primary or the data planes' versions changed."""
+        """Advance all calls after time passed, or the primary or the data planes' versions changed."""
         outputs: list[Output] = []
         for call in list(self._calls.values()):
             outputs += self._advance(now_ms, call)
         return outputs
 
-    # --- parts ---
-
     def _advance(self, now_ms: float, call: OperatorCall) -> list[Output]:
         if call.state is CallState.WAITING_FOR_DATA_PLANES:
             return self._wait_for_data_planes(now_ms, call)
-        if now_ms >= call.deadline_ms or self._is_cut_off(now_ms, call):
+        if now_ms >= call.deadline_ms or self._is_partitioned(now_ms, call):
             return self._end(call)
         if call.state is CallState.FORWARDED and call.destination != self._destination():
             call.enter(CallState.WAITING_FOR_PRIMARY)
         if call.state is CallState.WAITING_FOR_PRIMARY and now_ms >= call.submit_at_ms:
-            return self._bring_to_primary(now_ms, call)
+            return self._submit_to_primary(now_ms, call)
         return []
 
-    def _is_cut_off(self, now_ms: float, call: OperatorCall) -> bool:
-        """Whether a call waits for a primary at a machine that is likely to find none."""
+    def _is_partitioned(self, now_ms: float, call: OperatorCall) -> bool:
+        """Whether the call waits for a primary and this machine is probably partitioned."""
         if call.state is not CallState.WAITING_FOR_PRIMARY or self._primary_known_ms is None:
             return False
-        is_alone = now_ms - self._primary_known_ms > CUT_OFF_AFTER_MS
-        return is_alone and now_ms - call.submitted_ms > CUT_OFF_WAIT_MS
+        is_partitioned = now_ms - self._primary_known_ms > PARTITIONED_AFTER_MS
+        return is_partitioned and now_ms - call.submitted_ms > PARTITIONED_WAIT_MS
 
-    def _bring_to_primary(self, now_ms: float, call: OperatorCall) -> list[Output]:
-        """Bring a call that waits for a primary to it, where one is known."""
+    def _submit_to_primary(self, now_ms: float, call: OperatorCall) -> list[Output]:
+        """Submit a call that waits for a primary, if one is known."""
         call.submit_at_ms = now_ms + RESUBMIT_AFTER_MS
         if self._status().is_primary:
             call.enter(CallState.AT_REPLICA)
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -8,8 +8,8 @@
 from madderwind.controlplane.drain_tracker import CONFIRMATION_TIMEOUT_MS
 from madderwind.controlplane.operator_calls import (
     APPLY_TIMEOUT_MS,
-    CUT_OFF_AFTER_MS,
-    CUT_OFF_WAIT_MS,
+    PARTITIONED_AFTER_MS,
+    PARTITIONED_WAIT_MS,
 )
 from madderwind.messages.distribution import (
     ConfigurationApplied,
@@ -92,9 +92,9 @@
         self.assertIsNone(self.second.reads[2].document)
 
     def test_and_hardly_at_a_machine_that_is_cut_off(self) -> None:
-        self.fleet.run(CUT_OFF_AFTER_MS + 25.0)
+        self.fleet.run(PARTITIONED_AFTER_MS + 25.0)
         self.fleet.submit(self.second, 1, replacement(0, 5))
-        self.fleet.run(CUT_OFF_WAIT_MS + 50.0)
+        self.fleet.run(PARTITIONED_WAIT_MS + 50.0)
         self.assertEqual(self.outcome(self.second, 1), CommandOutcome.UNKNOWN)
         self.fleet.submit(self.second, 2, replacement(0, 5))
         self.fleet.make_primary(self.first)
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -72,16 +72,16 @@
         self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.second, 1))
 
 
-bring_to_primary = OperatorCalls._bring_to_primary
+submit_to_primary = OperatorCalls._submit_to_primary
 
 
-def bring_under_a_new_token(calls: OperatorCalls, now_ms: float, call: OperatorCall) -> list[Output]:
+def submit_with_new_token(calls: OperatorCalls, now_ms: float, call: OperatorCall) -> list[Output]:
     if call.destination is not None:
         del calls._calls[call.token]
         calls._last_token += 1
         call.token = calls._last_token
         calls._calls[call.token] = call
-    return bring_to_primary(calls, now_ms, call)
+    return submit_to_primary(calls, now_ms, call)
 
 
 begin = OperatorCalls.__init__
@@ -108,7 +108,7 @@
             "test_given_a_new_epoch_of_the_same_primary_then_the_call_is_under_way_there_once",
             "test_given_it_was_sent_again_then_the_answer_to_the_first_sending_ends_it",
         )
-        with patch.object(OperatorCalls, "_bring_to_primary", bring_under_a_new_token):
+        with patch.object(OperatorCalls, "_submit_to_primary", submit_with_new_token):
             for name in names:
                 self.assert_caught(CallsThatAreSentAgain(name))
 
