--- a/madderwind/controlplane/__main__.py
+++ b/madderwind/controlplane/__main__.py
@@ -4,7 +4,7 @@
 
 
 def run() -> None:
-    """Run the process, imported only once a signal does no harm any more."""
+    """Ignore SIGHUP, then import and run the process, so that a hangup during the import does not end it."""
     ignore_hangup()
     from madderwind.controlplane.process import main
 
--- a/madderwind/controlplane/checkpoint_writer.py
+++ b/madderwind/controlplane/checkpoint_writer.py
@@ -1,4 +1,4 @@
-"""Writes the registry's checkpoint from a thread of its own, whenever descriptions have changed."""
+"""Writes the registry's checkpoint on a separate thread when upstream descriptions have changed."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.registry.checkpoint import RegistryCheckpoint
 
-# How often the host offers what is known.
+# Interval at which the host offers the registry's records to be saved.
 SAVE_INTERVAL_S = 0.5
 
 
 class _Description(NamedTuple):
-    """What is worth a write when it changes."""
+    """The fields of an upstream's record whose change causes a write."""
 
     instance: str
     service: str
@@ -24,24 +24,24 @@
 
 
 class CheckpointWriter:
-    """Hands the newest descriptions to its thread.
+    """Saves the offered records on its own thread.
 
-    What is offered while a write runs is to be offered again.
+    Records that are offered during a write are not queued: the caller offers them again.
     """
 
     def __init__(
         self, checkpoint: RegistryCheckpoint, report: Callable[[Sequence[UpstreamRecord]], None]
     ) -> None:
-        """Begin idle; `report` is called on the thread with what is on disk now, and must not block."""
+        """Create an idle writer; `report` gets the saved records, on the thread, and must not block."""
         self._checkpoint = checkpoint
         self._report = report
-        self._described: frozenset[_Description] = frozenset()
+        self._descriptions: frozenset[_Description] = frozenset()
         self._offered: Sequence[UpstreamRecord] = ()
         self._wanted = threading.Event()
         self._thread = threading.Thread(target=self._run, name="registry checkpoint", daemon=True)
 
     def start(self) -> None:
-        """Begin to take offers."""
+        """Start the thread."""
         self._thread.start()
 
     @property
@@ -50,14 +50,14 @@
         return self._wanted.is_set()
 
     def offer(self, upstreams: Sequence[UpstreamRecord]) -> bool:
-        """Have these saved where they differ from what was; whether they are handed to the thread."""
-        described = frozenset(
+        """Save these records if a description changed; returns whether they were handed to the thread."""
+        descriptions = frozenset(
             _Description(record.instance, record.service, record.address, record.state)
             for record in upstreams
         )
-        if described == self._described or self._wanted.is_set():
+        if descriptions == self._descriptions or self._wanted.is_set():
             return False
-        self._described, self._offered = described, upstreams
+        self._descriptions, self._offered = descriptions, upstreams
         self._wanted.set()
         return True
 
@@ -71,6 +71,6 @@
         try:
             self._checkpoint.save(self._offered)
         except StorageError:
-            self._described = frozenset()  # offered again, and tried again then
+            self._descriptions = frozenset()  # the next offer differs from it, so that the write is retried
             return
         self._report(self._offered)
--- a/madderwind/controlplane/disk_thread.py
+++ b/madderwind/controlplane/disk_thread.py
@@ -1,4 +1,4 @@
-"""The thread that waits for the disk; writes that wait together share a sync."""
+"""Writes to the disk on a separate thread; writes that are queued together share one sync."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DiskThread:
-    """Carries out writes in order. `report` is called on the thread with what is done; it must not wait."""
+    """Performs writes in order. `report` is called on the thread with the completions and must not block."""
 
     def __init__(self, record_file: RecordFile, report: Callable[[list[Completion]], None]) -> None:
         self._file = record_file
@@ -24,18 +24,18 @@
         self._thread = threading.Thread(target=self._run, name="disk", daemon=True)
 
     def start(self) -> None:
-        """Begin to take writes."""
+        """Start the thread."""
         self._thread.start()
 
     def submit(self, job: Write | Rewrite) -> None:
-        """Have this written after all that was submitted before."""
+        """Queue this write after all that were submitted before."""
         self._jobs.put(job)
 
     def _run(self) -> None:
         while True:
-            self._do([self._jobs.get(), *self._waiting()])
+            self._perform([self._jobs.get(), *self._take_queued()])
 
-    def _waiting(self) -> list[Write | Rewrite]:
+    def _take_queued(self) -> list[Write | Rewrite]:
         jobs: list[Write | Rewrite] = []
         while True:
             try:
@@ -43,8 +43,8 @@
             except queue.Empty:
                 return jobs
 
-    def _do(self, jobs: list[Write | Rewrite]) -> None:
-        """Rewrites one by one, the writes between them together."""
+    def _perform(self, jobs: list[Write | Rewrite]) -> None:
+        """Perform each rewrite separately, and the writes between two rewrites as one append."""
         writes: list[Write] = []
         for job in jobs:
             if isinstance(job, Write):
--- a/madderwind/controlplane/host.py
+++ b/madderwind/controlplane/host.py
@@ -1,4 +1,4 @@
-"""The host of the control plane's core: its clock, timer, disk thread, links and subscribers."""
+"""The host of the control plane's core: provides its clock, timer, disk thread, links and subscribers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ControlPlaneHost:
-    """Hands events to the core and carries its effects out, all on the event loop."""
+    """Passes events to the core and carries out its effects, all on the event loop."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         own_address: str,
         log: Log,
     ) -> None:
-        """Put the parts together; `start` begins to run them."""
+        """Create the components; `start` starts them."""
         self._core = core
         self._log = log
         self._loop = asyncio.get_running_loop()
         self._links = PeerLinks(own_address, self._peer_connected)
         self._streams = SubscriberStreams()
-        self._disk = DiskThread(record_file, self._report_from_thread)
-        self._preparation = PreparationThread(self._report_prepared)
+        self._disk = DiskThread(record_file, self._report_writes)
+        self._preparation = PreparationThread(self._report_preparation)
         self._checkpoint = checkpoint
         self._checkpoint_writer = CheckpointWriter(checkpoint, self._report_saved)
         self._checkpoint_offered_s = 0.0
@@ -87,92 +87,90 @@
 
     @property
     def can_stop(self) -> bool:
-        """Whether this process may end."""
+        """Whether this process may exit."""
         return self._core.can_stop
 
     def start(self) -> None:
-        """Begin to let time pass."""
+        """Start the disk threads, restore the upstreams from the checkpoint and start the timer."""
         self._disk.start()
         self._core.restore_upstreams(self._now_ms(), self._checkpoint.load())
         self._checkpoint_writer.start()
         self._tick()
 
     async def stop(self) -> None:
-        """End the timer and all connections of this host."""
+        """Stop the timer and close all connections of this host."""
         if self._ticker is not None:
             self._ticker.cancel()
         self._preparation.stop()
         self._streams.close_all()
         await self._links.close()
 
-    # --- what the servers hand in ---
-
     def handle_peer_message(self, sender: str, message: PeerFrame) -> None:
-        """A message of another control plane."""
+        """Handle a message from another control plane."""
         self._carry_out(self._core.handle_peer_message(self._now_ms(), sender, message))
 
     def subscribe(self, connection: int, message: Subscribe) -> None:
-        """A data plane's stream begins; `connection` is known to `streams`."""
+        """Handle a data plane's subscription; `connection` is registered in `streams`."""
         self._carry_out(self._core.subscribe(self._now_ms(), connection, message))
 
     def handle_data_plane_message(self, connection: int, message: ToControlPlane) -> None:
-        """A message of a data plane."""
+        """Handle a message from a data plane."""
         self._carry_out(self._core.handle_data_plane_message(self._now_ms(), connection, message))
 
     def handle_data_plane_closed(self, connection: int) -> None:
-        """A data plane's stream ended."""
+        """Handle the end of a data plane's stream."""
         self._carry_out(self._core.handle_data_plane_closed(self._now_ms(), connection))
 
     async def handle_heartbeat(self, instance: str, body: bytes) -> bool:
-        """An upstream's heartbeat; whether it is accepted. Raises HeartbeatError."""
-        call = self._draw_call()
-        return await self._answered(call, self._core.handle_heartbeat(self._now_ms(), call, instance, body))
+        """Handle an upstream's heartbeat; returns whether it is accepted. Raises HeartbeatError."""
+        call = self._next_call()
+        return await self._wait_for_answer(
+            call, self._core.handle_heartbeat(self._now_ms(), call, instance, body)
+        )
 
     async def deregister(self, instance: str) -> bool:
-        """An upstream ends; whether that is accepted."""
-        call = self._draw_call()
-        return await self._answered(call, self._core.deregister(self._now_ms(), call, instance))
+        """Handle an upstream's deregistration; returns whether it is accepted."""
+        call = self._next_call()
+        return await self._wait_for_answer(call, self._core.deregister(self._now_ms(), call, instance))
 
     async def submit(self, command: Command) -> CommandResult:
-        """Bring an operator's command to its end."""
-        call = self._draw_call()
-        ended: asyncio.Future[CommandResult] = self._loop.create_future()
-        self._commands[call] = ended
+        """Submit an operator's command and wait for its result."""
+        call = self._next_call()
+        response: asyncio.Future[CommandResult] = self._loop.create_future()
+        self._commands[call] = response
         self._carry_out(self._core.submit(self._now_ms(), call, command))
-        return await ended
+        return await response
 
     async def read(self) -> RespondToRead:
-        """Bring an operator's read to its end."""
-        call = self._draw_call()
-        ended: asyncio.Future[RespondToRead] = self._loop.create_future()
-        self._reads[call] = ended
+        """Submit an operator's read and wait for its response."""
+        call = self._next_call()
+        response: asyncio.Future[RespondToRead] = self._loop.create_future()
+        self._reads[call] = response
         self._carry_out(self._core.submit(self._now_ms(), call, None))
-        return await ended
+        return await response
 
     def status(self, node: str, zone: str) -> ControlPlaneStatus:
-        """How this control plane stands, for an operator."""
+        """The status of this control plane, for an operator."""
         return self._core.status(self._now_ms(), node, zone)
 
     def request_shutdown(self) -> None:
-        """The process is about to end."""
+        """Announce to the core that the process is about to exit."""
         self._carry_out(self._core.handle_replica_event(self._now_ms(), ShutdownRequested()))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """The settings file names other seeds."""
+        """Apply the seeds of a changed settings file."""
         self._carry_out(self._core.set_seeds(self._now_ms(), seeds))
 
-    # --- parts ---
-
-    async def _answered(self, call: int, effects: list[Effect]) -> bool:
-        answered: asyncio.Future[bool] = self._loop.create_future()
-        self._upstream_calls[call] = answered
+    async def _wait_for_answer(self, call: int, effects: list[Effect]) -> bool:
+        answer: asyncio.Future[bool] = self._loop.create_future()
+        self._upstream_calls[call] = answer
         self._carry_out(effects)
-        return await answered
+        return await answer
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
 
-    def _draw_call(self) -> int:
+    def _next_call(self) -> int:
         self._last_call += 1
         return self._last_call
 
@@ -190,7 +188,7 @@
         self._offer_checkpoint()
 
     def _offer_checkpoint(self) -> None:
-        """Have the registry saved; where a write is under way, again with the next tick if that is urgent."""
+        """Offer the registry to be saved; during a write, an urgent save is deferred to a later tick."""
         if self._checkpoint_writer.is_busy:
             return
         self._is_save_urgent = False
@@ -198,25 +196,25 @@
         self._checkpoint_writer.offer(self._core.upstreams(self._now_ms()))
 
     def _report_saved(self, records: Sequence[UpstreamRecord]) -> None:
-        self._loop.call_soon_threadsafe(self._checkpoint_saved, records)
+        self._loop.call_soon_threadsafe(self._handle_saved, records)
 
-    def _checkpoint_saved(self, records: Sequence[UpstreamRecord]) -> None:
+    def _handle_saved(self, records: Sequence[UpstreamRecord]) -> None:
         self._carry_out(self._core.handle_checkpoint_saved(self._now_ms(), records))
 
     def _peer_connected(self, address: str) -> None:
         self._carry_out(self._core.handle_peer_connected(self._now_ms(), address))
 
-    def _report_from_thread(self, completions: list[Completion]) -> None:
-        self._loop.call_soon_threadsafe(self._writes_ended, completions)
+    def _report_writes(self, completions: list[Completion]) -> None:
+        self._loop.call_soon_threadsafe(self._handle_writes, completions)
 
-    def _writes_ended(self, completions: list[Completion]) -> None:
+    def _handle_writes(self, completions: list[Completion]) -> None:
         for completion in completions:
             self._carry_out(self._core.handle_replica_event(self._now_ms(), completion))
 
-    def _report_prepared(self, completion: PreparationCompleted) -> None:
-        self._loop.call_soon_threadsafe(self._preparation_ended, completion)
+    def _report_preparation(self, completion: PreparationCompleted) -> None:
+        self._loop.call_soon_threadsafe(self._handle_preparation, completion)
 
-    def _preparation_ended(self, completion: PreparationCompleted) -> None:
+    def _handle_preparation(self, completion: PreparationCompleted) -> None:
         self._carry_out(self._core.handle_replica_event(self._now_ms(), completion))
 
     def _carry_out(self, effects: Iterable[Effect]) -> None:
@@ -224,24 +222,24 @@
             self._handlers[type(effect)](effect)
 
     def _send_to_peer(self, effect: SendToPeer) -> None:
-        if effect.message is not self._encoded_message:  # one message to many peers is encoded once
+        if effect.message is not self._encoded_message:  # a message to several peers is encoded once
             self._encoded_message, self._encoded = effect.message, peer_frames.encode(effect.message)
         self._links.send(effect.address, self._encoded)
 
     def _respond_to_command(self, effect: RespondToCommand) -> None:
-        ended = self._commands.pop(effect.call)
-        if not ended.done():
-            ended.set_result(effect.result)
+        response = self._commands.pop(effect.call)
+        if not response.done():
+            response.set_result(effect.result)
 
     def _respond_to_read(self, effect: RespondToRead) -> None:
-        ended = self._reads.pop(effect.call)
-        if not ended.done():
-            ended.set_result(effect)
+        response = self._reads.pop(effect.call)
+        if not response.done():
+            response.set_result(effect)
 
     def _respond_to_upstream(self, effect: RespondToUpstream) -> None:
-        answered = self._upstream_calls.pop(effect.call)
-        if not answered.done():
-            answered.set_result(effect.is_accepted)
+        answer = self._upstream_calls.pop(effect.call)
+        if not answer.done():
+            answer.set_result(effect.is_accepted)
 
     def _log_line(self, line: LogLine) -> None:
         write_line(self._log, line)
--- a/madderwind/controlplane/internal_server.py
+++ b/madderwind/controlplane/internal_server.py
@@ -1,4 +1,4 @@
-"""The server for the system's own processes: other control planes and data planes, each on a WebSocket."""
+"""The server for other control planes and for data planes, each connected by a WebSocket."""
 
 from __future__ import annotations
 
@@ -27,21 +27,21 @@
 
 
 class InternalServer:
-    """Takes connections at /replica and /subscribe."""
+    """Accepts connections of control planes at /replica and of data planes at /subscribe."""
 
     def __init__(self, host: ControlPlaneHost, log: Log) -> None:
         self._host, self._log = host, log
         self._peers: dict[str, asyncio.Transport] = {}
 
     def application(self) -> web.Application:
-        """The application to be served."""
+        """The aiohttp application with the server's routes."""
         application = web.Application()
-        application.router.add_get("/replica", self._replica)
-        application.router.add_get("/subscribe", self._subscribe)
+        application.router.add_get("/replica", self._serve_peer_connection)
+        application.router.add_get("/subscribe", self._serve_subscription)
         return application
 
-    async def _replica(self, request: web.Request) -> web.WebSocketResponse:
-        connection = await _accepted(request)
+    async def _serve_peer_connection(self, request: web.Request) -> web.WebSocketResponse:
+        connection = await _accept_connection(request)
         try:
             hello = await _next_message(connection, peer_frames, FIRST_MESSAGE_TIMEOUT_S)
             if isinstance(hello, Hello):
@@ -56,14 +56,14 @@
         return connection
 
     def _replace_connection(self, sender: str, transport: asyncio.Transport) -> None:
-        """A peer has one connection; an older one is dead to it."""
+        """Abort a peer's older connection: a peer has one, and no longer uses the older."""
         older = self._peers.get(sender)
         if older is not None:
             older.abort()
         self._peers[sender] = transport
 
-    async def _subscribe(self, request: web.Request) -> web.WebSocketResponse:
-        connection = await _accepted(request)
+    async def _serve_subscription(self, request: web.Request) -> web.WebSocketResponse:
+        connection = await _accept_connection(request)
         try:
             first = await _next_message(connection, to_control_plane, FIRST_MESSAGE_TIMEOUT_S)
             if isinstance(first, Subscribe):
@@ -93,7 +93,7 @@
             write_line(self._log, DATA_PLANE_UNSUBSCRIBED.line(data_plane=first.node))
 
 
-async def _accepted(request: web.Request) -> web.WebSocketResponse:
+async def _accept_connection(request: web.Request) -> web.WebSocketResponse:
     tcp_socket = _transport(request).get_extra_info("socket")
     if tcp_socket is not None:
         set_options(tcp_socket)
@@ -114,7 +114,7 @@
 async def _next_message(
     connection: web.WebSocketResponse, codec: Codec[MessageType], timeout_s: float | None = None
 ) -> MessageType | None:
-    """The next message, None once the connection has ended; raises MessageError."""
+    """The next message, or None after a timeout or the connection's end; raises MessageError."""
     try:
         frame = await connection.receive(timeout_s)
     except TimeoutError:
@@ -122,5 +122,5 @@
     if frame.type is WSMsgType.BINARY:
         return codec.decode(frame.data)
     if frame.type is WSMsgType.TEXT:
-        raise MessageError("a text frame")
+        raise MessageError("expected a binary frame, got a text frame")
     return None
--- a/madderwind/controlplane/metrics.py
+++ b/madderwind/controlplane/metrics.py
@@ -1,4 +1,4 @@
-"""What a control plane tells Prometheus."""
+"""The metrics that a control plane exports to Prometheus."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def control_plane_samples(status: ControlPlaneStatus) -> Iterator[Sample]:
-    """The values of a status."""
+    """The samples of a control plane's status."""
     yield Sample("primary", "Whether this control plane is the primary.", float(status.is_primary))
     yield Sample("epoch", "The newest epoch known here.", float(status.epoch))
     yield Sample("committed_version", "The committed configuration.", float(status.committed_version))
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -1,4 +1,4 @@
-"""The process of a control plane: settings, signals, servers, and its end."""
+"""The process of a control plane: settings, signals, servers and shutdown."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from madderwind.storage.record_file import RecordFile, RecoveredFile
 from madderwind.structured_log import BatchedOutput, Log, open_log, write_line
 
-# What stays of the grace period for closing connections and for the start of the last write.
+# Part of the grace period that is reserved for closing connections and for starting the last write.
 SHUTDOWN_RESERVE_S = 1.5
 SHUTDOWN_CHECK_S = 0.05
 CLOSE_TIMEOUT_S = 0.3
@@ -60,16 +60,16 @@
         return cast(ConfigurationHistory, self._replica.committed)
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Handle an event; what comes back is to be carried out in order."""
+        """Handle an event; returns the actions to carry out in order."""
         return self._replica.handle(now_ms, event)
 
     def status(self, now_ms: float) -> ReplicaStatus:
-        """How this replica stands."""
+        """The replica's current status."""
         return self._replica.status(now_ms)
 
 
 class ControlPlaneProcess:
-    """One control plane from its start to its end."""
+    """Runs one control plane from startup to shutdown."""
 
     def __init__(self, settings: NodeSettings, record_file: RecordFile, recovered: RecoveredFile) -> None:
         self._settings = settings
@@ -80,7 +80,7 @@
         self._runners: list[web.AppRunner] = []
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then transfer leadership and end."""
+        """Serve until SIGTERM or SIGINT, then transfer leadership and shut down."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.request_shutdown)
         loop.add_signal_handler(signal.SIGINT, self.request_shutdown)
@@ -97,12 +97,12 @@
         exporter = await start_exporter(
             self._settings.listen, lambda: control_plane_samples(host.status(node, zone))
         )
-        watching = asyncio.create_task(watch.run())
+        watch_task = asyncio.create_task(watch.run())
         write_line(self._log, CONTROL_PLANE_STARTED.line(address=self._own_address()))
         gc.collect()
         gc.freeze()
         await self._shutdown_requested.wait()
-        watching.cancel()
+        watch_task.cancel()
         public_server.reject_new_calls()
         await self._transfer_leadership(host)
         if exporter is not None:
@@ -110,7 +110,7 @@
         await self._close(host)
 
     def request_shutdown(self) -> None:
-        """Transfer leadership and end, as on SIGTERM."""
+        """Request a shutdown with a transfer of leadership, as SIGTERM does."""
         self._shutdown_requested.set()
 
     def _own_address(self) -> str:
@@ -170,17 +170,17 @@
         return SettingsWatch(Path(os.environ.get(SETTINGS_VARIABLE, "")), apply, log)
 
     async def _transfer_leadership(self, host: ControlPlaneHost) -> None:
-        """Transfer leadership where it is held and answer the calls in progress.
+        """Transfer leadership if this replica is the primary, and answer the calls in progress.
 
-        Stays as long as the grace period allows while the in-sync set can't do without this replica.
+        While the in-sync set needs this replica, the process waits for as long as the grace period allows.
         """
         write_line(self._log, SHUTDOWN_REQUESTED.line())
         host.request_shutdown()
         grace_s = self._settings.bounds.grace_s - SHUTDOWN_RESERVE_S
         deadline_s = asyncio.get_running_loop().time() + max(grace_s, 0.0)
-        while not host.can_stop and asyncio.get_running_loop().time() < deadline_s:  # noqa: ASYNC110 - decided by the core at its ticks
+        while not host.can_stop and asyncio.get_running_loop().time() < deadline_s:  # noqa: ASYNC110 - the core updates it at its ticks
             await asyncio.sleep(SHUTDOWN_CHECK_S)
-        await asyncio.sleep(SHUTDOWN_CHECK_S)  # the last messages leave
+        await asyncio.sleep(SHUTDOWN_CHECK_S)  # time to send the last messages
 
     async def _close(self, host: ControlPlaneHost) -> None:
         await host.stop()
@@ -195,7 +195,7 @@
 
 
 def _control_plane_settings() -> NodeSettings:
-    """The settings file's content; raises SettingsError where it describes no control plane."""
+    """Read the settings file; raises SettingsError if it does not describe a control plane."""
     settings = read_settings()
     if "control" not in settings.listen or not settings.data_dir:
         raise SettingsError("listen.control, data_dir", "a control plane needs both")
@@ -203,7 +203,7 @@
 
 
 def main() -> None:
-    """Run the control plane that the settings file describes; exits with 1 where it can't be used."""
+    """Run the control plane of the settings file; exits with 1 if the file or the storage is unusable."""
     try:
         settings = _control_plane_settings()
         record_file = RecordFile(FileDisk(settings.data_dir or ""))
@@ -212,5 +212,5 @@
         print(f"control plane: {error}", file=sys.stderr)
         sys.exit(1)
     asyncio.run(_run(settings, record_file, recovered))
-    # Threads that wait for a faulty disk must not delay the exit.
+    # Exit without joining threads: one that is blocked by a faulty disk would delay the exit.
     os._exit(0)
--- a/madderwind/controlplane/public_server.py
+++ b/madderwind/controlplane/public_server.py
@@ -1,4 +1,4 @@
-"""The server for operators and upstreams: configurations and heartbeats, in JSON over HTTP."""
+"""The HTTP server for operators and upstreams: configurations and heartbeats as JSON."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 MAX_COMMAND_BYTES = 4 * 1024 * 1024
 BASE_VERSION_HEADER = "X-Base-Version"
-# An upstream takes its heartbeat elsewhere after a second, an operator's large body takes longer.
+# An upstream calls another control plane after a second; an operator's large body takes longer to arrive.
 HEARTBEAT_BODY_TIMEOUT_S, COMMAND_BODY_TIMEOUT_S = 1.0, 10.0
 RETRY_AFTER_S = "0.1"
 
-_STATUS = {
+_HTTP_STATUS = {
     CommandOutcome.COMMITTED: 200,
     CommandOutcome.STALE_BASE: 412,
     CommandOutcome.INVALID: 400,
@@ -29,14 +29,14 @@
 
 
 class PublicServer:
-    """The operator's API and the upstreams' registration."""
+    """Serves the operator's API and the registration of upstreams."""
 
     def __init__(self, host: ControlPlaneHost, log: Log) -> None:
         self._host, self._log = host, log
         self._is_shutting_down = False
 
     def application(self) -> web.Application:
-        """The application to be served."""
+        """The aiohttp application with the server's routes."""
         application = web.Application(client_max_size=MAX_COMMAND_BYTES)
         router = application.router
         router.add_post("/instances/{instance}/heartbeat", self._heartbeat)
@@ -47,19 +47,19 @@
         return application
 
     def reject_new_calls(self) -> None:
-        """From now on callers are sent elsewhere: this process is about to end."""
+        """Answer new calls with 503 before shutdown, so that callers turn to another control plane."""
         self._is_shutting_down = True
 
     async def _heartbeat(self, request: web.Request) -> web.Response:
         if self._is_shutting_down:
             return _unavailable("this process is about to end")
-        body = await _body(request, MAX_HEARTBEAT_BYTES, HEARTBEAT_BODY_TIMEOUT_S)
+        body = await _read_body(request, MAX_HEARTBEAT_BYTES, HEARTBEAT_BODY_TIMEOUT_S)
         instance = request.match_info["instance"]
         try:
             is_accepted = await self._host.handle_heartbeat(instance, body)
         except HeartbeatError as error:
             write_line(self._log, INVALID_HEARTBEAT.line(instance=instance, reason=str(error)))
-            return _json(400, {"error": str(error)})
+            return _json_response(400, {"error": str(error)})
         return _upstream_response(is_accepted)
 
     async def _deregister(self, request: web.Request) -> web.Response:
@@ -78,8 +78,8 @@
             return _unavailable("this process is about to end")
         base = request.headers.get(BASE_VERSION_HEADER, "")
         if not (base.isascii() and base.isdigit()):
-            return _json(400, {"error": "a whole number is expected", "field": BASE_VERSION_HEADER})
-        body = await _body(request, MAX_COMMAND_BYTES, COMMAND_BODY_TIMEOUT_S)
+            return _json_response(400, {"error": "a whole number is expected", "field": BASE_VERSION_HEADER})
+        body = await _read_body(request, MAX_COMMAND_BYTES, COMMAND_BODY_TIMEOUT_S)
         result = await self._host.submit(Command(kind, int(base), body))
         line = COMMAND_COMPLETED.line(
             kind=kind.value,
@@ -95,16 +95,16 @@
     async def _read(self, _request: web.Request) -> web.Response:
         if self._is_shutting_down:
             return _unavailable("this process is about to end")
-        ended = await self._host.read()
-        if ended.document is None:
+        response = await self._host.read()
+        if response.document is None:
             return _unavailable("no newest configuration could be proven here and now")
-        if not ended.version:
-            return _json(404, {"error": "there is no configuration yet"})
-        return web.Response(body=ended.document, content_type="application/json")
+        if not response.version:
+            return _json_response(404, {"error": "there is no configuration yet"})
+        return web.Response(body=response.document, content_type="application/json")
 
 
-async def _body(request: web.Request, max_bytes: int, timeout_s: float) -> bytes:
-    """The complete body; responds with 413 where it is too long and 408 where it does not come."""
+async def _read_body(request: web.Request, max_bytes: int, timeout_s: float) -> bytes:
+    """Read the complete body; responds with 413 if it is too long, 408 if it does not arrive in time."""
     if (request.content_length or 0) > max_bytes:
         raise web.HTTPRequestEntityTooLarge(max_bytes, request.content_length or 0)
     try:
@@ -118,16 +118,16 @@
 
 
 def _upstream_response(is_accepted: bool) -> web.Response:
-    return _json(200, {}) if is_accepted else _unavailable("no other control plane has confirmed it")
+    return _json_response(200, {}) if is_accepted else _unavailable("no other control plane has confirmed it")
 
 
 def _command_response(result: CommandResult) -> web.Response:
     if result.outcome is CommandOutcome.UNKNOWN:
         return _unavailable("no clear answer here and now")
     if result.outcome is CommandOutcome.COMMITTED:
-        return _json(200, {"version": result.version})
-    return _json(
-        _STATUS[result.outcome],
+        return _json_response(200, {"version": result.version})
+    return _json_response(
+        _HTTP_STATUS[result.outcome],
         {
             "error": result.reason or result.outcome.value,
             "field": result.field,
@@ -137,10 +137,10 @@
 
 
 def _unavailable(reason: str) -> web.Response:
-    response = _json(503, {"error": reason})
+    response = _json_response(503, {"error": reason})
     response.headers["Retry-After"] = RETRY_AFTER_S
     return response
 
 
-def _json(status: int, content: dict[str, str | int]) -> web.Response:
+def _json_response(status: int, content: dict[str, str | int]) -> web.Response:
     return web.Response(status=status, body=msgspec.json.encode(content), content_type="application/json")
--- a/madderwind/controlplane/status_handler.py
+++ b/madderwind/controlplane/status_handler.py
@@ -1,4 +1,4 @@
-"""GET /status at the internal address: how this control plane stands, for operators. It changes nothing."""
+"""GET /status at the internal address: the read-only status of this control plane, for operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def add_status(application: web.Application, host: ControlPlaneHost, node: str, zone: str) -> None:
-    """Serve the status of this node."""
+    """Add the handler that serves this node's status."""
 
     async def answer(_: web.Request) -> web.Response:
         content = msgspec.json.encode(host.status(node, zone))
