--- a/tests/controlplane/configurations.py
+++ b/tests/controlplane/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of an operator for the stories of the control plane."""
+"""Operator configurations for the tests of the control plane."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def route(number: int, timeout_ms: int = 1000) -> dict[str, Any]:
-    """A route of its own prefix to the one service."""
+    """A route with its own path prefix to the only service."""
     return {
         "name": f"r-{number}",
         "host": "h.example",
@@ -28,7 +28,7 @@
 
 
 def replacement_body(version: int, routes: int = 1, timeout_ms: int = 1000) -> bytes:
-    """A whole configuration."""
+    """A complete configuration as JSON."""
     return json.dumps(
         {
             "version": version,
@@ -47,7 +47,7 @@
 
 
 def replacement(base_version: int, version: int, routes: int = 1, timeout_ms: int = 1000) -> Command:
-    """A command that replaces the whole configuration."""
+    """A command that replaces the complete configuration."""
     return Command(CommandKind.REPLACE, base_version, replacement_body(version, routes, timeout_ms))
 
 
--- a/tests/controlplane/fleet.py
+++ b/tests/controlplane/fleet.py
@@ -1,4 +1,4 @@
-"""Control planes in memory: messages are carried by the test's own network, time is the test's."""
+"""Control planes in memory: the test delivers their messages and advances their clock."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def heartbeat(sequence: int, state: str = "ready") -> bytes:
-    """An upstream's heartbeat."""
+    """The body of an upstream's heartbeat."""
     return (
         f'{{"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1","slots":4,"state":"{state}",'
         f'"cold_remaining_ms":0,"sequence":{sequence}}}'
@@ -35,7 +35,7 @@
 
 
 class ControlPlaneInMemory:
-    """One control plane, and what came out of it."""
+    """One control plane and its recorded effects."""
 
     def __init__(self, address: str, members: tuple[str, ...], history: ConfigurationHistory) -> None:
         self.address = address
@@ -45,23 +45,23 @@
         )
         self.commands: dict[int, RespondToCommand] = {}
         self.reads: dict[int, RespondToRead] = {}
-        self.accepted: dict[int, bool] = {}  # upstreams' calls
+        self.accepted: dict[int, bool] = {}  # responses to upstreams, by call
         self.has_stalled_disk = False
-        self.notified: dict[int, list[ToDataPlane]] = {}
+        self.sent_messages: dict[int, list[ToDataPlane]] = {}
         self.log: list[LogLine] = []
 
 
 class FleetInMemory:
-    """Control planes that share one configuration, as if replication took no time."""
+    """Control planes that share one configuration, so that replication is instantaneous."""
 
     def __init__(self, count: int = 3) -> None:
         members = tuple(f"10.0.0.{number}:7500" for number in range(1, count + 1))
         history = ConfigurationHistory()
         self.now_ms = 0.0
         self.planes = [ControlPlaneInMemory(address, members, history) for address in members]
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         self._by_address = {plane.address: plane for plane in self.planes}
-        self._on_the_way: deque[tuple[str, str, bytes]] = deque()
+        self._in_flight: deque[tuple[str, str, bytes]] = deque()
         for plane in self.planes:
             for peer in members:
                 if peer != plane.address:
@@ -69,77 +69,77 @@
         self.deliver()
 
     def make_primary(self, plane: ControlPlaneInMemory | None, epoch: int = 2) -> None:
-        """All take this one for the primary from now on, or know of none."""
-        for other in self.planes:
-            other.replica.primary = plane.address if plane is not None else ""
-            other.replica.epoch = epoch
+        """Let all replicas report this control plane as the primary, or none."""
+        for each in self.planes:
+            each.replica.primary = plane.address if plane is not None else ""
+            each.replica.epoch = epoch
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the clock tick by tick and deliver messages; partitioned control planes do not tick."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += TICK_MS
             for plane in self.planes:
-                if plane.address not in self.cut:
+                if plane.address not in self.partitioned:
                     self.carry_out(plane, plane.core.tick(self.now_ms))
             self.deliver()
 
     def submit(self, plane: ControlPlaneInMemory, call: int, command: Command | None) -> None:
-        """The operator calls a control plane."""
+        """Submit an operator's command, or a read if it is None, to a control plane."""
         self.carry_out(plane, plane.core.submit(self.now_ms, call, command))
         self.deliver()
 
     def heartbeat(self, plane: ControlPlaneInMemory, sequence: int, state: str = "ready") -> None:
-        """The upstream i-1 calls a control plane; its sequence is the number of the call."""
+        """Send a heartbeat of upstream i-1 to a control plane; `sequence` is also the call's number."""
         body = heartbeat(sequence, state)
         self.carry_out(plane, plane.core.handle_heartbeat(self.now_ms, sequence, "i-1", body))
         self.deliver()
 
     def deregister(self, plane: ControlPlaneInMemory, call: int) -> None:
-        """The upstream i-1 ends."""
+        """Send the deregistration of upstream i-1 to a control plane."""
         self.carry_out(plane, plane.core.deregister(self.now_ms, call, "i-1"))
         self.deliver()
 
     def subscribe(self, plane: ControlPlaneInMemory, connection: int, node: str, version: int = 0) -> None:
-        """A data plane connects."""
-        plane.notified[connection] = []
+        """Subscribe a data plane to a control plane."""
+        plane.sent_messages[connection] = []
         message = Subscribe(node, "1", f"{node}:7501", "z", version)
         self.carry_out(plane, plane.core.subscribe(self.now_ms, connection, message))
 
-    def say(self, plane: ControlPlaneInMemory, connection: int, message: ToControlPlane) -> None:
-        """A data plane sends a message."""
+    def send(self, plane: ControlPlaneInMemory, connection: int, message: ToControlPlane) -> None:
+        """Send a message from a data plane to a control plane."""
         self.carry_out(plane, plane.core.handle_data_plane_message(self.now_ms, connection, message))
         self.deliver()
 
     def save_registry(self, plane: ControlPlaneInMemory) -> None:
-        """Have the registry's copy on disk, unless that stalls."""
+        """Save the registry's checkpoint, unless the disk is stalled."""
         if not plane.has_stalled_disk:
             upstreams = plane.core.upstreams(self.now_ms)
             self.carry_out(plane, plane.core.handle_checkpoint_saved(self.now_ms, upstreams))
 
     def deliver(self) -> None:
-        """Carry all messages between control planes, those they cause included."""
-        while self._on_the_way:
-            sender, receiver, frame = self._on_the_way.popleft()
+        """Deliver all messages between control planes, including those that are sent in response."""
+        while self._in_flight:
+            sender, receiver, frame = self._in_flight.popleft()
             plane = self._by_address.get(receiver)
-            if plane is None or sender in self.cut or receiver in self.cut:
+            if plane is None or sender in self.partitioned or receiver in self.partitioned:
                 continue
             message: PeerFrame = peer_frames.decode(frame)
             self.carry_out(plane, plane.core.handle_peer_message(self.now_ms, sender, message))
 
     def carry_out(self, plane: ControlPlaneInMemory, effects: list[Effect]) -> None:
-        """Be the host of a control plane."""
+        """Carry out effects in place of the control plane's host."""
         for effect in effects:
             if isinstance(effect, SendToPeer):
                 frame = peer_frames.encode(effect.message)
-                self._on_the_way.append((plane.address, effect.address, frame))
+                self._in_flight.append((plane.address, effect.address, frame))
             elif isinstance(effect, SendTo):
-                plane.notified[effect.connection].append(effect.message)
+                plane.sent_messages[effect.connection].append(effect.message)
             elif isinstance(effect, SendToAll):
-                for notified in plane.notified.values():
-                    notified.append(effect.message)
+                for messages in plane.sent_messages.values():
+                    messages.append(effect.message)
             elif isinstance(effect, Close):
-                del plane.notified[effect.connection]
+                del plane.sent_messages[effect.connection]
             elif isinstance(effect, RespondToCommand):
                 plane.commands[effect.call] = effect
             elif isinstance(effect, RespondToRead):
--- a/tests/controlplane/scripted_replica.py
+++ b/tests/controlplane/scripted_replica.py
@@ -1,4 +1,4 @@
-"""A replica whose role the test sets; it decides on a real configuration and commits at once."""
+"""A replica whose role the test sets; it applies commands to a real ConfigurationHistory at once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 
 class ScriptedReplica:
-    """`primary` is the address that it takes for the primary; `mute` keeps commands without an end."""
+    """A replica without peers.
+
+    `primary` is the address that it reports as the primary. While it is `unresponsive`, it resolves neither
+    commands nor reads.
+    """
 
     def __init__(self, address: str, members: tuple[str, ...], history: ConfigurationHistory) -> None:
         self.address, self.members = address, members
@@ -28,7 +32,7 @@
         return self.history
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take an event."""
+        """Record the event; resolve commands and reads at once."""
         self.events.append(event)
         if isinstance(event, CommandSubmitted) and not self.unresponsive:
             return self._command(event.token, event.command)
@@ -37,7 +41,7 @@
         return []
 
     def status(self, now_ms: float) -> ReplicaStatus:
-        """The role that the test set."""
+        """The status that results from the role set by the test."""
         return ReplicaStatus(
             is_primary=self._is_primary(),
             primary=self.primary,
@@ -59,5 +63,5 @@
             return [CommandResolved(token, result)]
         self.history.apply(command)
         version = self.history.version
-        taken = CommandResult(CommandOutcome.COMMITTED, version)
-        return [Committed(version), CommandResolved(token, taken)]
+        committed_result = CommandResult(CommandOutcome.COMMITTED, version)
+        return [Committed(version), CommandResolved(token, committed_result)]
--- a/tests/controlplane/test_cut_off_upstreams.py
+++ b/tests/controlplane/test_cut_off_upstreams.py
@@ -1,4 +1,4 @@
-"""Stories of upstreams that call a control plane which is cut off, or was restarted while it was."""
+"""Tests of upstreams that call a control plane that is cut off, or was restarted while it was."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from tests.controlplane.fleet import ControlPlaneInMemory, FleetInMemory
 
 
-class CutOffStory(unittest.TestCase):
-    """Given three control planes, the first of which is cut off from the others."""
+class CutOffTestCase(unittest.TestCase):
+    """Three control planes, the first of which is cut off from the others."""
 
     def setUp(self) -> None:
         self.fleet = FleetInMemory()
         self.cut_off, self.second, self.third = self.fleet.planes
         self.fleet.subscribe(self.cut_off, 1, "front-1")
 
-    def cut(self) -> None:
-        self.fleet.cut.update({self.second.address, self.third.address})
+    def begin_cut(self) -> None:
+        self.fleet.partitioned.update({self.second.address, self.third.address})
         self.cut_off.replica.fresh_age_ms = CONNECTED_MS + 1.0
         self.fleet.run(25.0)
 
-    def heal(self) -> None:
-        self.fleet.cut.clear()
+    def end_cut(self) -> None:
+        self.fleet.partitioned.clear()
         self.cut_off.replica.fresh_age_ms = 10.0
         self.fleet.run(25.0)
 
     def restart(self) -> None:
-        """The cut-off one begins a new life with what its registry's copy on disk holds."""
+        """Restart the cut-off control plane with the upstreams from its checkpoint."""
         saved = self.cut_off.core.upstreams(self.fleet.now_ms)
         successor = ControlPlaneInMemory(
             self.cut_off.address, self.cut_off.replica.members, self.cut_off.replica.history
@@ -45,38 +45,38 @@
         self.fleet.run(25.0)
 
 
-class AnUpstreamThatLeaves(CutOffStory):
-    def test_given_a_cut_then_no_call_makes_one_machine_acknowledge_alone(self) -> None:
+class DrainsDuringACut(CutOffTestCase):
+    def test_a_cut_off_machine_never_acknowledges_a_drain_alone(self) -> None:
         self.fleet.heartbeat(self.cut_off, 1)
-        self.cut()
+        self.begin_cut()
         for call in range(2, 10):
             self.fleet.heartbeat(self.cut_off, call, "draining")
             self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
             self.assertEqual(False, self.cut_off.accepted[call])
-        self.heal()
+        self.end_cut()
         self.fleet.heartbeat(self.cut_off, 10, "draining")
         self.assertEqual(True, self.cut_off.accepted[10])
 
-    def test_given_a_restart_inside_the_cut_then_what_the_disk_holds_is_no_confirmation(self) -> None:
+    def test_after_a_restart_the_own_checkpoint_is_not_a_confirmation(self) -> None:
         self.fleet.heartbeat(self.cut_off, 1)
-        self.cut()
+        self.begin_cut()
         self.fleet.heartbeat(self.cut_off, 2, "draining")
         self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.restart()
         self.fleet.heartbeat(self.cut_off, 3, "draining")
         self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
         self.assertEqual({3: False}, self.cut_off.accepted)
-        self.heal()
+        self.end_cut()
         self.fleet.deregister(self.cut_off, 4)
         self.assertEqual(True, self.cut_off.accepted[4])
 
-    def test_given_a_registry_that_takes_no_more_then_nothing_is_acknowledged(self) -> None:
+    def test_a_full_registry_acknowledges_nothing(self) -> None:
         with mock.patch("madderwind.registry.registry.MAX_UPSTREAMS", 0):
             self.fleet.heartbeat(self.cut_off, 1, "draining")
             self.fleet.deregister(self.cut_off, 2)
         self.assertEqual({1: False, 2: False}, self.cut_off.accepted)
 
-    def test_given_peers_that_hear_but_are_not_heard_then_it_is_not_acknowledged(self) -> None:
+    def test_a_drain_is_not_acknowledged_if_peers_receive_but_do_not_answer(self) -> None:
         self.fleet.heartbeat(self.cut_off, 1)
         with mock.patch.object(RegistryService, "_handle_final_state", return_value=[]):
             self.fleet.heartbeat(self.cut_off, 2, "draining")
@@ -84,80 +84,76 @@
         self.assertEqual(False, self.cut_off.accepted[2])
 
 
-class AnUpstreamThatBegins(CutOffStory):
-    def test_given_no_view_yet_then_it_is_acknowledged_by_any_machine(self) -> None:
-        self.cut()
+class NewUpstreamsDuringACut(CutOffTestCase):
+    def test_before_the_first_view_any_machine_acknowledges_a_new_upstream(self) -> None:
+        self.begin_cut()
         self.cut_off.replica.epoch, self.cut_off.replica.fresh_age_ms = 0, None
         self.fleet.run(25.0)
         self.fleet.heartbeat(self.cut_off, 1)
         self.assertEqual(True, self.cut_off.accepted[1])
 
-    def test_given_a_cut_when_it_is_new_then_it_is_sent_to_another_machine(self) -> None:
-        self.cut()
+    def test_a_new_upstream_is_rejected_so_that_it_calls_another_machine(self) -> None:
+        self.begin_cut()
         self.fleet.heartbeat(self.cut_off, 1)
         self.assertEqual(False, self.cut_off.accepted[1])
-        notified = [message for message in self.cut_off.notified[1] if isinstance(message, RegistryDelta)]
-        self.assertEqual(["i-1"], [message.upstreams[0].instance for message in notified])
+        deltas = [message for message in self.cut_off.sent_messages[1] if isinstance(message, RegistryDelta)]
+        self.assertEqual(["i-1"], [message.upstreams[0].instance for message in deltas])
 
-    def test_given_a_cut_when_others_know_it_then_its_heartbeats_are_acknowledged(self) -> None:
+    def test_heartbeats_of_an_upstream_known_to_peers_are_acknowledged(self) -> None:
         self.fleet.heartbeat(self.second, 1)
-        self.cut()
+        self.begin_cut()
         self.fleet.heartbeat(self.cut_off, 2)
         self.assertEqual(True, self.cut_off.accepted[2])
 
-    def test_given_a_restart_inside_the_cut_then_it_is_sent_to_another_machine(self) -> None:
+    def test_after_a_restart_an_upstream_only_in_the_checkpoint_is_rejected(self) -> None:
         self.fleet.heartbeat(self.cut_off, 1)
-        self.cut()
+        self.begin_cut()
         self.restart()
         self.fleet.heartbeat(self.cut_off, 2)
         self.assertEqual(False, self.cut_off.accepted[2])
-        self.heal()
+        self.end_cut()
         self.fleet.heartbeat(self.cut_off, 3)
         self.assertEqual(True, self.cut_off.accepted[3])
 
 
 def accept_alone(
-    upstreams: RegistryService, now_ms: float, call: int, instance: str
+    service: RegistryService, now_ms: float, call: int, instance: str
 ) -> list[RespondToUpstream]:
     return [RespondToUpstream(call, is_accepted=True)]
 
 
 class Mutants(unittest.TestCase):
-    """Without its mechanism each story fails."""
+    """Each mutant removes a mechanism and must fail the test of that mechanism."""
 
-    def assert_caught(self, story: CutOffStory) -> None:
+    def assert_caught(self, test: CutOffTestCase) -> None:
         result = unittest.TestResult()
-        story.run(result)
+        test.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
-    def test_a_drain_acknowledged_alone(self) -> None:
+    def test_drain_acknowledged_without_peers(self) -> None:
         with mock.patch.object(RegistryService, "_respond", accept_alone):
-            self.assert_caught(
-                AnUpstreamThatLeaves("test_given_a_cut_then_no_call_makes_one_machine_acknowledge_alone")
-            )
+            self.assert_caught(DrainsDuringACut("test_a_cut_off_machine_never_acknowledges_a_drain_alone"))
 
-    def test_a_drain_confirmed_by_the_own_disk(self) -> None:
-        def by_one(drains: DrainTracker, needed: int) -> None:
-            confirmed_by(drains, 1)
+    def test_drain_confirmed_by_the_own_disk_only(self) -> None:
+        def require_one(drains: DrainTracker, needed: int) -> None:
+            original_init(drains, 1)
 
-        confirmed_by = DrainTracker.__init__
-        with mock.patch.object(DrainTracker, "__init__", by_one):
+        original_init = DrainTracker.__init__
+        with mock.patch.object(DrainTracker, "__init__", require_one):
             self.assert_caught(
-                AnUpstreamThatLeaves(
-                    "test_given_a_restart_inside_the_cut_then_what_the_disk_holds_is_no_confirmation"
-                )
+                DrainsDuringACut("test_after_a_restart_the_own_checkpoint_is_not_a_confirmation")
             )
 
-    def test_an_upstream_that_the_own_disk_holds_taken_for_known_elsewhere(self) -> None:
+    def test_restored_upstream_treated_as_known_to_peers(self) -> None:
         with mock.patch.object(Registry, "restore", Registry.merge):
             self.assert_caught(
-                AnUpstreamThatBegins("test_given_a_restart_inside_the_cut_then_it_is_sent_to_another_machine")
+                NewUpstreamsDuringACut("test_after_a_restart_an_upstream_only_in_the_checkpoint_is_rejected")
             )
 
-    def test_a_new_upstream_acknowledged_alone(self) -> None:
+    def test_new_upstream_acknowledged_without_peers(self) -> None:
         with mock.patch.object(RegistryService, "_is_known_to_peers", return_value=True):
             self.assert_caught(
-                AnUpstreamThatBegins("test_given_a_cut_when_it_is_new_then_it_is_sent_to_another_machine")
+                NewUpstreamsDuringACut("test_a_new_upstream_is_rejected_so_that_it_calls_another_machine")
             )
 
 
--- a/tests/controlplane/test_hosts.py
+++ b/tests/controlplane/test_hosts.py
@@ -1,4 +1,4 @@
-"""Three control planes in one process over loopback, with a replica whose role the test sets."""
+"""Tests of three control planes in one process over loopback, with replicas whose role the test sets."""
 
 from __future__ import annotations
 
@@ -45,35 +45,35 @@
 
 
 def free_address() -> str:
-    """An address that nobody listens at."""
+    """A loopback address on a free port."""
     return f"{LOOPBACK}:{free_port()}"
 
 
 class DataPlane:
-    """A data plane's connection, as bytes on the wire."""
+    """A data plane's WebSocket connection to a control plane."""
 
     def __init__(self, connection: aiohttp.ClientWebSocketResponse) -> None:
         self.connection = connection
-        self.notified: list[ToDataPlane] = []
+        self.received: list[ToDataPlane] = []
 
-    async def say(self, message: ToControlPlane) -> None:
+    async def send(self, message: ToControlPlane) -> None:
         await self.connection.send_bytes(to_control_plane.encode(message))
 
-    async def hear(self, is_it: Callable[[ToDataPlane], bool]) -> ToDataPlane:
-        """The next message of which this holds."""
+    async def receive_until(self, condition: Callable[[ToDataPlane], bool]) -> ToDataPlane:
+        """Receive until a message fulfils the condition, and return that message."""
         async with asyncio.timeout(DEADLINE_S):
             while True:
                 message = to_data_plane.decode(await self.connection.receive_bytes())
-                self.notified.append(message)
-                if is_it(message):
+                self.received.append(message)
+                if condition(message):
                     return message
 
 
-class HostsStory(unittest.IsolatedAsyncioTestCase):
+class HostsTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.stack = AsyncExitStack()
-        self.written = os.open(os.devnull, os.O_WRONLY)
-        self.stack.callback(os.close, self.written)
+        self.output = os.open(os.devnull, os.O_WRONLY)
+        self.stack.callback(os.close, self.output)
         self.internal = tuple(free_address() for _ in range(3))
         self.public = [free_address() for _ in range(3)]
         self.history = ConfigurationHistory()
@@ -96,7 +96,7 @@
 
     async def start(self, number: int) -> None:
         folder = self.stack.enter_context(tempfile.TemporaryDirectory())
-        log = open_log(f"core-{number}", BatchedOutput(self.written))
+        log = open_log(f"core-{number}", BatchedOutput(self.output))
         core = ControlPlaneCore(
             self.replicas[number],
             CoreOptions(self.internal[number], self.internal, 1000.0, 1),
@@ -142,14 +142,14 @@
     async def subscribe(self, number: int, node: str = "front-1") -> DataPlane:
         connection = await self.session.ws_connect(f"http://{self.internal[number]}/subscribe")
         data_plane = DataPlane(connection)
-        await data_plane.say(Subscribe(node, "1", f"{node}:7501", "z", 0))
+        await data_plane.send(Subscribe(node, "1", f"{node}:7501", "z", 0))
         self.stack.push_async_callback(connection.close)
-        await data_plane.hear(lambda message: isinstance(message, RegistrySnapshot))
+        await data_plane.receive_until(lambda message: isinstance(message, RegistrySnapshot))
         return data_plane
 
 
-class TheOperatorsApi(HostsStory):
-    async def test_commands_and_reads_at_any_machine(self) -> None:
+class OperatorApiTest(HostsTestCase):
+    async def test_any_machine_serves_commands_and_reads(self) -> None:
         self.assertEqual((await self.read(1))[0], 404)
         self.assertEqual((await self.command(1, "/config/replace", "0", replacement_body(5)))[0], 200)
         self.assertEqual((await self.command(2, "/config/replace", "0", replacement_body(5)))[0], 200)
@@ -159,24 +159,24 @@
         self.assertEqual(status, 200)
         self.assertIn(b'"version": 9', body.replace(b'"version":9', b'"version": 9'))
 
-    async def test_what_is_invalid_is_named(self) -> None:
+    async def test_an_invalid_command_is_rejected_with_the_field_name(self) -> None:
         status, body = await self.command(1, "/config/replace", "0", replacement_body(5, timeout_ms=0))
         self.assertEqual(status, 400)
         self.assertIn(b"timeout_ms", body)
         for base in ("", "x", "-1", "1.5"):
             self.assertEqual((await self.command(1, "/config/replace", base, replacement_body(5)))[0], 400)
 
-    async def test_a_body_over_the_limit_is_refused(self) -> None:
+    async def test_a_body_over_the_limit_is_rejected(self) -> None:
         too_long = b" " * (MAX_COMMAND_BYTES + 1)
         self.assertEqual((await self.command(1, "/config/replace", "0", too_long))[0], 413)
 
-    async def test_a_long_body_is_passed_on_to_the_primary(self) -> None:
+    async def test_a_large_body_is_forwarded_to_the_primary(self) -> None:
         body = replacement_body(5, routes=8000)
         self.assertGreater(len(body), 1024 * 1024)
         self.assertEqual((await self.command(1, "/config/replace", "0", body))[0], 200)
         self.assertEqual(await self.read(2), (200, body))
 
-    async def test_without_a_primary_it_is_notified_when_to_come_back(self) -> None:
+    async def test_without_a_primary_the_response_has_a_retry_after_header(self) -> None:
         for replica in self.replicas:
             replica.primary = ""
         headers = {"X-Base-Version": "0"}
@@ -185,7 +185,7 @@
             self.assertEqual(response.status, 503)
             self.assertIn("Retry-After", response.headers)
 
-    async def test_who_is_about_to_end_sends_callers_elsewhere(self) -> None:
+    async def test_a_process_that_shuts_down_rejects_new_calls(self) -> None:
         self.servers[1].reject_new_calls()
         self.assertEqual((await self.command(1, "/config/replace", "0", replacement_body(5)))[0], 503)
         self.assertEqual((await self.read(1))[0], 503)
@@ -193,36 +193,38 @@
         self.assertEqual(await self.call(1, "i-1/deregister"), 503)
 
 
-class UpstreamsRegister(HostsStory):
-    async def test_a_drain_reaches_the_data_planes_of_all_machines(self) -> None:
+class UpstreamRegistrationTest(HostsTestCase):
+    async def test_a_drain_is_published_to_the_data_planes_of_all_machines(self) -> None:
         data_planes = [await self.subscribe(number) for number in range(3)]
         self.assertEqual(await self.call(1, "i-1/heartbeat", heartbeat(1)), 200)
         self.assertEqual(await self.call(2, "i-1/heartbeat", heartbeat(2, "draining")), 200)
         for data_plane in data_planes:
-            await data_plane.hear(lambda message: _names_state(message, "draining"))
+            await data_plane.receive_until(lambda message: _names_state(message, "draining"))
         self.assertEqual(await self.call(0, "i-1/deregister"), 200)
         for data_plane in data_planes:
-            await data_plane.hear(lambda message: _names_state(message, "gone"))
+            await data_plane.receive_until(lambda message: _names_state(message, "gone"))
 
-    async def test_invalid_and_long_heartbeats_are_refused(self) -> None:
+    async def test_invalid_and_oversized_heartbeats_are_rejected(self) -> None:
         self.assertEqual(await self.call(1, "i-1/heartbeat", b"{}"), 400)
         self.assertEqual(await self.call(1, "i-1/heartbeat", b" " * 5000), 413)
 
 
-class DataPlanesSubscribe(HostsStory):
-    async def test_a_version_is_notified_fetched_and_acknowledged(self) -> None:
+class DataPlaneSubscriptionTest(HostsTestCase):
+    async def test_a_data_plane_is_notified_of_a_version_fetches_and_acknowledges_it(self) -> None:
         data_plane = await self.subscribe(0)
-        ordering = asyncio.create_task(self.command(1, "/config/replace", "0", replacement_body(5)))
-        await data_plane.hear(lambda message: isinstance(message, Freshness) and message.version == 5)
-        await data_plane.say(FetchConfiguration(0))
-        snapshot = await data_plane.hear(lambda message: isinstance(message, ConfigurationSnapshot))
+        command_task = asyncio.create_task(self.command(1, "/config/replace", "0", replacement_body(5)))
+        await data_plane.receive_until(
+            lambda message: isinstance(message, Freshness) and message.version == 5
+        )
+        await data_plane.send(FetchConfiguration(0))
+        snapshot = await data_plane.receive_until(lambda message: isinstance(message, ConfigurationSnapshot))
         assert isinstance(snapshot, ConfigurationSnapshot)
         self.assertEqual(snapshot.document, replacement_body(5))
-        self.assertFalse(ordering.done())
-        await data_plane.say(ConfigurationApplied(5))
-        self.assertEqual((await ordering)[0], 200)
+        self.assertFalse(command_task.done())
+        await data_plane.send(ConfigurationApplied(5))
+        self.assertEqual((await command_task)[0], 200)
 
-    async def test_a_newer_connection_of_the_same_incarnation_ends_the_older(self) -> None:
+    async def test_a_newer_connection_of_the_same_incarnation_closes_the_older(self) -> None:
         older = await self.subscribe(0)
         await self.subscribe(0)
         async with asyncio.timeout(DEADLINE_S):
@@ -230,7 +232,7 @@
                 pass
         self.assertTrue(older.connection.closed)
 
-    async def test_invalid_bytes_end_the_connection(self) -> None:
+    async def test_an_invalid_message_closes_the_connection(self) -> None:
         data_plane = await self.subscribe(0)
         await data_plane.connection.send_bytes(b"\xff\xff")
         async with asyncio.timeout(DEADLINE_S):
@@ -240,8 +242,8 @@
         await self.subscribe(0)
 
 
-class TheLog(unittest.TestCase):
-    def test_lines_are_json_with_all_fields(self) -> None:
+class LogFormatTest(unittest.TestCase):
+    def test_log_lines_are_json_with_all_fields(self) -> None:
         with tempfile.TemporaryFile() as file:
             log = open_log("core-1", BatchedOutput(file.fileno()))
             log.info("something", count=3, invalid=io.BytesIO)
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -1,4 +1,4 @@
-"""Leases and calls keep to one life and to the steady clock, whatever the time of day does."""
+"""Tests that leases use the monotonic clock, and that calls are matched to one process incarnation."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from tests.campaign.control_machine import ControlMachine
 from tests.controlplane import test_core
 from tests.controlplane.configurations import replacement
-from tests.controlplane.cut_scenarios import Cut, CutScenario, Role, Shape
-from tests.controlplane.test_core import FleetStory
-from tests.controlplane.test_hosts import HostsStory
+from tests.controlplane.cut_scenarios import Cut, CutKind, CutScenario, Role
+from tests.controlplane.test_core import FleetTestCase
+from tests.controlplane.test_hosts import HostsTestCase
 from tests.fleet.history import Violation
 
 JUMP_S = 5.0
-# The first may have been on its way already when the time of day jumped.
+# The first message may have been sent before the wall clock jumped.
 MESSAGES_AFTER_A_JUMP = 3
 
 
-class TheTimeOfDayJumps(HostsStory):
-    async def test_then_the_clock_that_leases_age_by_does_not(self) -> None:
+class WallClockJumpTest(HostsTestCase):
+    async def test_the_lease_clock_is_independent_of_the_wall_clock(self) -> None:
         data_plane = await self.subscribe(0, "front-1")
-        before = await data_plane.hear(is_freshness)
-        true_time_s = time.time
+        before = await data_plane.receive_until(is_freshness)
+        original_time = time.time
         for jump_s in (JUMP_S, -JUMP_S):
-            with patch("time.time", lambda jump_s=jump_s: true_time_s() + jump_s):
+            with patch("time.time", lambda jump_s=jump_s: original_time() + jump_s):
                 for _ in range(MESSAGES_AFTER_A_JUMP):
-                    after = await data_plane.hear(is_freshness)
+                    after = await data_plane.receive_until(is_freshness)
                     assert isinstance(before, Freshness) and isinstance(after, Freshness)
                     self.assertLess(abs(after.clock_ms - before.clock_ms), JUMP_S * 1000.0 / 2)
 
@@ -43,8 +43,8 @@
     return isinstance(message, Freshness)
 
 
-class CallsThatAreSentAgain(FleetStory):
-    def test_given_a_new_epoch_of_the_same_primary_then_the_call_is_under_way_there_once(self) -> None:
+class RepeatedCallTest(FleetTestCase):
+    def test_a_call_is_submitted_once_despite_new_epochs_of_the_same_primary(self) -> None:
         self.fleet.make_primary(self.first)
         self.first.replica.unresponsive = True
         self.fleet.submit(self.second, 1, replacement(0, 5))
@@ -54,9 +54,9 @@
         submitted = [event for event in self.first.replica.events if isinstance(event, CommandSubmitted)]
         self.assertEqual(1, len(submitted))
 
-    def test_given_it_was_sent_again_then_the_answer_to_the_first_sending_ends_it(self) -> None:
+    def test_the_reply_to_the_first_attempt_ends_a_resent_call(self) -> None:
         self.second.replica.primary = self.third.address
-        self.fleet.cut.add(self.third.address)
+        self.fleet.partitioned.add(self.third.address)
         effects = self.second.core.submit(self.fleet.now_ms, 1, replacement(0, 5))
         forwarded = [
             message
@@ -84,47 +84,47 @@
     return submit_to_primary(calls, now_ms, call)
 
 
-begin = OperatorCalls.__init__
+original_init = OperatorCalls.__init__
 
 
-def begin_with_the_same_tokens(calls: OperatorCalls, first_token: int, *others: object) -> None:
-    begin(calls, 0, *others)  # type: ignore[arg-type]
+def init_with_fixed_first_token(calls: OperatorCalls, first_token: int, *others: object) -> None:
+    original_init(calls, 0, *others)  # type: ignore[arg-type]
 
 
-def time_of_day_ms(host: ControlPlaneHost) -> float:
+def wall_clock_ms(host: ControlPlaneHost) -> float:
     return time.time() * 1000.0
 
 
 class Mutants(unittest.TestCase):
-    """Without its mechanism each story fails."""
+    """Each mutant removes a mechanism and must fail the test of that mechanism."""
 
-    def assert_caught(self, story: unittest.TestCase) -> None:
+    def assert_caught(self, test: unittest.TestCase) -> None:
         result = unittest.TestResult()
-        story.run(result)
+        test.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
-    def test_a_resubmission_under_a_new_token(self) -> None:
+    def test_resubmission_with_a_new_token(self) -> None:
         names = (
-            "test_given_a_new_epoch_of_the_same_primary_then_the_call_is_under_way_there_once",
-            "test_given_it_was_sent_again_then_the_answer_to_the_first_sending_ends_it",
+            "test_a_call_is_submitted_once_despite_new_epochs_of_the_same_primary",
+            "test_the_reply_to_the_first_attempt_ends_a_resent_call",
         )
         with patch.object(OperatorCalls, "_submit_to_primary", submit_with_new_token):
             for name in names:
-                self.assert_caught(CallsThatAreSentAgain(name))
+                self.assert_caught(RepeatedCallTest(name))
 
-    def test_a_reply_matched_without_its_incarnation(self) -> None:
-        with patch.object(OperatorCalls, "__init__", begin_with_the_same_tokens):
+    def test_same_first_token_in_each_incarnation(self) -> None:
+        with patch.object(OperatorCalls, "__init__", init_with_fixed_first_token):
             self.assert_caught(
                 test_core.TheOperatorCalls("test_a_reply_to_a_former_incarnation_fits_no_call")
             )
 
-    def test_a_host_that_goes_by_the_time_of_day(self) -> None:
-        with patch.object(ControlPlaneHost, "_now_ms", time_of_day_ms):
-            self.assert_caught(TheTimeOfDayJumps("test_then_the_clock_that_leases_age_by_does_not"))
+    def test_host_on_the_wall_clock(self) -> None:
+        with patch.object(ControlPlaneHost, "_now_ms", wall_clock_ms):
+            self.assert_caught(WallClockJumpTest("test_the_lease_clock_is_independent_of_the_wall_clock"))
 
-    def test_a_lease_by_a_clock_that_jumps_back(self) -> None:
-        """What a lease by such a clock would do: the cut-off primary takes itself for fresh for seconds."""
-        scenario = CutScenario(Cut(Role.PRIMARY, Shape.SIDE, 5_000.0))
+    def test_lease_on_a_clock_that_jumps_back(self) -> None:
+        """With a lease on such a clock, a cut-off primary reports itself as fresh for seconds."""
+        scenario = CutScenario(Cut(Role.PRIMARY, CutKind.WITH_DATA_PLANE, 5_000.0))
         clock = scenario.system.clock
 
         def jumped_ms(machine: ControlMachine) -> float:
