--- a/tests/controlplane/test_disk_thread.py
+++ b/tests/controlplane/test_disk_thread.py
@@ -1,4 +1,4 @@
-"""Stories of the thread that waits for the disk."""
+"""Tests of the thread that writes to the disk."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from madderwind.storage.record_file import RecordFile
 from madderwind.storage.records import decode_records
 
-ANSWER_WITHIN_S = 10.0
+REPORT_TIMEOUT_S = 10.0
 
 
-class SlowDisk:
-    """Files in memory; each sync waits until the test lets it go on."""
+class BlockingDisk:
+    """A disk in memory; each sync blocks until the test releases it."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
-        self.go_on = threading.Semaphore(0)
-        self.began = threading.Semaphore(0)
-        self.refuses = False
+        self.released = threading.Semaphore(0)
+        self.sync_started = threading.Semaphore(0)
+        self.fails = False
 
     def names(self) -> tuple[str, ...]:
         return tuple(self.files)
@@ -43,66 +43,66 @@
         del self.files[name]
 
     def _sync(self) -> None:
-        self.began.release()
-        self.go_on.acquire()
-        if self.refuses:
+        self.sync_started.release()
+        self.released.acquire()
+        if self.fails:
             raise StorageError("full")
 
 
-class WritesWaitForTheDisk(unittest.TestCase):
+class DiskThreadTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.disk = SlowDisk()
+        self.disk = BlockingDisk()
         self.reports: queue.Queue[list[Completion]] = queue.Queue()
         self.thread = DiskThread(RecordFile(self.disk), self.reports.put)
         self.thread.start()
 
-    def report(self) -> list[Completion]:
-        return self.reports.get(timeout=ANSWER_WITHIN_S)
+    def next_report(self) -> list[Completion]:
+        return self.reports.get(timeout=REPORT_TIMEOUT_S)
 
-    def rewritten(self) -> None:
+    def complete_first_rewrite(self) -> None:
         self.thread.submit(Rewrite(1, (b"first",)))
-        self.disk.go_on.release()
-        self.assertEqual(self.report(), [WriteCompleted(1)])
-        self.disk.began.acquire()
+        self.disk.released.release()
+        self.assertEqual(self.next_report(), [WriteCompleted(1)])
+        self.disk.sync_started.acquire()
 
-    def test_writes_that_wait_together_share_a_sync(self) -> None:
-        self.rewritten()
+    def test_writes_queued_during_a_sync_share_the_next_one(self) -> None:
+        self.complete_first_rewrite()
         self.thread.submit(Write(2, (b"a",)))
-        self.disk.began.acquire()
+        self.disk.sync_started.acquire()
         for token in (3, 4, 5):
             self.thread.submit(Write(token, (b"b%d" % token,)))
-        self.disk.go_on.release(2)
-        self.assertEqual(self.report(), [WriteCompleted(2)])
-        self.assertEqual(self.report(), [WriteCompleted(3), WriteCompleted(4), WriteCompleted(5)])
+        self.disk.released.release(2)
+        self.assertEqual(self.next_report(), [WriteCompleted(2)])
+        self.assertEqual(self.next_report(), [WriteCompleted(3), WriteCompleted(4), WriteCompleted(5)])
         (data,) = self.disk.files.values()
         records = [record for record in decode_records(data).records if len(record) > 1]
         self.assertEqual(records, [b"first", b"b3", b"b4", b"b5"])
 
-    def test_a_rewrite_comes_after_what_was_before_it(self) -> None:
-        self.rewritten()
+    def test_writes_and_rewrites_are_performed_in_order(self) -> None:
+        self.complete_first_rewrite()
         self.thread.submit(Write(2, (b"aa",)))
-        self.disk.began.acquire()
+        self.disk.sync_started.acquire()
         self.thread.submit(Write(3, (b"bb",)))
         self.thread.submit(Rewrite(4, (b"whole",)))
         self.thread.submit(Write(5, (b"cc",)))
-        self.disk.go_on.release(9)
-        notified = [completion.token for _ in range(4) for completion in self.report()]
-        self.assertEqual(notified, [2, 3, 4, 5])
+        self.disk.released.release(9)
+        tokens = [completion.token for _ in range(4) for completion in self.next_report()]
+        self.assertEqual(tokens, [2, 3, 4, 5])
         (data,) = self.disk.files.values()
         records = [record for record in decode_records(data).records if len(record) > 1]
         self.assertEqual(records, [b"whole", b"cc"])
 
-    def test_all_that_shared_a_failed_sync_fail_until_a_rewrite(self) -> None:
-        self.rewritten()
-        self.disk.refuses = True
-        self.disk.go_on.release(9)
+    def test_after_a_failed_sync_writes_fail_until_a_rewrite(self) -> None:
+        self.complete_first_rewrite()
+        self.disk.fails = True
+        self.disk.released.release(9)
         self.thread.submit(Write(2, (b"aa",)))
-        self.assertEqual(self.report(), [WriteFailed(2)])
-        self.disk.refuses = False
+        self.assertEqual(self.next_report(), [WriteFailed(2)])
+        self.disk.fails = False
         self.thread.submit(Write(3, (b"bb",)))
-        self.assertEqual(self.report(), [WriteFailed(3)])
+        self.assertEqual(self.next_report(), [WriteFailed(3)])
         self.thread.submit(Rewrite(4, (b"whole",)))
-        self.assertEqual(self.report(), [WriteCompleted(4)])
+        self.assertEqual(self.next_report(), [WriteCompleted(4)])
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_process.py
+++ b/tests/controlplane/test_process.py
@@ -1,4 +1,4 @@
-"""Whole control planes in one process over loopback, with replicas and files of their own."""
+"""Tests of complete control planes over loopback in one process, each with its own replica and files."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from tests.controlplane.test_hosts import free_address
 
 DEADLINE_S = 30.0
-# A process that the in-sync set needs stays so long, less what its end takes.
+# A process that the in-sync set needs keeps running for this time, less the time reserved for shutdown.
 GRACE_S = 2.0
 
 
-class ProcessesStory(unittest.IsolatedAsyncioTestCase):
+class ProcessTestCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.ports = [int(free_address().rpartition(":")[2]) for _ in range(2)]
@@ -37,11 +37,11 @@
 
     async def asyncTearDown(self) -> None:
         for number in list(self.tasks):
-            await self.end(number)
+            await self.stop(number)
         await self.session.close()
 
     def settings(self, number: int, bootstrap: bool) -> NodeSettings:
-        """Settings of a machine with a loopback address of its own; ports are the same on all."""
+        """The settings of a machine with its own loopback address; all machines use the same ports."""
         public, internal = self.ports
         folder = self.folder / f"core-{number}"
         folder.mkdir(exist_ok=True)
@@ -69,7 +69,7 @@
         self.processes[number] = process
         self.tasks[number] = asyncio.create_task(process.run())
 
-    async def end(self, number: int) -> None:
+    async def stop(self, number: int) -> None:
         self.processes[number].request_shutdown()
         async with asyncio.timeout(DEADLINE_S):
             await self.tasks.pop(number)
@@ -77,8 +77,10 @@
     def url(self, number: int, path: str) -> str:
         return f"http://127.0.0.{number}:{self.ports[0]}{path}"
 
-    async def until_clear(self, method: str, url: str, base: int = 0, body: bytes = b"") -> tuple[int, bytes]:
-        """Call until there is a clear answer, as operators do."""
+    async def call_until_resolved(
+        self, method: str, url: str, base: int = 0, body: bytes = b""
+    ) -> tuple[int, bytes]:
+        """Repeat a call until its outcome is known, as operators do."""
         headers = {"X-Base-Version": str(base)}
         async with asyncio.timeout(DEADLINE_S):
             while True:
@@ -89,81 +91,81 @@
 
     async def command(self, number: int, base: int, version: int) -> int:
         url = self.url(number, "/config/replace")
-        return (await self.until_clear("POST", url, base, replacement_body(version)))[0]
+        return (await self.call_until_resolved("POST", url, base, replacement_body(version)))[0]
 
     async def read(self, number: int) -> tuple[int, bytes]:
-        return await self.until_clear("GET", self.url(number, "/config/read"))
+        return await self.call_until_resolved("GET", self.url(number, "/config/read"))
 
     async def primary(self) -> int:
-        """The number of the machine that every running one takes for the primary."""
+        """The number of the primary, once all running machines report the same one."""
         async with asyncio.timeout(DEADLINE_S):
             while True:
-                named = set()
+                primaries = set()
                 for number in self.tasks:
                     internal = self.settings(number, False).internal_address(CONTROL_PLANE_PORT)
                     async with self.session.get(f"http://{internal}/status") as response:
-                        named.add((await response.json())["primary"])
-                if len(named) == 1 and (address := named.pop()):
+                        primaries.add((await response.json())["primary"])
+                if len(primaries) == 1 and (address := primaries.pop()):
                     return int(address.partition(":")[0].rpartition(".")[2])
 
 
-class ThreeControlPlanes(ProcessesStory):
-    async def test_the_primary_transfers_leadership_and_comes_back(self) -> None:
+class ThreeControlPlanesTest(ProcessTestCase):
+    async def test_the_primary_transfers_leadership_at_shutdown_and_rejoins(self) -> None:
         for number in (1, 2, 3):
             self.start(number, bootstrap=True)
         self.assertEqual(await self.command(2, 0, 5), 200)
         primary = await self.primary()
-        await self.end(primary)
+        await self.stop(primary)
         other = primary % 3 + 1
         self.assertEqual(await self.command(other, 5, 6), 200)
         self.assertNotEqual(await self.primary(), primary)
         self.start(primary)
         self.assertEqual(await self.read(primary), (200, replacement_body(6)))
-        await self.end(await self.primary())
+        await self.stop(await self.primary())
         self.assertEqual(await self.command(next(iter(self.tasks)), 6, 7), 200)
 
-    async def test_all_end_and_start_again(self) -> None:
+    async def test_all_control_planes_restart_with_the_configuration(self) -> None:
         for number in (1, 2, 3):
             self.start(number, bootstrap=True)
         self.assertEqual(await self.command(1, 0, 5), 200)
         for number in (1, 2, 3):
-            await self.end(number)
+            await self.stop(number)
         for number in (3, 1, 2):
             self.start(number)
         self.assertEqual(await self.read(2), (200, replacement_body(5)))
         self.assertEqual(await self.command(3, 5, 6), 200)
 
-    async def test_upstreams_are_acknowledged_before_there_is_a_primary(self) -> None:
+    async def test_heartbeats_are_acknowledged_before_there_is_a_primary(self) -> None:
         self.start(1, bootstrap=True)
         url = self.url(1, "/instances/i-1/heartbeat")
-        self.assertEqual((await self.until_clear("POST", url, body=heartbeat(1)))[0], 200)
+        self.assertEqual((await self.call_until_resolved("POST", url, body=heartbeat(1)))[0], 200)
 
 
-class SettingsThatCannotBeUsed(unittest.TestCase):
-    def ended_with(self, settings: bytes | None) -> str:
-        """What a start with these settings says on standard error; it exits with 1."""
+class UnusableSettingsTest(unittest.TestCase):
+    def error_output_of(self, settings: bytes | None) -> str:
+        """Standard error of a start with these settings, which must exit with 1."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.json"
             if settings is not None:
                 path.write_bytes(settings)
-            said = io.StringIO()
+            error_output = io.StringIO()
             with (
                 mock.patch.dict(os.environ, {SETTINGS_VARIABLE: str(path)}),
-                contextlib.redirect_stderr(said),
-                self.assertRaises(SystemExit) as ended,
+                contextlib.redirect_stderr(error_output),
+                self.assertRaises(SystemExit) as exited,
             ):
                 main()
-        self.assertEqual(ended.exception.code, 1)
-        return said.getvalue()
+        self.assertEqual(exited.exception.code, 1)
+        return error_output.getvalue()
 
-    def test_one_plain_line_and_exit_code_1(self) -> None:
+    def test_unusable_settings_print_one_line_and_exit_with_1(self) -> None:
         for settings in (None, b"{", b'{"node": 3}', b'{"node":"n","ip":"1.2.3.4","zone":"z"}'):
             with self.subTest(settings):
-                said = self.ended_with(settings)
-                self.assertEqual(said.count("\n"), 1)
-                self.assertTrue(said.startswith("control plane: "))
+                error_output = self.error_output_of(settings)
+                self.assertEqual(error_output.count("\n"), 1)
+                self.assertTrue(error_output.startswith("control plane: "))
 
-    def test_a_machine_that_serves_no_control(self) -> None:
+    def test_settings_without_a_control_address_are_rejected(self) -> None:
         settings = {
             "node": "n",
             "ip": "127.0.0.1",
@@ -172,7 +174,7 @@
             "internal_ports": [7500, 7515],
             "seeds": [],
         }
-        self.assertIn("listen.control", self.ended_with(json.dumps(settings).encode()))
+        self.assertIn("listen.control", self.error_output_of(json.dumps(settings).encode()))
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_repeated_commands.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -1,4 +1,4 @@
-"""Commands of several operators, and the same order again, at any machine and whatever happens between."""
+"""Tests of commands that are repeated at any machine after failures, and of commands that conflict."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.fleet.history import Violation
 
 STABILIZE_MS = 3_000.0
-PATIENCE_MS = 4_000.0
-BACK_MS = 3_000.0
+OUTCOME_TIMEOUT_MS = 4_000.0
+RECOVERY_MS = 3_000.0
 
 
-class CommandsStory(unittest.TestCase):
-    """Given three machines without other callers; at the end everything that was seen fits together."""
+class CommandTestCase(unittest.TestCase):
+    """Three machines without other callers; `finish` checks the recorded history for consistency."""
 
     def setUp(self) -> None:
         plan = Plan("commands", 3, 1, 1, 0, 0, 400.0, 6_000.0, 0.0)
@@ -36,7 +36,7 @@
         self.system.run(STABILIZE_MS)
 
     def finish(self) -> None:
-        """Calm, in which everything works and all answers are judged together."""
+        """Let the system settle without faults, then check all answers against the history."""
         self.campaign.calm()
         self.assertEqual({}, self.history.notes)
 
@@ -49,8 +49,6 @@
     def others(self, machine: ControlMachine) -> list[ControlMachine]:
         return [other for other in self.system.machines.values() if other is not machine]
 
-    # --- commands ---
-
     def intent(self, make: Callable[[int, int, int], Command], base: int, version: int) -> Intent:
         marker = self.history.next_marker()
         intent = Intent(marker, make(marker, base, version), version, True, self.clock.now_ms)
@@ -58,35 +56,35 @@
         return intent
 
     def send(self, machine: ControlMachine, intent: Intent) -> list[CommandResult]:
-        """One call; its clear answer is in the list once it is there."""
+        """Make one call; the returned list receives its result if the outcome is known."""
         answers: list[CommandResult] = []
         record = CommandCall(intent, machine.address, self.clock.now_ms)
 
-        def ended(result: CommandResult | None) -> None:
+        def handle(result: CommandResult | None) -> None:
             if result is not None and result.outcome is not CommandOutcome.UNKNOWN:
                 record.ended_ms, record.result = self.clock.now_ms, result
                 self.history.answered(record)
                 answers.append(result)
 
         call: HttpCall[CommandResult] = HttpCall(
-            self.system.links, "o-1", machine, lambda reply: machine.command(intent.command, reply), ended
+            self.system.links, "o-1", machine, lambda reply: machine.command(intent.command, reply), handle
         )
         call.start(self.system.rng, 0.0)
         return answers
 
     def outcome(self, machine: ControlMachine, intent: Intent) -> CommandOutcome:
-        """Send it until there is a clear answer."""
-        began_ms = self.clock.now_ms
-        while self.clock.now_ms - began_ms < PATIENCE_MS:
+        """Repeat the command until its outcome is known."""
+        start_ms = self.clock.now_ms
+        while self.clock.now_ms - start_ms < OUTCOME_TIMEOUT_MS:
             answers = self.send(machine, intent)
             for _ in range(50):
                 self.system.run(20.0)
                 if answers:
                     return answers[0].outcome
-        raise AssertionError(f"no clear answer to {intent} within {PATIENCE_MS} ms")
+        raise AssertionError(f"no known outcome of {intent} within {OUTCOME_TIMEOUT_MS} ms")
 
-    def take(self, count: int) -> list[Intent]:
-        """Have commands taken one on top of the other, whole ones and updates, at each machine in turn."""
+    def commit(self, count: int) -> list[Intent]:
+        """Commit commands on top of each other, replacements and updates, at each machine in turn."""
         intents = []
         machines = list(self.system.machines.values())
         for number in range(count):
@@ -97,31 +95,31 @@
             intents.append(intent)
         return intents
 
-    def assert_taken_again(self, intents: list[Intent]) -> None:
+    def assert_acknowledged_again(self, intents: list[Intent]) -> None:
         for machine in self.system.machines.values():
             for intent in intents:
                 self.assertEqual(CommandOutcome.COMMITTED, self.outcome(machine, intent))
 
 
-class TheSameCommandAgain(CommandsStory):
-    def test_given_what_is_retained_is_little_when_it_comes_after_snapshot_wipe_and_failover(self) -> None:
+class RepeatedCommandTest(CommandTestCase):
+    def test_repeated_after_snapshot_wipe_and_failover_with_a_short_log(self) -> None:
         with keeping_little():
-            intents = self.take(20)
-            for lost in self.others(self.primary):  # whoever is primary then had it from a snapshot
-                lost.wipe()
-                lost.start()
-                self.system.run(BACK_MS)
+            intents = self.commit(20)
+            for wiped in self.others(self.primary):  # the next primary then has its state from a snapshot
+                wiped.wipe()
+                wiped.start()
+                self.system.run(RECOVERY_MS)
             self.primary.leave()
-            self.system.run(BACK_MS)
+            self.system.run(RECOVERY_MS)
             for machine in self.system.machines.values():
                 machine.start()
-            self.system.run(BACK_MS)
-            self.assert_taken_again(intents[::4])
+            self.system.run(RECOVERY_MS)
+            self.assert_acknowledged_again(intents[::4])
             self.finish()
 
-    def test_given_only_the_replaced_and_the_wiped_are_left_when_it_comes_hundreds_later(self) -> None:
+    def test_repeated_many_commands_later_after_all_machines_were_wiped_or_replaced(self) -> None:
         with keeping_little():
-            intents = self.take(150)
+            intents = self.commit(150)
             for number, old in enumerate(list(self.system.machines.values())):
                 if number < 2:
                     old.wipe()
@@ -130,35 +128,35 @@
                     old.remove()
                     del self.system.machines[old.address]
                     self.system.add_machine("r1", self.system.seeds).start()
-                self.system.run(BACK_MS + 1_000.0)
-            self.assert_taken_again([intents[0], intents[75], intents[149]])
+                self.system.run(RECOVERY_MS + 1_000.0)
+            self.assert_acknowledged_again([intents[0], intents[75], intents[149]])
             self.finish()
 
-    def test_given_all_lose_power_when_it_comes_then_it_is_acknowledged(self) -> None:
-        intents = self.take(6)
+    def test_repeated_after_a_power_loss_of_all_machines(self) -> None:
+        intents = self.commit(6)
         for machine in self.system.machines.values():
             machine.lose_power()
         for machine in self.system.machines.values():
             machine.start()
-        self.assert_taken_again(intents)
+        self.assert_acknowledged_again(intents)
         self.finish()
 
-    def test_given_more_came_since_than_digests_are_retained_then_it_is_never_refused(self) -> None:
+    def test_repeated_after_its_digest_was_dropped_it_is_not_rejected(self) -> None:
         with patch("madderwind.configuration.history.RETAINED_DIGESTS", 4):
-            intents = self.take(12)
+            intents = self.commit(12)
             for machine in list(self.system.machines.values()):
                 machine.kill()
                 machine.start()
-            self.system.run(BACK_MS)
-            self.assert_taken_again(intents[-4:])
+            self.system.run(RECOVERY_MS)
+            self.assert_acknowledged_again(intents[-4:])
             for machine in self.system.machines.values():
                 answers = [self.send(machine, intent) for intent in intents[:-4]]
                 self.system.run(1_000.0)
                 self.assertEqual([[]] * len(answers), answers)
             self.finish()
 
-    def test_given_it_is_under_way_at_all_machines_at_once_then_each_acknowledges_it(self) -> None:
-        self.take(2)
+    def test_sent_to_all_machines_at_once_it_is_acknowledged_by_each(self) -> None:
+        self.commit(2)
         intent = self.intent(update, self.base, self.base + 1)
         answers = [self.send(machine, intent) for machine in self.system.machines.values()] * 2
         self.system.run(1_000.0)
@@ -166,12 +164,12 @@
         self.finish()
 
 
-class TwoOperators(CommandsStory):
-    def test_given_one_number_and_two_bodies_at_once_then_one_wins_and_stays_the_winner(self) -> None:
-        self.take(2)
+class RivalCommandTest(CommandTestCase):
+    def test_of_two_commands_for_the_same_version_the_same_one_always_wins(self) -> None:
+        self.commit(2)
         for number in range(6):
-            made = (replacement, update) if number % 2 else (update, update)
-            rivals = [self.intent(make, self.base, self.base + 1) for make in made]
+            kinds = (replacement, update) if number % 2 else (update, update)
+            rivals = [self.intent(make, self.base, self.base + 1) for make in kinds]
             machines = list(self.system.machines.values())
             first = self.send(machines[number % 3], rivals[0])
             second = self.send(machines[(number + 1) % 3], rivals[1])
@@ -186,41 +184,41 @@
             self.base += 1
         self.finish()
 
-    def test_given_a_command_that_an_old_primary_dropped_when_another_is_taken_then_it_is_refused(
+    def test_a_command_lost_by_a_former_primary_is_rejected_after_a_rival_commit(
         self,
     ) -> None:
-        self.take(2)
+        self.commit(2)
         old = self.primary
         dropped = self.intent(replacement, self.base, self.base + 1)
         self.cut_off(old)
         answers = self.send(old, dropped)
         self.system.run(2_000.0)
         other = self.others(old)[0]
-        taken = self.intent(replacement, self.base, self.base + 1)
-        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(other, taken))
+        committed = self.intent(replacement, self.base, self.base + 1)
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(other, committed))
         self.assertEqual([], answers)
         self.system.links.heal()
         self.system.run(2_000.0)
         self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(old, dropped))
         self.finish()
 
-    def test_given_a_command_that_an_old_primary_could_not_end_when_it_is_sent_again_then_it_is_taken(
+    def test_a_command_unresolved_by_a_former_primary_is_committed_when_repeated(
         self,
     ) -> None:
-        self.take(2)
+        self.commit(2)
         old = self.primary
-        unclear = self.intent(update, self.base, self.base + 1)
+        unresolved = self.intent(update, self.base, self.base + 1)
         self.cut_off(old)
-        self.send(old, unclear)
+        self.send(old, unresolved)
         self.system.run(2_000.0)
-        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[0], unclear))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[0], unresolved))
         self.system.links.heal()
         self.system.run(2_000.0)
-        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(old, unclear))
+        self.assertEqual(CommandOutcome.COMMITTED, self.outcome(old, unresolved))
         self.finish()
 
-    def test_given_a_command_that_the_backups_hold_when_its_primary_dies_then_it_is_retained(self) -> None:
-        self.take(2)
+    def test_a_command_stored_by_the_backups_survives_the_crash_of_the_primary(self) -> None:
+        self.commit(2)
         old = self.primary
         retained = self.intent(update, self.base, self.base + 1)
         self.send(old, retained)
@@ -234,8 +232,8 @@
         old.start()
         self.finish()
 
-    def test_given_what_is_not_committed_then_nothing_is_refused_for_it(self) -> None:
-        self.take(2)
+    def test_an_uncommitted_command_causes_no_rejection(self) -> None:
+        self.commit(2)
         old = self.primary
         for machine in self.others(old):
             self.system.links.cut(machine.address, old.address)
@@ -255,27 +253,27 @@
 
 
 def snapshot_without_digests(history: ConfigurationHistory) -> bytes:
-    forgetful = history.copy()
-    forgetful._digests = {}
-    return whole_snapshot(forgetful)
+    without_digests = history.copy()
+    without_digests._digests = {}
+    return original_snapshot(without_digests)
 
 
-whole_snapshot = ConfigurationHistory.snapshot
+original_snapshot = ConfigurationHistory.snapshot
 
 
 class Mutants(unittest.TestCase):
-    """Without its mechanism the story fails."""
+    """Each mutant removes a mechanism and must fail the test of that mechanism."""
 
-    def assert_caught(self, story: CommandsStory) -> None:
+    def assert_caught(self, test: CommandTestCase) -> None:
         result = unittest.TestResult()
         with contextlib.suppress(Violation):
-            story.run(result)
+            test.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
-    def test_a_digest_left_out_of_the_snapshot(self) -> None:
-        name = "test_given_what_is_retained_is_little_when_it_comes_after_snapshot_wipe_and_failover"
+    def test_snapshot_without_digests(self) -> None:
+        name = "test_repeated_after_snapshot_wipe_and_failover_with_a_short_log"
         with patch.object(ConfigurationHistory, "snapshot", snapshot_without_digests):
-            self.assert_caught(TheSameCommandAgain(name))
+            self.assert_caught(RepeatedCommandTest(name))
 
 
 if __name__ == "__main__":
