--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -256,7 +256,7 @@
                 return [*self._registry.handle_peer_message(now_ms, sender, message)]
 
     def _handle_event(self, now_ms: float, event: Event) -> list[Output]:
-        """Let the replica handle an event; returns its actions and the effects of its new status."""
+        """Let the replica handle an event; returns its actions and what its new status causes."""
         outputs: list[Output] = []
         for action in self._replica.handle(now_ms, event):
             outputs += self._action_outputs(now_ms, action)
--- a/madderwind/controlplane/disk_thread.py
+++ b/madderwind/controlplane/disk_thread.py
@@ -33,9 +33,9 @@
 
     def _run(self) -> None:
         while True:
-            self._perform([self._jobs.get(), *self._take_queued()])
+            self._perform([self._jobs.get(), *self._queued_jobs()])
 
-    def _take_queued(self) -> list[Write | Rewrite]:
+    def _queued_jobs(self) -> list[Write | Rewrite]:
         jobs: list[Write | Rewrite] = []
         while True:
             try:
--- a/madderwind/controlplane/drain_tracker.py
+++ b/madderwind/controlplane/drain_tracker.py
@@ -50,7 +50,7 @@
     """Tracks draining and deregistered instances and the calls that wait for their confirmations."""
 
     def __init__(self, required_confirmations: int) -> None:
-        """Create an empty tracker; so many control planes must confirm a state before it is acknowledged."""
+        """Create an empty tracker; a state is acknowledged after this number of confirmations."""
         self._required_confirmations = required_confirmations
         self._drains: dict[str, _Drain] = {}
 
@@ -86,13 +86,13 @@
         calls, drain.deadlines_ms = drain.deadlines_ms, {}
         return [RespondToUpstream(call, is_accepted=True) for call in calls]
 
-    def reject_overdue(self, now_ms: float) -> list[RespondToUpstream]:
+    def reject_expired(self, now_ms: float) -> list[RespondToUpstream]:
         """Reject the calls whose deadline has passed, so that the upstream calls another control plane."""
         responses: list[RespondToUpstream] = []
         for drain in self._drains.values():
-            overdue = [call for call, deadline_ms in drain.deadlines_ms.items() if now_ms >= deadline_ms]
-            responses += [RespondToUpstream(call, is_accepted=False) for call in overdue]
-            for call in overdue:
+            expired = [call for call, deadline_ms in drain.deadlines_ms.items() if now_ms >= deadline_ms]
+            responses += [RespondToUpstream(call, is_accepted=False) for call in expired]
+            for call in expired:
                 del drain.deadlines_ms[call]
         return responses
 
--- a/madderwind/controlplane/operator_calls.py
+++ b/madderwind/controlplane/operator_calls.py
@@ -56,7 +56,7 @@
         first_token: int,
         status: Callable[[], ReplicaStatus],
         data_planes: AppliedVersions,
-        newest: Callable[[], NewestDocument],
+        newest_document: Callable[[], NewestDocument],
     ) -> None:
         """Create an instance without calls.
 
@@ -65,12 +65,12 @@
                 call of this one.
             status: Returns the own replica's status.
             data_planes: The versions that the connected data planes have applied.
-            newest: Returns the newest configuration committed at this machine.
+            newest_document: Returns the newest configuration committed at this machine.
         """
         self._last_token = first_token
         self._status = status
         self._data_planes = data_planes
-        self._newest = newest
+        self._newest_document = newest_document
         self._calls: dict[int, OperatorCall] = {}
         self._primary_known_ms: float | None = None
 
@@ -117,7 +117,7 @@
             return []
         if not is_newest:
             return self._wait_for_primary(now_ms, call)
-        call.document = self._newest()
+        call.document = self._newest_document()
         return self._end(call)
 
     def command_replied(self, now_ms: float, reply: CommandReply) -> list[Output]:
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -84,8 +84,8 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.request_shutdown)
         loop.add_signal_handler(signal.SIGINT, self.request_shutdown)
-        host = self._host()
-        watch = self._settings_watch(host)
+        host = self._create_host()
+        watch = self._create_settings_watch(host)
         loop.add_signal_handler(signal.SIGHUP, watch.read_again)
         public_server = PublicServer(host, self._log)
         internal = InternalServer(host, self._log).application()
@@ -116,7 +116,7 @@
     def _own_address(self) -> str:
         return self._settings.internal_address(CONTROL_PLANE_PORT)
 
-    def _host(self) -> ControlPlaneHost:
+    def _create_host(self) -> ControlPlaneHost:
         settings = self._settings
         rng = random.Random()
         replica = Replica(
@@ -156,7 +156,7 @@
         ip, _, port = address.rpartition(":")
         await web.TCPSite(runner, ip, int(port), backlog=BACKLOG, reuse_address=True).start()
 
-    def _settings_watch(self, host: ControlPlaneHost) -> SettingsWatch:
+    def _create_settings_watch(self, host: ControlPlaneHost) -> SettingsWatch:
         def apply(settings: NodeSettings) -> None:
             if settings == self._settings:
                 return
--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -27,7 +27,7 @@
 # Minimum interval between two complete snapshots for a peer that lacks upstreams.
 SNAPSHOT_INTERVAL_MS = 500.0
 
-Publish = Callable[[Sequence[UpstreamRecord]], list[Delivery]]
+PublishUpstreams = Callable[[Sequence[UpstreamRecord]], list[Delivery]]
 
 
 class RegistryService:
@@ -39,7 +39,7 @@
         heartbeat_ms: float,
         tolerance: int,
         peers: Peers,
-        publish: Publish,
+        publish: PublishUpstreams,
         is_connected: Callable[[], bool],
     ) -> None:
         """Create a service with an empty registry.
@@ -50,7 +50,7 @@
             tolerance: Number of control planes that may fail at the same time.
             peers: The other control planes.
             publish: Publishes records to the data planes.
-            is_connected: Whether a majority was reached recently, so that peers can be notified.
+            is_connected: Returns whether a majority was reached recently, so that peers can be notified.
         """
         self._registry = Registry(heartbeat_ms)
         self._drains = DrainTracker(tolerance + 1)
@@ -86,7 +86,7 @@
         effects: list[Effect] = []
         for instance, state in self._saved_states.items():
             effects += self._drains.confirm(self._own_address, instance, state)
-        for peer, instance in [each for each in self._unconfirmed if each[1] in self._saved_states]:
+        for peer, instance in [pair for pair in self._unconfirmed if pair[1] in self._saved_states]:
             self._unconfirmed.discard((peer, instance))
             effects.append(SendToPeer(peer, _confirmation(instance, self._saved_states[instance])))
         return effects
@@ -138,7 +138,7 @@
             self._liveness_due_ms = now_ms + LIVENESS_INTERVAL_MS
             effects += self._to_peers(LivenessReport(self._registry.take_liveness(now_ms)))
             self._drop_unknown()
-        effects += self._drains.reject_overdue(now_ms)
+        effects += self._drains.reject_expired(now_ms)
         for notice in self._drains.due_notices(now_ms):
             effects += self._to_peers(notice)
         return effects
@@ -146,7 +146,7 @@
     def _drop_unknown(self) -> None:
         """Drop the state of instances that the registry has dropped or had no capacity for."""
         self._drains.retain_only(self._registry)
-        self._unconfirmed = {each for each in self._unconfirmed if each[1] in self._registry}
+        self._unconfirmed = {pair for pair in self._unconfirmed if pair[1] in self._registry}
 
     def _publish_change(self, changed: UpstreamRecord | None) -> list[Effect]:
         """Notify data planes and peers of a change that an upstream reported to this control plane."""
@@ -162,10 +162,10 @@
         record = self._registry.final_record(now_ms, instance)
         if record is None:
             return [RespondToUpstream(call, is_accepted=self._is_known_to_peers(instance))]
-        begun = self._drains.begin(now_ms, call, record)
-        if isinstance(begun, RespondToUpstream):
-            return [begun]
-        effects: list[Effect] = [*self._to_peers(begun)]
+        outcome = self._drains.begin(now_ms, call, record)
+        if isinstance(outcome, RespondToUpstream):
+            return [outcome]
+        effects: list[Effect] = [*self._to_peers(outcome)]
         if not self._is_saved(record):
             return [*effects, SaveCheckpoint()]
         state = state_named(record.state)
--- a/tests/controlplane/cut_scenarios.py
+++ b/tests/controlplane/cut_scenarios.py
@@ -53,7 +53,7 @@
     WITH_DATA_PLANE = "with a data plane on its side, from all others"
     RESET = "from the other control machines, all its connections reset"
     PAUSED = "from the other control machines, and frozen for the first half"
-    UPSTREAMS_REPORT_THERE = "from the other control machines, and the upstreams report there first"
+    UPSTREAMS_REPORT_TO_VICTIM = "from the other control machines, and the upstreams report there first"
     RESTART_WITH_OTHER_SEEDS = "from the other control machines, and restarted with other seeds meanwhile"
     RESTART_ALL = "from the other control machines; it is restarted, then the others are"
 
@@ -199,7 +199,7 @@
                 links.reset_connections(victim.address)
             if kind is CutKind.PAUSED:
                 victim.freeze()
-        if kind is CutKind.UPSTREAMS_REPORT_THERE:
+        if kind is CutKind.UPSTREAMS_REPORT_TO_VICTIM:
             for upstream in self.system.upstreams.all:
                 upstream.report_to(self.victims[0])
         for sender, receiver in self._links_to_cut():
--- a/tests/controlplane/large_replacements.py
+++ b/tests/controlplane/large_replacements.py
@@ -137,7 +137,7 @@
         ]
 
     async def run(self, running_ms: float | None) -> Report:
-        """Measure; the processes run for `running_ms` of each 100 ms, or without a limit if it is None."""
+        """Measure; the processes run for `running_ms` of every 100 ms, or without a limit if it is None."""
         for machine in self._machines:
             machine.start()
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -16,7 +16,7 @@
 
 
 class TemporaryCutTest(unittest.TestCase):
-    """Runs a scenario; each checks the following invariants.
+    """Runs scenarios, each of which checks the following invariants.
 
     No outdated version is reported as fresh, no valid command is rejected, no acknowledged command is lost,
     and the system recovers within the time limit.
@@ -34,7 +34,7 @@
     def test_primary_that_can_send_but_not_receive(self) -> None:
         self.assert_holds(Role.PRIMARY, CutKind.CANNOT_RECEIVE, 5_000.0)
 
-    def test_primary_cut_off_together_with_a_data_plane(self) -> None:
+    def test_primary_cut_off_together_with_a_data_plane_and_its_callers(self) -> None:
         self.assert_holds(Role.PRIMARY, CutKind.WITH_DATA_PLANE, 5_000.0)
 
     def test_primary_that_resumes_from_a_pause_during_the_cut(self) -> None:
@@ -53,7 +53,7 @@
         self.assert_holds(Role.BACKUP, CutKind.RESTART_ALL, 5_000.0)
 
     def test_backup_that_upstreams_report_to_first(self) -> None:
-        self.assert_holds(Role.BACKUP, CutKind.UPSTREAMS_REPORT_THERE, 5_000.0)
+        self.assert_holds(Role.BACKUP, CutKind.UPSTREAMS_REPORT_TO_VICTIM, 5_000.0)
 
     def test_primary_and_backup_of_five_cut_off_together(self) -> None:
         self.assert_holds(Role.PRIMARY_AND_BACKUP, CutKind.PEERS, 5_000.0)
--- a/tests/controlplane/test_frames.py
+++ b/tests/controlplane/test_frames.py
@@ -11,7 +11,7 @@
 
 
 class FrameQueueTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_full_queue_rejects_frames_but_an_empty_one_accepts_any_size(self) -> None:
+    async def test_offer_reports_an_overfull_queue_unless_it_holds_a_single_frame(self) -> None:
         queue = FrameQueue(max_bytes=10)
         self.assertTrue(queue.offer(0.0, b"x" * 50))
         self.assertFalse(queue.offer(0.0, b"y"))
--- a/tests/controlplane/test_log_page.py
+++ b/tests/controlplane/test_log_page.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("constant", sorted(events()))
-def test_each_event_is_used(constant: str) -> None:
+def test_each_event_is_logged(constant: str) -> None:
     if constant == "SETTINGS_UNUSABLE":
         # SettingsWatch logs it for both programs by its name instead of the constant.
         assert events()[constant].name in (ROOT / "madderwind" / "settings_watch.py").read_text()
--- a/tests/controlplane/test_repeated_commands.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -102,7 +102,7 @@
 
 
 class RepeatedCommandTest(CommandTestCase):
-    def test_repeated_after_snapshot_wipe_and_failover_with_a_short_log(self) -> None:
+    def test_a_repeat_after_snapshot_wipe_and_failover_is_acknowledged(self) -> None:
         with keeping_little():
             intents = self.commit(20)
             for wiped in self.others(self.primary):  # the next primary then has its state from a snapshot
@@ -117,7 +117,7 @@
             self.assert_acknowledged_again(intents[::4])
             self.finish()
 
-    def test_repeated_many_commands_later_after_all_machines_were_wiped_or_replaced(self) -> None:
+    def test_a_late_repeat_after_all_machines_were_wiped_or_replaced_is_acknowledged(self) -> None:
         with keeping_little():
             intents = self.commit(150)
             for number, old in enumerate(list(self.system.machines.values())):
@@ -132,7 +132,7 @@
             self.assert_acknowledged_again([intents[0], intents[75], intents[149]])
             self.finish()
 
-    def test_repeated_after_a_power_loss_of_all_machines(self) -> None:
+    def test_a_repeat_after_a_power_loss_of_all_machines_is_acknowledged(self) -> None:
         intents = self.commit(6)
         for machine in self.system.machines.values():
             machine.lose_power()
@@ -141,7 +141,7 @@
         self.assert_acknowledged_again(intents)
         self.finish()
 
-    def test_repeated_after_its_digest_was_dropped_it_is_not_rejected(self) -> None:
+    def test_a_repeat_after_its_digest_was_dropped_is_not_rejected(self) -> None:
         with patch("madderwind.configuration.history.RETAINED_DIGESTS", 4):
             intents = self.commit(12)
             for machine in list(self.system.machines.values()):
@@ -155,7 +155,7 @@
                 self.assertEqual([[]] * len(answers), answers)
             self.finish()
 
-    def test_sent_to_all_machines_at_once_it_is_acknowledged_by_each(self) -> None:
+    def test_a_command_sent_to_all_machines_at_once_is_acknowledged_by_each(self) -> None:
         self.commit(2)
         intent = self.intent(update, self.base, self.base + 1)
         answers = [self.send(machine, intent) for machine in self.system.machines.values()] * 2
@@ -164,27 +164,27 @@
         self.finish()
 
 
-class RivalCommandTest(CommandTestCase):
-    def test_of_two_commands_for_the_same_version_the_same_one_always_wins(self) -> None:
+class ConflictingCommandTest(CommandTestCase):
+    def test_the_winner_of_two_commands_for_one_version_never_changes(self) -> None:
         self.commit(2)
         for number in range(6):
             kinds = (replacement, update) if number % 2 else (update, update)
-            rivals = [self.intent(make, self.base, self.base + 1) for make in kinds]
+            conflicting = [self.intent(make, self.base, self.base + 1) for make in kinds]
             machines = list(self.system.machines.values())
-            first = self.send(machines[number % 3], rivals[0])
-            second = self.send(machines[(number + 1) % 3], rivals[1])
+            first = self.send(machines[number % 3], conflicting[0])
+            second = self.send(machines[(number + 1) % 3], conflicting[1])
             self.system.run(600.0)
             outcomes = [first[0].outcome, second[0].outcome]
             self.assertEqual(
                 sorted((CommandOutcome.COMMITTED, CommandOutcome.STALE_BASE), key=str),
                 sorted(outcomes, key=str),
             )
-            again = [self.outcome(machines[(number + 2) % 3], rival) for rival in rivals]
+            again = [self.outcome(machines[(number + 2) % 3], intent) for intent in conflicting]
             self.assertEqual(outcomes, again)
             self.base += 1
         self.finish()
 
-    def test_a_command_lost_by_a_former_primary_is_rejected_after_a_rival_commit(
+    def test_a_command_lost_by_a_former_primary_is_rejected_after_a_conflicting_commit(
         self,
     ) -> None:
         self.commit(2)
@@ -226,8 +226,8 @@
             self.system.run(1.0)
         old.kill()
         self.system.run(2_000.0)
-        rival = self.intent(update, self.base, self.base + 1)
-        self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.others(old)[0], rival))
+        conflicting = self.intent(update, self.base, self.base + 1)
+        self.assertEqual(CommandOutcome.STALE_BASE, self.outcome(self.others(old)[0], conflicting))
         self.assertEqual(CommandOutcome.COMMITTED, self.outcome(self.others(old)[1], retained))
         old.start()
         self.finish()
@@ -271,7 +271,7 @@
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
     def test_snapshot_without_digests(self) -> None:
-        name = "test_repeated_after_snapshot_wipe_and_failover_with_a_short_log"
+        name = "test_a_repeat_after_snapshot_wipe_and_failover_is_acknowledged"
         with patch.object(ConfigurationHistory, "snapshot", snapshot_without_digests):
             self.assert_caught(RepeatedCommandTest(name))
 
--- a/tests/controlplane/test_upstream_calls.py
+++ b/tests/controlplane/test_upstream_calls.py
@@ -46,7 +46,7 @@
         self.assertEqual(await self.call(1, "i-1/heartbeat", heartbeat(1)), 200)
         with mock.patch.object(
             RegistryService, "_handle_final_state", lambda *_: []
-        ):  # no peer confirms anything
+        ):  # no peer confirms the state
             for call, body in (("heartbeat", heartbeat(2, "draining")), ("deregister", b"")):
                 async with asyncio.timeout(ACKNOWLEDGEMENT_TIMEOUT_MS / 1000.0):
                     self.assertEqual(await self.call(1, f"i-1/{call}", body), 503)
@@ -77,12 +77,12 @@
         ]
         return [record.state for delta in deltas for record in delta.upstreams]
 
-    def test_is_acknowledged_after_two_machines_have_published_it(self) -> None:
+    def test_a_deregistration_is_acknowledged_after_two_machines_have_published_it(self) -> None:
         self.fleet.deregister(self.first, 2)
         self.assertEqual(self.first.accepted[2], True)
         self.assertEqual([self.published(plane) for plane in self.fleet.planes], [["ready", "gone"]] * 3)
 
-    def test_a_partitioned_machine_rejects_it_in_time_and_propagates_it_later(self) -> None:
+    def test_a_partitioned_machine_rejects_a_deregistration_and_propagates_it_later(self) -> None:
         self.fleet.partitioned.update({self.second.address, self.third.address})
         self.fleet.deregister(self.first, 2)
         self.fleet.run(CONFIRMATION_TIMEOUT_MS + 25.0)
@@ -105,7 +105,7 @@
             RegistryService, "_respond", lambda _, __, call, ___: [RespondToUpstream(call, True)]
         )
         with immediate_response, self.assertRaises(AssertionError):
-            self.test_a_partitioned_machine_rejects_it_in_time_and_propagates_it_later()
+            self.test_a_partitioned_machine_rejects_a_deregistration_and_propagates_it_later()
 
 
 if __name__ == "__main__":
