--- a/madderwind/standalone/policy/__init__.py
+++ b/madderwind/standalone/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions and their interface; no input or output happens here."""
+"""The routing and admission decisions of a balancer and their interface; nothing here performs I/O."""
--- a/madderwind/standalone/policy/api.py
+++ b/madderwind/standalone/policy/api.py
@@ -1,8 +1,9 @@
 """The interface of the decision module: settings, events, actions and outcomes.
 
-`Balancer(settings, seed).handle(now, event)` takes one event and returns the actions to carry out at once, in
-order. A host (the simulator's adapter today, a service on sockets later) turns what it receives into these
-events and these actions into what it sends; it decides nothing. Times are milliseconds on the host's clock.
+`Balancer(settings, seed).handle(now, event)` processes one event and returns the actions to carry out at
+once, in order. A host (the simulator's adapter or the service on sockets) translates what it receives into
+these events, and these actions into what it sends; it decides nothing. Times are milliseconds on the host's
+clock.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """Whether a request may be executed twice: always, with an idempotency key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -24,7 +25,7 @@
 
 
 class Group(Enum):
-    """Which upstreams drop each other's repeats of a keyed request."""
+    """Which upstreams deduplicate a keyed request that is sent to several of them."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,7 +33,7 @@
 
 
 class ListKind(Enum):
-    """What a list of upstreams holds."""
+    """What a list of upstreams contains: changes, all upstreams, or all of a cached, possibly old list."""
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -43,12 +44,12 @@
     GONE = "gone"
     READY = "ready"
     DRAINING = "draining"
-    SUSPENDED = "suspended"  # by hand, whatever discovery says
-    LEFT = "left"  # by the fleet, with its zone; not owed an attempt when it is returned to
+    SUSPENDED = "suspended"  # by an operator, whatever discovery lists
+    LEFT = "left"  # evacuated by the fleet with its zone; no first attempt is due when it is restored
 
 
 class RequestClass(msgspec.Struct, frozen=True):
-    """Settings of one class of request."""
+    """Settings of one class of requests."""
 
     effect: Effect
     group: Group
@@ -61,19 +62,19 @@
 
     @property
     def useful_ms(self) -> float:
-        """How long after its arrival an answer is worth anything."""
+        """How long after the request's arrival an answer still has a value."""
         return self.aim_ms if self.late_worth <= 0 else self.deadline_ms
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """Settings of one tenant: its part of the service and its requests a second over all copies."""
+    """Settings of one tenant: its share of the service and its requests per second over all balancers."""
 
     share: float
     quota_per_s: float
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """What one copy is told at its start."""
+    """The settings of one balancer; `me` is its number among the `copies` balancers of its tier."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -116,9 +117,10 @@
 
 
 class UpstreamEntry(msgspec.Struct, frozen=True, gc=False):
-    """One line of the list of upstreams. `started_ms` is 0 where the start was long ago.
+    """One entry of the list of upstreams. `started_ms` is 0 if the start was long ago.
 
-    `mark` is alike at every copy, for choices that all copies make alike; 0: `upstream` is.
+    `mark` identifies the upstream at every balancer, for choices that all of them have to make alike; if it
+    is 0, `upstream` does.
     """
 
     upstream: int
@@ -132,14 +134,14 @@
 
     @property
     def is_rated(self) -> bool:
-        """Whether the rating is one that can be reckoned with."""
+        """Whether the rating is a positive, finite number."""
         return 0 < self.rating < math.inf
 
 
 class Known(msgspec.Struct, frozen=True, rename={"ejected_until_ms": "aside_until_ms"}):
-    """What a copy has learned of one upstream. `slowness` 0: to be learned afresh.
+    """What a balancer has learned about one upstream. `slowness` 0 means unknown.
 
-    It passes from one version of the program to the next, so its names in messages stay as they were.
+    One version of the program hands it to the next, so the names in messages must not change.
     """
 
     started_ms: float
@@ -150,7 +152,7 @@
 
 
 class Memory(msgspec.Struct, frozen=True):
-    """What a process that takes over goes on from, upstreams by their numbers. `room` 0: start afresh."""
+    """What a successor process continues from, upstreams by number. `room` 0 means the initial limit."""
 
     quota: float
     room: float
@@ -158,11 +160,11 @@
 
 
 class Event(msgspec.Struct, frozen=True, gc=False):
-    """Something that happened to this copy."""
+    """Something that happened to this balancer."""
 
 
 class FleetListed(Event, frozen=True):
-    """The list of upstreams, or changes to the list held."""
+    """The list of upstreams, or changes to the current one."""
 
     kind: ListKind
     version: int
@@ -170,19 +172,19 @@
 
 
 class Retuned(Event, frozen=True):
-    """New settings, in force from now on. Classes and tenants keep their numbers; new ones come behind."""
+    """New settings, in force from now on. Classes and tenants keep their numbers; new ones are appended."""
 
     settings: Settings
 
 
 class Recalled(Event, frozen=True):
-    """What the process before this one knew, right after the list that it followed."""
+    """What the previous process knew; it comes right after the list of upstreams that process used."""
 
     memory: Memory
 
 
 class ListFailed(Event, frozen=True):
-    """A call to discovery failed or a subscription broke; the list held stays in force."""
+    """A call to discovery failed or a subscription broke; the current list stays in force."""
 
 
 class RequestArrived(Event, frozen=True, gc=False):
@@ -197,9 +199,9 @@
 
 
 class BodyPassing(Event, frozen=True, gc=False):
-    """A long body goes to the upstream as it comes: its beginning is let go, so it is not sent again.
+    """A long body is streamed to the upstream: its start is no longer buffered, so it can't be resent.
 
-    Told when that begins, with an endless deadline, and when its last byte is written, with the real one.
+    Sent when that begins, with an infinite deadline, and when the last byte is written, with the real one.
     """
 
     request_id: int
@@ -207,7 +209,7 @@
 
 
 class AnswerBegan(Event, frozen=True, gc=False):
-    """A long answer has begun to reach the client."""
+    """The streaming of a long answer to the client has begun."""
 
     request_id: int
     attempt: int
@@ -216,7 +218,7 @@
 
 
 class AttemptEnded(Event, frozen=True):
-    """An attempt's end. `request_over`: the request has its final answer or needs none any more."""
+    """An attempt ended. `request_over`: the request has its final answer or needs none any more."""
 
     request_id: int
     request_over: bool
@@ -243,18 +245,18 @@
 
 
 class PeerSpoke(Event, frozen=True):
-    """Words of another copy, where the settings allow them. No rule rests on them."""
+    """A message of another balancer, if the settings allow them. No rule depends on these messages."""
 
     peer: int
     message: bytes
 
 
 class Action(msgspec.Struct, frozen=True, gc=False):
-    """Something for the host to do now."""
+    """Something that the host has to do now."""
 
 
 class Send(Action, frozen=True, gc=False):
-    """Start an attempt; `not_past_ms` 0 means until the client gives up."""
+    """Start an attempt. It ends at `not_past_ms` at the latest; 0 means when the client gives up."""
 
     request_id: int
     upstream: int
@@ -267,14 +269,14 @@
 
 
 class Refuse(Action, frozen=True, gc=False):
-    """Final answer: not done, trying again is harmless; `retry_after_ms` 0 gives no hint."""
+    """Final answer: refused, and a retry is harmless; `retry_after_ms` 0 gives no hint."""
 
     request_id: int
     retry_after_ms: float
 
 
 class Fail(Action, frozen=True, gc=False):
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed, and a retry may not be harmless."""
 
     request_id: int
 
@@ -301,7 +303,7 @@
 
 
 class TellPeers(Action, frozen=True, gc=False):
-    """Words for one copy of this tier, or for every one (`peer` None)."""
+    """A message for one balancer of this tier, or for all of them (`peer` None)."""
 
     peer: int | None
     message: bytes
--- a/madderwind/standalone/policy/peer_messages.py
+++ b/madderwind/standalone/policy/peer_messages.py
@@ -1,7 +1,7 @@
-"""The message by which balancers of a tier tell one another their rate and who failed them; no decisions.
+"""The message by which balancers of a tier report their rate and failed upstreams to one another.
 
-Three bytes of rate, in hundredths of a request a second, then four bytes for each upstream's mark, all
-little-endian."""
+Three bytes hold the rate, in hundredths of a request per second; then follow four bytes for the mark of each
+upstream. All numbers are little-endian. This module takes no decisions."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 import msgspec
 
 RATE_BYTES, RATE_UNITS = 3, 100
-MARK_BYTES, MOST_MARKS = 4, 60
-HIGHEST_RATE: int = 2 ** (8 * RATE_BYTES) - 1
+MARK_BYTES, MAX_MARKS = 4, 60
+MAX_RATE_UNITS: int = 2 ** (8 * RATE_BYTES) - 1
 
 
 class TrafficMessage(msgspec.Struct, frozen=True):
-    """A balancer's requests a second, and the marks of upstreams that failed it lately."""
+    """A balancer's requests per second, and the marks of upstreams that failed it recently."""
 
     rate: float
     marks: frozenset[int]
 
 
 def encode(rate: float, marks: Sequence[int]) -> bytes:
-    """The message's bytes; marks beyond the most that one holds are left out."""
-    units = min(HIGHEST_RATE, round(rate * RATE_UNITS))
+    """The message's bytes; marks beyond `MAX_MARKS` are left out."""
+    units = min(MAX_RATE_UNITS, round(rate * RATE_UNITS))
     return units.to_bytes(RATE_BYTES, "little") + b"".join(
-        mark.to_bytes(MARK_BYTES, "little") for mark in marks[:MOST_MARKS]
+        mark.to_bytes(MARK_BYTES, "little") for mark in marks[:MAX_MARKS]
     )
 
 
 def decode(message: bytes) -> TrafficMessage | None:
-    """The message; None where the bytes are none."""
+    """The message, or None if the length of the bytes is invalid."""
     if len(message) % MARK_BYTES != RATE_BYTES:
         return None
     rate = int.from_bytes(message[:RATE_BYTES], "little") / RATE_UNITS
-    marks = range(RATE_BYTES, len(message), MARK_BYTES)
+    offsets = range(RATE_BYTES, len(message), MARK_BYTES)
     return TrafficMessage(
-        rate, frozenset(int.from_bytes(message[at : at + MARK_BYTES], "little") for at in marks)
+        rate, frozenset(int.from_bytes(message[at : at + MARK_BYTES], "little") for at in offsets)
     )
--- a/madderwind/standalone/policy/picker.py
+++ b/madderwind/standalone/policy/picker.py
@@ -1,4 +1,4 @@
-"""The design's idle-first pick, within the rules on drains and cold upstreams."""
+"""The idle-first pick, restricted by the rules on draining and cold upstreams."""
 
 import math
 import random
@@ -6,73 +6,83 @@
 from madderwind.balancing.candidates import idle_first
 from madderwind.balancing.estimates import GAIN, SLOW_GAIN, Mean
 from madderwind.standalone.policy import api, repetition
-from madderwind.standalone.policy.fleet import COPIES_EACH, NEAR, STEEPNESS, Fleet
+from madderwind.standalone.policy.fleet import BALANCERS_PER_UPSTREAM, MIN_SUBSET, SLOWNESS_EXPONENT, Fleet
 from madderwind.standalone.policy.records import Request
-from madderwind.standalone.policy.ring import GOLDEN
+from madderwind.standalone.policy.ring import GOLDEN_RATIO
 from madderwind.standalone.policy.traffic import Traffic
-from madderwind.standalone.policy.upstreams import DEAD, Upstream
+from madderwind.standalone.policy.upstreams import DEAD_AFTER_CONNECTS, Upstream
 
-SOUND_PART = 0.5  # fewer sound ones than this part: all have one cause, and those set aside are used again
-CROSS_ZONE_PART = 0.2  # of the weight in the tie-break for another zone, if that is priced
-HOMES, KEYS_KEPT = 2, 200  # of a key; and the requests whose keys are counted
-COLD_CAUTION = 0.8  # of their least capacity for cold upstreams, as chance and unknown size add to it
+# With a smaller part healthy, the failures have a common cause, and the ejected upstreams are used again.
+MIN_HEALTHY_PART = 0.5
+CROSS_ZONE_WEIGHT = 0.2  # factor on the weight of an upstream in another zone, if crossing has a price
+HOMES_PER_KEY, RECENT_KEYS = 2, 200  # upstreams that hold a key warm; requests whose keys are counted
+COLD_MARGIN = (
+    0.8  # of the least capacity of cold upstreams: random arrivals and unknown size add to their load
+)
 
 
 class Picker:
-    """Draws an upstream for each attempt. `typical`: answer times of all classes."""
+    """Draws an upstream for each attempt. `answer_times` covers all classes."""
 
     def __init__(self, settings: api.Settings, fleet: Fleet, traffic: Traffic, rng: random.Random) -> None:
         self._fleet, self._traffic, self._rng = fleet, traffic, rng
-        self._now, self.typical = 0.0, Mean(SLOW_GAIN)
-        self._cold, self._warm = list[Upstream](), 0.0  # that the last pick met, and the warm ones' size
-        self._all_cold_credit = settings.me * GOLDEN % 1  # spread, so that not all send their first at once
-        self._keys = list[int]()  # of the last requests
-        self.cells = dict[int, float]()  # each one's slowness: its members may have a limit in common
-        self.tune(settings)
-
-    def tune(self, settings: api.Settings) -> None:
+        self._now, self.answer_times = 0.0, Mean(SLOW_GAIN)
+        self._cold, self._warm_size = (
+            list[Upstream](),
+            0.0,
+        )  # considered by the last pick; the warm ones' size
+        # Balancers start at different values, so that they don't all send their first request at once.
+        self._all_cold_credit = settings.me * GOLDEN_RATIO % 1
+        self._recent_keys = list[int]()
+        self.cell_slowness = dict[int, float]()  # members of a cell may share a bottleneck
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: api.Settings) -> None:
         self._settings = settings
-        middle = math.sqrt(max(1.0, settings.fall_multiple))  # by ratio, of the least and of where it falls
-        self._cold_part = middle if settings.ratings_tell_size else COLD_CAUTION
+        # The geometric mean of the least capacity and of the load at which it falls over.
+        middle = math.sqrt(max(1.0, settings.fall_multiple))
+        self._cold_part = middle if settings.ratings_tell_size else COLD_MARGIN
 
-    def has_place(self, request: Request, when: float) -> bool:
-        """Whether any upstream may have the request's next attempt then."""
+    def may_resend(self, request: Request, when: float) -> bool:
+        """Whether any upstream may receive the request's next attempt at that time."""
         entries = (u.entry for u in self._fleet.upstreams.values())
         return any(repetition.may_be_resent(request, entry, when, self._settings) for entry in entries)
 
     def pick(self, request: Request, now: float) -> Upstream | None:
-        """The upstream for the request's next attempt, or None where no upstream may have it."""
+        """The upstream for the request's next attempt, or None if no upstream may receive it."""
         self._now = now
         any_warm = any(u.warmth(now, self._settings) >= 1 for u in self._fleet.order)
-        if self._fleet.order and not any_warm and not self._takes_part_while_all_are_cold(now):
+        if self._fleet.order and not any_warm and not self._admits_while_all_cold(now):
             return None
-        able, cold = self._able(request, now, any_warm)
-        sound = [u for u in able if u.sound(now)]
-        if len(sound) < SOUND_PART * len(able):
-            sound = able
-        owed = [u for u in sound if now >= u.owed_ms]
-        pool = owed or idle_first(sound, lambda u: not u.sent_ms, self._load)
+        candidates, cold = self._candidates(request, now, any_warm)
+        healthy = [u for u in candidates if u.is_healthy(now)]
+        if len(healthy) < MIN_HEALTHY_PART * len(candidates):
+            healthy = candidates
+        due = [u for u in healthy if now >= u.first_attempt_due_ms]
+        pool = due or idle_first(healthy, lambda u: not u.in_flight_since_ms, self._load)
         if not pool:
             return None
-        chosen = self._rng.choices(pool, [self._weight(u) for u in pool])[0]
-        if not math.isinf(chosen.owed_ms):
-            chosen.owed_ms = math.inf
+        picked = self._rng.choices(pool, [self._weight(u) for u in pool])[0]
+        if not math.isinf(picked.first_attempt_due_ms):
+            picked.first_attempt_due_ms = math.inf
             self._fleet.reorder()
-        if chosen.cold_credit is not None:
-            chosen.cold_credit -= 1
+        if picked.cold_credit is not None:
+            picked.cold_credit -= 1
         self._cold = cold
         if cold:
-            self._warm = sum(self._size(u) for u in sound if u.warmth(now, self._settings) >= 1)
-        return chosen
+            self._warm_size = sum(
+                self._relative_size(u) for u in healthy if u.warmth(now, self._settings) >= 1
+            )
+        return picked
 
-    def _takes_part_while_all_are_cold(self, now: float) -> bool:
-        """Whether this arrival is within what all cold upstreams bear of the fleet's usual traffic.
+    def _admits_while_all_cold(self, now: float) -> bool:
+        """Whether this arrival is within what cold upstreams can serve of the fleet's usual traffic.
 
-        No warm upstream shows how much that is, and one attempt at a time bounds the sum only over as many
-        balancers as are near to an upstream: with more, each takes the part of its own arrivals by which a
-        fleet that was busy stays below the fall.
+        No warm upstream shows how much that traffic is. One attempt at a time bounds the sum only where no
+        more balancers exist than use each upstream; with more, each sends the part of its own arrivals that
+        keeps a fleet which was busy below the load at which it falls over.
         """
-        if self._traffic.copies <= COPIES_EACH:
+        if self._traffic.balancer_count <= BALANCERS_PER_UPSTREAM:
             return True
         order = self._fleet.order
         warmth = sum(u.warmth(now, self._settings) for u in order) / len(order)
@@ -82,85 +92,101 @@
         self._all_cold_credit -= 1.0
         return True
 
-    def _able(self, request: Request, now: float, any_warm: bool) -> tuple[list[Upstream], list[Upstream]]:
-        """The nearest that may have it, until enough are idle; and the cold ones among those looked at. One
-        just tried, or dead, which looks idle, only where no others live."""
+    def _candidates(
+        self, request: Request, now: float, any_warm: bool
+    ) -> tuple[list[Upstream], list[Upstream]]:
+        """The first upstreams that may get the attempt, until enough are idle; and the cold ones considered.
+
+        The one tried last and dead ones, which look idle, are candidates only if there are no others."""
         tried = request.attempts[-1].upstream.upstream if request.attempts else None
-        order, near = self._preference(request, now)
-        able, cold, last, idle = list[Upstream](), list[Upstream](), list[Upstream](), 0.0
+        order, idle_wanted = self._preference(request, now)
+        candidates, cold, last_resort, idle = list[Upstream](), list[Upstream](), list[Upstream](), 0.0
         for u in order:
             if not repetition.may_be_resent(request, u.entry, now, self._settings):
                 continue
             if u.warmth(now, self._settings) < 1:
                 cold.append(u)
-                if not self._takes_cold(u, any_warm):
+                if not self._cold_accepts(u, any_warm):
                     continue
-            if u.entry.upstream == tried or (u.refused >= DEAD and not u.sound(now)):
-                last.append(u)
+            if u.entry.upstream == tried or (
+                u.connect_failures >= DEAD_AFTER_CONNECTS and not u.is_healthy(now)
+            ):
+                last_resort.append(u)
                 continue
-            able.append(u)
-            if (
-                u.sound(now) and not u.sent_ms
-            ):  # a slow one counts for less, so that its neighbours look further
+            candidates.append(u)
+            if u.is_healthy(now) and not u.in_flight_since_ms:
+                # A slow one counts for less, so that the search goes on to further upstreams.
                 idle += 1 / max(1.0, self.slowness(u))
-            if idle >= near:
+            if idle >= idle_wanted:
                 break
-        return able or last, cold
+        return candidates or last_resort, cold
 
     def _preference(self, request: Request, now: float) -> tuple[list[Upstream], int]:
-        """In which order to look, and how many idle ones to look for."""
+        """The order in which to consider upstreams, and how many idle ones to find."""
         if self._settings.warm_keys and request.key:
-            return self._homes(request.key)
+            return self._key_preference(request.key)
         part = self._traffic.part(now)
-        return self._fleet.order, max(NEAR, round(self._fleet.near * part * self._traffic.copies))
+        return self._fleet.order, max(
+            MIN_SUBSET, round(self._fleet.subset_size * part * self._traffic.balancer_count)
+        )
+
+    def _key_preference(self, key: int) -> tuple[list[Upstream], int]:
+        """The upstreams by rendezvous hashing of the key, the same at all balancers, and how many to use.
 
-    def _homes(self, key: int) -> tuple[list[Upstream], int]:
-        """Where the key is warm, likeliest first, alike at all balancers (rendezvous hashing); how many."""
-        part = self._keys.count(key) / max(1, len(self._keys))
-        self._keys = [*self._keys[1 - KEYS_KEPT :], key]
+        Those are the ones likely to have the key in their cache."""
+        part = self._recent_keys.count(key) / max(1, len(self._recent_keys))
+        self._recent_keys = [*self._recent_keys[1 - RECENT_KEYS :], key]
 
-        def rank(u: Upstream) -> float:
-            return math.log((hash((key, u.mark)) * 0x9E3779B97F4A7C15 % 2**64 + 1) / 2**64) / self._size(u)
+        def score(u: Upstream) -> float:
+            return math.log(
+                (hash((key, u.mark)) * 0x9E3779B97F4A7C15 % 2**64 + 1) / 2**64
+            ) / self._relative_size(u)
 
-        order = sorted(self._fleet.order, key=rank, reverse=True)
-        return order, HOMES + math.floor(part * len(order))
+        order = sorted(self._fleet.order, key=score, reverse=True)
+        return order, HOMES_PER_KEY + math.floor(part * len(order))
 
     def _weight(self, u: Upstream) -> float:
         crosses = self._settings.cross_zone_price > 0 and u.entry.zone != self._settings.zone
-        slowness = self.slowness(u) * self.cells.get(u.entry.cell, 1.0) ** 2
-        return (CROSS_ZONE_PART if crosses else 1.0) / math.pow(slowness, STEEPNESS)
+        slowness = self.slowness(u) * self.cell_slowness.get(u.entry.cell, 1.0) ** 2
+        return (CROSS_ZONE_WEIGHT if crosses else 1.0) / math.pow(slowness, SLOWNESS_EXPONENT)
 
     def _load(self, u: Upstream) -> float:
-        return len(u.sent_ms) * self.slowness(u)  # a slow one may not hold as many
+        return len(u.in_flight_since_ms) * self.slowness(u)  # so a slow one gets fewer requests in flight
 
-    def took(self, u: Upstream, ratio: float) -> None:
-        """An answer's or a time-out's time over its class's usual."""
+    def record_duration(self, u: Upstream, ratio: float) -> None:
+        """Record the ratio of an answer's or time-out's duration to the mean of its class."""
         u.slowness += GAIN * (ratio - u.slowness)
-        known = self.cells.get(u.entry.cell, 1.0)
-        self.cells[u.entry.cell] = known + GAIN / 4 * (ratio - known)
+        known = self.cell_slowness.get(u.entry.cell, 1.0)
+        self.cell_slowness[u.entry.cell] = known + GAIN / 4 * (ratio - known)
 
     def slowness(self, u: Upstream) -> float:
-        """What was learned of it, or its silence with work out, which tells before any answer does."""
-        silent_ms = self._now - max(u.heard_ms, next(iter(u.sent_ms.values()), self._now))
-        return max(u.slowness, silent_ms / self.typical.mean if self.typical.seen else 0.0)
-
-    def _takes_cold(self, u: Upstream, any_warm: bool) -> bool:
-        """A cold upstream takes what its credit allows; where all are cold, one attempt at a time."""
-        if not any_warm or self._now >= u.owed_ms:
-            return not u.sent_ms
-        if u.cold_credit is None:  # a random start, so that not all balancers send their first at once
+        """Its recorded slowness, or its time without an answer to open attempts if that indicates more.
+
+        The latter shows that it is slow before any attempt has ended."""
+        silent_ms = self._now - max(u.last_answer_ms, next(iter(u.in_flight_since_ms.values()), self._now))
+        return max(u.slowness, silent_ms / self.answer_times.mean if self.answer_times.seen else 0.0)
+
+    def _cold_accepts(self, u: Upstream, any_warm: bool) -> bool:
+        """Whether a cold upstream may get an attempt: by its credit or, if all are cold, one at a time."""
+        if not any_warm or self._now >= u.first_attempt_due_ms:
+            return not u.in_flight_since_ms
+        if u.cold_credit is None:  # starts at random, so that balancers don't all send their first at once
             u.cold_credit = -self._rng.random()
-        return u.cold_credit >= 0 and not u.sent_ms
+        return u.cold_credit >= 0 and not u.in_flight_since_ms
 
-    def _size(self, u: Upstream) -> float:
+    def _relative_size(self, u: Upstream) -> float:
         return u.entry.rating if self._settings.ratings_tell_size and u.entry.is_rated else 1.0
 
-    def carried(self, u: Upstream, now: float) -> None:
-        """Guards against all balancers together pushing a cold upstream over: it is sent what warm ones of
-        its size answer (they may be sent more than they can do), cut to its least capacity by now."""
+    def credit_cold(self, u: Upstream, now: float) -> None:
+        """Credit cold upstreams for a warm one's answer, so that all balancers together don't overload them.
+
+        The credit is what warm upstreams of the same size answer (more may be sent to them than they can
+        serve), reduced to the least capacity that the cold upstream has by now."""
         if u.warmth(now, self._settings) >= 1:
             for other in self._cold:
                 if other.cold_credit is not None:
                     part = other.warmth(now, self._settings) * self._cold_part
-                    earned = part * self._size(other) / max(self._warm, self._size(other))
+                    earned = (
+                        part * self._relative_size(other) / max(self._warm_size, self._relative_size(other))
+                    )
                     other.cold_credit = min(other.cold_credit + earned, max(other.cold_credit, 0.0))
--- a/madderwind/standalone/policy/records.py
+++ b/madderwind/standalone/policy/records.py
@@ -1,6 +1,6 @@
-"""What a balancer remembers of requests, attempts, upstreams and timers: records that decide nothing.
+"""What a balancer stores about requests, attempts, upstreams and timers; these records take no decisions.
 
-Times are milliseconds on the host's clock, costs are the retry quota's tokens."""
+Times are milliseconds on the host's clock, costs are tokens of the retry quota."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
-        """Whether the upstream may have done some part of the request."""
+        """Whether the upstream may have executed some part of the request."""
         return self.outcome is None or not self.outcome.never_ran
 
 
 class Request(msgspec.Struct, eq=False):
-    """A request without its final answer. It keeps the settings in force when it came."""
+    """A request without its final answer. It keeps the settings that were in force when it arrived."""
 
     id: int
     class_index: int
@@ -37,14 +37,13 @@
     deadline_ms: float
     useful_until_ms: float  # an answer after that is worth nothing
     attempts: list[Attempt] = msgspec.field(default_factory=list)
-    waiting_cost: float | None = None  # set while a retry's wait runs
-    streaming: bool = False  # its answer has begun
-    once_only: bool = False  # its answer has begun, or its body's beginning is let go
-    passing: bool = False  # body or answer goes on in pieces: it takes nobody's time meanwhile
+    pending_retry_cost: float | None = None  # set while the wait before a retry runs
+    answer_started: bool = False
+    not_resendable: bool = False  # its answer has started, or the start of its body is no longer buffered
+    is_transferring: bool = False  # its body or answer is being streamed, so it occupies no upstream
 
     @classmethod
-    def arrived(cls, event: api.RequestArrived, settings: api.Settings, now: float) -> Request:
-        """The request of an arrival."""
+    def from_arrival(cls, event: api.RequestArrived, settings: api.Settings, now: float) -> Request:
         useful_ms = settings.classes[event.class_index].useful_ms
         useful_until_ms = min(event.deadline_ms, now + useful_ms)
         return cls(
@@ -56,14 +55,14 @@
         """The settings of its class."""
         return self.settings.classes[self.class_index]
 
-    def body_passes(self, now: float, deadline_ms: float) -> None:
-        """Its long body goes to the upstream in pieces; the deadline is endless until the last is written."""
-        self.once_only, self.passing = True, math.isinf(deadline_ms)
+    def stream_body(self, now: float, deadline_ms: float) -> None:
+        """Record that its body is streamed; the deadline is infinite until the last byte is written."""
+        self.not_resendable, self.is_transferring = True, math.isinf(deadline_ms)
         self.deadline_ms, self.attempts[-1].sent_ms = deadline_ms, now
 
-    def answer_began(self) -> None:
-        """Its long answer goes to the client in pieces."""
-        self.streaming = self.once_only = self.passing = True
+    def start_answer(self) -> None:
+        """Record that its answer is streamed to the client."""
+        self.answer_started = self.not_resendable = self.is_transferring = True
 
     def open_attempts(self) -> int:
         """How many attempts have not ended."""
@@ -71,58 +70,59 @@
 
 
 class UpstreamRecord(msgspec.Struct, eq=False):
-    """What this balancer knows of one upstream."""
+    """What this balancer knows about one upstream."""
 
     entry: api.UpstreamEntry
     started_ms: float
-    mark: int  # alike at every balancer
-    sent_ms: dict[tuple[int, int], float] = msgspec.field(default_factory=dict)  # open attempts, oldest first
-    slowness: float = 1.0  # its answers' times over the class's usual, smoothed
+    mark: int  # its number in messages, the same at every balancer
+    # Start times of the open attempts, by request and number of the attempt, oldest first.
+    in_flight_since_ms: dict[tuple[int, int], float] = msgspec.field(default_factory=dict)
+    slowness: float = 1.0  # smoothed ratio of its answer times to the mean of their class
     failures: int = 0
     ejected_until_ms: float = 0.0
-    refused: int = 0  # failed connects in a row
-    heard_ms: float = -math.inf  # its last answer
+    connect_failures: int = 0  # in a row
+    last_answer_ms: float = -math.inf
     cold_credit: float | None = None
-    owed_ms: float = math.inf  # when its own first attempt is due, after it was called back by hand
-    left: bool = False  # by the fleet, with its zone
+    first_attempt_due_ms: float = math.inf  # set after an operator restored it
+    evacuated: bool = False  # by the fleet, together with its zone
 
     @classmethod
-    def listed(cls, entry: api.UpstreamEntry) -> Self:
-        """One that is new on the list."""
+    def from_entry(cls, entry: api.UpstreamEntry) -> Self:
         return cls(entry, entry.started_ms, entry.mark or entry.upstream)
 
-    def failed(self, now: float, wait_ms: float) -> None:
-        """What failed goes on counting against it; one that is set aside already is so for no longer."""
+    def record_failure(self, now: float, wait_ms: float) -> None:
+        """Eject the upstream. One that is ejected already gets no longer ejection and no further failure."""
         if now >= self.ejected_until_ms:
             self.failures += 1
             self.ejected_until_ms = now + wait_ms
 
-    def restarted(self, started_ms: float) -> None:
-        """It is another process now, to which nothing bad is known."""
-        self.started_ms, self.refused, self.cold_credit = started_ms, 0, None
+    def record_restart(self, started_ms: float) -> None:
+        """Forget failures and slowness: it is a new process."""
+        self.started_ms, self.connect_failures, self.cold_credit = started_ms, 0, None
         self.slowness, self.failures, self.ejected_until_ms = min(self.slowness, 1.0), 0, 0.0
 
-    def relisted(self, entry: api.UpstreamEntry) -> None:
-        """Its entry on the list changed."""
-        self.entry, self.left = entry, self.left or entry.state is UpstreamState.LEFT
+    def update_entry(self, entry: api.UpstreamEntry) -> None:
+        self.entry, self.evacuated = entry, self.evacuated or entry.state is UpstreamState.LEFT
         if entry.started_ms > self.started_ms:
-            self.restarted(entry.started_ms)
+            self.record_restart(entry.started_ms)
 
     def skipped(self, now: float) -> bool:
-        """Whether it gets nothing at present, other than because it drains."""
+        """Whether it gets no requests at present, for a reason other than draining."""
         if self.entry.state is UpstreamState.READY:
             return now < self.ejected_until_ms
         return self.entry.state is not UpstreamState.DRAINING
 
     def known(self) -> api.Known:
-        """What a successor process is handed."""
-        return api.Known(self.started_ms, self.slowness, self.failures, self.refused, self.ejected_until_ms)
+        """What a successor process receives."""
+        return api.Known(
+            self.started_ms, self.slowness, self.failures, self.connect_failures, self.ejected_until_ms
+        )
 
-    def recall(self, known: api.Known) -> None:
-        """Go on from what the process before knew."""
+    def restore(self, known: api.Known) -> None:
+        """Continue from what the previous process knew."""
         self.started_ms = max(self.started_ms, known.started_ms)
         self.slowness = known.slowness or self.slowness
-        self.failures, self.refused = known.failures, known.refused
+        self.failures, self.connect_failures = known.failures, known.refused
         self.ejected_until_ms = known.ejected_until_ms
 
 
@@ -131,13 +131,13 @@
 
     RETRY = "retry"  # the wait before a retry is over
     OVERDUE = "overdue"  # an attempt should have ended by now
-    ASK = "ask"  # subscribe to discovery
-    TELL = "tell"  # tell other balancers this one's rate
-    ALARM = "alarm"  # tell other balancers who failed this one
+    SUBSCRIBE = "ask"  # subscribe to discovery
+    SEND_RATE = "tell"  # send this balancer's rate to its peers
+    SEND_FAILURES = "alarm"  # send the upstreams that failed this balancer to its peers
 
 
 class Timer(msgspec.Struct, frozen=True):
-    """A running timer; those of a request name it and the attempt."""
+    """A running timer; a timer of a request names it and the attempt."""
 
     kind: TimerKind
     request_id: int = 0
@@ -145,18 +145,18 @@
 
 
 class Timers:
-    """The timers that run, by the tokens that the host is given."""
+    """The running timers, by the tokens that the host was given."""
 
     def __init__(self) -> None:
         self._running: dict[int, Timer] = {}
         self._last_token = 0
 
-    def set(self, timer: Timer) -> int:
-        """The token of one more."""
+    def add(self, timer: Timer) -> int:
+        """Add a timer and return its token."""
         self._last_token = (self._last_token + 1) % 2**32
         self._running[self._last_token] = timer
         return self._last_token
 
-    def fired(self, token: int) -> Timer | None:
-        """The timer, which runs no more; None where there is no such one."""
+    def remove(self, token: int) -> Timer | None:
+        """Remove and return the timer with this token; None if there is none."""
         return self._running.pop(token, None)
--- a/madderwind/standalone/policy/repetition.py
+++ b/madderwind/standalone/policy/repetition.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent again, or its client told to ask again, without a second effect."""
+"""Whether a request may be resent, or its client told to retry, without the risk of a second effect."""
 
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import Effect, Group
@@ -6,10 +6,10 @@
 
 
 def may_be_resent(request: Request, entry: api.UpstreamEntry, now: float, settings: api.Settings) -> bool:
-    """Whether another attempt at this upstream can have no second effect. The only such test."""
+    """Whether an attempt at this upstream can't cause a second effect. No other code decides this."""
     too_many = len(request.attempts) >= min(settings.max_attempts, request.settings.max_attempts)
-    beside = settings.second_copies and request.settings.second_copies
-    if request.once_only or too_many or (request.open_attempts() and not beside):
+    may_overlap = settings.second_copies and request.settings.second_copies
+    if request.not_resendable or too_many or (request.open_attempts() and not may_overlap):
         return False
     ran, request_class = [a for a in request.attempts if a.may_have_run()], request.request_class
     if not ran or request_class.effect is Effect.SAFE:
@@ -22,7 +22,7 @@
 
 
 def may_be_refused(request: Request) -> bool:
-    """Whether the client may be told that trying again is harmless. The only such test."""
+    """Whether the client may be told that a retry is harmless. No other code decides this."""
     request_class, never_ran = request.request_class, not any(a.may_have_run() for a in request.attempts)
-    dropped = request_class.effect is Effect.KEYED and request_class.group is Group.ALL
-    return not request.streaming and (never_ran or dropped or request_class.effect is Effect.SAFE)
+    deduplicated = request_class.effect is Effect.KEYED and request_class.group is Group.ALL
+    return not request.answer_started and (never_ran or deduplicated or request_class.effect is Effect.SAFE)
--- a/madderwind/standalone/policy/ring.py
+++ b/madderwind/standalone/policy/ring.py
@@ -1,38 +1,41 @@
-"""Places of upstreams on a circle, by which every balancer has its own order of preference. Guards against
-changes of the list that give every balancer new neighbours."""
+"""Positions of upstreams on a circle, from which each balancer derives its own order of preference. A change
+of the list moves few positions, so most balancers keep the upstreams that they are connected to."""
 
 from madderwind.standalone.policy.upstreams import Upstream
 
-GOLDEN = 0.618034  # steps of this part of a circle keep all points well apart, however many there are
+GOLDEN_RATIO = 0.618034  # steps of this part of a circle keep any number of points well apart
 
 
 class Ring:
-    """By rating at first; then a newcomer takes one left, of the nearest rating, or halves the widest gap."""
+    """The first positions are in order of rating. A new upstream takes the vacant position with the nearest
+    rating, or the middle of the widest gap if none is vacant."""
 
     def __init__(self) -> None:
-        self._places: dict[int, tuple[float, float]] = {}  # with the rating that took each
-
-    def place(self, ready: list[Upstream]) -> None:
-        """Give each of the ready upstreams, in order of their ratings, a place."""
-        if not len(self._places) / 4 <= len(ready) <= len(self._places) * 2:
-            self._places = {u.entry.upstream: (n / len(ready), u.entry.rating) for n, u in enumerate(ready)}
-        here = {u.entry.upstream for u in ready}
-        left = [number for number in self._places if number not in here]
-        for entry in (u.entry for u in ready if u.entry.upstream not in self._places):
-            place = self._inherited(left, entry.rating) if left else self._widest_gap()
-            self._places[entry.upstream] = place, entry.rating
-
-    def _inherited(self, left: list[int], rating: float) -> float:
-        nearest = min(left, key=lambda number: abs(self._places[number][1] - rating))
-        left.remove(nearest)
-        return self._places.pop(nearest)[0]
-
-    def _widest_gap(self) -> float:
-        taken = sorted(place for place, _ in self._places.values())
+        self._positions: dict[int, tuple[float, float]] = {}  # with the rating of the upstream that took each
+
+    def assign(self, ready: list[Upstream]) -> None:
+        """Give each of the ready upstreams, sorted by rating, a position."""
+        if not len(self._positions) / 4 <= len(ready) <= len(self._positions) * 2:
+            self._positions = {
+                u.entry.upstream: (n / len(ready), u.entry.rating) for n, u in enumerate(ready)
+            }
+        present = {u.entry.upstream for u in ready}
+        vacant = [number for number in self._positions if number not in present]
+        for entry in (u.entry for u in ready if u.entry.upstream not in self._positions):
+            position = self._take_vacant(vacant, entry.rating) if vacant else self._middle_of_widest_gap()
+            self._positions[entry.upstream] = position, entry.rating
+
+    def _take_vacant(self, vacant: list[int], rating: float) -> float:
+        nearest = min(vacant, key=lambda number: abs(self._positions[number][1] - rating))
+        vacant.remove(nearest)
+        return self._positions.pop(nearest)[0]
+
+    def _middle_of_widest_gap(self) -> float:
+        taken = sorted(position for position, _ in self._positions.values())
         gaps = zip(taken, [*taken[1:], taken[0] + 1], strict=True)
         width, after = max((end - begin, begin) for begin, end in gaps)
         return (after + width / 2) % 1
 
     def distance(self, upstream: int, start: float, step: float) -> float:
-        """How far it is behind the last of the points that lie a step apart, from a start on."""
-        return (self._places[upstream][0] - start) % 1 % step
+        """How far an upstream is behind the nearest earlier point of those `step` apart, from `start` on."""
+        return (self._positions[upstream][0] - start) % 1 % step
--- a/madderwind/standalone/policy/subscription.py
+++ b/madderwind/standalone/policy/subscription.py
@@ -1,7 +1,7 @@
-"""When to ask discovery for the list of upstreams: it follows no list by itself where the settings say so.
+"""When to call discovery for the list of upstreams; the settings say whether the balancer has to subscribe.
 
-What goes wrong is asked for again after the design's full-jitter wait, so that balancers which start or lose
-discovery together spread out."""
+Failed calls are repeated after a wait with full jitter, so that balancers which start or lose discovery at
+the same time spread their calls."""
 
 from __future__ import annotations
 
@@ -11,30 +11,29 @@
 
 
 class Subscription:
-    """Whether discovery tells every change by now (`following`), and how often it was asked in vain."""
+    """Whether discovery sends every change (`following`), and the number of calls since the last list."""
 
     def __init__(self, settings: api.Settings, quota: RetryQuota) -> None:
-        self.tune(settings)
-        self._quota, self._asks, self.following = quota, 0, False
+        self.apply_settings(settings)
+        self._quota, self._calls, self.following = quota, 0, False
 
-    def tune(self, settings: api.Settings) -> None:
-        """New settings, from now on."""
+    def apply_settings(self, settings: api.Settings) -> None:
         self._settings = settings
 
-    def listed(self, kind: ListKind) -> float | None:
-        """A list came. Milliseconds after which to ask for one, as it was an old one; None: no need to."""
+    def list_received(self, kind: ListKind) -> float | None:
+        """Milliseconds until a call for the list, if this one is outdated; None if no call is needed."""
         if kind is ListKind.CACHED:
             return self._next_wait_ms() if self._settings.must_ask else None
-        self.following, self._asks = self._settings.must_ask, 0
+        self.following, self._calls = self._settings.must_ask, 0
         return None
 
-    def broke(self) -> float:
-        """A call failed, or a subscription broke: milliseconds after which to ask anew."""
+    def call_failed(self) -> float:
+        """Milliseconds until the next call, after a call failed or a subscription broke."""
         self.following = False
         return self._next_wait_ms()
 
     def _next_wait_ms(self) -> float:
         base_ms = max(FULL_BASE_MS, self._settings.ask_within_ms / 2)
-        wait_ms = self._quota.wait_ms(base_ms, self._asks)
-        self._asks += 1
+        wait_ms = self._quota.wait_ms(base_ms, self._calls)
+        self._calls += 1
         return wait_ms
--- a/tests/standalone/policy/test_fleet.py
+++ b/tests/standalone/policy/test_fleet.py
@@ -170,7 +170,7 @@
 
 def neighbours(script: Script) -> set[int]:
     fleet = script.balancer._fleet
-    return {u.entry.upstream for u in fleet.order[: fleet.near]}
+    return {u.entry.upstream for u in fleet.order[: fleet.subset_size]}
 
 
 @pytest.mark.parametrize("ratings", [(1.0, 1.0, 1.0), (4.0, 3.0, 1.5)])
--- a/tests/standalone/policy/test_pick.py
+++ b/tests/standalone/policy/test_pick.py
@@ -161,7 +161,7 @@
         script = Script([entry(n) for n in range(6)], tier=1)
         for upstream in script.balancer._fleet.upstreams.values():
             upstream.slowness = slowness
-            upstream.sent_ms[10**6, 0] = script.now
+            upstream.in_flight_since_ms[10**6, 0] = script.now
         assert sends(script.arrives()[1])
 
 
--- a/tests/standalone/policy/test_room.py
+++ b/tests/standalone/policy/test_room.py
@@ -103,7 +103,7 @@
         script = Script([entry(n) for n in range(9)])
         script.listed(entries)
         admitted(script, 1)
-        return script.balancer._admission._whole
+        return script.balancer._admission._own_limit
 
     fewer = part([entry(n) for n in range(6)])
     assert fewer < 0.8 * part([entry(n) for n in range(9)])
@@ -209,7 +209,7 @@
     chance = random.Random(5)
     for _ in range(400):
         script.serve(elapsed_ms=chance.expovariate(1 / 100.0))
-    usual = script.balancer._usual[SAFE]
+    usual = script.balancer._answer_times[SAFE]
     script.arrives()
     assert not sends(script.wait(usual.mean + 5 * usual.deviation))
 
@@ -243,7 +243,7 @@
         upstream.failures = 2  # as others told of it as well
         upstream.ejected_until_ms = script.now + 10_000.0
         if not hangs:
-            upstream.heard_ms = script.now  # it lives, and is merely slow: what it holds does crowd
+            upstream.last_answer_ms = script.now  # it lives, and is merely slow: what it holds does crowd
         taken = 0
         for _ in range(30):
             script.now += 80.0
--- a/tests/standalone/policy/test_traffic.py
+++ b/tests/standalone/policy/test_traffic.py
@@ -119,7 +119,7 @@
         script.ends(10_000 + n, Outcome.OK, sent.upstream)
         script.now += 500.0
         used.add(sent.upstream)
-        script.balancer._picker._keys = []  # this key is one of many
+        script.balancer._picker._recent_keys = []  # this key is one of many
     return used
 
 
@@ -139,9 +139,9 @@
     script = Script([entry(n) for n in range(30)], warm_keys=True)
     picker = script.balancer._picker
     for n in range(200):
-        _, count = picker._homes(1 if n % 5 == 0 else 100 + n)
-    assert picker._homes(1)[1] == 2 + 6
-    assert picker._homes(5000)[1] == 2
+        _, count = picker._key_preference(1 if n % 5 == 0 else 100 + n)
+    assert picker._key_preference(1)[1] == 2 + 6
+    assert picker._key_preference(5000)[1] == 2
 
 
 def test_keys_do_not_stand_above_the_rules() -> None:
@@ -170,7 +170,7 @@
     assert failures == {n: int(n == sent.upstream) for n in range(8)}
     assert not [w for w in told(hearer.wait(500)) if len(w) > 3]  # hearsay is not told on
     for upstream in hearer.balancer._fleet.upstreams.values():
-        upstream.failures, upstream.heard_ms = 0, hearer.now - 100.0  # it answers here
+        upstream.failures, upstream.last_answer_ms = 0, hearer.now - 100.0  # it answers here
     hearer.event(api.PeerSpoke(4, word))
     assert not any(u.failures for u in hearer.balancer._fleet.upstreams.values())
 
--- a/tests/standalone/policy/test_uneven.py
+++ b/tests/standalone/policy/test_uneven.py
@@ -123,13 +123,13 @@
     key, numbers = 77, itertools.count(10**6)
 
     def at(script: Script) -> int:
-        script.balancer._picker._keys = []  # one of many keys
+        script.balancer._picker._recent_keys = []  # one of many keys
         event = api.RequestArrived(next(numbers), 0, 0, key, script.now + 4000, None, False, False)
         (sent,) = sends(script.event(event))
         return sent.upstream
 
     script = Script([entry(n) for n in range(20)], warm_keys=True)
-    order = [u.entry.upstream for u in script.balancer._picker._homes(key)[0]]
+    order = [u.entry.upstream for u in script.balancer._picker._key_preference(key)[0]]
     homes = order[:2]
     first, second = at(script), at(script)
     assert first in homes
@@ -139,7 +139,7 @@
     script = Script([entry(n) for n in range(20)], warm_keys=True)
     script.now += 100_000
     for home in homes:
-        script.balancer._fleet.upstreams[home].failed(script.now, 5000.0)
+        script.balancer._fleet.upstreams[home].record_failure(script.now, 5000.0)
     assert at(script) not in homes
     script = Script(
         [entry(n, started_ms=900.0 if n in homes else 0.0) for n in range(20)],
