--- a/madderwind/standalone/protocol/__init__.py
+++ b/madderwind/standalone/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Headers, fields, load reports and discovery's JSON, to and from the module's types. No input or output."""
+"""The protocols of callers, upstreams and discovery: parsing of bytes and headers, without any I/O."""
--- a/madderwind/standalone/protocol/answers.py
+++ b/madderwind/standalone/protocol/answers.py
@@ -1,4 +1,4 @@
-"""Upstreams' answers as the module's outcomes, and the final answers as HTTP."""
+"""Translates upstreams' answers into outcomes of attempts, and final answers into HTTP."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def outcome_of(status: int, headers: Mapping[str, str]) -> Outcome:
-    """Only 503 and 504 with the mark are proof that nothing ran; without it nothing is certain."""
+    """The outcome of an answer. Only 503 and 504 with the header `X-Never-Ran` prove that nothing ran."""
     if status == 200:
         return Outcome.OK
     if status in (503, 504) and headers.get(NEVER_RAN) == "1":
@@ -20,25 +20,25 @@
 
 
 def refusal_headers(retry_after_ms: float) -> dict[str, str]:
-    """Seconds, whole or decimal, where the module gives a hint."""
+    """The Retry-After header in decimal seconds, if the refusal has a hint."""
     return {RETRY_AFTER: f"{retry_after_ms / 1000:.3f}"} if retry_after_ms > 0 else {}
 
 
 def read_report(text: str, names: tuple[str, ...]) -> tuple[float, ...] | None:
-    """The figures that the settings name, in their order; None where the report cannot be read so."""
-    form, _, fields = text.strip().partition(" ")
-    if form != "TEXT":
+    """The values of a load report that the settings name, in their order; None if it can't be parsed."""
+    report_format, _, fields = text.strip().partition(" ")
+    if report_format != "TEXT":
         return None
-    found: dict[str, float] = {}
+    values: dict[str, float] = {}
     for part in fields.split(","):
         name, _, value = part.strip().partition("=")
         try:
-            found[name] = float(value)
+            values[name] = float(value)
         except ValueError:
             return None
-        # No count or share is less than nothing, endless, or no number.
-        if not 0 <= found[name] < float("inf"):
+        # Counts and shares are finite numbers, at least 0.
+        if not 0 <= values[name] < float("inf"):
             return None
-    if not all(name in found for name in names):
+    if not all(name in values for name in names):
         return None
-    return tuple(found[name] for name in names)
+    return tuple(values[name] for name in names)
--- a/madderwind/standalone/protocol/framing.py
+++ b/madderwind/standalone/protocol/framing.py
@@ -1,4 +1,4 @@
-"""Discovery's stream cut into lists, however they are laid out over lines and pieces."""
+"""Splits discovery's stream into lists, whatever their formatting and however the bytes are chunked."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 from madderwind.standalone.protocol.listing import Listing, ListingError, read_listing
 
-# A list of thousands of upstreams is one value; this bounds what a broken agent can make the program hold.
-LONGEST_VALUE = 8 * 1024 * 1024
-# A text without an end up to here is spoilt; so is what nests deeper than any list, and what holds more
-# beginnings of values that never end. Each would be looked through again with every piece that comes.
-LONGEST_TEXT, DEEPEST, MOST_BEGUN = 64 * 1024, 16, 8
+# A list of thousands of upstreams is one value; this bounds the memory that a broken agent can use up.
+MAX_VALUE_BYTES = 8 * 1024 * 1024
+# A string that is longer without an end is invalid; so is a value that nests deeper, as no list does, or that
+# contains more starts of values without an end. Each of these would be scanned again with every chunk.
+MAX_STRING_BYTES, MAX_DEPTH, MAX_OPEN_VALUES = 64 * 1024, 16, 8
 
-BLANKS = b" \t\r\n"
-# A text, or what opens and closes; a lone quote is a text that has not ended.
-_token = re.compile(rb'"(?:[^"\\\r\n]|\\[^\r\n])*"|[{}\[\]"]')
-QUOTE, OPENING = ord('"'), b"{["
+WHITESPACE = b" \t\r\n"
+# A string or a bracket; a single quotation mark is a string that has not ended.
+_json_token = re.compile(rb'"(?:[^"\\\r\n]|\\[^\r\n])*"|[{}\[\]"]')
+QUOTE, OPENING_BRACKETS = ord('"'), b"{["
 
 Alive = Literal["alive"]
-ALIVE: Alive = "alive"  # an empty line with nothing under way: discovery lives, and has nothing to tell
+ALIVE: Alive = "alive"  # an empty line between lists: discovery is alive and has no changes
 
 
 class _Scan:
-    """How far the value that begins at `begin` has been looked through."""
+    """How far the value that begins at `begin` has been scanned."""
 
     __slots__ = ("at", "begin", "depth")
 
@@ -32,139 +32,140 @@
         self.begin = self.at = begin
         self.depth = 0
 
-    def end(self, held: bytes) -> int | None:
-        """Where it ends; None: not yet; -1: it can't any more."""
-        for found in _token.finditer(held, self.at):
-            at, first = found.start(), held[found.start()]
-            if first == QUOTE:
-                if found.end() - at == 1:  # not ended: within its line it may be
-                    broken = held.find(b"\n", at) >= 0 or len(held) - at > LONGEST_TEXT
+    def end(self, buffer: bytes) -> int | None:
+        """The offset of its end; None: not yet received; -1: the value is invalid."""
+        for token in _json_token.finditer(buffer, self.at):
+            at, first_byte = token.start(), buffer[token.start()]
+            if first_byte == QUOTE:
+                if token.end() - at == 1:  # incomplete: it may still end within its line
+                    is_invalid = buffer.find(b"\n", at) >= 0 or len(buffer) - at > MAX_STRING_BYTES
                     self.at = at
-                    return -1 if broken else None
-            elif first in OPENING:
+                    return -1 if is_invalid else None
+            elif first_byte in OPENING_BRACKETS:
                 self.depth += 1
-                if self.depth > DEEPEST:
+                if self.depth > MAX_DEPTH:
                     return -1
             else:
                 self.depth -= 1
                 if not self.depth:
-                    return found.end()
-            self.at = found.end()
-        self.at = len(held)
+                    return token.end()
+            self.at = token.end()
+        self.at = len(buffer)
         return None
 
 
 class ListFraming:
-    """Takes in the bytes of a watch as they come, and gives out what is whole.
+    """Receives the bytes of a subscription and returns the complete lists.
 
-    Guards against taking a list that comes indented for many odd lines, and against one that is cut short or
-    spoilt taking the next along: each list begins a line, so a whole one that begins a line within a value
-    that has not ended shows that this one never will.
+    An indented list is one list, not many invalid lines. A truncated or corrupted list doesn't swallow the
+    next one: each list begins a line, so a complete list that begins a line within an incomplete value shows
+    that this value will never be complete.
     """
 
     def __init__(self) -> None:
-        self._restart(b"")
-        self._skips = False  # the rest of the present line belongs to what was spoilt, or has just ended
-        self._said_odd = False
-
-    def _restart(self, held: bytes) -> None:
-        self._held, self._first = held, _Scan(0)
-        self._later: list[_Scan] = []  # values that begin a line within the first, and have not ended
-        self._looked = 1  # up to where such lines were looked for
-        self._line_tried = False
-
-    def feed(self, part: bytes) -> Iterator[Listing | ListingError | Alive]:
-        """What is whole by now, in its order. ListingError: something was passed over, said once."""
-        self._held += part
+        self._reset(b"")
+        self._skipping_line = False  # the rest of the line belongs to an invalid value or to the last list
+        self._reported_error = False
+
+    def _reset(self, buffer: bytes) -> None:
+        self._buffer, self._first_scan = buffer, _Scan(0)
+        self._later_scans: list[_Scan] = []  # incomplete values that begin a line within the first
+        self._searched_to = 1  # the end of the search for such lines
+        self._tried_first_line = False
+
+    def feed(self, chunk: bytes) -> Iterator[Listing | ListingError | Alive]:
+        """The complete lists so far, in order, and one ListingError for each run of skipped bytes."""
+        self._buffer += chunk
         while True:
-            if self._skips and not self._skip_line():
+            if self._skipping_line and not self._skip_line():
                 return
-            rest = self._held.lstrip(BLANKS)
-            if b"\n" in self._held[: len(self._held) - len(rest)]:
+            rest = self._buffer.lstrip(WHITESPACE)
+            if b"\n" in self._buffer[: len(self._buffer) - len(rest)]:
                 yield ALIVE
-            self._restart_after_blanks(rest)
+            self._drop_whitespace(rest)
             if not rest:
                 return
             if not rest.startswith(b"{"):
-                self._skips = True
-                yield from self._odd(rest, "no object")
+                self._skipping_line = True
+                yield from self._report_error(rest, "not a JSON object")
                 continue
-            outcome = self._next()
+            outcome = self._parse_next()
             if outcome is None:
-                if len(self._held) > LONGEST_VALUE:
-                    self._skips = True
-                    yield from self._odd(self._held, "longer than any list")
+                if len(self._buffer) > MAX_VALUE_BYTES:
+                    self._skipping_line = True
+                    yield from self._report_error(self._buffer, "longer than a list may be")
                     continue
                 return
             yield from outcome
 
-    def _restart_after_blanks(self, rest: bytes) -> None:
-        if len(rest) < len(self._held):
-            self._restart(rest)
+    def _drop_whitespace(self, rest: bytes) -> None:
+        if len(rest) < len(self._buffer):
+            self._reset(rest)
 
     def _skip_line(self) -> bool:
-        """Whether the line's end has come."""
-        end = self._held.find(b"\n")
-        self._restart(self._held[end + 1 :] if end >= 0 else b"")
-        self._skips = end < 0
+        """Skip the rest of the line; whether its end has been received."""
+        end = self._buffer.find(b"\n")
+        self._reset(self._buffer[end + 1 :] if end >= 0 else b"")
+        self._skipping_line = end < 0
         return end >= 0
 
-    def _next(self) -> Iterator[Listing | ListingError | Alive] | None:
-        """What the value under way has come to; None: it has not ended."""
-        line_end = -1 if self._line_tried else self._held.find(b"\n")
-        if line_end >= 0:  # the usual one is a line: nothing more need be looked through
-            self._line_tried = True
-            if isinstance(listing := _read(self._held[:line_end]), Listing):
-                return self._taken(listing, 0, line_end)
-        end = self._first.end(self._held)
+    def _parse_next(self) -> Iterator[Listing | ListingError | Alive] | None:
+        """The lists or errors of the current value; None if it is incomplete."""
+        line_end = -1 if self._tried_first_line else self._buffer.find(b"\n")
+        if line_end >= 0:  # a list is usually one line, so no scan is needed
+            self._tried_first_line = True
+            if isinstance(listing := _parse(self._buffer[:line_end]), Listing):
+                return self._emit(listing, 0, line_end)
+        end = self._first_scan.end(self._buffer)
         if end is not None and end >= 0:
-            listing = _read(self._held[:end])
+            listing = _parse(self._buffer[:end])
             if isinstance(listing, Listing):
-                return self._taken(listing, 0, end)
-            return self._spoilt(str(listing))
+                return self._emit(listing, 0, end)
+            return self._skip_invalid(str(listing))
         if end is not None:
-            return self._spoilt("not ended")
-        return self._begun_later()
+            return self._skip_invalid("incomplete")
+        return self._find_later_list()
 
-    def _begun_later(self) -> Iterator[Listing | ListingError | Alive] | None:
-        """A whole list that begins a line within the value under way."""
-        begun, self._later = self._later, []
+    def _find_later_list(self) -> Iterator[Listing | ListingError | Alive] | None:
+        """A complete list that begins a line within the current value."""
+        scans, self._later_scans = self._later_scans, []
         while True:
-            for scan in begun:
-                end = scan.end(self._held)
+            for scan in scans:
+                end = scan.end(self._buffer)
                 if end is None:
-                    self._later.append(scan)
-                elif end >= 0 and isinstance(listing := _read(self._held[scan.begin : end]), Listing):
-                    return self._taken(listing, scan.begin, end)
-            if len(self._later) > MOST_BEGUN:
-                return self._spoilt("not ended")
-            at = self._held.find(b"\n{", self._looked - 1)
+                    self._later_scans.append(scan)
+                elif end >= 0 and isinstance(listing := _parse(self._buffer[scan.begin : end]), Listing):
+                    return self._emit(listing, scan.begin, end)
+            if len(self._later_scans) > MAX_OPEN_VALUES:
+                return self._skip_invalid("incomplete")
+            at = self._buffer.find(b"\n{", self._searched_to - 1)
             if at < 0:
-                self._looked = max(self._looked, len(self._held))
+                self._searched_to = max(self._searched_to, len(self._buffer))
                 return None
-            begun, self._looked = [_Scan(at + 1)], at + 2
+            scans, self._searched_to = [_Scan(at + 1)], at + 2
 
-    def _taken(self, listing: Listing, begin: int, end: int) -> Iterator[Listing | ListingError | Alive]:
-        before, rest = self._held[:begin], self._held[end:]
-        self._restart(rest)
-        self._skips = rest[: len(rest) - len(rest.lstrip(BLANKS))].find(b"\n") >= 0  # its own line's end
+    def _emit(self, listing: Listing, begin: int, end: int) -> Iterator[Listing | ListingError | Alive]:
+        before, rest = self._buffer[:begin], self._buffer[end:]
+        self._reset(rest)
+        # The end of the list's own line is not an empty line.
+        self._skipping_line = rest[: len(rest) - len(rest.lstrip(WHITESPACE))].find(b"\n") >= 0
         if before:
-            yield from self._odd(before, "not ended")
-        self._said_odd = False
+            yield from self._report_error(before, "incomplete")
+        self._reported_error = False
         yield listing
 
-    def _spoilt(self, why: str) -> Iterator[Listing | ListingError | Alive]:
-        """The value's first line is passed over; what follows it may begin another."""
-        self._skips = True
-        yield from self._odd(self._held, why)
+    def _skip_invalid(self, reason: str) -> Iterator[Listing | ListingError | Alive]:
+        """Skip the first line of the current value; the line after it may begin another value."""
+        self._skipping_line = True
+        yield from self._report_error(self._buffer, reason)
 
-    def _odd(self, raw: bytes, why: str) -> Iterator[ListingError]:
-        if not self._said_odd:  # guards against a log full of the lines of one
-            self._said_odd = True
-            yield ListingError(f"{why}: {raw[:120]!r}")
+    def _report_error(self, raw: bytes, reason: str) -> Iterator[ListingError]:
+        if not self._reported_error:  # once, so that one invalid value doesn't fill the log
+            self._reported_error = True
+            yield ListingError(f"{reason}: {raw[:120]!r}")
 
 
-def _read(raw: bytes) -> Listing | ListingError:
+def _parse(raw: bytes) -> Listing | ListingError:
     try:
         return read_listing(raw)
     except ListingError as error:
--- a/madderwind/standalone/protocol/listing.py
+++ b/madderwind/standalone/protocol/listing.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON: a list, or one line of a watch."""
+"""Parses discovery's JSON: a list of upstreams, or one line of a subscription to changes."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def read_address(text: str, what: str) -> tuple[str, int]:
-    """Host and port of `host:port`, port 0 among them: a listener may take any. ValueError names `what`."""
+    """Host and port of `host:port`. Port 0 is valid, as a listener may use any. A ValueError names `what`."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
-        raise ValueError(f"{what} is no address: {text[:60]!r}")
+        raise ValueError(f"{what} is not a host:port address: {text[:60]!r}")
     return host, int(port)
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One entry, as discovery writes it."""
+    """One upstream, as discovery writes it."""
 
     id: str
     host_port: str
@@ -41,7 +41,10 @@
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """Entries in force from this revision on: the whole list, or what changed."""
+    """Upstreams in force from this revision on: the whole list, or what changed.
+
+    `odd` describes the entries that couldn't be parsed.
+    """
 
     revision: int
     complete: bool
@@ -56,29 +59,29 @@
 
 
 class ListingError(ValueError):
-    """A list or line that cannot be read at all."""
+    """A list or line that can't be parsed at all."""
 
 
-# A decoder gives up on text that nests too deep by a RecursionError.
+# A decoder raises RecursionError for text that nests too deep.
 UNREADABLE = (msgspec.DecodeError, ValueError, RecursionError)
 
-_lines = msgspec.json.Decoder(_Line)
-_members = msgspec.json.Decoder(Member)
+_line_decoder = msgspec.json.Decoder(_Line)
+_member_decoder = msgspec.json.Decoder(Member)
 
 
 def read_listing(raw: bytes) -> Listing:
-    """An entry that cannot be read is passed over and named in `odd`; the others stand."""
+    """Parse a list. An entry that can't be parsed is skipped and described in `odd`; the others are kept."""
     try:
-        line = _lines.decode(raw)
+        line = _line_decoder.decode(raw)
     except UNREADABLE as error:
         raise ListingError(str(error)) from None
-    members, odd = [], []
+    members, unreadable = [], []
     for entry in line.members:
         try:
-            member = _members.decode(entry)
+            member = _member_decoder.decode(entry)
             if not member.id or member.address[1] == 0:
-                raise ValueError("no id, or no port")
+                raise ValueError("id is empty or port is 0")
             members.append(member)
         except UNREADABLE as error:
-            odd.append(f"{error}: {bytes(entry)[:80]!r}")
-    return Listing(line.revision, line.complete, tuple(members), tuple(odd))
+            unreadable.append(f"{error}: {bytes(entry)[:80]!r}")
+    return Listing(line.revision, line.complete, tuple(members), tuple(unreadable))
--- a/tests/standalone/protocol/test_framing.py
+++ b/tests/standalone/protocol/test_framing.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.standalone.protocol.framing import ALIVE, LONGEST_VALUE, ListFraming
+from madderwind.standalone.protocol.framing import ALIVE, MAX_VALUE_BYTES, ListFraming
 from madderwind.standalone.protocol.listing import Listing, ListingError
 from tests import examples
 
@@ -113,7 +113,7 @@
     ):
         for _ in range(20):
             list(framing.feed(piece[: chance.randrange(len(piece))]))
-            assert len(framing._held) <= LONGEST_VALUE + len(piece)
+            assert len(framing._buffer) <= MAX_VALUE_BYTES + len(piece)
     many = json.dumps(listed(9, members=5000), indent=0).encode()
     whole = ListFraming()
     out = [said for at in range(0, len(many), 9000) for said in whole.feed(many[at : at + 9000])]
