--- a/tests/standalone/policy/scripts.py
+++ b/tests/standalone/policy/scripts.py
@@ -1,4 +1,4 @@
-"""Small helpers to write event scripts against the module."""
+"""Helpers for tests that play a sequence of events to a balancer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from madderwind.standalone.policy.balancer import Balancer
 
 
-def a_class(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **more: Any) -> api.RequestClass:
+def request_class(effect: Effect = Effect.SAFE, group: Group = Group.ALL, **more: Any) -> api.RequestClass:
     values: dict[str, Any] = {
         "effect": effect,
         "group": group,
@@ -26,11 +26,11 @@
 
 SAFE, UNSAFE, KEYED_ALL, KEYED_ZONE, KEYED_CELL = range(5)
 CLASSES = (
-    a_class(),
-    a_class(Effect.UNSAFE),
-    a_class(Effect.KEYED),
-    a_class(Effect.KEYED, Group.ZONE),
-    a_class(Effect.KEYED, Group.CELL),
+    request_class(),
+    request_class(Effect.UNSAFE),
+    request_class(Effect.KEYED),
+    request_class(Effect.KEYED, Group.ZONE),
+    request_class(Effect.KEYED, Group.CELL),
 )
 
 
@@ -59,62 +59,66 @@
     return api.UpstreamEntry(upstream, zone, 0, cell, state, rating, started_ms, mark)
 
 
-class Script:
-    """A balancer under a clock, with its actions kept."""
+class BalancerDriver:
+    """A balancer with a simulated clock; it keeps the timers that the balancer sets."""
 
     def __init__(self, entries: list[api.UpstreamEntry], seed: int = 1, **more: Any) -> None:
         self.balancer = Balancer(settings(**more), seed)
         self.now = 1000.0
         self.timers: list[tuple[float, int]] = []
         self._next_id = 0
-        self.listed(entries, ListKind.CACHED)
+        self.list_upstreams(entries, ListKind.CACHED)
 
     def event(self, event: api.Event) -> list[api.Action]:
         actions = self.balancer.handle(self.now, event)
         self.timers += [(self.now + a.after_ms, a.token) for a in actions if isinstance(a, api.SetTimer)]
         return actions
 
-    def listed(self, entries: list[api.UpstreamEntry], kind: ListKind = ListKind.WHOLE) -> list[api.Action]:
+    def list_upstreams(
+        self, entries: list[api.UpstreamEntry], kind: ListKind = ListKind.WHOLE
+    ) -> list[api.Action]:
         return self.event(api.FleetListed(kind, 1, tuple(entries)))
 
-    def arrives(
-        self, klass: int = SAFE, within_ms: float = 4000.0, tenant: int = 0
+    def arrive(
+        self, class_index: int = SAFE, within_ms: float = 4000.0, tenant: int = 0
     ) -> tuple[int, list[api.Action]]:
         self._next_id += 1
-        event = api.RequestArrived(self._next_id, klass, tenant, 0, self.now + within_ms, None, False, False)
+        event = api.RequestArrived(
+            self._next_id, class_index, tenant, 0, self.now + within_ms, None, False, False
+        )
         return self._next_id, self.event(event)
 
-    def ends(
+    def end_attempt(
         self,
         request: int,
         outcome: Outcome,
         upstream: int,
         attempt: int = 0,
-        over: bool | None = None,
+        request_over: bool | None = None,
         elapsed_ms: float = 10.0,
     ) -> list[api.Action]:
-        over = outcome is Outcome.OK if over is None else over
-        return self.event(api.AttemptEnded(request, over, attempt, outcome, upstream, elapsed_ms, ()))
+        request_over = outcome is Outcome.OK if request_over is None else request_over
+        return self.event(api.AttemptEnded(request, request_over, attempt, outcome, upstream, elapsed_ms, ()))
 
-    def wait(self, up_to_ms: float) -> list[api.Action]:
-        """Fire the timers due within this time, in order; the clock ends where the time ends."""
-        return [action for actions in self.fires(up_to_ms) for action in actions]
+    def wait(self, duration_ms: float) -> list[api.Action]:
+        """Advance the clock by this time and fire the timers that are due, in order."""
+        return [action for actions in self.fire_timers(duration_ms) for action in actions]
 
-    def fires(self, up_to_ms: float) -> Iterator[list[api.Action]]:
-        """Like wait, a timer's actions at a time, with the clock where that timer fired."""
-        end = self.now + up_to_ms
+    def fire_timers(self, duration_ms: float) -> Iterator[list[api.Action]]:
+        """Like `wait`, but yields the actions of each timer while the clock shows when it fired."""
+        end = self.now + duration_ms
         while due := sorted(t for t in self.timers if t[0] <= end):
             self.timers.remove(due[0])
             self.now = max(self.now, due[0][0])
             yield self.event(api.TimerFired(due[0][1]))
         self.now = end
 
-    def serve(self, klass: int = SAFE, elapsed_ms: float = 10.0) -> int:
-        """One request answered at the first try; the upstream that served it."""
-        request, actions = self.arrives(klass)
+    def serve(self, class_index: int = SAFE, elapsed_ms: float = 10.0) -> int:
+        """Play one request that its first attempt answers; return the upstream that served it."""
+        request, actions = self.arrive(class_index)
         (sent,) = sends(actions)
         self.now += elapsed_ms
-        self.ends(request, Outcome.OK, sent.upstream, elapsed_ms=elapsed_ms)
+        self.end_attempt(request, Outcome.OK, sent.upstream, elapsed_ms=elapsed_ms)
         return sent.upstream
 
 
--- a/tests/standalone/policy/test_bad_input.py
+++ b/tests/standalone/policy/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What a copy may be told that makes no sense: nothing raises, every request gets its one answer."""
+"""Invalid input to a balancer: nothing raises, and every request gets exactly one final answer."""
 
 import math
 import random
@@ -8,98 +8,107 @@
 
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import ListKind, Outcome, UpstreamState
-from tests.standalone.policy.scripts import Script, answers, entry, sends
+from tests.standalone.policy.scripts import BalancerDriver, answers, entry, sends
 
-ODD_NUMBERS = (math.nan, math.inf, -math.inf, -5.0, 0.0, 1e300)
+INVALID_NUMBERS = (math.nan, math.inf, -math.inf, -5.0, 0.0, 1e300)
 
 
-def a_copy(entries: list[api.UpstreamEntry], **more: Any) -> Script:
-    """One attempt for each request, so that its end is the request's end."""
-    return Script(entries, max_attempts=1, **more)
+def single_attempt_balancer(entries: list[api.UpstreamEntry], **more: Any) -> BalancerDriver:
+    """A balancer with one attempt per request, whose end is the request's end."""
+    return BalancerDriver(entries, max_attempts=1, **more)
 
 
-def answered_all(script: Script, requests: int = 60) -> None:
-    """Every request that arrives gets its one answer; some servers err."""
+def check_one_answer_each(driver: BalancerDriver, requests: int = 60) -> None:
+    """Checks that every request gets exactly one final answer, while some attempts fail."""
     for number in range(requests):
-        request, actions = script.arrives()
-        final = len(answers(actions))
+        request, actions = driver.arrive()
+        final_answers = len(answers(actions))
         for sent in sends(actions):
-            script.now += 20.0
+            driver.now += 20.0
             outcome = Outcome.OK if number % 3 else Outcome.ERROR
-            ended = script.ends(request, outcome, sent.upstream, elapsed_ms=20.0)
-            final += 1 if outcome is Outcome.OK else len(answers(ended))
-        later = script.wait(20.0)
-        assert final == 1 and not answers(later) and not sends(later)
+            ended = driver.end_attempt(request, outcome, sent.upstream, elapsed_ms=20.0)
+            final_answers += 1 if outcome is Outcome.OK else len(answers(ended))
+        later_actions = driver.wait(20.0)
+        assert final_answers == 1 and not answers(later_actions) and not sends(later_actions)
 
 
 @pytest.mark.parametrize("copies", [0, -3, 1, 100_000])
-def test_a_wrong_number_of_copies(copies: int) -> None:
+def test_invalid_number_of_balancers(copies: int) -> None:
     for me in (0, 7, -1):
-        answered_all(a_copy([entry(n) for n in range(6)], copies=copies, me=me))
+        check_one_answer_each(single_attempt_balancer([entry(n) for n in range(6)], copies=copies, me=me))
 
 
-def test_reports_that_are_no_numbers_or_of_no_listed_server() -> None:
-    script = a_copy([entry(n) for n in range(3)], report_columns=("in_flight", "errors_per_s"))
-    for odd in ODD_NUMBERS:
-        for report in [(odd,), (odd, odd), (odd,) * 9, ()]:
+def test_invalid_load_reports_and_reports_of_unlisted_upstreams() -> None:
+    driver = single_attempt_balancer(
+        [entry(n) for n in range(3)], report_columns=("in_flight", "errors_per_s")
+    )
+    for invalid in INVALID_NUMBERS:
+        for report in [(invalid,), (invalid, invalid), (invalid,) * 9, ()]:
             for upstream in (0, 999):
-                script.event(api.AttemptEnded(10**6, True, 0, Outcome.OK, upstream, 5.0, report))
-                script.event(api.ProbeEnded(Outcome.OK, 5.0, upstream, report))
-    answered_all(script)
+                driver.event(api.AttemptEnded(10**6, True, 0, Outcome.OK, upstream, 5.0, report))
+                driver.event(api.ProbeEnded(Outcome.OK, 5.0, upstream, report))
+    check_one_answer_each(driver)
 
 
-def test_ratings_and_hints_that_are_no_numbers() -> None:
-    fleet = [entry(n, rating=odd) for n, odd in enumerate(ODD_NUMBERS)] + [entry(99, rating=2.0)]
-    script = a_copy(fleet, ratings_tell_size=True)
-    for number, odd in enumerate(ODD_NUMBERS):
-        event = api.RequestArrived(10**6 + number, 0, 0, 0, script.now + 4000.0, odd, False, False)
-        (sent,) = sends(script.event(event))
-        script.now += 20.0
-        script.ends(10**6 + number, Outcome.OK, sent.upstream, elapsed_ms=20.0)
-    answered_all(script)
+def test_ratings_and_work_hints_that_are_not_finite_positive_numbers() -> None:
+    fleet = [entry(n, rating=invalid) for n, invalid in enumerate(INVALID_NUMBERS)] + [entry(99, rating=2.0)]
+    driver = single_attempt_balancer(fleet, ratings_tell_size=True)
+    for number, invalid in enumerate(INVALID_NUMBERS):
+        event = api.RequestArrived(10**6 + number, 0, 0, 0, driver.now + 4000.0, invalid, False, False)
+        (sent,) = sends(driver.event(event))
+        driver.now += 20.0
+        driver.end_attempt(10**6 + number, Outcome.OK, sent.upstream, elapsed_ms=20.0)
+    check_one_answer_each(driver)
 
 
-def test_quotas_of_nothing_and_less() -> None:
+def test_quotas_that_are_zero_negative_or_tiny() -> None:
     for quota in (0.0, -10.0, 1e-9):
-        answered_all(a_copy([entry(1)], tenants=(api.Tenant(1.0, quota),), copies=50))
+        check_one_answer_each(
+            single_attempt_balancer([entry(1)], tenants=(api.Tenant(1.0, quota),), copies=50)
+        )
 
 
-def test_lists_that_go_back_repeat_and_name_thousands() -> None:
-    chance = random.Random(3)
-    script = a_copy([], copies=300, me=17)
+def test_lists_with_old_versions_duplicate_entries_and_thousands_of_upstreams() -> None:
+    rng = random.Random(3)
+    driver = single_attempt_balancer([], copies=300, me=17)
     for version in range(20):
         entries = [
             entry(
-                chance.randrange(3000),
-                state=chance.choice(list(UpstreamState)),
-                rating=chance.random() * 3,
-                started_ms=chance.choice([0.0, script.now, script.now - 9000.0, script.now + 9000.0]),
+                rng.randrange(3000),
+                state=rng.choice(list(UpstreamState)),
+                rating=rng.random() * 3,
+                started_ms=rng.choice([0.0, driver.now, driver.now - 9000.0, driver.now + 9000.0]),
             )
-            for _ in range(chance.choice([0, 1, 2000]))
+            for _ in range(rng.choice([0, 1, 2000]))
         ]
-        kind = chance.choice(list(ListKind))
-        script.event(api.FleetListed(kind, 20 - version, tuple(entries + entries)))
-        answered_all(script, 5)
+        kind = rng.choice(list(ListKind))
+        driver.event(api.FleetListed(kind, 20 - version, tuple(entries + entries)))
+        check_one_answer_each(driver, 5)
 
 
-def test_a_copy_that_starts_with_an_old_list_or_none() -> None:
-    answered_all(a_copy([], must_ask=True))
-    script = a_copy([entry(n) for n in range(5)], must_ask=True, ask_within_ms=10_000.0)
-    answered_all(script, 5)
-    script.listed([entry(n, state=UpstreamState.DRAINING) for n in range(4)] + [entry(77)])
+def test_a_balancer_that_starts_with_an_outdated_list_or_none() -> None:
+    check_one_answer_each(single_attempt_balancer([], must_ask=True))
+    driver = single_attempt_balancer([entry(n) for n in range(5)], must_ask=True, ask_within_ms=10_000.0)
+    check_one_answer_each(driver, 5)
+    driver.list_upstreams([entry(n, state=UpstreamState.DRAINING) for n in range(4)] + [entry(77)])
     for _ in range(20):
-        request, actions = script.arrives()
+        request, actions = driver.arrive()
         assert {s.upstream for s in sends(actions)} <= {77}
         for sent in sends(actions):
-            script.now += 20.0
-            script.ends(request, Outcome.OK, sent.upstream, elapsed_ms=20.0)
+            driver.now += 20.0
+            driver.end_attempt(request, Outcome.OK, sent.upstream, elapsed_ms=20.0)
 
 
-def test_copies_that_start_together_spread_their_first_call_to_discovery() -> None:
-    """cuenca-sur-later: discovery serves a call of every copy in seconds, not in one."""
-    asked = []
+def test_balancers_that_start_together_spread_their_first_call_to_discovery() -> None:
+    """Guards against a burst at discovery, which needs several seconds to serve a call of every balancer.
+
+    This happened on cuenca-sur-later.
+    """
+    first_calls_ms = []
     for me in range(200):
-        script = a_copy([entry(1)], seed=me, copies=200, me=me, must_ask=True, ask_within_ms=10_000.0)
-        asked.append(min(at for at, _ in script.timers) - script.now)
-    assert max(asked) < 10_000.0
-    assert max(sum(t <= a < t + 1000.0 for a in asked) for t in range(0, 10_000, 500)) < 80
+        driver = single_attempt_balancer(
+            [entry(1)], seed=me, copies=200, me=me, must_ask=True, ask_within_ms=10_000.0
+        )
+        first_calls_ms.append(min(at for at, _ in driver.timers) - driver.now)
+    assert max(first_calls_ms) < 10_000.0
+    assert max(sum(t <= a < t + 1000.0 for a in first_calls_ms) for t in range(0, 10_000, 500)) < 80
--- a/tests/standalone/policy/test_quota.py
+++ b/tests/standalone/policy/test_quota.py
@@ -1,4 +1,4 @@
-"""The retry quota and its waits, as the design page states them."""
+"""The retry quota and the waits before retries, as the design page states them."""
 
 import random
 
@@ -7,20 +7,29 @@
 from madderwind.balancing.retry_quota import RetryQuota
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import Outcome
-from tests.standalone.policy.scripts import SAFE, UNSAFE, Script, a_class, answers, entry, sends, settings
+from tests.standalone.policy.scripts import (
+    SAFE,
+    UNSAFE,
+    BalancerDriver,
+    answers,
+    entry,
+    request_class,
+    sends,
+    settings,
+)
 
 
-def tokens(script: Script) -> float:
-    return script.balancer._quota.tokens
+def tokens(driver: BalancerDriver) -> float:
+    return driver.balancer._quota.tokens
 
 
-def fail_then_retry(script: Script, outcome: Outcome) -> tuple[int, api.Send]:
-    request, actions = script.arrives(within_ms=60_000)
-    script.ends(request, outcome, sends(actions)[0].upstream)
-    return request, sends(script.wait(3000))[0]
+def fail_first_attempt(driver: BalancerDriver, outcome: Outcome) -> tuple[int, api.Send]:
+    request, actions = driver.arrive(within_ms=60_000)
+    driver.end_attempt(request, outcome, sends(actions)[0].upstream)
+    return request, sends(driver.wait(3000))[0]
 
 
-LONG = (a_class(aim_ms=60_000.0, deadline_ms=60_000.0), a_class())
+LONG = (request_class(aim_ms=60_000.0, deadline_ms=60_000.0), request_class())
 
 
 @pytest.mark.parametrize(
@@ -33,89 +42,87 @@
         (Outcome.FULL, 5),
     ],
 )
-def test_a_retry_costs_by_its_cause_and_a_successful_one_gives_its_cost_back(
-    outcome: Outcome, cost: float
-) -> None:
-    script = Script([entry(1), entry(2)], classes=LONG)
-    request, retry = fail_then_retry(script, outcome)
-    assert tokens(script) == 500 - cost
-    script.ends(request, Outcome.OK, retry.upstream, attempt=1)
-    assert tokens(script) == 500
-
-
-def test_a_failed_earlier_retry_stays_spent() -> None:
-    script = Script([entry(1), entry(2), entry(3)], classes=LONG)
-    request, retry = fail_then_retry(script, Outcome.ERROR)
-    script.ends(request, Outcome.FULL, retry.upstream, attempt=1)
-    (second,) = sends(script.wait(30_000))
-    assert tokens(script) == 500 - 14 - 5
-    script.ends(request, Outcome.OK, second.upstream, attempt=2)
-    assert tokens(script) == 500 - 14
-
-
-def test_a_clean_first_success_adds_one_up_to_the_cap() -> None:
-    script = Script([entry(1), entry(2)], classes=LONG)
-    script.serve()
-    assert tokens(script) == 500
-    script.balancer._quota.tokens = 100
-    script.serve()
-    assert tokens(script) == 101
-
-
-def test_without_tokens_the_error_is_passed_on_at_once() -> None:
-    script = Script([entry(1), entry(2)], classes=LONG)
-    script.balancer._quota.tokens = 13.9
-    request, actions = script.arrives(SAFE)
-    actions = script.ends(request, Outcome.ERROR, sends(actions)[0].upstream)
+def test_a_retry_costs_by_its_cause_and_success_refunds_the_cost(outcome: Outcome, cost: float) -> None:
+    driver = BalancerDriver([entry(1), entry(2)], classes=LONG)
+    request, retry = fail_first_attempt(driver, outcome)
+    assert tokens(driver) == 500 - cost
+    driver.end_attempt(request, Outcome.OK, retry.upstream, attempt=1)
+    assert tokens(driver) == 500
+
+
+def test_the_cost_of_a_failed_retry_is_not_refunded() -> None:
+    driver = BalancerDriver([entry(1), entry(2), entry(3)], classes=LONG)
+    request, retry = fail_first_attempt(driver, Outcome.ERROR)
+    driver.end_attempt(request, Outcome.FULL, retry.upstream, attempt=1)
+    (second,) = sends(driver.wait(30_000))
+    assert tokens(driver) == 500 - 14 - 5
+    driver.end_attempt(request, Outcome.OK, second.upstream, attempt=2)
+    assert tokens(driver) == 500 - 14
+
+
+def test_success_without_retries_adds_one_token_up_to_the_cap() -> None:
+    driver = BalancerDriver([entry(1), entry(2)], classes=LONG)
+    driver.serve()
+    assert tokens(driver) == 500
+    driver.balancer._quota.tokens = 100
+    driver.serve()
+    assert tokens(driver) == 101
+
+
+def test_without_tokens_the_error_is_answered_at_once() -> None:
+    driver = BalancerDriver([entry(1), entry(2)], classes=LONG)
+    driver.balancer._quota.tokens = 13.9
+    request, actions = driver.arrive(SAFE)
+    actions = driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream)
     assert [a.request_id for a in answers(actions)] == [request]
-    assert tokens(script) == 13.9
+    assert tokens(driver) == 13.9
 
 
 def test_waits_are_full_jitter_and_double_up_to_the_ceiling() -> None:
     quota = RetryQuota(random.Random(3))
-    for retry, top in [(0, 100.0), (1, 200.0), (3, 800.0), (7, 12_800.0), (8, 20_000.0), (2000, 20_000.0)]:
-        drawn = [quota.wait_ms(100.0, retry) for _ in range(2000)]
-        assert min(drawn) < top * 0.01 and top * 0.99 < max(drawn) <= top
-        assert sum(drawn) / len(drawn) == pytest.approx(top / 2, rel=0.05)
+    for retry, max_ms in [(0, 100.0), (1, 200.0), (3, 800.0), (7, 12_800.0), (8, 20_000.0), (2000, 20_000.0)]:
+        waits_ms = [quota.wait_ms(100.0, retry) for _ in range(2000)]
+        assert min(waits_ms) < max_ms * 0.01 and max_ms * 0.99 < max(waits_ms) <= max_ms
+        assert sum(waits_ms) / len(waits_ms) == pytest.approx(max_ms / 2, rel=0.05)
 
 
 @pytest.mark.parametrize(("outcome", "base_ms"), [(Outcome.ERROR, 100.0), (Outcome.FULL, 1000.0)])
-def test_the_base_is_longer_where_the_server_said_it_is_full(outcome: Outcome, base_ms: float) -> None:
-    waits = []
+def test_the_base_wait_is_longer_if_the_upstream_is_full(outcome: Outcome, base_ms: float) -> None:
+    after_ms = []
     for seed in range(300):
-        script = Script([entry(1), entry(2)], seed=seed, classes=LONG)
-        request, actions = script.arrives(within_ms=60_000)
+        driver = BalancerDriver([entry(1), entry(2)], seed=seed, classes=LONG)
+        request, actions = driver.arrive(within_ms=60_000)
         (timer,) = [
             a
-            for a in script.ends(request, outcome, sends(actions)[0].upstream)
+            for a in driver.end_attempt(request, outcome, sends(actions)[0].upstream)
             if isinstance(a, api.SetTimer)
         ]
-        waits.append(timer.after_ms)
-    assert 0 <= min(waits) < base_ms * 0.05 and base_ms * 0.95 < max(waits) <= base_ms
+        after_ms.append(timer.after_ms)
+    assert 0 <= min(after_ms) < base_ms * 0.05 and base_ms * 0.95 < max(after_ms) <= base_ms
 
 
-def test_an_answer_comes_at_once_where_the_wait_leaves_no_time_for_an_attempt() -> None:
-    script = Script([entry(1), entry(2)])
+def test_the_answer_is_immediate_if_the_wait_leaves_no_time_for_an_attempt() -> None:
+    driver = BalancerDriver([entry(1), entry(2)])
     for _ in range(20):
-        script.serve(elapsed_ms=300.0)
-    request, actions = script.arrives(SAFE, within_ms=300.0)
-    actions = script.ends(request, Outcome.ERROR, sends(actions)[0].upstream)
+        driver.serve(elapsed_ms=300.0)
+    request, actions = driver.arrive(SAFE, within_ms=300.0)
+    actions = driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream)
     assert [a.request_id for a in answers(actions)] == [request]
 
 
-def test_inner_copies_pass_an_error_up_but_resend_what_never_ran() -> None:
-    script = Script([entry(1), entry(2)], tier=1, classes=LONG)
-    request, actions = script.arrives(SAFE)
-    assert answers(script.ends(request, Outcome.ERROR, sends(actions)[0].upstream))
-    request, actions = script.arrives(UNSAFE)
-    assert not answers(script.ends(request, Outcome.CONNECT_FAILED, sends(actions)[0].upstream))
-    assert len(sends(script.wait(500))) == 1
+def test_inner_tiers_answer_an_error_but_resend_what_never_ran() -> None:
+    driver = BalancerDriver([entry(1), entry(2)], tier=1, classes=LONG)
+    request, actions = driver.arrive(SAFE)
+    assert answers(driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream))
+    request, actions = driver.arrive(UNSAFE)
+    assert not answers(driver.end_attempt(request, Outcome.CONNECT_FAILED, sends(actions)[0].upstream))
+    assert len(sends(driver.wait(500))) == 1
 
 
-def test_a_refusal_says_when_to_come_back_where_the_settings_allow() -> None:
+def test_a_refusal_has_a_retry_hint_if_the_settings_allow_it() -> None:
     for allowed in (True, False):
-        script = Script([], retry_after=allowed)
-        _, actions = script.arrives(SAFE)
+        driver = BalancerDriver([], retry_after=allowed)
+        _, actions = driver.arrive(SAFE)
         (refusal,) = answers(actions)
         assert isinstance(refusal, api.Refuse)
         assert (refusal.retry_after_ms > 0) is allowed
--- a/tests/standalone/policy/test_retuned.py
+++ b/tests/standalone/policy/test_retuned.py
@@ -1,4 +1,4 @@
-"""New settings while requests are under way: what is learned and spent stays."""
+"""New settings while requests are open: learned values and the spent quota are kept."""
 
 from __future__ import annotations
 
@@ -8,53 +8,53 @@
     CLASSES,
     SAFE,
     UNSAFE,
-    Script,
-    a_class,
+    BalancerDriver,
     answers,
     entry,
+    request_class,
     sends,
     settings,
 )
 
 
-def retuned(**more: object) -> api.Retuned:
+def new_settings(**more: object) -> api.Retuned:
     return api.Retuned(settings(**more))
 
 
-def test_a_new_class_is_known_at_once_and_an_old_one_keeps_its_number() -> None:
-    script = Script([entry(1)])
-    _, actions = script.arrives(len(CLASSES))
+def test_a_new_class_is_served_at_once_and_others_keep_their_number() -> None:
+    driver = BalancerDriver([entry(1)])
+    _, actions = driver.arrive(len(CLASSES))
     assert isinstance(answers(actions)[0], api.Fail)
-    script.event(retuned(classes=(*CLASSES, a_class(Effect.UNSAFE))))
-    _, actions = script.arrives(len(CLASSES))
+    driver.event(new_settings(classes=(*CLASSES, request_class(Effect.UNSAFE))))
+    _, actions = driver.arrive(len(CLASSES))
     assert sends(actions)
 
 
-def test_what_is_under_way_keeps_its_class() -> None:
-    """Guards against a class that grows looser and gives an unsafe request a second effect."""
-    script = Script([entry(1), entry(2)])
-    request, actions = script.arrives(UNSAFE)
-    script.event(retuned(classes=(a_class(),) * len(CLASSES)))
-    assert script.ends(request, Outcome.ERROR, sends(actions)[0].upstream) == [api.Fail(request)]
+def test_an_open_request_keeps_its_class() -> None:
+    """Guards against a second effect of an unsafe request whose class becomes less strict."""
+    driver = BalancerDriver([entry(1), entry(2)])
+    request, actions = driver.arrive(UNSAFE)
+    driver.event(new_settings(classes=(request_class(),) * len(CLASSES)))
+    assert driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream) == [api.Fail(request)]
 
 
-def test_fewer_attempts_bind_from_then_on() -> None:
-    script = Script([entry(1), entry(2), entry(3)])
-    request, actions = script.arrives(SAFE)
-    script.event(retuned(max_attempts=1))
-    (last,) = script.ends(request, Outcome.ERROR, sends(actions)[0].upstream)
-    assert isinstance(last, api.Refuse)
+def test_a_lower_limit_of_attempts_applies_to_open_requests() -> None:
+    driver = BalancerDriver([entry(1), entry(2), entry(3)])
+    request, actions = driver.arrive(SAFE)
+    driver.event(new_settings(max_attempts=1))
+    (answer,) = driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream)
+    assert isinstance(answer, api.Refuse)
 
 
-def test_a_reload_refills_nothing() -> None:
-    """The quota, set-asides and the room stay as they were."""
-    script = Script([entry(1), entry(2)])
+def test_a_reload_keeps_quota_ejections_and_limit() -> None:
+    """Guards against a reload that resets the retry quota, the ejections or the admission limit."""
+    driver = BalancerDriver([entry(1), entry(2)])
     for _ in range(3):
-        request, actions = script.arrives()
-        script.ends(request, Outcome.ERROR, sends(actions)[0].upstream)
-        script.wait(50)
-    balancer = script.balancer
-    before = (balancer._quota.tokens, balancer.skipped(script.now), balancer._admission.room)
+        request, actions = driver.arrive()
+        driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream)
+        driver.wait(50)
+    balancer = driver.balancer
+    before = (balancer._quota.tokens, balancer.skipped(driver.now), balancer._admission.room)
     assert before[0] < 500 and before[1] > 0
-    script.event(retuned(max_attempts=3, copies=2))
-    assert (balancer._quota.tokens, balancer.skipped(script.now), balancer._admission.room) == before
+    driver.event(new_settings(max_attempts=3, copies=2))
+    assert (balancer._quota.tokens, balancer.skipped(driver.now), balancer._admission.room) == before
