--- a/tests/standalone/protocol/test_answers.py
+++ b/tests/standalone/protocol/test_answers.py
@@ -1,4 +1,4 @@
-"""What comes back from upstreams, by the protocol's table, and its example of a load report."""
+"""Outcomes of upstreams' answers by the protocol's table, load reports and headers of refusals."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from madderwind.standalone.policy.api import Outcome
 from madderwind.standalone.protocol.answers import outcome_of, read_report, refusal_headers
 
-MARKED = {"X-Never-Ran": "1"}
+NEVER_RAN = {"X-Never-Ran": "1"}
 
 
 @pytest.mark.parametrize(
@@ -15,9 +15,9 @@
     [
         (200, {}, Outcome.OK),
         (500, {}, Outcome.ERROR),
-        (500, MARKED, Outcome.ERROR),
-        (503, MARKED, Outcome.FULL),
-        (504, MARKED, Outcome.FULL),
+        (500, NEVER_RAN, Outcome.ERROR),
+        (503, NEVER_RAN, Outcome.FULL),
+        (504, NEVER_RAN, Outcome.FULL),
         (503, {}, Outcome.ERROR),
         (504, {"X-Never-Ran": "0"}, Outcome.ERROR),
         (404, {}, Outcome.ERROR),
@@ -25,12 +25,12 @@
         (206, {}, Outcome.ERROR),
     ],
 )
-def test_outcomes(status: int, headers: dict[str, str], outcome: Outcome) -> None:
-    """Guards against taking an unmarked 503 for proof that nothing ran."""
+def test_outcome_of_status_and_headers(status: int, headers: dict[str, str], outcome: Outcome) -> None:
+    """Guards against treating a 503 without `X-Never-Ran` as proof that nothing ran."""
     assert outcome_of(status, headers) is outcome
 
 
-def test_the_example_of_a_load_report() -> None:
+def test_the_example_load_report_of_the_protocol() -> None:
     assert read_report("TEXT inflight=7, queue=2, util=0.61", ("queue", "inflight")) == (2.0, 7.0)
 
 
@@ -49,10 +49,10 @@
         "inflight=7, queue=2",
     ],
 )
-def test_a_report_that_cannot_be_read_is_none(text: str) -> None:
+def test_an_invalid_report_is_none(text: str) -> None:
     assert read_report(text, ("inflight", "queue")) is None
 
 
-def test_retry_after_is_seconds_and_left_out_where_there_is_no_hint() -> None:
+def test_retry_after_is_in_seconds_and_omitted_without_a_hint() -> None:
     assert refusal_headers(512.4) == {"Retry-After": "0.512"}
     assert refusal_headers(0.0) == {}
--- a/tests/standalone/protocol/test_any_input.py
+++ b/tests/standalone/protocol/test_any_input.py
@@ -1,4 +1,4 @@
-"""Whatever the bytes are, reading them gives a value or the error that says so."""
+"""Parsing of arbitrary input returns a value or raises the documented error."""
 
 from __future__ import annotations
 
@@ -18,26 +18,28 @@
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
-    lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner, max_size=4),
+    lambda children: (
+        st.lists(children, max_size=4) | st.dictionaries(st.text(max_size=8), children, max_size=4)
+    ),
     max_leaves=20,
 )
 
 
 @given(st.binary(max_size=300))
-def test_any_line_of_a_watch(raw: bytes) -> None:
+def test_any_line_of_a_subscription(raw: bytes) -> None:
     with contextlib.suppress(ListingError):
         read_listing(raw)
 
 
-@pytest.mark.parametrize("head", [b'{"revision":1,"complete":true,"members":[', b'{"x":'])
-def test_a_line_that_nests_too_deep(head: bytes) -> None:
-    """Guards against a decoder that gives up by another error than for other bad text."""
+@pytest.mark.parametrize("prefix", [b'{"revision":1,"complete":true,"members":[', b'{"x":'])
+def test_a_line_that_nests_too_deep(prefix: bytes) -> None:
+    """Guards against an error of the decoder that differs from its error for other invalid text."""
     with pytest.raises(ListingError):
-        read_listing(head + b"[" * 200_000)
+        read_listing(prefix + b"[" * 200_000)
 
 
 @given(st.text(max_size=100))
-def test_any_props(text: str) -> None:
+def test_any_properties(text: str) -> None:
     hint_ms, _, _, _ = read_props(text)
     assert hint_ms is None or (hint_ms >= 0 and math.isfinite(hint_ms))
 
@@ -63,13 +65,13 @@
 def test_any_request(method: str, target: str, headers: dict[str, str]) -> None:
     reader = RequestReader(read_host_settings(examples.SETTINGS))
     with contextlib.suppress(BadRequest):
-        asked = reader.read(method, target, CIMultiDictProxy(CIMultiDict(headers)))
-        assert asked.wait_ms >= 0
-        assert 0 <= asked.class_index < 3
-        assert 0 <= asked.tenant_index < 2
+        fields = reader.read(method, target, CIMultiDictProxy(CIMultiDict(headers)))
+        assert fields.wait_ms >= 0
+        assert 0 <= fields.class_index < 3
+        assert 0 <= fields.tenant_index < 2
 
 
 @given(JSON, st.sampled_from(list(examples.SETTINGS)))
-def test_any_settings(value: object, at: str) -> None:
+def test_any_settings(value: object, setting_name: str) -> None:
     with contextlib.suppress(SettingsError):
-        read_host_settings({**examples.SETTINGS, at: value})
+        read_host_settings({**examples.SETTINGS, setting_name: value})
--- a/tests/standalone/protocol/test_framing.py
+++ b/tests/standalone/protocol/test_framing.py
@@ -1,4 +1,4 @@
-"""Lists cut out of a watch's bytes, however these are laid out and cut."""
+"""Splitting of a subscription's bytes into lists, in any formatting and chunking."""
 
 from __future__ import annotations
 
@@ -24,34 +24,37 @@
 ]
 
 
-def listed(revision: int, members: int = 2) -> dict[str, Any]:
-    told = [examples.member(f's-{n}"{{[\\\n', 1000 + n) for n in range(members)]  # texts that look like more
-    return examples.listing(*told, revision=revision, complete=False)
+def list_message(revision: int, members: int = 2) -> dict[str, Any]:
+    # The ids contain JSON syntax.
+    entries = [examples.member(f's-{n}"{{[\\\n', 1000 + n) for n in range(members)]
+    return examples.listing(*entries, revision=revision, complete=False)
 
 
-def fed(raw: bytes, size: int) -> list[Any]:
-    """What comes out, lists by their revisions."""
+def feed_in_chunks(raw: bytes, size: int) -> list[Any]:
+    """The outputs for these bytes in chunks of this size; lists are represented by their revisions."""
     framing = ListFraming()
-    out: list[Any] = []
+    outputs: list[Any] = []
     for at in range(0, len(raw), size):
-        out += framing.feed(raw[at : at + size])
-    return [said.revision if isinstance(said, Listing) else said for said in out]
+        outputs += framing.feed(raw[at : at + size])
+    return [output.revision if isinstance(output, Listing) else output for output in outputs]
 
 
 def revisions(raw: bytes, size: int) -> list[int]:
-    return [said for said in fed(raw, size) if isinstance(said, int)]
+    return [output for output in feed_in_chunks(raw, size) if isinstance(output, int)]
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 10**9])
-@pytest.mark.parametrize("between", [b"", b"\n", b"\r\n", b"\n\n \t\n"])
+@pytest.mark.parametrize("separator", [b"", b"\n", b"\r\n", b"\n\n \t\n"])
 @pytest.mark.parametrize("layout", LAYOUTS, ids=range(len(LAYOUTS)))
-def test_lists_come_whole_in_any_layout(layout: dict[str, Any], between: bytes, size: int) -> None:
-    raw = between.join(json.dumps(listed(n), **layout).encode() for n in range(1, 5)) + between
-    said = fed(raw, size)
-    assert [s for s in said if s is not ALIVE] == [1, 2, 3, 4]
+def test_lists_are_complete_in_any_formatting_and_chunking(
+    layout: dict[str, Any], separator: bytes, size: int
+) -> None:
+    raw = separator.join(json.dumps(list_message(n), **layout).encode() for n in range(1, 5)) + separator
+    output = feed_in_chunks(raw, size)
+    assert [s for s in output if s is not ALIVE] == [1, 2, 3, 4]
 
 
-SPOILT = [
+INVALID = [
     b"{nonsense",
     b"what is this",
     b"}}]]",
@@ -63,48 +66,51 @@
     b"[" * 1000,
     b'{"a":' * 1000,
     b"\xff\xfe\x00",
-    json.dumps(listed(5), indent=2).encode()[:-40],
-    json.dumps(listed(5), indent=0).encode()[:-40],
-    json.dumps(listed(5), indent=2).replace('"complete"', "complete").encode(),
+    json.dumps(list_message(5), indent=2).encode()[:-40],
+    json.dumps(list_message(5), indent=0).encode()[:-40],
+    json.dumps(list_message(5), indent=2).replace('"complete"', "complete").encode(),
 ]
 
 
 @pytest.mark.parametrize("size", [1, 50, 10**9])
 @pytest.mark.parametrize("layout", LAYOUTS, ids=range(len(LAYOUTS)))
-@pytest.mark.parametrize("spoilt", SPOILT, ids=range(len(SPOILT)))
-def test_a_spoilt_one_takes_no_other_along_and_is_said_once(
-    spoilt: bytes, layout: dict[str, Any], size: int
+@pytest.mark.parametrize("invalid", INVALID, ids=range(len(INVALID)))
+def test_an_invalid_value_is_reported_once_and_other_lists_are_complete(
+    invalid: bytes, layout: dict[str, Any], size: int
 ) -> None:
-    """Guards too against waiting for another: the list behind it comes out with its own last byte."""
-    raw = b"%b\n%b\n" % (json.dumps(listed(1)).encode(), spoilt) + json.dumps(listed(2), **layout).encode()
-    said = [s for s in fed(raw, size) if s is not ALIVE]
-    assert [s for s in said if isinstance(s, int)] == [1, 2]
-    assert len([s for s in said if isinstance(s, ListingError)]) == 1
+    """The list after the invalid value is output with its own last byte; it needs no further bytes."""
+    raw = (
+        b"%b\n%b\n" % (json.dumps(list_message(1)).encode(), invalid)
+        + json.dumps(list_message(2), **layout).encode()
+    )
+    output = [s for s in feed_in_chunks(raw, size) if s is not ALIVE]
+    assert [s for s in output if isinstance(s, int)] == [1, 2]
+    assert len([s for s in output if isinstance(s, ListingError)]) == 1
 
 
-def test_only_an_empty_line_with_nothing_under_way_says_that_discovery_lives() -> None:
-    assert fed(b"\n\r\n", 1) == [ALIVE, ALIVE]
-    assert fed(b"   ", 1) == []
-    assert fed(b'{"revision": 5,\n\n\n\n', 1) == []
-    assert not [said for said in fed(b"noise\nnoise\n", 1) if said is ALIVE]
+def test_only_an_empty_line_between_values_is_a_sign_of_life() -> None:
+    assert feed_in_chunks(b"\n\r\n", 1) == [ALIVE, ALIVE]
+    assert feed_in_chunks(b"   ", 1) == []
+    assert feed_in_chunks(b'{"revision": 5,\n\n\n\n', 1) == []
+    assert not [output for output in feed_in_chunks(b"noise\nnoise\n", 1) if output is ALIVE]
 
 
 @given(
-    st.lists(st.binary(max_size=40) | st.sampled_from([b"\n", b"{", b'"', *SPOILT]), max_size=12),
+    st.lists(st.binary(max_size=40) | st.sampled_from([b"\n", b"{", b'"', *INVALID]), max_size=12),
     st.integers(1, 60),
 )
-def test_no_bytes_break_it(pieces: list[bytes], size: int) -> None:
-    """Whatever came before, the second list after it is read: the first may end a text that was open."""
-    raw = b"".join(pieces) + b"\n" + b"".join(json.dumps(listed(n)).encode() + b"\n" for n in (1, 2))
+def test_lists_after_arbitrary_bytes_are_parsed(chunks: list[bytes], size: int) -> None:
+    """The second list after arbitrary bytes is always parsed; the first may end an open string."""
+    raw = b"".join(chunks) + b"\n" + b"".join(json.dumps(list_message(n)).encode() + b"\n" for n in (1, 2))
     assert revisions(raw, size)[-1:] == [2]
 
 
-def test_it_holds_no_more_than_its_bound_and_costs_in_line_with_what_comes() -> None:
-    """Guards against a stream that never ends its value, and against looking through all at every piece."""
+def test_memory_is_bounded_and_cost_is_linear_in_the_input() -> None:
+    """Guards against a value that never ends, and against a scan of the whole buffer for each chunk."""
     framing = ListFraming()
-    chance = random.Random(1)
+    rng = random.Random(1)
     began_s = time.process_time()
-    for piece in (
+    for chunk in (
         b"{\n" * 3_000,
         b'{"a":[\n' * 800,
         b'"' + b"x" * 60_000,
@@ -112,10 +118,14 @@
         b"{}\n" * 900,
     ):
         for _ in range(20):
-            list(framing.feed(piece[: chance.randrange(len(piece))]))
-            assert len(framing._buffer) <= MAX_VALUE_BYTES + len(piece)
-    many = json.dumps(listed(9, members=5000), indent=0).encode()
-    whole = ListFraming()
-    out = [said for at in range(0, len(many), 9000) for said in whole.feed(many[at : at + 9000])]
-    assert [said.revision for said in out if isinstance(said, Listing)] == [9]
-    assert time.process_time() - began_s < 20.0  # it takes a second
+            list(framing.feed(chunk[: rng.randrange(len(chunk))]))
+            assert len(framing._buffer) <= MAX_VALUE_BYTES + len(chunk)
+    long_list = json.dumps(list_message(9, members=5000), indent=0).encode()
+    second_framing = ListFraming()
+    outputs = [
+        output
+        for at in range(0, len(long_list), 9000)
+        for output in second_framing.feed(long_list[at : at + 9000])
+    ]
+    assert [output.revision for output in outputs if isinstance(output, Listing)] == [9]
+    assert time.process_time() - began_s < 20.0  # it usually takes one second
--- a/tests/standalone/protocol/test_listing.py
+++ b/tests/standalone/protocol/test_listing.py
@@ -1,4 +1,4 @@
-"""Discovery's examples, and entries and lines that cannot be read."""
+"""The protocol's example lists, and invalid entries and lines."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
    "size":1.0,"up_since_ms":0}]}"""
 
 
-def test_the_examples_of_the_protocol() -> None:
+def test_the_example_lists_of_the_protocol() -> None:
     whole, change = read_listing(WHOLE), read_listing(CHANGE)
     assert (whole.revision, whole.complete, whole.members[0].phase) == (41, True, "Ready")
     assert (change.revision, change.complete, change.members[0].phase) == (43, False, "Terminating")
@@ -38,7 +38,7 @@
         {"size": None},
     ],
 )
-def test_an_odd_entry_is_passed_over_and_the_others_stand(changed: dict[str, object]) -> None:
+def test_an_invalid_entry_is_skipped_and_the_others_are_kept(changed: dict[str, object]) -> None:
     members = [{**examples.member("s-1", 5000), **changed}, examples.member("s-2", 5000)]
     listing = read_listing(json.dumps(examples.listing(*members)).encode())
     assert [m.id for m in listing.members] == ["s-2"]
@@ -48,6 +48,6 @@
 @pytest.mark.parametrize(
     "line", [b"", b"{", b"[]", b"null", b'{"revision":1}', b'{"revision":"x"}', b"\xff\xfe"]
 )
-def test_a_line_that_cannot_be_read_says_so(line: bytes) -> None:
+def test_an_invalid_line_raises_an_error(line: bytes) -> None:
     with pytest.raises(ListingError):
         read_listing(line)
--- a/tests/standalone/protocol/test_requests.py
+++ b/tests/standalone/protocol/test_requests.py
@@ -1,4 +1,4 @@
-"""The protocol's example of a request, and requests that it does not allow."""
+"""The protocol's example request, and requests that it doesn't allow."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def headers(**changes: str | None) -> CIMultiDictProxy[str]:
-    """The example's headers, some of them changed or, for None, left out; `_` stands for `-`."""
+    """The example's headers with changes; None removes a header, and `_` in a name stands for `-`."""
     values: dict[str, str | None] = {**EXAMPLE, **{k.replace("_", "-"): v for k, v in changes.items()}}
     return CIMultiDictProxy(CIMultiDict({k: v for k, v in values.items() if v is not None}))
 
@@ -37,12 +37,12 @@
     return reader.read(method, target, headers(**changes))
 
 
-def test_the_example_of_the_protocol() -> None:
-    asked = read()
-    assert (asked.trace_id, asked.class_index, asked.tenant_index) == ("9b1f03aa5c7e2d41", 2, 0)
-    assert asked.wait_ms == 480
-    assert not asked.is_repeat
-    assert asked.work_hint_ms is None
+def test_the_example_request_of_the_protocol() -> None:
+    fields = read()
+    assert (fields.trace_id, fields.class_index, fields.tenant_index) == ("9b1f03aa5c7e2d41", 2, 0)
+    assert fields.wait_ms == 480
+    assert not fields.is_repeat
+    assert fields.work_hint_ms is None
 
 
 @pytest.mark.parametrize("target", ["/checkout", "/checkout/", "/checkout/7/lines?x=1", "/checkout?a=/b"])
@@ -50,16 +50,16 @@
     assert read(target=target).class_index == 2
 
 
-def test_names_are_taken_as_the_settings_have_them() -> None:
+def test_tenant_names_are_compared_verbatim_with_the_settings() -> None:
     assert read(X_Customer="rueda, andina").tenant_index == 1
 
 
-def test_a_marked_repeat() -> None:
+def test_a_request_marked_as_a_repeat() -> None:
     assert read(X_Second_Try="1").is_repeat
 
 
 @pytest.mark.parametrize(
-    ("changes", "why"),
+    ("changes", "pattern"),
     [
         ({"X_Trace_Id": None}, "X-Trace-Id"),
         ({"X_Customer": "nobody"}, "tenant"),
@@ -78,26 +78,26 @@
         ({"target": "/charge"}, "Idempotency-Key"),
     ],
 )
-def test_a_bad_request_says_what_is_wrong(changes: dict[str, str], why: str) -> None:
-    """Guards against a POST whose class would let it be repeated without the key that makes that safe."""
-    with pytest.raises(BadRequest, match=why):
+def test_the_error_of_a_bad_request_names_the_cause(changes: dict[str, str], pattern: str) -> None:
+    """Guards against a keyed POST without the key, which could be resent and executed twice."""
+    with pytest.raises(BadRequest, match=pattern):
         read(**changes)
 
 
-def test_the_work_that_a_client_announces() -> None:
-    """Guards against requests whose hint is passed over: it goes with the event to the module."""
+def test_the_work_hint_of_a_client() -> None:
+    """Guards against a hint that is dropped: the balancer gets it with the event of the request."""
     assert read(X_Size_Hint="412513").work_hint_ms == 412.513
     assert read(X_Size_Hint="0").work_hint_ms == 0
 
 
 @pytest.mark.parametrize("hint", ["", "much", "-1", "1e3", "9" * 400])
-def test_an_odd_hint_is_passed_over_and_named(hint: str) -> None:
-    asked = read(X_Size_Hint=hint)
-    assert asked.work_hint_ms is None
-    assert asked.odd_props == f"X-Size-Hint: {hint[:40]}"
+def test_an_invalid_hint_is_ignored_and_reported(hint: str) -> None:
+    fields = read(X_Size_Hint=hint)
+    assert fields.work_hint_ms is None
+    assert fields.odd_props == f"X-Size-Hint: {hint[:40]}"
 
 
-def test_props_that_the_decisions_need_and_others() -> None:
+def test_known_and_unknown_properties() -> None:
     assert read_props("WorkHintMs=12.5,PartitionKey=77,Opts=5,Later=x") == (12.5, 77, True, None)
     assert read_props("") == (None, 0, False, None)
 
@@ -105,27 +105,29 @@
 @pytest.mark.parametrize(
     "text", ["WorkHintMs=much", "WorkHintMs=nan", "WorkHintMs=-1", "PartitionKey=1.5", "x"]
 )
-def test_odd_props_are_passed_over_and_named(text: str) -> None:
-    hint_ms, key, is_write, odd = read_props(f"Opts=4,{text}")
+def test_invalid_properties_are_ignored_and_reported(text: str) -> None:
+    hint_ms, key, is_write, invalid = read_props(f"Opts=4,{text}")
     assert (hint_ms, key, is_write) == (None, 0, True)
-    assert odd == text
+    assert invalid == text
 
 
-def test_headers_go_on_but_for_those_of_the_connection() -> None:
-    onward = headers_onward(headers(Connection="close", X_Other="kept", Transfer_Encoding="chunked"), 123.9)
-    assert onward["X-Trace-Id"] == EXAMPLE["X-Trace-Id"]
-    assert onward["Idempotency-Key"] == EXAMPLE["Idempotency-Key"]
-    assert onward["X-Other"] == "kept"
-    assert onward["X-Expires-In-Ms"] == "123"
-    assert not {"Connection", "Transfer-Encoding", "Content-Length", "Host"} & set(onward)
+def test_headers_are_forwarded_except_hop_by_hop_headers() -> None:
+    forwarded = headers_onward(
+        headers(Connection="close", X_Other="kept", Transfer_Encoding="chunked"), 123.9
+    )
+    assert forwarded["X-Trace-Id"] == EXAMPLE["X-Trace-Id"]
+    assert forwarded["Idempotency-Key"] == EXAMPLE["Idempotency-Key"]
+    assert forwarded["X-Other"] == "kept"
+    assert forwarded["X-Expires-In-Ms"] == "123"
+    assert not {"Connection", "Transfer-Encoding", "Content-Length", "Host"} & set(forwarded)
 
 
-def test_no_time_left_is_never_told_as_less_than_none() -> None:
+def test_the_remaining_time_is_forwarded_as_at_least_zero() -> None:
     assert headers_onward(headers(), -3.0)["X-Expires-In-Ms"] == "0"
 
 
 @pytest.mark.parametrize(
-    ("target", "onward"),
+    ("target", "forwarded"),
     [
         ("/lookup/7?x=%2F", "/lookup/7?x=%2F"),
         ("http://app.svc/lookup", "/lookup"),
@@ -135,5 +137,5 @@
         ("*", "*"),
     ],
 )
-def test_absolute_targets(target: str, onward: str) -> None:
-    assert origin_form(target) == onward
+def test_origin_form_of_targets(target: str, forwarded: str) -> None:
+    assert origin_form(target) == forwarded
