--- a/madderwind/standalone/policy/admission.py
+++ b/madderwind/standalone/policy/admission.py
@@ -11,19 +11,22 @@
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.traffic import Traffic
 
-# The factor when answers indicate queueing; the most growth in a mean answer time; the limit grows only while
-# the most valuable class has less credit than this.
+# The factor when answers indicate queueing, and the most growth in a mean answer time. The limit grows only
+# while the credit of the most valuable class is below GROWTH_CREDIT.
 LIMIT_SHRINK, LIMIT_GROWTH, GROWTH_CREDIT = 0.9, 0.04, 0.5
 MAX_PRESSURE = 2.0  # of one answer, where 1 is the target: a few slow upstreams don't shrink the whole limit
-INITIAL_LIMIT, MIN_LIMIT = 8.0, 3.0  # per upstream, over all balancers; the minimum keeps every upstream busy
-OVER_SHARE_PART, CHEAP_PART = 0.75, 0.4  # of the limit: open to a tenant over its quota; kept from worth 0
-DEVIATIONS, FAST_PRESSURE = 3.0, 0.8  # of a random count (its square root); below it nothing queues
+# Open requests per upstream, over all balancers. The minimum keeps every upstream busy.
+INITIAL_LIMIT, MIN_LIMIT = 8.0, 3.0
+# The parts of the limit that a tenant over its quota may use, and that a class of worth 0 may not use.
+OVER_SHARE_PART, LOW_WORTH_PART = 0.75, 0.4
+# Tolerated standard deviations (square roots) of a random count, and a pressure without any queueing.
+DEVIATIONS, FAST_PRESSURE = 3.0, 0.8
 
 
 class Admission:
-    """`room` is the limit of open requests per usable upstream, so the total falls when upstreams are lost.
+    """`room` is the limit of open requests per usable upstream, over all balancers.
 
-    It applies to all balancers together."""
+    So the total limit falls when upstreams are lost. `short`: capacity of evacuated upstreams is missing."""
 
     def __init__(self, settings: api.Settings, traffic: Traffic) -> None:
         self._traffic, self.room = traffic, INITIAL_LIMIT
@@ -34,9 +37,9 @@
     def apply_settings(self, settings: api.Settings) -> None:
         self._settings = settings
         worths = [max(0.0, request_class.worth) for request_class in settings.classes]
-        parts = [1 - CHEAP_PART * (1 - worth / (max(worths) or 1.0)) for worth in worths]
+        parts = [1 - LOW_WORTH_PART * (1 - worth / (max(worths) or 1.0)) for worth in worths]
         self._limit_parts = [part * within for part in parts for within in (1.0, OVER_SHARE_PART)]
-        self._dearest = max(range(len(self._limit_parts)), key=self._limit_parts.__getitem__, default=0)
+        self._most_valuable = max(range(len(self._limit_parts)), key=self._limit_parts.__getitem__, default=0)
         self.credit = [1.0 for _ in self._limit_parts]  # of each part, from 1 (unused) to -1
 
     def update_credit(
@@ -76,16 +79,14 @@
 
     def record_answer(self, elapsed_ms: float, answer_times: Mean, aim_ms: float, now: float) -> None:
         """Adjust the limit by an answer's time, compared with the answer times of its class."""
-        aim_ms *= (
-            aim_ms / answer_times.best if self.short else 1.0
-        )  # moves the target to two thirds of the way
+        # This factor moves the target from a third to two thirds of the way.
+        aim_ms *= aim_ms / answer_times.best if self.short else 1.0
         self._pressure.add(min(MAX_PRESSURE, elapsed_ms / (answer_times.best**2 * aim_ms) ** (1 / 3)))
         if self._pressure.mean > 1:
             if now - self._shrunk_ms >= answer_times.mean:
                 self.room, self._shrunk_ms = max(MIN_LIMIT, self.room * LIMIT_SHRINK), now
-        elif self.room < INITIAL_LIMIT or self.credit[self._dearest] < GROWTH_CREDIT:
-            growth = (
-                GAIN * (1 - self._pressure.mean) ** 2
-            )  # the further below the target, the more per answer
+        elif self.room < INITIAL_LIMIT or self.credit[self._most_valuable] < GROWTH_CREDIT:
+            # An answer counts for more the further the pressure is below the target.
+            growth = GAIN * (1 - self._pressure.mean) ** 2
             self.room *= 1 + min(growth, LIMIT_GROWTH * (now - self._grown_ms) / answer_times.mean)
         self._grown_ms = now
--- a/madderwind/standalone/policy/balancer.py
+++ b/madderwind/standalone/policy/balancer.py
@@ -12,7 +12,8 @@
 from madderwind.standalone.policy.records import Attempt, Request, Timer, TimerKind, Timers
 from madderwind.standalone.policy.upstreams import DEAD_AFTER_CONNECTS, Upstream
 
-# Over its class's mean; with the four deviations of TCP, one healthy attempt in forty counted as overdue.
+# Mean deviations over the mean answer time of its class after which an attempt is overdue. With the four of
+# TCP's time-out, one healthy attempt in forty counted as overdue.
 OVERDUE_DEVIATIONS = 8.0
 # The delay before failures are sent to peers; an upstream that answered within the second time isn't ejected
 # for a failure that a peer reports.
@@ -20,7 +21,7 @@
 
 
 class Balancer:
-    """Every attempt starts in `_send`, and every final answer of the balancer's own in `_answer`."""
+    """All attempts start in `_send`, and `_answer` gives all final answers, except for an unknown class."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._rng, self._traffic = random.Random(seed), traffic.Traffic(settings)
@@ -35,7 +36,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Apply to new requests: an open one keeps its class, as a less strict one might let it run twice."""
+        """Use settings for new requests. Open ones keep their class: a laxer one might run them twice."""
         self._settings, self._is_front = settings, settings.tier == 0
         self._answer_times += [
             estimates.Mean(estimates.SLOW_GAIN) for _ in settings.classes[len(self._answer_times) :]
@@ -80,7 +81,9 @@
         return sum(u.skipped(now) for u in self._fleet.upstreams.values())
 
     def hand_over(self) -> api.Memory:
-        """What a successor process continues from. It gets half of the quota: both spend no more than one."""
+        """What a successor process continues from.
+
+        It gets half of the retry quota, so that both processes together spend no more than one."""
         self._quota.tokens /= 2
         known = {number: u.known() for number, u in self._fleet.upstreams.items()}
         return api.Memory(self._quota.tokens, self._admission.room, known)
@@ -102,7 +105,7 @@
         request = self._requests[event.request_id] = Request.from_arrival(event, self._settings, now)
         self._traffic.arrivals.arrived(now)
         admitted = True
-        if self._is_front:  # only: in an inner tier, a refusal wastes work already done
+        if self._is_front:  # in an inner tier, a refusal would waste work already done
             self._update_credit(now, other_requests := self._count_open() - 1)
             admitted = self._admission.admits(other_requests, event.class_index, event.tenant_index, now)
         if now >= request.deadline_ms or not admitted or not self._send(now, request, 0.0):
@@ -248,8 +251,8 @@
     def _handle_overdue(self, now: float, request: Request, attempt: Attempt) -> None:
         """Handle an attempt whose upstream has answered nothing since: it may accept work and never answer.
 
-        This counts as a failure of the upstream. If the class allows it, a second attempt starts, which costs
-        as much quota as a retry."""
+        This counts as a failure of the upstream. If settings and class allow it, a second attempt starts. It
+        costs as much quota as a retry."""
         upstream = self._fleet.upstreams.get(attempt.upstream.upstream)
         if attempt.outcome is not None or (upstream and upstream.last_answer_ms > attempt.sent_ms):
             return  # the upstream answers, so the request merely takes long: a second attempt is wasted work
--- a/madderwind/standalone/policy/fleet.py
+++ b/madderwind/standalone/policy/fleet.py
@@ -9,10 +9,11 @@
 from madderwind.standalone.policy.traffic import Traffic
 from madderwind.standalone.policy.upstreams import Upstream
 
-# Idle upstreams that a pick draws from; balancers whose subset an upstream is in, so that it depends on none.
+# The least number of idle upstreams that a pick draws from, and the number of balancers that have an upstream
+# in their subset, so that the upstream depends on no single balancer.
 MIN_SUBSET, BALANCERS_PER_UPSTREAM = 3, 8
 SLOWNESS_EXPONENT = 3.0  # in the weights of the random draw
-FIRST_ATTEMPT_MS = 4500.0  # a restored upstream is due its first attempt at random, after half to all of this
+FIRST_ATTEMPT_MS = 4500.0  # a restored upstream is due a first attempt at random after half to all of this
 COUNT_INTERVAL_MS = 50.0  # between counts of the usable upstreams, which go over the whole fleet
 
 
--- a/madderwind/standalone/policy/picker.py
+++ b/madderwind/standalone/policy/picker.py
@@ -15,10 +15,10 @@
 # With a smaller part healthy, the failures have a common cause, and the ejected upstreams are used again.
 MIN_HEALTHY_PART = 0.5
 CROSS_ZONE_WEIGHT = 0.2  # factor on the weight of an upstream in another zone, if crossing has a price
-HOMES_PER_KEY, RECENT_KEYS = 2, 200  # upstreams that hold a key warm; requests whose keys are counted
-COLD_MARGIN = (
-    0.8  # of the least capacity of cold upstreams: random arrivals and unknown size add to their load
-)
+# Upstreams that are likely to have a key cached, and the number of last requests whose keys are counted.
+HOMES_PER_KEY, RECENT_KEYS = 2, 200
+# Of the least capacity of cold upstreams, as random arrivals and unknown sizes add to their load.
+COLD_MARGIN = 0.8
 
 
 class Picker:
@@ -27,10 +27,8 @@
     def __init__(self, settings: api.Settings, fleet: Fleet, traffic: Traffic, rng: random.Random) -> None:
         self._fleet, self._traffic, self._rng = fleet, traffic, rng
         self._now, self.answer_times = 0.0, Mean(SLOW_GAIN)
-        self._cold, self._warm_size = (
-            list[Upstream](),
-            0.0,
-        )  # considered by the last pick; the warm ones' size
+        # The cold upstreams that the last pick considered, and the total size of the warm ones.
+        self._cold, self._warm_size = list[Upstream](), 0.0
         # Balancers start at different values, so that they don't all send their first request at once.
         self._all_cold_credit = settings.me * GOLDEN_RATIO % 1
         self._recent_keys = list[int]()
@@ -78,8 +76,8 @@
     def _admits_while_all_cold(self, now: float) -> bool:
         """Whether this arrival is within what cold upstreams can serve of the fleet's usual traffic.
 
-        No warm upstream shows how much that traffic is. One attempt at a time bounds the sum only where no
-        more balancers exist than use each upstream; with more, each sends the part of its own arrivals that
+        No warm upstream shows how much that traffic is. The limit of one attempt at a time bounds the sum for
+        up to BALANCERS_PER_UPSTREAM balancers only. With more, each sends the part of its own arrivals that
         keeps a fleet which was busy below the load at which it falls over.
         """
         if self._traffic.balancer_count <= BALANCERS_PER_UPSTREAM:
--- a/madderwind/standalone/protocol/framing.py
+++ b/madderwind/standalone/protocol/framing.py
@@ -74,7 +74,10 @@
         self._tried_first_line = False
 
     def feed(self, chunk: bytes) -> Iterator[Listing | ListingError | Alive]:
-        """The complete lists so far, in order, and one ListingError for each run of skipped bytes."""
+        """Yield the complete lists in order, and ALIVE for empty lines between them.
+
+        One ListingError is yielded for each run of skipped bytes.
+        """
         self._buffer += chunk
         while True:
             if self._skipping_line and not self._skip_line():
