--- a/madderwind/dataplane/__init__.py
+++ b/madderwind/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: takes requests from clients and passes them on to upstreams."""
+"""The data plane: accepts requests from clients and forwards them to upstreams."""
--- a/madderwind/dataplane/__main__.py
+++ b/madderwind/dataplane/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m madderwind.dataplane`: the data plane of a front machine."""
+"""Entry point of `python -m madderwind.dataplane`: the data plane of a front machine."""
 
 from madderwind.early_signals import ignore_hangup
 
 
 def run() -> None:
-    """Run the command line, imported only once a signal does no harm any more."""
+    """Run the command line, which is imported only once SIGHUP no longer ends the process."""
     ignore_hangup()
     from madderwind.dataplane.command import main
 
--- a/madderwind/dataplane/attempt_log.py
+++ b/madderwind/dataplane/attempt_log.py
@@ -1,4 +1,4 @@
-"""One log line an attempt, for measuring the choices: off in service, as it costs a line a request."""
+"""Logs one line per attempt for evaluating upstream selection; off in production because of its volume."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class AttemptLog:
-    """Writes attempts to the log where there is one at debug level."""
+    """Writes attempts to the debug log, if there is one."""
 
     def __init__(self, debug: EventLog | None) -> None:
-        """`debug`: where lines of that level go; None where they are off."""
+        """`debug` receives the lines; None turns them off."""
         self._log = debug
 
     @property
     def is_on(self) -> bool:
-        """Whether attempts are written."""
+        """Whether attempts are logged."""
         return self._log is not None
 
     def write(self, request_id: str | None, route: str, attempt: Attempt, record: AttemptRecord) -> None:
-        """Write an attempt that has ended."""
+        """Log an attempt that has ended."""
         if self._log is None:
             return
         fields = msgspec.to_builtins(record)
--- a/madderwind/dataplane/command.py
+++ b/madderwind/dataplane/command.py
@@ -11,39 +11,40 @@
 from madderwind.errors import SettingsError
 from madderwind.node_settings import SETTINGS_VARIABLE, NodeSettings, read_settings
 
-# A bigger first generation: connections and requests make few cycles, and collections cost time.
-COLLECT_AFTER = 20_000
+# Threshold of the first garbage collection generation, raised from the default: connections and requests
+# create few reference cycles, and collections cost time.
+GC_THRESHOLD = 20_000
 INFO, DEBUG = LOG_LEVELS = ("info", "debug")
-# Where TLS looks for the certificates that it trusts; aiohttp reads them all as it is imported.
-TLS_CERTIFICATES = "SSL_CERT_FILE"
+# The file of TLS's trusted certificates; aiohttp loads all of them when it is imported.
+TLS_CERTIFICATES_VARIABLE = "SSL_CERT_FILE"
 
 
 class Commands:
-    """A data plane of the system. Without a command, it serves."""
+    """Commands of a data plane. Serves if no command is given."""
 
     def serve(self, log_level: str = "info") -> None:
-        """Serve by the settings file that MADDERWIND_CONFIG names.
+        """Serve with the settings file named by MADDERWIND_CONFIG.
 
         Args:
-            log_level: info, or debug for a line about each attempt beside.
+            log_level: info, or debug to also log each attempt.
         """
         if log_level not in LOG_LEVELS:
             sys.exit(f"log_level: {log_level!r} is none of {', '.join(LOG_LEVELS)}")
         path, settings = _settings()
-        gc.set_threshold(COLLECT_AFTER)
-        # The system speaks no TLS. Guards against a start that takes a quarter longer: every second of it is
-        # one in which a restarted machine serves nothing.
-        os.environ.setdefault(TLS_CERTIFICATES, os.devnull)
+        gc.set_threshold(GC_THRESHOLD)
+        # The system uses no TLS. Loading the certificates would make the start a quarter longer, and a
+        # restarted machine serves nothing until it has started.
+        os.environ.setdefault(TLS_CERTIFICATES_VARIABLE, os.devnull)
         _serve(path, settings, log_level)
 
     def check_settings(self) -> None:
-        """Read the settings file and say whether it can be used."""
+        """Check that the settings file is valid."""
         _, settings = _settings()
         print(f"settings of {settings.node} can be used")
 
 
 def _settings() -> tuple[Path, NodeSettings]:
-    """The settings file and what it says; ends the process where it can't be used."""
+    """The settings file's path and contents; exits if it is invalid."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         return Path(path), read_settings(path)
@@ -52,7 +53,7 @@
 
 
 def _serve(path: Path, settings: NodeSettings, log_level: str) -> None:
-    # Imported late: an unusable settings file is told at once, and TLS's certificates stay unread.
+    # Imported late, so that an invalid settings file is reported at once and no TLS certificates are loaded.
     from madderwind.dataplane.service import serve
     from madderwind.structured_log import BatchedOutput, open_log
 
@@ -70,10 +71,10 @@
 
 
 def main() -> None:
-    """Run a command, `serve` where none is named."""
+    """Run a command; `serve` by default."""
     if len(sys.argv) == 1:
         Commands().serve()
         return
-    import fire  # takes time to import, and is needed only here
+    import fire  # slow to import and needed only here
 
     fire.Fire(Commands)
--- a/madderwind/dataplane/metrics.py
+++ b/madderwind/dataplane/metrics.py
@@ -1,4 +1,4 @@
-"""What a data plane tells Prometheus."""
+"""Metrics that a data plane exports to Prometheus."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True)
 class DataPlaneFigures:
-    """A data plane as it stands: what its samples are made from."""
+    """The state of a data plane from which its samples are made."""
 
     is_ready: bool
     configuration_version: int
     control_planes: int
-    """Those to which a link is open."""
+    """The number of control planes with an open link."""
     data_planes: int
-    """Those that the fleet has."""
+    """The number of data planes in the fleet."""
     upstreams: Sequence[KnownUpstream]
     upstream_connections: int
     events: Mapping[str, int]
-    """How requests and attempts ended, by the event's name."""
+    """The number of requests and attempts by how they ended."""
 
 
 def data_plane_samples(figures: DataPlaneFigures) -> Iterator[Sample]:
-    """The values as they stand now."""
+    """The samples of the current state."""
     version, links = figures.configuration_version, figures.control_planes
     yield Sample("ready", "Whether this data plane takes new connections.", float(figures.is_ready))
     yield Sample("configuration_version", "The version in force here.", float(version))
--- a/madderwind/dataplane/readiness.py
+++ b/madderwind/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""The address where the platform asks whether this data plane takes new connections."""
+"""Readiness endpoint: tells the platform whether this data plane accepts new connections."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from aiohttp import web
 
 READY_PATH = "/ready"
-# How long an answer that is under way may take at the end.
+# How long a response in progress may take at shutdown.
 SHUTDOWN_TIMEOUT_S = 0.1
 
 
 class ReadyListener:
-    """Answers GET /ready with 200 or 503, as `is_ready` says at that moment."""
+    """Responds to GET /ready with 200 or 503, depending on `is_ready` at that moment."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -20,14 +20,14 @@
         self._runner = web.ServerRunner(self._server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
 
     async def start(self, host: str, port: int) -> int:
-        """The port that is listened on: the one asked for, or a free one for 0."""
+        """Start listening; the port: the given one, or a free one if 0 is given."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port, reuse_address=True)
         await site.start()
         return int(self._runner.addresses[0][1])
 
     async def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         await self._runner.cleanup()
 
     async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/madderwind/dataplane/reports.py
+++ b/madderwind/dataplane/reports.py
@@ -1,4 +1,4 @@
-"""What a data plane tells the primary of its own use and load, so that all share the fleet's limits."""
+"""Reports this data plane's usage and load to the primary, so that all share the fleet's limits."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from madderwind.placement.placement import Placement
 
 MS_PER_S = 1000.0
-# How often use is reported, and how often own sends and what is at upstreams.
+# How often quota usage is reported.
 USAGE_REPORT_S = 0.25
-# Dispatches and load are reported this often where there are any, less often the more data planes there are.
+# How often dispatches and changes of the load at upstreams are reported: less often with more data planes.
 MIN_LOAD_REPORT_S, LOAD_REPORT_S_PER_DATA_PLANE = 0.025, 0.00033
 
 
 class Reports:
-    """Reports to the primary, and tells the limits how many share them."""
+    """Reports to the primary, and tells the limiters how many data planes share the limits."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._was_connected = False
 
     def share_limits(self, now_ms: float) -> bool:
-        """Tell all limits how many share them; whether the primary hears of what is used here."""
+        """Tell the limiters how many data planes share the limits; whether the primary can be reached."""
         data_planes, is_connected = self._subscriber.data_planes, self._subscriber.is_connected(now_ms)
         if is_connected != self._was_connected:
             self._was_connected = is_connected
@@ -48,7 +48,7 @@
         return is_connected
 
     async def report_usage(self) -> None:
-        """Tell the primary what was admitted."""
+        """Report admitted usage to the primary periodically."""
         while True:
             await asyncio.sleep(USAGE_REPORT_S)
             now_ms = self._now_ms()
@@ -61,7 +61,7 @@
                 self._links.send(self._subscriber.primary, report)
 
     async def report_load(self) -> None:
-        """Tell the primary what was sent to upstreams, and what is there where that changed."""
+        """Report dispatches to the primary periodically, and the load at upstreams when it changed."""
         reported, reported_to = LoadReport({}), ""
         while True:
             await asyncio.sleep(
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -1,4 +1,4 @@
-"""Connections to control planes, a WebSocket each, driven by the subscriber's state machine."""
+"""WebSocket connections to the control planes, driven by the subscriber's state machine."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 CONNECT_TIMEOUT_S = 0.3
 TICK_S = 0.05
 MS_PER_S = 1000.0
-# How long the other side has to answer a close.
+# How long the peer may take to answer a close frame.
 CLOSE_TIMEOUT_S = 0.2
 
 
 class SubscriberLinks:
-    """Runs a subscriber: its connections, its clock, and what it asks for."""
+    """Runs a subscriber: its connections, its timer and its actions."""
 
     def __init__(
         self,
@@ -57,11 +57,11 @@
         self._on_configuration, self._on_message = on_configuration, on_message
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._outgoing: dict[str, asyncio.Queue[ToControlPlane]] = {}
-        self._ticking: asyncio.TimerHandle | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
         self._session: aiohttp.ClientSession | None = None
 
     def start(self) -> None:
-        """Begin to connect. Needs a running loop."""
+        """Start connecting; needs a running loop."""
         connector = aiohttp.TCPConnector(limit=0, force_close=True)
         timeout = aiohttp.ClientTimeout(total=None, connect=CONNECT_TIMEOUT_S)
         self._session = aiohttp.ClientSession(
@@ -70,9 +70,9 @@
         self._tick()
 
     async def close(self) -> None:
-        """End all connections."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        """Close all connections."""
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -80,19 +80,19 @@
             await self._session.close()
 
     def handle(self, event: Event) -> None:
-        """Hand an event to the subscriber and carry out what follows."""
+        """Pass an event to the subscriber and carry out the resulting actions."""
         now_ms = asyncio.get_running_loop().time() * MS_PER_S
         for action in self._subscriber.handle(now_ms, event):
             self._carry_out(action)
 
     def send(self, address: str, message: ToControlPlane) -> None:
-        """Send a message of another concern on an open connection; dropped where there is none."""
+        """Send a message on an open connection; dropped if there is none."""
         outgoing = self._outgoing.get(address)
         if outgoing is not None:
             outgoing.put_nowait(message)
 
     def _tick(self) -> None:
-        self._ticking = asyncio.get_running_loop().call_later(TICK_S, self._tick)
+        self._tick_timer = asyncio.get_running_loop().call_later(TICK_S, self._tick)
         self.handle(TimePassed())
 
     def _carry_out(self, action: Action) -> None:
@@ -118,11 +118,11 @@
             task.cancel()
 
     async def _run(self, address: str) -> None:
-        """One connection's life. A cancelled one says nothing more: the subscriber has given it up."""
+        """Run one connection. A cancelled one reports no LinkClosed: the subscriber has dropped it."""
         try:
-            await self._converse(address)
+            await self._run_connection(address)
         except (aiohttp.ClientError, OSError, TimeoutError):
-            pass  # what follows is the subscriber's: it tells of links that it loses
+            pass  # the subscriber logs lost links and reconnects
         except MessageError as error:
             self._log("control_plane_message_unusable", address=address, error=str(error))
         if self._tasks.get(address) is asyncio.current_task():
@@ -130,7 +130,7 @@
             del self._tasks[address]
             self.handle(LinkClosed(address))
 
-    async def _converse(self, address: str) -> None:
+    async def _run_connection(self, address: str) -> None:
         assert self._session is not None
         async with asyncio.timeout(2 * CONNECT_TIMEOUT_S):
             socket = await self._session.ws_connect(
@@ -140,7 +140,7 @@
                 timeout=aiohttp.ClientWSTimeout(ws_close=CLOSE_TIMEOUT_S),
             )
         outgoing = self._outgoing[address] = asyncio.Queue()
-        sending = asyncio.get_running_loop().create_task(_send_all(socket, outgoing))
+        sender = asyncio.get_running_loop().create_task(_send_all(socket, outgoing))
         try:
             self.handle(LinkOpened(address))
             async for frame in socket:
@@ -152,24 +152,24 @@
                 else:
                     self.handle(MessageReceived(address, message))
         finally:
-            sending.cancel()
+            sender.cancel()
             await socket.close()
 
     async def _handle_long_configuration(self, address: str, message: ConfigurationMessage) -> None:
-        """Have it read by a thread, so that requests and streams go on meanwhile.
+        """Parse a long configuration in a thread, so that requests and streams are not delayed.
 
-        What else comes on this connection waits for it.
+        Later messages on this connection wait for it.
         """
         self.handle(ConfigurationArrived(address))
         base = self._subscriber.document
         read_ahead = None
-        with contextlib.suppress(ConfigurationError):  # which the subscriber finds and tells
+        with contextlib.suppress(ConfigurationError):  # the subscriber detects and reports the same error
             read_ahead = ReadAhead(base, await asyncio.to_thread(document_after, base, message))
         self.handle(MessageReceived(address, message, read_ahead))
 
 
 async def _send_all(socket: aiohttp.ClientWebSocketResponse, outgoing: asyncio.Queue[ToControlPlane]) -> None:
-    """In command, until the connection ends; its reader notices that."""
+    """Send queued messages in order until the connection ends, which its reader detects."""
     try:
         while True:
             await socket.send_bytes(to_control_plane.encode(await outgoing.get()))
--- a/tests/dataplane/test_metrics.py
+++ b/tests/dataplane/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a data plane tells Prometheus of itself."""
+"""The metrics that a data plane exports to Prometheus."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def value(samples: list[Sample], name: str, **labels: str) -> float | None:
-    """The one sample of that name and these labels; None where it isn't among them."""
-    found = [sample.value for sample in samples if (sample.name, sample.labels) == (name, labels)]
-    return found[0] if len(found) == 1 else None
+    """The value of the only sample with this name and labels; None unless there is exactly one."""
+    values = [sample.value for sample in samples if (sample.name, sample.labels) == (name, labels)]
+    return values[0] if len(values) == 1 else None
 
 
-class TheSamplesOfADataPlane(unittest.TestCase):
+class DataPlaneSamples(unittest.TestCase):
     def test_count_upstreams_by_service_and_state_and_events_by_name(self) -> None:
         ready, draining = UpstreamState.READY, UpstreamState.DRAINING
         figures = DataPlaneFigures(
@@ -47,8 +47,8 @@
         self.assertEqual(value(samples, "upstream_connections"), 9.0)
         self.assertEqual(value(samples, "events", event="rejected_429"), 3.0)
 
-    def test_follow_the_process(self) -> None:
-        async def story() -> None:
+    def test_reflect_a_running_data_plane(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 await fleet.ask()
                 samples = list(data_plane_samples(fleet.plane.figures()))
@@ -57,7 +57,7 @@
                 self.assertEqual(value(samples, "upstream_connections"), 1.0)
                 self.assertEqual(value(samples, "events", event="complete"), 1.0)
 
-        run(story())
+        run(scenario())
 
 
 if __name__ == "__main__":
