--- a/madderwind/dataplane/admission.py
+++ b/madderwind/dataplane/admission.py
@@ -1,4 +1,4 @@
-"""What is decided on a request before anything is sent: route, tenant, quota, deadline. No I/O."""
+"""Decides on a request before anything is sent: route, tenant, quota and deadline. No I/O."""
 
 from __future__ import annotations
 
@@ -19,56 +19,59 @@
 
 STREAMING, SAFE = "streaming", "safe"
 TOKENS = "tokens"
-# An attempt needs this part of the objective: a retry that waits into it would only be late.
-NEEDED_PART = 0.5
-# A refusal within a quarter of the objective, served in time when it comes back, keeps half of its worth: the
-# client is asked to come back after this part of the objective.
-MIN_RETRY_AFTER, MAX_RETRY_AFTER = 0.1, 0.25
+# An attempt needs this share of the latency objective: a retry that starts later would answer too late.
+ATTEMPT_LATENCY_SHARE = 0.5
+# A request that is refused within a quarter of the latency objective and served in time on its next try keeps
+# half of its value. Retry-After is therefore drawn between these shares of the objective.
+MIN_RETRY_AFTER_SHARE, MAX_RETRY_AFTER_SHARE = 0.1, 0.25
 MIN_RETRY_AFTER_MS, DEFAULT_RETRY_AFTER_MS = 20.0, 200.0
-# A tenant beyond its quota is told to come back no sooner than after this time, in which its rate yields a
-# large request: a client that is refused twice does not come a third time.
+# The shortest Retry-After for a tenant over its quota. In this time its rate allows a large request: clients
+# that are refused twice do not retry a third time.
 MIN_QUOTA_RETRY_AFTER_MS = 1000.0
 
 
 class TenantQuota(Protocol):
-    """The tenants' quotas over all data planes, as limits.quota implements them."""
+    """The tenants' quotas across all data planes; implemented by `limits.quota`."""
 
     def admit(self, now_ms: float, tenant_name: str, amount: float, *, is_late: bool = False) -> bool:
-        """Whether so much more is within the tenant's quota; it is drawn then."""
+        """Charge the amount to the tenant's quota if it fits; whether it did."""
 
     def retry_after_ms(self, now_ms: float, tenant_name: str) -> float:
-        """When a request that is refused now would find room."""
+        """The time until a request that is refused now would fit the quota."""
 
     def refund(self, now_ms: float, tenant_name: str, amount: float, *, is_late: bool = False) -> None:
-        """What was drawn for a request that never ran."""
+        """Return the amount charged for a request that was never executed."""
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """A request that may be sent. Times are on the steady clock."""
+    """A request that may be sent. Times are on the monotonic clock."""
 
     route: Route
     service: str
     tenant: str | None
-    quota_amount: float  # what was drawn for it
-    was_late: bool  # its client had waited beyond the objective when it came
+    quota_amount: float  # the amount charged to the tenant's quota
+    was_late: bool  # whether its client had waited longer than the latency objective on arrival
     priority: int
     until_ms: float  # the client's deadline or the route's timeout, whichever comes first
-    worthwhile_until_ms: float  # an attempt begun by then can still answer within the route's objective
-    generation: Generation | None  # for a service that is a model's
+    worthwhile_until_ms: float  # an attempt started by then can still meet the route's latency objective
+    generation: Generation | None  # None unless the service runs a model engine
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may be executed more than once."""
         return self.route.route_type == SAFE or self.is_resumable
 
     @property
     def is_resumable(self) -> bool:
-        """Whether its stream may go on at another upstream."""
+        """Whether its stream may continue from another upstream."""
         return self.route.route_type == STREAMING and self.route.resumable
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """A request that is not sent. `retry_after_ms`: for statuses that promise that it never ran."""
+    """A request that is not sent.
+
+    `retry_after_ms` is set for statuses which promise that the request was never executed.
+    """
 
     status: int
     reason: str
@@ -76,10 +79,10 @@
 
 
 class Admission:
-    """Decides by the configuration in force. `is_current`: whether that is known to be the newest one.
+    """Decides on requests by the configuration in force.
 
-    Guards against a 404 or 401 that only an older configuration calls for: while it isn't known that the one
-    in force is the newest, the client is asked to come back.
+    `is_current` tells whether that configuration is known to be the newest one. While it is not, a client is
+    asked to retry instead of receiving a 404 or 401 that only an outdated configuration calls for.
     """
 
     def __init__(self, quota: TenantQuota, is_current: Callable[[], bool], rng: random.Random) -> None:
@@ -91,7 +94,7 @@
         self._client_waits = ClientWaits()
 
     def configure(self, document: Document) -> None:
-        """Decide by this configuration from now on."""
+        """Apply a new configuration."""
         self._table = document.routing
         self._limits = document.limits
         if document.services is not self._services:
@@ -100,67 +103,73 @@
 
     @property
     def limits(self) -> ClientLimits:
-        """What clients may send."""
+        """The limits on what clients may send."""
         return self._limits
 
     @property
     def knows_newest(self) -> bool:
-        """Whether the configuration in force is known to be the newest, so that it refuses for good."""
+        """Whether the configuration in force is known to be the newest, so that its rejections are final."""
         return self._table is not None and self._is_current()
 
-    def refusal_while_unsure(self) -> Rejected:
-        """In place of a refusal for good while a newer configuration may allow the request."""
-        return self._come_back("no newest configuration is known here")
+    def provisional_rejection(self) -> Rejected:
+        """Replaces a final rejection while a newer configuration may allow the request."""
+        return self._retryable_rejection("no newest configuration is known here")
 
     def until_ms(self, arrived_ms: float, target: str, headers: Mapping[str, str]) -> float:
-        """When the time of a request is over; infinite where no route tells."""
+        """The end of the request's time limit; infinite if no route matches."""
         route = None if self._table is None else self._table.match(headers.get("Host", ""), target)
         return math.inf if route is None else _until_ms(arrived_ms, route, headers)
 
     def max_connections(self, service: str) -> int | None:
-        """How many connections one of the service's upstreams takes from all callers."""
+        """The limit on connections from all callers to one of the service's upstreams; None if unlimited."""
         return self._max_connections.get(service)
 
     def admit(
         self, now_ms: float, arrived_ms: float, target: str, headers: Mapping[str, str]
     ) -> Admitted | Rejected:
-        """Whether the request may be sent, and where to."""
+        """Whether the request may be sent, and to which service."""
         table = self._table
         if table is None:
-            return self._come_back("no configuration yet")
+            return self._retryable_rejection("no configuration yet")
         route = table.match(headers.get("Host", ""), target)
         if route is None:
             return (
-                Rejected(404, "no such route") if self._is_current() else self._come_back("no such route yet")
+                Rejected(404, "no such route")
+                if self._is_current()
+                else self._retryable_rejection("no such route yet")
             )
         key = headers.get(KEY)
         tenant = table.tenant_of(key) if key else None
         if tenant is None and table.has_tenants and not route.public:
-            return Rejected(401, "no such key") if self._is_current() else self._come_back("no such key yet")
+            return (
+                Rejected(401, "no such key")
+                if self._is_current()
+                else self._retryable_rejection("no such key yet")
+            )
         usage = token_usage(headers)
         amount = 0.0 if tenant is None else _quota_amount(tenant, usage)
         is_late = self._is_late(route, headers)
-        if tenant is not None and amount and not self._draw(now_ms, tenant, amount, is_late):
+        if tenant is not None and amount and not self._charge_quota(now_ms, tenant, amount, is_late):
             return Rejected(429, "beyond the quota", self._quota_retry_after_ms(now_ms, tenant))
         return self._admitted(table, arrived_ms, route, tenant, amount, usage, headers, is_late)
 
-    def never_ran(self, now_ms: float, admitted: Admitted) -> None:
-        """The request ends without having run: it does not count for its tenant's quota."""
+    def refund_quota(self, now_ms: float, admitted: Admitted) -> None:
+        """Return the quota charged for a request that ended without being executed."""
         if admitted.tenant is not None and admitted.quota_amount:
             self._quota.refund(now_ms, admitted.tenant, admitted.quota_amount, is_late=admitted.was_late)
 
-    def retry_after_for_ms(self, route: Route) -> float:
-        """When a client whose request never ran should come back."""
+    def route_retry_after_ms(self, route: Route) -> float:
+        """The Retry-After for a client of this route whose request was never executed."""
         if not route.target_latency_ms:
             return DEFAULT_RETRY_AFTER_MS
-        part = self._rng.uniform(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
-        return max(MIN_RETRY_AFTER_MS, part * route.target_latency_ms)
+        share = self._rng.uniform(MIN_RETRY_AFTER_SHARE, MAX_RETRY_AFTER_SHARE)
+        return max(MIN_RETRY_AFTER_MS, share * route.target_latency_ms)
 
-    def _draw(self, now_ms: float, tenant: Tenant, amount: float, is_late: bool) -> bool:
+    def _charge_quota(self, now_ms: float, tenant: Tenant, amount: float, is_late: bool) -> bool:
         return self._quota.admit(now_ms, tenant.name, amount, is_late=is_late)
 
     def _is_late(self, route: Route, headers: Mapping[str, str]) -> bool:
-        """Whether the client has waited beyond the objective already, as far as its deadline tells."""
+        """Whether the client has already waited longer than the latency objective, judged by its deadline."""
         deadline_ms = milliseconds(headers, DEADLINE)
         if not deadline_ms or not route.target_latency_ms:
             return False
@@ -170,7 +179,7 @@
         expected_ms = self._quota.retry_after_ms(now_ms, tenant.name)
         return max(MIN_QUOTA_RETRY_AFTER_MS, expected_ms) * self._rng.uniform(0.5, 1.0)
 
-    def _come_back(self, reason: str) -> Rejected:
+    def _retryable_rejection(self, reason: str) -> Rejected:
         return Rejected(503, reason, DEFAULT_RETRY_AFTER_MS * self._rng.uniform(0.5, 1.5))
 
     def _admitted(
@@ -187,7 +196,7 @@
         service = choose_backend(route, self._rng.random())
         priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
         until_ms = _until_ms(arrived_ms, route, headers)
-        worthwhile_ms = route.target_latency_ms * (1 - NEEDED_PART) or until_ms - arrived_ms
+        worthwhile_ms = route.target_latency_ms * (1 - ATTEMPT_LATENCY_SHARE) or until_ms - arrived_ms
         generation = None
         if table.service(service).engine is not None:
             parts = _prompt_parts(headers)
@@ -209,12 +218,12 @@
 
 
 def _until_ms(arrived_ms: float, route: Route, headers: Mapping[str, str]) -> float:
-    """The client's deadline or the route's timeout, whichever comes first; a client may tell no deadline."""
+    """The client's deadline, if it sent one, or the route's timeout, whichever comes first."""
     return arrived_ms + min(milliseconds(headers, DEADLINE) or route.timeout_ms, route.timeout_ms)
 
 
 def _quota_amount(tenant: Tenant, usage: tuple[int, int] | None) -> float:
-    """What a request counts for its tenant's quota; 0 where there is none."""
+    """The amount charged to the tenant's quota; 0 if the tenant has none."""
     if tenant.rate_per_s <= 0:
         return 0.0
     if tenant.unit != TOKENS:
@@ -223,7 +232,7 @@
 
 
 def _prompt_parts(headers: Mapping[str, str]) -> tuple[PromptPart, ...]:
-    """The parts of the prompt; none where the header can't be read, which only costs a good placement."""
+    """The parts of the prompt; none if the header is malformed, which only makes the placement worse."""
     try:
         return parse_prefix(headers.get(PROMPT_PREFIX, ""))
     except MessageError:
--- a/madderwind/dataplane/answer_relay.py
+++ b/madderwind/dataplane/answer_relay.py
@@ -1,6 +1,6 @@
-"""How an upstream's answer reaches the client.
+"""Relays an upstream's response to the client.
 
-Short ones complete, long ones in pieces, streams event by event.
+Short responses are buffered, long ones are passed on as they arrive, and event streams go event by event.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
 from madderwind.dataplane.upstream_heads import tells_its_end
 
-# An answer up to this is buffered, so that one that breaks off can be told from a complete one, and requested
-# again where that does no harm. Longer ones are passed on in pieces.
+# Responses up to this size are buffered, so that a truncated one is detected before any of it is sent and
+# the request can be retried where that is safe. Longer ones are passed on as they arrive.
 MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
 
 _OK = 200
 
 
 class AnswerRelay:
-    """The answer of one request, which a stream may continue from one upstream to the next.
+    """The response to one request; a stream may continue from one upstream to the next.
 
     Attributes:
-        final: The client's answer, once it is complete.
+        final: The client's response, once it is complete.
     """
 
     def __init__(
         self, parts: RequestParts, progress: Progress, answer: ClientAnswer, headers: Mapping[str, str]
     ) -> None:
-        """Begin without an answer; `headers` are the client's."""
+        """Start without a response; `headers` are those of the client's request."""
         self._parts, self._progress, self._answer = parts, progress, answer
         self._loop = asyncio.get_running_loop()
         last_id = headers.get(LAST_EVENT_ID)
@@ -43,36 +43,36 @@
         self.final: web.StreamResponse | None = None
 
     def resume_after(self) -> str | None:
-        """The id of the event after which another upstream is to go on.
+        """The id of the event after which another upstream should resume the stream.
 
-        None where the answer has not begun.
+        None if the response has not begun.
         """
         last_id = self._events.last_id if self._progress.answer_begun else None
         return None if last_id is None else last_id.decode("latin-1")
 
     async def relay(self, response: ClientResponse, instance: str, key: str) -> AttemptResult:
-        """Pass an answer on.
+        """Relay a response to the client.
 
         Args:
-            response: The upstream's answer, its head read.
+            response: The upstream's response, its head already read.
             instance: The upstream.
-            key: Names the attempt within this process.
+            key: Identifies the attempt within this process.
         """
         content_type = response.headers.get("Content-Type", "")
         if response.status == _OK and content_type.startswith(EVENT_STREAM):
             return await self._relay_stream(response, instance, key)
-        if self._progress.answer_begun:  # a stream can't go on with anything else
+        if self._progress.answer_begun:  # only another event stream can continue a stream
             response.close()
             return AttemptResult.BROKEN
         length = response.content_length
         if length is None or length > MAX_BUFFERED_ANSWER_BYTES:
-            return await self._relay_in_pieces(response, length)
+            return await self._relay_unbuffered(response, length)
         body = await response.read()
         self.final = self._answer.complete(response, body)
         return AttemptResult.COMPLETE
 
     async def _relay_stream(self, response: ClientResponse, instance: str, key: str) -> AttemptResult:
-        """Complete events, each as soon as it is here; the head goes out with the first."""
+        """Relay complete events as they arrive; the head is sent with the first one."""
         if self._progress.answer_begun:
             self._events.resume()
         else:
@@ -95,19 +95,19 @@
         return AttemptResult.COMPLETE
 
     async def _relay_events(self, response: ClientResponse, data: bytes, instance: str) -> None:
-        """All events of a stream, from its first bytes on."""
+        """Relay all events of a stream, starting with its first bytes."""
         events, streams = self._events, self._parts.chooser.streams
         while data:
             if complete := events.feed(data):
                 self._progress.answer_begun = True
-                # Without an id nothing tells another upstream where to go on: all would come twice.
+                # Without an event id another upstream cannot resume: it would repeat the whole stream.
                 self._progress.is_resumable &= events.last_id is not None
                 await self._answer.write(complete)
             data = await response.content.readany()
             streams.record_data(self._now_ms(), instance)
 
-    async def _relay_in_pieces(self, response: ClientResponse, length: int | None) -> AttemptResult:
-        """A long answer; one that breaks off is broken off for the client too."""
+    async def _relay_unbuffered(self, response: ClientResponse, length: int | None) -> AttemptResult:
+        """Relay a long response; if it is truncated, the client's response is aborted too."""
         self._answer.set_head(response, length)
         while data := await response.content.readany():
             self._progress.answer_begun = True
--- a/madderwind/dataplane/attempt_exchange.py
+++ b/madderwind/dataplane/attempt_exchange.py
@@ -1,6 +1,7 @@
 """One attempt at an upstream.
 
-What is sent, whether it may still be, and what its end says of the upstream.
+Builds the request, checks before writing that it may still be sent, and updates the upstream's health by the
+result.
 """
 
 from __future__ import annotations
@@ -18,19 +19,19 @@
 from madderwind.dataplane.answer_relay import AnswerRelay
 from madderwind.dataplane.attempts import Attempt, AttemptResult, Progress
 from madderwind.dataplane.client_requests import ClientRequest
-from madderwind.dataplane.headers import Onward, deadline_header, headers_onward
+from madderwind.dataplane.headers import UpstreamContext, deadline_header, upstream_request_headers
 from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
 from madderwind.dataplane.upstream_heads import INSTANCE, REQUEST_ID, Head, read_head
 from madderwind.transport.answering import Addressee
 from madderwind.transport.encoded_request import EncodedRequest
 from madderwind.transport.unread import has_left
 
-_RESULT_OF_HEAD = {
+_RESULT_BY_HEAD = {
     Head.REFUSAL: AttemptResult.REFUSED_FULL,
     Head.MISDIRECTED: AttemptResult.MISDIRECTED,
     Head.UNPROVEN: AttemptResult.BROKEN,
 }
-_RESULT_OF_OUTCOME = {
+_RESULT_BY_OUTCOME = {
     Outcome.NOT_SENT: AttemptResult.NOT_SENT,
     Outcome.CONNECT_FAILED: AttemptResult.NOT_SENT,
     Outcome.TIMEOUT: AttemptResult.TIMED_OUT,
@@ -38,12 +39,12 @@
 
 
 class AttemptExchange:
-    """One request to one upstream, and the head of its answer."""
+    """One request to one upstream, and the head of its response."""
 
     def __init__(
         self,
         parts: RequestParts,
-        read: ClientRequest,
+        client_request: ClientRequest,
         admitted: Admitted,
         progress: Progress,
         relay: AnswerRelay,
@@ -53,32 +54,32 @@
         """Prepare an attempt.
 
         Args:
-            parts: What all requests share.
-            read: The request as the client sent it.
+            parts: Components shared by all requests.
+            client_request: The request as the client sent it.
             admitted: Its route, service, deadline and tenant.
             progress: The request's attempts so far.
-            relay: Passes the answer on to the client.
+            relay: Passes the response on to the client.
             attempt: This attempt.
-            key: Names it within this process.
+            key: Identifies it within this process.
         """
-        self._parts, self._read, self._admitted = parts, read, admitted
+        self._parts, self._client_request, self._admitted = parts, client_request, admitted
         self._progress, self._relay = progress, relay
         self._attempt, self._key = attempt, key
         self._loop = asyncio.get_running_loop()
-        self._headers = read.request.headers
+        self._headers = client_request.request.headers
         self._request_id = self._headers.get(REQUEST_ID)
 
     async def run(self) -> AttemptResult:
-        """Send the request and relay the answer; how that ended."""
+        """Send the request and relay the response; how the attempt ended."""
         instance = self._attempt.instance
         address = self._parts.upstreams.address(instance)
         if address is None:
             return AttemptResult.NOT_SENT
         encoded = EncodedRequest(
-            self._read.request.method,
-            self._read.target,
-            self._onward_headers(),
-            self._read.body,
+            self._client_request.request.method,
+            self._client_request.target,
+            self._upstream_headers(),
+            self._client_request.body,
             self._may_write,
             self._progress.is_idempotent,
             addresses=self._addressee,
@@ -90,57 +91,53 @@
         )
         if isinstance(outcome, AttemptResult):
             return outcome
-        return self._result_of(outcome)
+        return self._result_from(outcome)
 
-    # --- the request ---
-
-    def _onward_headers(self) -> CIMultiDict[str]:
+    def _upstream_headers(self) -> CIMultiDict[str]:
         urgency = self._parts.chooser.urgency(self._key, self._admitted.generation, self._admitted.priority)
-        onward = Onward(
+        context = UpstreamContext(
             self._attempt.instance,
             self._admitted.tenant,
             urgency,
             self._relay.resume_after(),
         )
-        return headers_onward(self._headers, onward)
+        return upstream_request_headers(self._headers, context)
 
     def _deadline_header(self) -> dict[str, str]:
-        """Called as the request is written: a connection may take long to come up."""
+        """The remaining time, computed as the request is written: connecting may take long."""
         return deadline_header(self._admitted.until_ms - self._now_ms())
 
     def _may_write(self) -> bool:
-        """Whether it is still right to send, now that the connection is up."""
+        """Whether the request should still be sent once the connection is established."""
         if not self._parts.upstreams.takes_new(self._attempt.instance):
             return False
-        if self._now_ms() >= self._admitted.until_ms or has_left(self._read.request.transport):
+        if self._now_ms() >= self._admitted.until_ms or has_left(self._client_request.request.transport):
             return False
         self._attempt.was_sent = True
         return True
 
-    # --- the head of its answer ---
-
     def _addressee(self, status: int, headers: Mapping[str, str]) -> Addressee:
-        """Whose answer a head begins; asked before its connection can be used again."""
+        """Which request a response belongs to; called before its connection can be reused."""
         head = read_head(self._request_id, status, headers)
-        if head.is_to_this_request:
+        if head.is_for_this_request:
             return Addressee.THIS_REQUEST
         self._parts.counters[f"head {head.value}"] += 1
         has_id = head is Head.FOREIGN and REQUEST_ID in headers
         return Addressee.ANOTHER_REQUEST if has_id else Addressee.NOBODY
 
     async def _receive(self, response: ClientResponse, encoded: EncodedRequest) -> AttemptResult:
-        """An answer, from its head on."""
+        """Handle a response whose head has been read."""
         head = read_head(self._request_id, response.status, response.headers)
         if head is not Head.ANSWER:
             await self._handle_rejection(response, head)
-            return _RESULT_OF_HEAD[head]
+            return _RESULT_BY_HEAD[head]
         self._parts.chooser.record_answer(self._attempt.instance)
         if encoded.connection is not None:
             encoded.connection.passes_on()
         return await self._relay.relay(response, self._attempt.instance, self._key)
 
     async def _handle_rejection(self, response: ClientResponse, head: Head) -> None:
-        """A rejection, with or without its proof, or another instance's."""
+        """Handle a refusal, an unproven refusal, or a response of another instance at the address."""
         parts, instance = self._parts, self._attempt.instance
         parts.counters[f"head {head.value}"] += 1
         if head is Head.MISDIRECTED:
@@ -153,19 +150,17 @@
             return
         parts.chooser.record_answer(instance)
         with contextlib.suppress(ClientError, TimeoutError):
-            await response.read()  # so that its connection can be used again
-
-    # --- its end ---
+            await response.read()  # allows the connection to be reused
 
-    def _result_of(self, outcome: Outcome) -> AttemptResult:
-        """How an attempt without a usable answer ended, and what that says of its upstream."""
+    def _result_from(self, outcome: Outcome) -> AttemptResult:
+        """The result of an attempt without a usable response; updates the upstream's health."""
         health, now_ms = self._parts.chooser.health, self._now_ms()
         if outcome is Outcome.CONNECT_FAILED:
             health.connect_failed(now_ms, self._attempt.instance)
         elif outcome in (Outcome.RESET, Outcome.ERROR):
-            health.broke(now_ms, self._attempt.instance)
+            health.request_failed(now_ms, self._attempt.instance)
         self._parts.counters[f"attempt {outcome.value}"] += 1
-        return _RESULT_OF_OUTCOME.get(outcome, AttemptResult.BROKEN)
+        return _RESULT_BY_OUTCOME.get(outcome, AttemptResult.BROKEN)
 
     def _now_ms(self) -> float:
         return self._loop.time() * MS_PER_S
--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream for one attempt, and the book on what is at each. No I/O."""
+"""Selects the upstream for an attempt and tracks the requests in flight at each upstream. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class UpstreamChooser:
-    """Generations go where their prompt's prefix is kept; other requests follow the idle-first pick."""
+    """Places generations by their cached prompt prefix; other requests use idle-first selection."""
 
     def __init__(
         self,
@@ -24,28 +24,34 @@
         placement: Placement,
         zone: str,
         has_capacity: Callable[[str, str], bool],
-        keeps: Callable[[str], bool],
+        has_idle_connection: Callable[[str], bool],
     ) -> None:
-        """`has_room`: whether another connection to this instance of this service may be used.
-
-        `keeps`: whether one to it stands idle.
+        """Start without requests in flight.
+
+        Args:
+            rng: Source of randomness.
+            upstreams: The registry's view of the upstreams.
+            placement: Places generations by prompt prefix.
+            zone: The zone of this data plane.
+            has_capacity: Whether another connection to this instance of this service may be used.
+            has_idle_connection: Whether an idle connection to this instance is open.
         """
         self._upstreams, self._zone = upstreams, zone
-        self._has_capacity, self._keeps = has_capacity, keeps
+        self._has_capacity, self._has_idle_connection = has_capacity, has_idle_connection
         self.placement = placement
         self.health = UpstreamHealth(rng)
         self.streams = StreamTimeouts()
         self._idle_first = IdleFirstPick(rng)
 
     def configure(self, services: Iterable[Service]) -> None:
-        """Take in the services' engines."""
+        """Apply the services' engine settings to the placement."""
         for service in services:
             if service.engine is not None:
                 engine = service.engine
                 self.placement.configure(service.name, engine.slots, int(engine.kv_tokens), engine.stride)
 
     def changed(self, now_ms: float, instances: Iterable[str]) -> None:
-        """Upstreams came, drain, or are gone."""
+        """Update the bookkeeping for upstreams that were added, changed or removed."""
         for instance in instances:
             known = self._upstreams.get(instance)
             if known is None:
@@ -58,22 +64,23 @@
     def choose(
         self, now_ms: float, service: str, generation: Generation | None, tried: frozenset[str]
     ) -> str | None:
-        """The upstream to send to; None where there is none that takes requests."""
+        """The upstream to send to; None if none accepts requests."""
         candidates = self._upstreams.ready_of_service(service)
         if not candidates:
             return None
         full = frozenset(instance for instance in candidates if not self._has_capacity(instance, service))
-        unwell = self.health.to_avoid(now_ms, candidates) | self._silent(now_ms, candidates)
-        for avoid in (full | unwell | tried, full | unwell, full):
+        unhealthy = self.health.unavailable(now_ms, candidates) | self._suspected(now_ms, candidates)
+        for avoid in (full | unhealthy | tried, full | unhealthy, full):
             if len(avoid.intersection(candidates)) == len(candidates):
                 continue
             return self._pick(now_ms, generation, candidates, avoid)
         return None
 
-    def _silent(self, now_ms: float, candidates: tuple[str, ...]) -> frozenset[str]:
-        """Those that no control plane hears, whose address another has, or none of whose streams goes on.
+    def _suspected(self, now_ms: float, candidates: tuple[str, ...]) -> frozenset[str]:
+        """Upstreams that are suspected to be gone, without proof.
 
-        Hints, no proof.
+        Either no control plane receives their heartbeats, or another instance has their address, or all of
+        their streams have stalled.
         """
         upstreams = self._upstreams
         timed_out = frozenset(
@@ -96,36 +103,34 @@
         return None if selection is None else selection.instance
 
     def _cheapest_idle(self, candidates: tuple[str, ...], avoid: frozenset[str]) -> tuple[str, ...]:
-        """The tie-break among those with nothing in flight: the own zone, then a connection that stands."""
+        """Upstreams with nothing in flight, preferably in the own zone and then with an idle connection."""
         idle = [c for c in candidates if c not in avoid and not self._idle_first.in_flight(c)]
-        near = [instance for instance in idle if self._is_near(instance)] or idle
-        kept = [instance for instance in near if self._keeps(instance)] or near
-        return tuple(kept) or candidates
+        same_zone = [instance for instance in idle if self._is_in_own_zone(instance)] or idle
+        connected = [instance for instance in same_zone if self._has_idle_connection(instance)] or same_zone
+        return tuple(connected) or candidates
 
-    def _is_near(self, instance: str) -> bool:
+    def _is_in_own_zone(self, instance: str) -> bool:
         known = self._upstreams.get(instance)
         return known is not None and known.zone == self._zone
 
-    # --- an attempt's life ---
-
     def began(self, now_ms: float, key: str, generation: Generation | None, instance: str) -> None:
-        """The attempt `key` goes to this upstream."""
+        """Record that the attempt `key` is sent to this upstream."""
         self._idle_first.began(instance)
         self.health.began(instance)
         if generation is not None:
             self.placement.sent(now_ms, key, generation, instance)
 
     def urgency(self, key: str, generation: Generation | None, rank: int) -> int:
-        """The `Priority` of the attempt `key`; `rank` is that of its route or tenant."""
+        """The `Priority` header of the attempt `key`; `rank` is the priority of its route or tenant."""
         return rank if generation is None else self.placement.urgency(key, rank)
 
     def stream_began(self, now_ms: float, key: str, instance: str) -> None:
-        """The first event of a stream came."""
+        """Record that the first event of a stream arrived."""
         self.streams.began(now_ms, instance)
         self.placement.event(now_ms, key, True)
 
     def record_answer(self, instance: str) -> None:
-        """The upstream answered something."""
+        """Record that the upstream responded, with whatever result."""
         self._idle_first.heard(instance)
         self.health.succeeded(instance)
         self._upstreams.mark_answered(instance)
@@ -133,7 +138,7 @@
     def ended(
         self, now_ms: float, key: str, generation: Generation | None, instance: str, served: bool
     ) -> None:
-        """The attempt is over."""
+        """Record the end of an attempt."""
         self._idle_first.ended(instance)
         self.health.ended(instance)
         if generation is not None:
--- a/madderwind/dataplane/client_answers.py
+++ b/madderwind/dataplane/client_answers.py
@@ -1,24 +1,25 @@
-"""An upstream's answer on its way to the client."""
+"""Writes an upstream's response to the client."""
 
 from __future__ import annotations
 
 from aiohttp import HttpVersion11, web
 from aiohttp.client_reqrep import ClientResponse
 
-from madderwind.dataplane.headers import headers_back
+from madderwind.dataplane.headers import client_response_headers
 from madderwind.errors import MadderwindError
 from madderwind.transport.listening import CallersRequest
 
-# What the server is given where there is nobody to answer: no promise.
+# Status of the response object given to the server when there is no client to respond to. Unlike 503 it does
+# not promise that the request was not executed.
 NO_ANSWER = 502
 
 
 class ClientDisconnected(MadderwindError):
-    """The client has left: what is still done for its request helps nobody."""
+    """The client closed its connection; further work on its request is useless."""
 
 
 class ClientAnswer:
-    """The one answer to a client; its head goes out with its first bytes, or with its end."""
+    """The response to one client request; the head is sent with the first bytes of the body or at its end."""
 
     def __init__(self, request: web.BaseRequest) -> None:
         self._request = request
@@ -27,19 +28,19 @@
         self.begun = False
 
     def set_head(self, upstream: ClientResponse, length: int | None) -> None:
-        """The status and headers that the client will have; `length`: of the body, where that is known."""
+        """Set the status and headers for the client; `length` is the size of the body, if known."""
         self._response = web.StreamResponse(
-            status=upstream.status, reason=upstream.reason, headers=headers_back(upstream.headers)
+            status=upstream.status, reason=upstream.reason, headers=client_response_headers(upstream.headers)
         )
         self._length = length
 
     def complete(self, upstream: ClientResponse, body: bytes) -> web.StreamResponse:
-        """An answer that is sent in one piece."""
-        headers = headers_back(upstream.headers)
+        """A buffered response, which the server sends at once."""
+        headers = client_response_headers(upstream.headers)
         return web.Response(status=upstream.status, reason=upstream.reason, headers=headers, body=body)
 
     async def write(self, data: bytes) -> None:
-        """Send some of the body; ClientDisconnected where there is nobody to take it."""
+        """Send part of the body; ClientDisconnected if the connection is closed."""
         try:
             response = await self._begin()
             await response.write(data)
@@ -47,7 +48,7 @@
             raise ClientDisconnected(str(error)) from None
 
     async def end(self) -> web.StreamResponse:
-        """The body is whole."""
+        """Finish the body; ClientDisconnected if the connection is closed."""
         try:
             response = await self._begin()
             await response.write_eof()
@@ -56,11 +57,11 @@
         return response
 
     def abort(self) -> web.StreamResponse:
-        """End the connection so that the client can tell that the answer is not whole."""
+        """Abort the connection, so that the client can tell that the response is incomplete."""
         if self._request.transport is not None:
             self._request.transport.abort()
         if self._response is None:
-            return web.Response(status=NO_ANSWER)  # it goes nowhere
+            return web.Response(status=NO_ANSWER)  # never sent: the connection is closed
         return self._response
 
     async def _begin(self) -> web.StreamResponse:
--- a/madderwind/dataplane/client_requests.py
+++ b/madderwind/dataplane/client_requests.py
@@ -1,4 +1,4 @@
-"""A client's request, read whole, within the limits of the configuration."""
+"""Reads a client's complete request within the limits of the configuration."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from madderwind.errors import MadderwindError
 
 MS_PER_S = 1000.0
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# Statuses of what is beyond a limit of the configuration.
-BEYOND_A_LIMIT = frozenset((413, 431))
-# What a line of the head holds besides its name and its value.
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+# Statuses of requests that exceed a limit of the configuration.
+LIMIT_STATUSES = frozenset((413, 431))
+# The bytes of a header line besides its name and value: colon, space, CR and LF.
 LINE_OVERHEAD = 4
 
 
 class UnusableRequest(MadderwindError):
-    """A request that can't be read whole, or is beyond a limit; `status` says so."""
+    """A request that cannot be read completely or exceeds a limit; `status` is the response's."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
 
     @property
-    def is_beyond_a_limit(self) -> bool:
-        """Whether another configuration may allow it."""
-        return self.status in BEYOND_A_LIMIT
+    def exceeds_limit(self) -> bool:
+        """Whether a configuration with higher limits may allow the request."""
+        return self.status in LIMIT_STATUSES
 
 
 class ClientRequest(msgspec.Struct):
-    """A request that was read whole, its target and body to the letter."""
+    """A completely read request; its target and body are unmodified."""
 
     request: web.BaseRequest
     target: str
@@ -44,33 +44,33 @@
 async def read_request(
     request: web.BaseRequest, limits: ClientLimits, until_s: Callable[[], float]
 ) -> ClientRequest:
-    """Read the body; UnusableRequest where a limit is broken or the body does not come.
+    """Read the body; UnusableRequest if a limit is exceeded or the body is not received completely.
 
-    `until_s`: when the request's time is over, on the loop's clock; asked only where there is a body.
+    `until_s` returns the end of the request's time limit on the loop's clock; called only if there is a body.
     """
-    head = len(request._message.path) + sum(
+    head_bytes = len(request._message.path) + sum(
         len(name) + len(value) + LINE_OVERHEAD for name, value in request.raw_headers
     )
-    if head > limits.max_header_bytes:
+    if head_bytes > limits.max_header_bytes:
         raise UnusableRequest(431, "the head is too long")
-    if request.method == "CONNECT" or not _is_plain(request.headers.get("Transfer-Encoding")):
+    if request.method == "CONNECT" or not _is_supported_coding(request.headers.get("Transfer-Encoding")):
         raise UnusableRequest(400, "neither tunnels nor coded bodies are served")
     if (request.content_length or 0) > limits.max_body_bytes:
         raise UnusableRequest(413, "the body is too long")
     if request.headers.get("Expect", "").lower() == "100-continue":
-        await request.writer.write(CONTINUE)
-        request.writer.output_size = 0  # or the answer's own headers would count as sent
+        await request.writer.write(CONTINUE_RESPONSE)
+        request.writer.output_size = 0  # otherwise the response's headers would count as sent
     body = await _read_body(request, limits, until_s()) if request.body_exists else b""
     return ClientRequest(request, request._message.path, body)
 
 
-def _is_plain(transfer_encoding: str | None) -> bool:
-    """Whether a body comes in no coding but chunks."""
+def _is_supported_coding(transfer_encoding: str | None) -> bool:
+    """Whether the body uses no transfer coding other than chunked."""
     return transfer_encoding is None or transfer_encoding.strip().lower() == "chunked"
 
 
 async def _read_body(request: web.BaseRequest, limits: ClientLimits, until_s: float) -> bytes:
-    """A body is given up that pauses for as long as a connection may be idle, or is not whole in time."""
+    """Read the body; fails if it stalls for the idle timeout or is not complete in time."""
     loop = asyncio.get_running_loop()
     idle_s = limits.idle_timeout_ms / MS_PER_S
     parts: list[bytes] = []
--- a/madderwind/dataplane/event_stream.py
+++ b/madderwind/dataplane/event_stream.py
@@ -1,25 +1,25 @@
-"""Events of a `text/event-stream` answer: cut out whole, and counted by their ids. No I/O."""
+"""Splits a `text/event-stream` response into complete events and tracks their ids. No I/O."""
 
 from __future__ import annotations
 
 from madderwind.errors import MadderwindError
 
 EVENT_STREAM = "text/event-stream"
-# No event is anywhere near as long; an upstream that sends no event's end must not fill the memory.
-LONGEST_EVENT = 1024 * 1024
+# Far longer than any real event; bounds the memory used for an upstream that never ends an event.
+MAX_EVENT_BYTES = 1024 * 1024
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventTooLong(MadderwindError):
-    """An upstream sends bytes without an event's end."""
+    """An upstream sent too many bytes without ending an event."""
 
 
 class EventSplitter:
-    """Gives out whole events as they become complete, and knows the id of the last one given out.
+    """Returns events once they are complete, and keeps the id of the last one returned.
 
-    Guards against half an event that reaches the client before its upstream breaks off. Guards too, where
-    another upstream goes on, against an event that comes twice: those up to `last_id` are dropped then.
+    The client thereby never receives part of an event when its upstream fails. When another upstream resumes
+    the stream, events up to `last_id` are dropped, so that none is delivered twice.
     """
 
     __slots__ = ("_buffer", "_skips_known", "last_id")
@@ -30,33 +30,36 @@
         self._skips_known = False
 
     def resume(self) -> None:
-        """Another upstream's stream begins, which may repeat events; what was half an event is dropped."""
+        """Continue with another upstream's stream, which may repeat events; drops an incomplete event."""
         self._buffer = b""
         self._skips_known = self.last_id is not None
 
     def feed(self, data: bytes) -> bytes:
-        """The events that are whole now, in one piece; EventTooLong where one does not end."""
+        """The events that are now complete, concatenated; EventTooLong if one does not end."""
         buffer = self._buffer + data if self._buffer else data
-        end = max(buffer.rfind(mark) + len(mark) if mark in buffer else 0 for mark in _ENDS)
+        end = max(
+            buffer.rfind(terminator) + len(terminator) if terminator in buffer else 0
+            for terminator in _EVENT_TERMINATORS
+        )
         self._buffer = buffer[end:]
-        if len(self._buffer) > LONGEST_EVENT:
-            raise EventTooLong(f"{len(self._buffer)} bytes without an event's end")
-        whole = buffer[:end]
-        if not whole:
+        if len(self._buffer) > MAX_EVENT_BYTES:
+            raise EventTooLong(f"{len(self._buffer)} bytes without the end of an event")
+        complete = buffer[:end]
+        if not complete:
             return b""
         if self._skips_known:
-            return self._without_known(whole)
-        self.last_id = _last_id(whole) or self.last_id
-        return whole
+            return self._drop_known(complete)
+        self.last_id = _last_id(complete) or self.last_id
+        return complete
 
     def rest(self) -> bytes:
-        """What follows the last whole event: what an answer that ends properly may still hold."""
-        rest, self._buffer = self._buffer, b""
-        return rest
+        """Take the bytes after the last complete event, which a properly ended response may still contain."""
+        remainder, self._buffer = self._buffer, b""
+        return remainder
 
-    def _without_known(self, whole: bytes) -> bytes:
+    def _drop_known(self, complete: bytes) -> bytes:
         kept = []
-        for event in _split(whole):
+        for event in _split(complete):
             event_id = _last_id(event)
             if self._skips_known and event_id is not None:
                 if self.last_id is not None and not _is_after(event_id, self.last_id):
@@ -67,18 +70,22 @@
         return b"".join(kept)
 
 
-def _split(whole: bytes) -> list[bytes]:
+def _split(complete: bytes) -> list[bytes]:
     events = []
-    while whole:
-        ends = [whole.find(mark) + len(mark) for mark in _ENDS if mark in whole]
-        end = min(ends, default=len(whole))
-        events.append(whole[:end])
-        whole = whole[end:]
+    while complete:
+        ends = [
+            complete.find(terminator) + len(terminator)
+            for terminator in _EVENT_TERMINATORS
+            if terminator in complete
+        ]
+        end = min(ends, default=len(complete))
+        events.append(complete[:end])
+        complete = complete[end:]
     return events
 
 
 def _last_id(events: bytes) -> bytes | None:
-    """The id that is named last; None where none is."""
+    """The last event id in the bytes; None if there is none."""
     at = events.rfind(b"\nid:")
     if at >= 0:
         begin = at + len(b"\nid:")
@@ -91,7 +98,7 @@
 
 
 def _is_after(event_id: bytes, known: bytes) -> bool:
-    """Ids rise; those that are no numbers can only be told apart."""
+    """Whether an event is newer; ids that are not numbers can only be compared for equality."""
     if event_id.isdigit() and known.isdigit():
         return int(event_id) > int(known)
     return event_id != known
--- a/madderwind/dataplane/forwarder.py
+++ b/madderwind/dataplane/forwarder.py
@@ -1,4 +1,4 @@
-"""The entrance for clients' requests: read, admitted, forwarded."""
+"""Handles clients' requests: reads, admits and forwards them."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 
 
 class Forwarder:
-    """Serves clients' requests."""
+    """Handler for all requests of clients."""
 
     def __init__(self, parts: RequestParts) -> None:
         self._parts = parts
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """One request, from its head to its one final answer."""
+        """Serve one request, from its head to its final response."""
         parts = self._parts
         loop = asyncio.get_running_loop()
         arrived_ms = loop.time() * MS_PER_S
         try:
-            read = await read_request(
+            client_request = await read_request(
                 request, parts.admission.limits, lambda: self._deadline_s(request, arrived_ms)
             )
         except UnusableRequest as error:
             return self._reject_unusable(error)
         now_ms = loop.time() * MS_PER_S
-        decision = parts.admission.admit(now_ms, arrived_ms, read.target, request.headers)
+        decision = parts.admission.admit(now_ms, arrived_ms, client_request.target, request.headers)
         if isinstance(decision, Rejected):
             return self._reject(decision)
         parts.budget.request(now_ms, decision.service)
-        forwarding = RequestForwarding(parts, f"{next(self._numbers)}", read, decision)
+        forwarding = RequestForwarding(parts, f"{next(self._request_numbers)}", client_request, decision)
         try:
             return await forwarding.run()
         except ClientDisconnected:
@@ -46,25 +46,25 @@
             return forwarding.answer.abort()
 
     def _deadline_s(self, request: web.BaseRequest, arrived_ms: float) -> float:
-        """When a request's time is over, on the loop's clock."""
+        """The end of a request's time limit, on the loop's clock."""
         path = request._message.path
         return self._parts.admission.until_ms(arrived_ms, path, request.headers) / MS_PER_S
 
     def _reject(self, rejected: Rejected) -> web.Response:
-        """The answer to a request that is not forwarded."""
+        """The response to a request that is not forwarded."""
         self._parts.counters[f"rejected {rejected.status}"] += 1
         if rejected.retry_after_ms is None:
             return own_answer(rejected.status, rejected.reason)
         return refusal(rejected.status, rejected.reason, rejected.retry_after_ms)
 
     def _reject_unusable(self, error: UnusableRequest) -> web.StreamResponse:
-        """The answer to a request that was not read to its end.
+        """The response to a request that was not read completely.
 
-        Guards against a final rejection by a limit that a newer configuration may have raised.
+        A limit that a newer configuration may have raised does not cause a final rejection.
         """
         admission = self._parts.admission
-        if error.is_beyond_a_limit and not admission.knows_newest:
-            response = self._reject(admission.refusal_while_unsure())
+        if error.exceeds_limit and not admission.knows_newest:
+            response = self._reject(admission.provisional_rejection())
             response.force_close()
             return response
         self._parts.counters[f"unusable {error.status}"] += 1
--- a/madderwind/dataplane/headers.py
+++ b/madderwind/dataplane/headers.py
@@ -1,4 +1,4 @@
-"""Headers on their way: what is passed on to an upstream and back to a client, and what is set here."""
+"""Headers of forwarded requests and relayed responses: which are kept and which the data plane sets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 TOKEN_USAGE = "X-Token-Usage"
 PROMPT_PREFIX = "X-Prompt-Prefix"
 
-# They concern one connection only.
+# Headers that apply to a single connection.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -31,7 +31,7 @@
         "upgrade",
     )
 )
-# They are meant for the upstream or the client, whatever a `Connection` header names.
+# End-to-end headers, forwarded even if a `Connection` header names them.
 _END_TO_END = frozenset(
     (
         "content-type",
@@ -44,8 +44,9 @@
         "x-upstream-signature",
     )
 )
-# A client does not set them for an upstream; the length is told anew, and who asks to go on is told here.
-_SET_HERE = frozenset(
+# Headers that the data plane sets instead of the client; `Content-Length` is computed anew, and
+# `Expect: 100-continue` is answered by the data plane.
+_SET_BY_DATA_PLANE = frozenset(
     name.lower()
     for name in (
         KEY,
@@ -58,46 +59,46 @@
         "Content-Length",
     )
 )
-_NOT_ONWARD = HOP_BY_HOP | _SET_HERE
-_NOT_BACK = HOP_BY_HOP | {"content-length"}
-MOST_PRIORITY = 9
+_NOT_FORWARDED = HOP_BY_HOP | _SET_BY_DATA_PLANE
+_NOT_RETURNED = HOP_BY_HOP | {"content-length"}
+MAX_PRIORITY = 9
 
 
-class Onward(msgspec.Struct, frozen=True):
-    """What the system tells an upstream about a request, but for its deadline."""
+class UpstreamContext(msgspec.Struct, frozen=True):
+    """What the data plane tells an upstream about a request, except for its deadline."""
 
     instance: str
     tenant: str | None
     priority: int
-    last_event_id: str | None = None  # in place of the client's own
+    last_event_id: str | None = None  # replaces the client's own
 
 
-def headers_onward(headers: CIMultiDictProxy[str], onward: Onward) -> CIMultiDict[str]:
-    """A client's headers as the upstream gets them; `deadline_header` comes as the request is written."""
-    dropped = _NOT_ONWARD | _named_by_connection(headers)
-    passed = CIMultiDict((name, value) for name, value in headers.items() if name.lower() not in dropped)
-    passed[EXPECT_INSTANCE] = onward.instance
-    passed[PRIORITY] = str(min(max(onward.priority, 0), MOST_PRIORITY))
-    if onward.tenant is not None:
-        passed[TENANT] = onward.tenant
-    if onward.last_event_id is not None:
-        passed[LAST_EVENT_ID] = onward.last_event_id
-    return passed
+def upstream_request_headers(headers: CIMultiDictProxy[str], context: UpstreamContext) -> CIMultiDict[str]:
+    """The client's headers as sent to the upstream; `deadline_header` is added as the request is written."""
+    dropped = _NOT_FORWARDED | _connection_options(headers)
+    forwarded = CIMultiDict((name, value) for name, value in headers.items() if name.lower() not in dropped)
+    forwarded[EXPECT_INSTANCE] = context.instance
+    forwarded[PRIORITY] = str(min(max(context.priority, 0), MAX_PRIORITY))
+    if context.tenant is not None:
+        forwarded[TENANT] = context.tenant
+    if context.last_event_id is not None:
+        forwarded[LAST_EVENT_ID] = context.last_event_id
+    return forwarded
 
 
-def deadline_header(left_ms: float) -> dict[str, str]:
-    """The header that tells an upstream how much time is left, in whole ms, 1 at least."""
-    return {DEADLINE: str(max(1, int(left_ms)))}
+def deadline_header(remaining_ms: float) -> dict[str, str]:
+    """The header with the remaining time for the upstream, in whole milliseconds, at least 1."""
+    return {DEADLINE: str(max(1, int(remaining_ms)))}
 
 
-def headers_back(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """An upstream's headers as the client gets them."""
-    dropped = _NOT_BACK | _named_by_connection(headers)
+def client_response_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
+    """An upstream's headers as sent to the client."""
+    dropped = _NOT_RETURNED | _connection_options(headers)
     return CIMultiDict((name, value) for name, value in headers.items() if name.lower() not in dropped)
 
 
 def milliseconds(headers: Mapping[str, str], name: str) -> float | None:
-    """A header's number of milliseconds above 0; None where there is none."""
+    """A header's value as a finite number of milliseconds above 0; None if it has none."""
     try:
         value = float(headers.get(name, ""))
     except ValueError:
@@ -106,7 +107,7 @@
 
 
 def token_usage(headers: Mapping[str, str]) -> tuple[int, int] | None:
-    """Prompt tokens and the most tokens generated, as the client tells them."""
+    """The prompt tokens and the maximum of generated tokens, as given by the client."""
     prompt, comma, output = headers.get(TOKEN_USAGE, "").partition(",")
     prompt, output = prompt.strip(), output.strip()
     if not comma or not _is_count(prompt) or not _is_count(output):
@@ -118,7 +119,7 @@
     return text.isascii() and text.isdigit() and len(text) <= 12
 
 
-def _named_by_connection(headers: CIMultiDictProxy[str]) -> frozenset[str]:
+def _connection_options(headers: CIMultiDictProxy[str]) -> frozenset[str]:
     if "Connection" not in headers:
         return frozenset()
     named = ",".join(headers.getall("Connection")).lower()
--- a/madderwind/dataplane/request_parts.py
+++ b/madderwind/dataplane/request_parts.py
@@ -1,4 +1,4 @@
-"""What all requests of a data plane share."""
+"""The components that all requests of a data plane share."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class RequestParts(msgspec.Struct):
-    """The parts of a data plane that serve a request.
+    """The components of a data plane that serve a request.
 
     Attributes:
-        admission: Routes, keys and quotas.
-        upstreams: What control planes published.
-        chooser: Picks an upstream for an attempt.
+        admission: Applies routes, keys and quotas.
+        upstreams: The upstreams published by the control planes.
+        chooser: Selects the upstream for an attempt.
         pool: Connections to upstreams.
-        retries: Whether and when there is another attempt.
+        retries: Decides whether and when there is another attempt.
         budget: The fleet's retry budget.
-        log: Takes events.
-        attempt_log: Takes each attempt where that is on.
-        counters: How requests and attempts ended, by name.
+        log: Receives log events.
+        attempt_log: Receives each attempt if attempt logging is on.
+        counters: The number of requests and attempts by how they ended.
     """
 
     admission: Admission
--- a/madderwind/dataplane/stream_timeouts.py
+++ b/madderwind/dataplane/stream_timeouts.py
@@ -1,4 +1,4 @@
-"""Upstreams whose streams have all fallen silent here: a hint of a machine that vanished. No I/O."""
+"""Detects upstreams whose streams have all stalled, which suggests that the machine is gone. No I/O."""
 
 from __future__ import annotations
 
@@ -6,47 +6,47 @@
 
 import msgspec
 
-# A model server that runs gives an event to each of its streams every few tens of milliseconds. Pauses of all
-# streams at once are rare and short: prompts are read in pieces between them.
+# A running model server sends an event on each of its streams every few tens of milliseconds. Pauses of all
+# streams at once are rare and short, because prompts are processed in chunks between events.
 STREAM_TIMEOUT_MS = 400.0
 
 
 class _Streams(msgspec.Struct):
-    begun: int
-    heard_ms: float
+    active: int
+    last_event_ms: float
 
 
 class StreamTimeouts:
-    """Counts streams that have begun, and when any of an upstream's last gave an event.
+    """Counts the active streams of each upstream and records the time of their last event.
 
-    Guards against requests that go on to a machine without power until its connections time out. It only
-    lowers preference: no stream ends for it.
+    Without it, requests would be sent to a machine that lost power until its connections time out. The result
+    only lowers the preference for an upstream and ends no stream.
     """
 
     def __init__(self) -> None:
         self._streams: dict[str, _Streams] = {}
 
     def began(self, now_ms: float, instance: str) -> None:
-        """The first event of a stream came."""
+        """Record the first event of a stream."""
         streams = self._streams.setdefault(instance, _Streams(0, now_ms))
-        streams.begun += 1
-        streams.heard_ms = now_ms
+        streams.active += 1
+        streams.last_event_ms = now_ms
 
     def record_data(self, now_ms: float, instance: str) -> None:
-        """Another event of a stream that has begun came."""
-        self._streams[instance].heard_ms = now_ms
+        """Record another event of an active stream."""
+        self._streams[instance].last_event_ms = now_ms
 
     def ended(self, instance: str) -> None:
-        """A stream that had begun is over."""
+        """Record the end of an active stream."""
         streams = self._streams[instance]
-        streams.begun -= 1
-        if not streams.begun:
+        streams.active -= 1
+        if not streams.active:
             del self._streams[instance]
 
     def timed_out(self, now_ms: float, candidates: Iterable[str]) -> frozenset[str]:
-        """Those that have streams and gave none of them an event for some time."""
-        return frozenset(instance for instance in candidates if self._is_silent(now_ms, instance))
+        """Upstreams with active streams, none of which received an event within the timeout."""
+        return frozenset(instance for instance in candidates if self._is_timed_out(now_ms, instance))
 
-    def _is_silent(self, now_ms: float, instance: str) -> bool:
+    def _is_timed_out(self, now_ms: float, instance: str) -> bool:
         streams = self._streams.get(instance)
-        return streams is not None and now_ms - streams.heard_ms > STREAM_TIMEOUT_MS
+        return streams is not None and now_ms - streams.last_event_ms > STREAM_TIMEOUT_MS
--- a/madderwind/dataplane/upstream_pool.py
+++ b/madderwind/dataplane/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, by instance."""
+"""Connections to upstreams, pooled by instance."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from madderwind.transport.upstreams import Upstreams
 
 CONNECT_TIMEOUT_MS = 250.0
-# The longest pause within the head of an answer.
+# The longest pause within the head of a response.
 HEAD_STALL_S = 1.0
-# How long an idle connection is kept at most, and where the upstream does not tell.
-MOST_IDLE_MS, UNTOLD_IDLE_S = 120_000.0, 4.0
-# A peer that acknowledges nothing for so long is taken for gone: a machine without power says nothing.
+# The longest time that an idle connection is kept, and the time if the upstream announces none.
+MAX_IDLE_MS, DEFAULT_IDLE_S = 120_000.0, 4.0
+# A peer that acknowledges nothing for this long is considered gone: a machine without power sends no reset.
 USER_TIMEOUT_MS = 2_000
 PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES = 1, 1, 2
 
@@ -28,33 +28,33 @@
 
 
 class UpstreamPool:
-    """Connections belong to an instance, not to its address, which may be another one's tomorrow."""
+    """Pools connections by instance, because its address may later belong to another instance."""
 
-    def __init__(self, most_connections: int) -> None:
+    def __init__(self, max_connections: int) -> None:
         options = ConnectionOptions(
             socket_factory=_open_socket,
             stall_s=HEAD_STALL_S,
             passing_stall_s=0.0,
             distrusts_resets=False,
-            untold_idle_s=UNTOLD_IDLE_S,
+            untold_idle_s=DEFAULT_IDLE_S,
             starts_when_whole=False,
         )
-        self._upstreams = Upstreams(CONNECT_TIMEOUT_MS, MOST_IDLE_MS, most_connections, options)
+        self._upstreams = Upstreams(CONNECT_TIMEOUT_MS, MAX_IDLE_MS, max_connections, options)
         self._numbers: dict[str, int] = {}
         self._next_number = itertools.count(1)
         self._in_use: Counter[str] = Counter()
 
     def in_use(self, instance: str) -> int:
-        """How many connections to it are in use, or coming up."""
+        """The number of connections to the instance that are in use or being established."""
         return self._in_use[instance]
 
     def keeps(self, instance: str) -> bool:
-        """Whether a connection to it stands idle."""
+        """Whether an idle connection to the instance is open."""
         number = self._numbers.get(instance)
         return number is not None and self._upstreams.keeps(number)
 
     def held(self) -> int:
-        """How many connections there are."""
+        """The number of open connections."""
         return self._upstreams.held()
 
     async def exchange(
@@ -65,7 +65,7 @@
         until_s: float,
         receive: Callable[[ClientResponse], Awaitable[Received]],
     ) -> Received | Outcome:
-        """One attempt; see `Upstreams.exchange`."""
+        """Make one attempt; see `Upstreams.exchange`."""
         host, _, port = address.rpartition(":")
         number = self._numbers.get(instance)
         if number is None:
@@ -79,7 +79,7 @@
                 del self._in_use[instance]
 
     def forget(self, instance: str) -> None:
-        """It is gone for good, or takes nothing new: its idle connections are closed."""
+        """Close the idle connections to an instance that was removed or accepts no new requests."""
         number = self._numbers.pop(instance, None)
         if number is not None:
             self._upstreams.close_idle(number)
@@ -90,7 +90,7 @@
 
 
 def _open_socket(address_info: Any) -> socket.socket:
-    """A socket that tells of a peer which vanished, also while only its bytes are waited for."""
+    """A socket that detects a vanished peer, even while it only waits for data."""
     family, kind, protocol, _, _ = address_info
     opened = socket.socket(family, kind, protocol)
     opened.setblocking(False)
--- a/tests/dataplane/test_log_page.py
+++ b/tests/dataplane/test_log_page.py
@@ -1,4 +1,4 @@
-"""The data plane's page explains every line of its log, and no other."""
+"""The data plane's documentation describes each of its log events and no others."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     ROOT / "madderwind" / "log_events" / "data_plane_links.py",
     ROOT / "madderwind" / "settings_watch.py",
 )
-# What names an event: a call of the log, the constants of the subscriber's events, a request's note.
-SAYING = re.compile(r"\b(?:_?log|LogEvent|_note)\(\s*(.*?)[,)]", re.DOTALL)
-EVENT = re.compile(r"\"([a-z_]+)\"")
+# Where an event is named: calls of the log, constants of the subscriber's events, recorded request outcomes.
+LOG_CALL = re.compile(r"\b(?:_?log|LogEvent|_record_outcome)\(\s*(.*?)[,)]", re.DOTALL)
+EVENT_NAME = re.compile(r"\"([a-z_]+)\"")
 
 
-class ThePage(unittest.TestCase):
-    def test_explains_every_line_and_no_other(self) -> None:
-        said: set[str] = set()
+class LogDocumentation(unittest.TestCase):
+    def test_describes_each_log_event_and_no_others(self) -> None:
+        logged: set[str] = set()
         for path in SOURCES:
-            for arguments in SAYING.findall(path.read_text()):
-                said |= set(EVENT.findall(arguments))
+            for arguments in LOG_CALL.findall(path.read_text()):
+                logged |= set(EVENT_NAME.findall(arguments))
         page = (ROOT / "docs" / "dataplane.md").read_text()
         lines = page.partition("| line | when |")[2].partition("\n\n")[0]
-        explained = set(re.findall(r"^\| `([a-z_]+)` \|", lines, re.MULTILINE))
-        self.assertEqual(said, explained)
-        self.assertGreater(len(said), 15)
+        documented = set(re.findall(r"^\| `([a-z_]+)` \|", lines, re.MULTILINE))
+        self.assertEqual(logged, documented)
+        self.assertGreater(len(logged), 15)
 
 
 if __name__ == "__main__":
