--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -1,4 +1,4 @@
-"""The data plane's process: what belongs together, its start, its signals and its end."""
+"""The data plane process: wires its components and handles startup, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -52,33 +52,34 @@
 
 MS_PER_S = 1000.0
 FRONT, READY = "front", "ready"
-# Descriptors that are neither callers' nor upstreams' connections: files, control planes, the ready address.
-OWN_DESCRIPTORS = 264
-LONGEST_LINE = 64 * 1024
-# A client may take up a connection a little after its idle time.
+# File descriptors for all but client and upstream connections: files, control planes, the ready endpoint.
+RESERVED_DESCRIPTORS = 264
+MAX_LINE_BYTES = 64 * 1024
+# A client may reuse a connection slightly after its idle timeout.
 IDLE_SLACK_S = 1.0
 COUNTERS_S = 10.0
-# The platform asks every second and needs two misses, so new connections still come for a while.
+# The platform probes readiness every second and needs two failures, so new connections arrive until then.
 STILL_ACCEPTING_S = 2.5
-# What is kept of `grace_s` for the process's own end.
+# The part of `grace_s` reserved for the shutdown of the process itself.
 SHUTDOWN_RESERVE_S = 0.7
-# Of a short `grace_s` neither takes more than these parts: most of it is for requests that run.
-STILL_ACCEPTING_PART, END_RESERVE_PART = 1 / 3, 0.1
-END_LOOK_S = 0.02
-# Links to control planes beyond those that may be lost at once.
+# Upper bounds for both as shares of `grace_s`, so that a short one is mostly left to running requests.
+STILL_ACCEPTING_SHARE, SHUTDOWN_RESERVE_SHARE = 1 / 3, 0.1
+# Time for the last messages to the control planes to be sent.
+SHUTDOWN_FLUSH_S = 0.02
+# Links to control planes in addition to the number of machines that may fail at once.
 SPARE_LINKS = 2
 
 
 class Phase(Enum):
-    """The states of the process, in order."""
+    """The phases of the process, in order."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # not ready; requests that come are still served
-    FINISHING = "finishing"  # takes no new connections
+    DRAINING = "draining"  # not ready; new connections and requests are still served
+    FINISHING = "finishing"  # accepts no new connections
 
 
 class DataPlane:
-    """One process."""
+    """The data plane of one process."""
 
     def __init__(
         self,
@@ -88,14 +89,14 @@
         still_accepting_s: float = STILL_ACCEPTING_S,
         debug_log: EventLog | None = None,
     ) -> None:
-        """Needs a running loop.
+        """Build all components; needs a running loop.
 
         Args:
             settings: The process's settings.
-            log: Takes events.
-            rng: Draws what is left to chance.
-            still_accepting_s: How long connections are taken once the end began.
-            debug_log: Takes each attempt; None in service.
+            log: Receives log events.
+            rng: Source of randomness.
+            still_accepting_s: How long new connections are accepted after shutdown has begun.
+            debug_log: Receives each attempt; None in production.
         """
         self._still_accepting_s = still_accepting_s
         self._settings, self._log, self._rng = settings, log, rng
@@ -106,7 +107,7 @@
         bounds = settings.bounds
         self.upstreams = KnownUpstreams(settings.heartbeat_ms)
         self.placement = Placement(rng, settings.zone)
-        connections = max(16, settings.limits.max_fds - OWN_DESCRIPTORS) // 2
+        connections = max(16, settings.limits.max_fds - RESERVED_DESCRIPTORS) // 2
         self.pool = UpstreamPool(connections)
         self.chooser = UpstreamChooser(
             rng, self.upstreams, self.placement, settings.zone, self._has_capacity, self.pool.keeps
@@ -121,9 +122,9 @@
             settings.internal_address(DATA_PLANE_PORT),
             settings.zone,
         )
-        wanted = settings.fault_tolerance.machines + SPARE_LINKS
-        self.subscriber = Subscriber(now_ms, identity, settings.seed_addresses(), wanted, rng)
-        self.links = SubscriberLinks(self.subscriber, log, self._put_in_force, self._deliver)
+        link_count = settings.fault_tolerance.machines + SPARE_LINKS
+        self.subscriber = Subscriber(now_ms, identity, settings.seed_addresses(), link_count, rng)
+        self.links = SubscriberLinks(self.subscriber, log, self._apply_configuration, self._handle_message)
         self.reports = Reports(self.subscriber, self.links, self.quota, self.budget, self.placement, log)
         self.admission = Admission(self.quota, lambda: self.subscriber.is_current(self._now_ms()), rng)
         retries = Retries(RetryQuota(rng, refund_on_success=False), self.budget)
@@ -140,10 +141,10 @@
             counters=self.counters,
         )
         self._listener = Listener(
-            Forwarder(parts).serve, connections, log, self.pool.held, longest_line=LONGEST_LINE
+            Forwarder(parts).serve, connections, log, self.pool.held, longest_line=MAX_LINE_BYTES
         )
         self._ready_listener = ReadyListener(lambda: self.is_ready)
-        self._in_force: Document | None = None
+        self._document: Document | None = None
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
@@ -152,7 +153,7 @@
         return self._phase is Phase.SERVING and self.subscriber.is_ready
 
     def figures(self) -> DataPlaneFigures:
-        """How this data plane stands now, for its metrics."""
+        """The current state of this data plane, for its metrics."""
         return DataPlaneFigures(
             is_ready=self.is_ready,
             configuration_version=self.subscriber.version,
@@ -164,7 +165,7 @@
         )
 
     async def start(self) -> tuple[int, int]:
-        """Listen; the ports of `front` and `ready`."""
+        """Start listening; the ports of `front` and `ready`."""
         front_host, front_port = _host_and_port(self._settings, FRONT)
         ready_host, ready_port = _host_and_port(self._settings, READY)
         front_port = await self._listener.start(front_host, front_port)
@@ -179,51 +180,49 @@
         return front_port, ready_port
 
     def apply_settings(self, settings: NodeSettings) -> None:
-        """The settings file changed: other seeds, from now on."""
+        """Apply a changed settings file; changed seeds take effect at once."""
         if settings.seed_addresses() != self._settings.seed_addresses():
             self.links.handle(SeedsChanged(settings.seed_addresses()))
             self._log("seeds_changed", seeds=list(settings.seeds))
         self._settings = settings
 
     async def drain(self) -> None:
-        """The planned end: not ready at once, no request lost, over before the platform's grace is."""
+        """Shut down gracefully: not ready at once, no request lost, within the platform's grace period."""
         if self._phase is not Phase.SERVING:
             return
         began_s, grace_s = self._loop.time(), self._settings.bounds.grace_s
         self._change_phase(Phase.DRAINING)
         self._listener.begin_ending()
-        await asyncio.sleep(min(self._still_accepting_s, STILL_ACCEPTING_PART * grace_s))
+        await asyncio.sleep(min(self._still_accepting_s, STILL_ACCEPTING_SHARE * grace_s))
         self._change_phase(Phase.FINISHING)
-        until_s = began_s + grace_s - min(SHUTDOWN_RESERVE_S, END_RESERVE_PART * grace_s)
+        until_s = began_s + grace_s - min(SHUTDOWN_RESERVE_S, SHUTDOWN_RESERVE_SHARE * grace_s)
         left_open = await self._listener.finish(until_s - self._loop.time())
-        self._log("ended", left_open=left_open, **_plain(self.counters))
+        self._log("ended", left_open=left_open, **_log_fields(self.counters))
         await self.close()
 
     async def close(self) -> None:
-        """Let go of everything, at once."""
+        """Close all connections and stop all tasks immediately."""
         for task in self._tasks:
             task.cancel()
         self.links.handle(ShutdownRequested())
-        await asyncio.sleep(END_LOOK_S)
+        await asyncio.sleep(SHUTDOWN_FLUSH_S)
         await self.links.close()
         await self.pool.close()
         await self._ready_listener.close()
         self._ended.set()
 
     async def wait_until_ended(self) -> None:
-        """Return once the process may end."""
+        """Return once the process may exit."""
         await self._ended.wait()
 
-    # --- what comes from control planes ---
-
-    def _put_in_force(self, action: ApplyConfiguration) -> None:
-        before, document = self._in_force, action.document
-        self._in_force = document
+    def _apply_configuration(self, action: ApplyConfiguration) -> None:
+        previous, document = self._document, action.document
+        self._document = document
         now_ms = self._now_ms()
         self.admission.configure(document)
-        if before is None or document.services is not before.services:
+        if previous is None or document.services is not previous.services:
             self.chooser.configure(document.services)
-        if before is None or document.tenants is not before.tenants:
+        if previous is None or document.tenants is not previous.tenants:
             self.quota.configure(now_ms, document.tenants)
         self.reports.share_limits(now_ms)
         limits = document.limits
@@ -235,7 +234,7 @@
         )
         self._log("configuration_in_force", version=document.version, routes=document.route_count)
 
-    def _deliver(self, action: Deliver) -> None:
+    def _handle_message(self, action: Deliver) -> None:
         now_ms = self._now_ms()
         match action.message:
             case RegistrySnapshot(upstreams) | RegistryDelta(upstreams):
@@ -259,15 +258,15 @@
         while True:
             await asyncio.sleep(COUNTERS_S)
             if self.counters:
-                self._log("counters", **_plain(self.counters))
+                self._log("counters", **_log_fields(self.counters))
 
     def _has_capacity(self, instance: str, service: str) -> bool:
-        """Whether the upstream's limit on connections leaves this data plane another one."""
-        most = self.admission.max_connections(service)
-        return most is None or self.pool.in_use(instance) < max(1, most // self.subscriber.data_planes)
+        """Whether this data plane's share of the upstream's connection limit allows another connection."""
+        limit = self.admission.max_connections(service)
+        return limit is None or self.pool.in_use(instance) < max(1, limit // self.subscriber.data_planes)
 
     def _change_phase(self, phase: Phase) -> None:
-        """The one place where the process's phase changes."""
+        """Change the phase of the process; no other code does."""
         self._phase = phase
         self._log("phase", phase=phase.value)
 
@@ -276,18 +275,18 @@
 
 
 async def serve(settings: NodeSettings, path: Path, log: EventLog, debug_log: EventLog | None = None) -> None:
-    """Run a data plane until SIGTERM or SIGINT has ended it."""
+    """Run a data plane until it has shut down after SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     plane = DataPlane(settings, log, random.Random(secrets.randbits(64)), debug_log=debug_log)
     await plane.start()
-    ending: list[asyncio.Task[None]] = []
+    shutdown_tasks: list[asyncio.Task[None]] = []
 
-    def end() -> None:
-        ending.append(loop.create_task(plane.drain()))
+    def begin_shutdown() -> None:
+        shutdown_tasks.append(loop.create_task(plane.drain()))
 
     watch = SettingsWatch(path, plane.apply_settings, log)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, end)
+        loop.add_signal_handler(number, begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, watch.read_again)
     watching = loop.create_task(watch.run())
     exporter = await start_exporter(settings.listen, lambda: data_plane_samples(plane.figures()))
@@ -308,5 +307,5 @@
         raise SettingsError(f"listen.{name}", f"{address!r} is no ip:port") from None
 
 
-def _plain(counters: Counter[str]) -> dict[str, int]:
+def _log_fields(counters: Counter[str]) -> dict[str, int]:
     return {name.replace(" ", "_"): count for name, count in counters.items()}
