--- a/madderwind/dataplane/upstream_pool.py
+++ b/madderwind/dataplane/upstream_pool.py
@@ -22,7 +22,7 @@
 MAX_IDLE_MS, DEFAULT_IDLE_S = 120_000.0, 4.0
 # A peer that acknowledges nothing for this long is considered gone: a machine without power sends no reset.
 USER_TIMEOUT_MS = 2_000
-PROBE_IDLE_S, PROBE_INTERVAL_S, PROBES = 1, 1, 2
+KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 1, 1, 2
 
 Received = TypeVar("Received")
 
@@ -40,7 +40,7 @@
             starts_when_whole=False,
         )
         self._upstreams = Upstreams(CONNECT_TIMEOUT_MS, MAX_IDLE_MS, max_connections, options)
-        self._numbers: dict[str, int] = {}
+        self._instance_numbers: dict[str, int] = {}
         self._next_number = itertools.count(1)
         self._in_use: Counter[str] = Counter()
 
@@ -50,7 +50,7 @@
 
     def keeps(self, instance: str) -> bool:
         """Whether an idle connection to the instance is open."""
-        number = self._numbers.get(instance)
+        number = self._instance_numbers.get(instance)
         return number is not None and self._upstreams.keeps(number)
 
     def held(self) -> int:
@@ -67,9 +67,9 @@
     ) -> Received | Outcome:
         """Make one attempt; see `Upstreams.exchange`."""
         host, _, port = address.rpartition(":")
-        number = self._numbers.get(instance)
+        number = self._instance_numbers.get(instance)
         if number is None:
-            number = self._numbers[instance] = next(self._next_number)
+            number = self._instance_numbers[instance] = next(self._next_number)
         self._in_use[instance] += 1
         try:
             return await self._upstreams.exchange(number, (host, int(port)), encoded, until_s, receive)
@@ -80,7 +80,7 @@
 
     def forget(self, instance: str) -> None:
         """Close the idle connections to an instance that was removed or accepts no new requests."""
-        number = self._numbers.pop(instance, None)
+        number = self._instance_numbers.pop(instance, None)
         if number is not None:
             self._upstreams.close_idle(number)
 
@@ -96,8 +96,8 @@
     opened.setblocking(False)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
-    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     return opened
