--- a/tests/dataplane/chaos.py
+++ b/tests/dataplane/chaos.py
@@ -1,8 +1,9 @@
-"""A data plane under everything at once: upstreams that fail in all ways, clients that leave, planned work.
+"""Chaos test of a data plane: failing upstreams, disconnecting clients and planned work at the same time.
 
-By hand: `python -m tests.dataplane.chaos --seeds 200 --first 1`. Loopback is real, the clock is virtual: what
-a busy machine adds to the time between two events is not the data plane's, so that bounds can be close. With
-`--real-clock` the steady clock is real as well, and the bounds leave room for a busy machine.
+Run it by hand with `python -m tests.dataplane.chaos --seeds 200 --first 1`. The loopback sockets are real and
+the clock is virtual: delays that a busy machine adds between two events are not the data plane's and are not
+measured, so the bounds can be tight. With `--real-clock` the monotonic clock is real too, and the bounds
+leave room for a busy machine.
 """
 
 from __future__ import annotations
@@ -23,184 +24,193 @@
 
 MS_PER_S = 1000.0
 TIMEOUT_MS = 700
-REQUESTS, CLIENTS, UPSTREAMS = 48, 8, 4
-DAY_S = 1.2
+REQUEST_COUNT, CLIENT_COUNT, UPSTREAM_COUNT = 48, 8, 4
+DURATION_S = 1.2
 ROUTES = ("safe", "unsafe", "stream", "resumable")
 IDEMPOTENT = ("safe", "resumable")
-LEAVES, PLANNED, ENDS = 0.4, 6, 0.5
+DISCONNECT_PROBABILITY, PLANNED_CHANGES, SHUTDOWN_PROBABILITY = 0.4, 6, 0.5
 STILL_ACCEPTING_S = 0.2
-OWN_STATUSES = frozenset((404, 408, 429, 502, 503, 504))
-LONG_BODY = 150_000
+DATA_PLANE_STATUSES = frozenset((404, 408, 429, 502, 503, 504))
+LONG_BODY_BYTES = 150_000
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """How late what happens may be noticed, ms.
+    """The allowed delays between an event and its effect.
 
     Attributes:
-        late: How long after the route's time a request may end.
-        measured_within: How late an upstream may note what was sent to it, and its time be over.
-        noticed_within: How long it may take to notice that a client has left.
-        passed_on_within: How soon what an upstream has sent is the client's.
+        completion_ms: How long after the route's timeout a request may end.
+        arrival_ms: How late an upstream may record a request that was sent to it, and the deadline that it
+            received may expire.
+        disconnect_ms: How long it may take to detect that a client has disconnected.
+        forwarding_ms: How long it may take until the client has what an upstream has sent.
     """
 
-    late: float
-    measured_within: float
-    noticed_within: float
-    passed_on_within: float
+    completion_ms: float
+    arrival_ms: float
+    disconnect_ms: float
+    forwarding_ms: float
 
 
-# The rules' own bounds, and what a busy machine may add.
-REAL_CLOCK = Bounds(late=500.0, measured_within=400.0, noticed_within=400.0, passed_on_within=150.0)
-# Timers fire early or late by their clock's resolution at most; a header tells whole ms.
-VIRTUAL_CLOCK = Bounds(late=20.0, measured_within=5.0, noticed_within=5.0, passed_on_within=5.0)
+# The bounds of the rules themselves, plus the delay that a busy machine may add.
+REAL_CLOCK = Bounds(completion_ms=500.0, arrival_ms=400.0, disconnect_ms=400.0, forwarding_ms=150.0)
+# Timers fire early or late by at most their clock's resolution; the deadline header holds whole milliseconds.
+VIRTUAL_CLOCK = Bounds(completion_ms=20.0, arrival_ms=5.0, disconnect_ms=5.0, forwarding_ms=5.0)
 
 
 class Arrival(msgspec.Struct):
-    """A request as an upstream had it."""
+    """A request as an upstream received it."""
 
     request_id: str
     instance: str
-    at_ms: float
-    left_ms: float | None
-    has_run: bool
-    whole_ms: float | None = None  # when the upstream had sent the last byte of a whole answer
+    arrived_ms: float
+    remaining_ms: float | None
+    is_executed: bool
+    completed_ms: float | None = None  # when the upstream had sent the last byte of a complete response
 
 
-class Sent(msgspec.Struct):
-    """A request as its client saw it."""
+class ClientRequest(msgspec.Struct):
+    """A request and its response as the client saw them."""
 
     request_id: str
     route: str
     sent_ms: float
     deadline_ms: float | None
-    left_at_ms: float | None = None
+    disconnected_ms: float | None = None
     ended_ms: float | None = None
     status: int = 0
-    is_whole: bool = False
+    is_complete: bool = False
     is_signed: bool = False
-    closes: bool = False
+    closes_connection: bool = False
     body: bytes = b""
 
 
-class Broken(Exception):
-    """A rule does not hold; the text says which and where."""
+class RuleViolation(Exception):
+    """A rule is violated; the message names the rule and the request."""
 
 
-class Chaos:
-    """One seed's day."""
+class ChaosRun:
+    """The run of one seed."""
 
     def __init__(self, seed: int, bounds: Bounds = VIRTUAL_CLOCK) -> None:
         self._rng = random.Random(seed)
         self._bounds = bounds
         self._seed = seed
         self.arrivals: list[Arrival] = []
-        self.sent: dict[str, Sent] = {}
-        self.told_ms: dict[str, float] = {}  # when an instance was known to take nothing new
-        self.faults: list[str] = []
+        self.requests: dict[str, ClientRequest] = {}
+        self.drained_ms: dict[
+            str, float
+        ] = {}  # when the data plane knew that an instance takes no new requests
+        self.loop_errors: list[str] = []
         self._fleet: Fleet
-        self._lives = UPSTREAMS
+        self._instance_count = UPSTREAM_COUNT
         self._version = 1
-        self._ending: asyncio.Task[None] | None = None  # the planned end
+        self._shutdown: asyncio.Task[None] | None = None  # the planned shutdown
 
-    async def play(self) -> None:
-        """Play it; raises Broken where a rule does not hold."""
+    async def run(self) -> None:
+        """Run the scenario and check the rules.
+
+        Raises:
+            RuleViolation: A rule is violated.
+        """
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, context: self.faults.append(str(context)))
-        behaviours = [self._behave] * UPSTREAMS
+        loop.set_exception_handler(lambda _, context: self.loop_errors.append(str(context)))
+        behaviours = [self._handle_request] * UPSTREAM_COUNT
         async with Fleet(*behaviours, document=self._document()) as self._fleet:
             self._fleet.plane._still_accepting_s = STILL_ACCEPTING_S
-            clients = [self._client() for _ in range(CLIENTS)]
+            clients = [self._run_client() for _ in range(CLIENT_COUNT)]
             async with asyncio.timeout(30):
-                await asyncio.gather(self._plan(), *clients)
-                if self._ending is not None:
-                    await self._ending
+                await asyncio.gather(self._do_planned_work(), *clients)
+                if self._shutdown is not None:
+                    await self._shutdown
                 while self._fleet.plane._listener.open_requests:
                     await asyncio.sleep(0.005)
-                used = sum(self._fleet.plane.pool.in_use(i) for i in self._fleet.known())
-                if used:
-                    raise Broken(f"{used} connections in use after the day")
+                in_use = sum(
+                    self._fleet.plane.pool.in_use(instance) for instance in self._fleet.ready_instances()
+                )
+                if in_use:
+                    raise RuleViolation(f"{in_use} connections in use after the run")
         self._check()
 
-    # --- what happens ---
-
     def _document(self) -> dict[str, Any]:
-        told = document(self._version)
-        most = self._rng.randint(1, 3)
-        told["routes"] = [{**r, "timeout_ms": TIMEOUT_MS, "max_attempts": most} for r in told["routes"]]
-        return told
-
-    async def _plan(self) -> None:
-        """Planned work, now and then."""
-        for _ in range(PLANNED):
-            await asyncio.sleep(self._rng.uniform(0, 2 * DAY_S / PLANNED))
-            await self._rng.choice((self._configure, self._replace_upstream, self._tell_late))()
-            if self._ending is None and self._rng.random() < ENDS / PLANNED:
-                self._ending = asyncio.create_task(self._fleet.plane.drain())
-
-    def _has_ended(self) -> bool:
-        return self._ending is not None and self._ending.done()
+        changed = document(self._version)
+        max_attempts = self._rng.randint(1, 3)
+        changed["routes"] = [
+            {**route, "timeout_ms": TIMEOUT_MS, "max_attempts": max_attempts} for route in changed["routes"]
+        ]
+        return changed
+
+    async def _do_planned_work(self) -> None:
+        """Change the configuration or the upstreams at random times, and perhaps shut the data plane down."""
+        for _ in range(PLANNED_CHANGES):
+            await asyncio.sleep(self._rng.uniform(0, 2 * DURATION_S / PLANNED_CHANGES))
+            await self._rng.choice((self._configure, self._replace_upstream, self._send_late_heartbeats))()
+            if self._shutdown is None and self._rng.random() < SHUTDOWN_PROBABILITY / PLANNED_CHANGES:
+                self._shutdown = asyncio.create_task(self._fleet.plane.drain())
+
+    def _is_shut_down(self) -> bool:
+        return self._shutdown is not None and self._shutdown.done()
 
     async def _configure(self) -> None:
         self._version += 1
         await self._fleet.control.publish(self._document())
 
     async def _replace_upstream(self) -> None:
-        """One drains or deregisters, and another comes at its address or at another one."""
-        known = self._fleet.known()
-        if len(known) > 1:
-            leaving = self._rng.choice(known)
+        """Drain or deregister an instance, then register a new one at the same address or at another one."""
+        instances = self._fleet.ready_instances()
+        if len(instances) > 1:
+            leaving = self._rng.choice(instances)
             upstream = self._rng.choice(self._fleet.upstreams)
             state = self._rng.choice(("draining", "gone"))
             await self._fleet.control.register(record(upstream, leaving, state, 5))
             while self._fleet.plane.upstreams.takes_new(leaving):
                 await asyncio.sleep(0.001)
-                if self._has_ended():
+                if self._is_shut_down():
                     return
-            self.told_ms.setdefault(leaving, self._now_ms())
-        self._lives += 1
+            self.drained_ms.setdefault(leaving, self._now_ms())
+        self._instance_count += 1
         upstream = self._rng.choice(self._fleet.upstreams)
-        await self._fleet.control.register(record(upstream, f"i-{self._lives}"))
+        await self._fleet.control.register(record(upstream, f"i-{self._instance_count}"))
 
-    async def _tell_late(self) -> None:
-        """A late heartbeat of one that may have left."""
-        for instance in list(self.told_ms):
+    async def _send_late_heartbeats(self) -> None:
+        """Register late heartbeats of instances that drain or have deregistered."""
+        for instance in list(self.drained_ms):
             upstream = self._rng.choice(self._fleet.upstreams)
             await self._fleet.control.register(record(upstream, instance, "ready", self._rng.choice((1, 9))))
 
-    # --- upstreams ---
-
-    async def _behave(self, message: Message, writer: Writer) -> None:
+    async def _handle_request(self, message: Message, writer: Writer) -> None:
         rng = self._rng
         request_id = message.header("X-Request-Id") or ""
-        told = message.header("X-Deadline-Ms")
-        refuses = rng.random() < 0.25
-        left_ms = None if told is None else float(told)
+        deadline = message.header("X-Deadline-Ms")
+        is_refused = rng.random() < 0.25
+        remaining_ms = None if deadline is None else float(deadline)
         instance = message.header("X-Expect-Instance") or ""
-        arrival = Arrival(request_id, instance, self._now_ms(), left_ms, not refuses)
+        arrival = Arrival(request_id, instance, self._now_ms(), remaining_ms, not is_refused)
         self.arrivals.append(arrival)
         await asyncio.sleep(rng.choice((0, 0, 0.01, 0.05)))
-        if refuses:
-            named = rng.choice((503, 429, 421))
-            refusal = answer(named, X_Request_Id=request_id, X_Not_Executed="1", X_Upstream_Instance=instance)
+        if is_refused:
+            status = rng.choice((503, 429, 421))
+            refusal = answer(
+                status, X_Request_Id=request_id, X_Not_Executed="1", X_Upstream_Instance=instance
+            )
             writer.write(refusal)
         elif "/stream/" in message.start or "/resumable/" in message.start:
-            await self._stream(message, writer, arrival)
+            await self._respond_with_stream(message, writer, arrival)
         else:
-            await self._answer(arrival, writer)
+            await self._respond(arrival, writer)
 
-    async def _answer(self, arrival: Arrival, writer: Writer) -> None:
+    async def _respond(self, arrival: Arrival, writer: Writer) -> None:
         request_id = arrival.request_id
         rng = self._rng
-        body = request_id.encode() * (1 if rng.random() < 0.7 else LONG_BODY // len(request_id))
-        whole = answer(200, body, X_Request_Id=request_id, X_Upstream_Signature=SIGNATURE)
+        body = request_id.encode() * (1 if rng.random() < 0.7 else LONG_BODY_BYTES // len(request_id))
+        response = answer(200, body, X_Request_Id=request_id, X_Upstream_Signature=SIGNATURE)
         match rng.choice(("whole", "whole", "whole", "silent", "reset", "short", "another", "500")):
             case "whole":
-                writer.write(whole)
-                arrival.whole_ms = self._now_ms()
+                writer.write(response)
+                arrival.completed_ms = self._now_ms()
             case "reset":
                 writer.transport.abort()
             case "short":
-                writer.write(whole[: -len(body) // 2])
+                writer.write(response[: -len(body) // 2])
                 await writer.drain()
                 writer.transport.abort()
             case "another":
@@ -208,180 +218,192 @@
             case "500":
                 writer.write(answer(500, b"oops", X_Request_Id=request_id, X_Upstream_Signature=SIGNATURE))
 
-    async def _stream(self, message: Message, writer: Writer, arrival: Arrival) -> None:
+    async def _respond_with_stream(self, message: Message, writer: Writer, arrival: Arrival) -> None:
         rng = self._rng
         writer.write(stream_head(message))
-        told = int(message.header("Last-Event-Id") or 0)
-        first = max(1, told + 1 - rng.choice((0, 0, 2)))  # some repeat what is known
+        last_event_id = int(message.header("Last-Event-Id") or 0)
+        first = max(1, last_event_id + 1 - rng.choice((0, 0, 2)))  # some repeat events that were already sent
         for number in range(first, 9):
-            whole = chunk(event(number))
+            event_chunk = chunk(event(number))
             if rng.random() < 0.1:
-                writer.write(whole[: rng.randint(0, len(whole) - 1)])
+                writer.write(event_chunk[: rng.randint(0, len(event_chunk) - 1)])
                 await writer.drain()
                 writer.transport.abort()
                 return
-            writer.write(whole)
+            writer.write(event_chunk)
             await asyncio.sleep(rng.choice((0, 0, 0.005, 0.02)))
         writer.write(b"0\r\n\r\n")
-        arrival.whole_ms = self._now_ms()
-
-    # --- clients ---
+        arrival.completed_ms = self._now_ms()
 
-    async def _client(self) -> None:
+    async def _run_client(self) -> None:
         client: Client | None = None
-        for _ in range(REQUESTS // CLIENTS):
-            await asyncio.sleep(self._rng.uniform(0, DAY_S * CLIENTS / REQUESTS))
+        for _ in range(REQUEST_COUNT // CLIENT_COUNT):
+            await asyncio.sleep(self._rng.uniform(0, DURATION_S * CLIENT_COUNT / REQUEST_COUNT))
             try:
-                client = await self._ask(client)
+                client = await self._send_request(client)
             except ConnectionRefusedError:
-                if self._ending is None:
+                if self._shutdown is None:
                     raise
                 return
         if client is not None:
             client.caller.close()
 
-    async def _ask(self, kept: Client | None) -> Client | None:
-        """One request, on a connection that was kept or on a new one; the client where it is kept again."""
+    async def _send_request(self, reusable: Client | None) -> Client | None:
+        """Send a request on the reusable connection or on a new one; return the client if reusable."""
         rng = self._rng
-        client = kept or await self._fleet.client()
+        client = reusable or await self._fleet.client()
         route = rng.choice(ROUTES)
         deadline_ms = rng.choice((None, 250.0, 900.0))
-        told = None if deadline_ms is None else str(int(deadline_ms))
+        deadline = None if deadline_ms is None else str(int(deadline_ms))
         sent_ms = self._now_ms()
-        request_id = client.write(f"/{route}/x", body=b"b" * rng.choice((0, 5, 60_000)), X_Deadline_Ms=told)
-        sent = self.sent[request_id] = Sent(request_id, route, sent_ms, deadline_ms)
+        request_id = client.write(
+            f"/{route}/x", body=b"b" * rng.choice((0, 5, 60_000)), X_Deadline_Ms=deadline
+        )
+        request = self.requests[request_id] = ClientRequest(request_id, route, sent_ms, deadline_ms)
         try:
-            if rng.random() < LEAVES:
+            if rng.random() < DISCONNECT_PROBABILITY:
                 async with asyncio.timeout(rng.uniform(0, 0.1)):
-                    await self._read(client.caller.reader, sent)
+                    await self._read_response(client.caller.reader, request)
             else:
-                await self._read(client.caller.reader, sent)
+                await self._read_response(client.caller.reader, request)
         except TimeoutError:
-            sent.left_at_ms = self._now_ms()
-        if sent.is_whole and not sent.closes:
+            request.disconnected_ms = self._now_ms()
+        if request.is_complete and not request.closes_connection:
             return client
         client.caller.close()
         return None
 
-    async def _read(self, reader: asyncio.StreamReader, sent: Sent) -> None:
-        """An answer, or the connection's end."""
+    async def _read_response(self, reader: asyncio.StreamReader, request: ClientRequest) -> None:
+        """Read the response, or what comes before the connection ends."""
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-            sent.status = int(head.split(" ")[1])
-            sent.closes = "connection: close" in head.lower()
-            sent.is_signed = "x-upstream-signature" in head.lower()
+            request.status = int(head.split(" ")[1])
+            request.closes_connection = "connection: close" in head.lower()
+            request.is_signed = "x-upstream-signature" in head.lower()
             if "chunked" in head.lower():
-                sent.body = await reader.readuntil(b"0\r\n\r\n")
+                request.body = await reader.readuntil(b"0\r\n\r\n")
             else:
                 length = int(head.lower().partition("content-length:")[2].partition("\r\n")[0] or 0)
-                sent.body = await reader.readexactly(length)
-            sent.is_whole = True
+                request.body = await reader.readexactly(length)
+            request.is_complete = True
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         except asyncio.LimitOverrunError:
-            raise Broken(f"{sent.request_id}: an answer without an end") from None
-        sent.ended_ms = self._now_ms()
+            raise RuleViolation(f"{request.request_id}: the response has no end") from None
+        request.ended_ms = self._now_ms()
 
     def _now_ms(self) -> float:
         return asyncio.get_running_loop().time() * MS_PER_S
 
-    # --- what must hold ---
-
     def _check(self) -> None:
-        if self.faults:
-            raise Broken(f"unhandled: {self.faults[:3]}")
+        if self.loop_errors:
+            raise RuleViolation(f"unhandled: {self.loop_errors[:3]}")
         arrivals: dict[str, list[Arrival]] = defaultdict(list)
         for arrival in self.arrivals:
             arrivals[arrival.request_id].append(arrival)
-        for request_id, each in arrivals.items():
-            self._check_arrivals(self.sent[request_id], each)
-        for sent in self.sent.values():
-            self._check_answer(sent, arrivals[sent.request_id])
+        for request_id, request_arrivals in arrivals.items():
+            self._check_arrivals(self.requests[request_id], request_arrivals)
+        for request in self.requests.values():
+            self._check_response(request, arrivals[request.request_id])
 
-    def _check_arrivals(self, sent: Sent, arrivals: list[Arrival]) -> None:
-        name = f"{sent.request_id} on {sent.route}"
+    def _check_arrivals(self, request: ClientRequest, arrivals: list[Arrival]) -> None:
+        name = f"{request.request_id} on {request.route}"
         if len(arrivals) > 3:
-            raise Broken(f"BUDGET: {name} was sent {len(arrivals)} times")
-        runs = sum(arrival.has_run for arrival in arrivals)
-        if runs > 1 and sent.route not in IDEMPOTENT:
-            raise Broken(f"TWICE: {name} ran {runs} times")
-        most_ms = min(sent.deadline_ms or TIMEOUT_MS, TIMEOUT_MS)
+            raise RuleViolation(f"BUDGET: {name} was sent {len(arrivals)} times")
+        executions = sum(arrival.is_executed for arrival in arrivals)
+        if executions > 1 and request.route not in IDEMPOTENT:
+            raise RuleViolation(f"TWICE: {name} was executed {executions} times")
+        allowed_ms = min(request.deadline_ms or TIMEOUT_MS, TIMEOUT_MS)
         for arrival in arrivals:
-            end_ms = sent.sent_ms + most_ms + self._bounds.measured_within
-            if arrival.left_ms is None or arrival.at_ms + arrival.left_ms > end_ms:
-                raise Broken(f"BUDGET: {name} had {arrival.left_ms} ms at {arrival.instance}")
-            if sent.left_at_ms is not None and arrival.at_ms > sent.left_at_ms + self._bounds.noticed_within:
-                raise Broken(
-                    f"GONE: {name} came {arrival.at_ms - sent.left_at_ms:.0f} ms after its client left"
+            end_ms = request.sent_ms + allowed_ms + self._bounds.arrival_ms
+            if arrival.remaining_ms is None or arrival.arrived_ms + arrival.remaining_ms > end_ms:
+                raise RuleViolation(
+                    f"BUDGET: {name} had {arrival.remaining_ms} ms left at {arrival.instance}"
+                )
+            if (
+                request.disconnected_ms is not None
+                and arrival.arrived_ms > request.disconnected_ms + self._bounds.disconnect_ms
+            ):
+                raise RuleViolation(
+                    f"GONE: {name} arrived {arrival.arrived_ms - request.disconnected_ms:.0f} ms "
+                    "after its client disconnected"
+                )
+            drained_ms = self.drained_ms.get(arrival.instance)
+            if drained_ms is not None and arrival.arrived_ms > drained_ms + self._bounds.arrival_ms:
+                raise RuleViolation(
+                    f"DRAIN: {name} arrived at {arrival.instance} after it stopped taking requests"
                 )
-            told_ms = self.told_ms.get(arrival.instance)
-            if told_ms is not None and arrival.at_ms > told_ms + self._bounds.measured_within:
-                raise Broken(f"DRAIN: {name} came to {arrival.instance} after it left")
 
-    def _check_answer(self, sent: Sent, arrivals: list[Arrival]) -> None:
-        name = f"{sent.request_id} on {sent.route}, status {sent.status}"
-        if sent.left_at_ms is not None:
+    def _check_response(self, request: ClientRequest, arrivals: list[Arrival]) -> None:
+        name = f"{request.request_id} on {request.route}, status {request.status}"
+        if request.disconnected_ms is not None:
             return
-        assert sent.ended_ms is not None
-        if not sent.status and (arrivals or self._ending is None):
-            raise Broken(f"LOST: {name} was read and has no answer")
-        self._check_whole(name, sent, arrivals)
-        if sent.ended_ms - sent.sent_ms > TIMEOUT_MS + self._bounds.late:
-            raise Broken(f"CONFIG: {name} took {sent.ended_ms - sent.sent_ms:.0f} ms")
-        ran = any(arrival.has_run for arrival in arrivals)
-        if sent.status in (408, 421, 429, 503) and ran and sent.route not in IDEMPOTENT:
-            raise Broken(f"REFUSED: {name} has run")
-        if sent.is_whole and not sent.is_signed and sent.status not in OWN_STATUSES:
-            raise Broken(f"MIXED: {name} carries no signature")
-        if sent.is_whole and sent.status == 200:
-            self._check_success(name, sent)
-
-    def _check_whole(self, name: str, sent: Sent, arrivals: list[Arrival]) -> None:
-        """What an upstream answered whole, well within the time, is the client's."""
+        assert request.ended_ms is not None
+        if not request.status and (arrivals or self._shutdown is None):
+            raise RuleViolation(f"LOST: {name} was accepted and got no response")
+        self._check_complete_response(name, request, arrivals)
+        if request.ended_ms - request.sent_ms > TIMEOUT_MS + self._bounds.completion_ms:
+            raise RuleViolation(f"CONFIG: {name} took {request.ended_ms - request.sent_ms:.0f} ms")
+        is_executed = any(arrival.is_executed for arrival in arrivals)
+        if request.status in (408, 421, 429, 503) and is_executed and request.route not in IDEMPOTENT:
+            raise RuleViolation(f"REFUSED: {name} was executed")
+        if request.is_complete and not request.is_signed and request.status not in DATA_PLANE_STATUSES:
+            raise RuleViolation(f"MIXED: {name} has no signature")
+        if request.is_complete and request.status == 200:
+            self._check_successful_response(name, request)
+
+    def _check_complete_response(self, name: str, request: ClientRequest, arrivals: list[Arrival]) -> None:
+        """Check that a response that an upstream completed before the deadline reached the client."""
         until_ms = (
-            sent.sent_ms + min(sent.deadline_ms or TIMEOUT_MS, TIMEOUT_MS) - self._bounds.passed_on_within
+            request.sent_ms + min(request.deadline_ms or TIMEOUT_MS, TIMEOUT_MS) - self._bounds.forwarding_ms
         )
-        in_time = [arrival for arrival in arrivals if arrival.whole_ms and arrival.whole_ms < until_ms]
-        if in_time and not (sent.is_whole and sent.status == 200):
-            raise Broken(f"LOST: {name} was answered whole by {in_time[0].instance}")
-
-    def _check_success(self, name: str, sent: Sent) -> None:
-        if sent.route in ("stream", "resumable"):
+        in_time = [
+            arrival for arrival in arrivals if arrival.completed_ms and arrival.completed_ms < until_ms
+        ]
+        if in_time and not (request.is_complete and request.status == 200):
+            raise RuleViolation(f"LOST: {name} got a complete response from {in_time[0].instance}")
+
+    def _check_successful_response(self, name: str, request: ClientRequest) -> None:
+        if request.route in ("stream", "resumable"):
             expected = [event(number) for number in range(1, 9)]
-            if [sent.body.count(one) for one in expected] != [1] * 8:
-                raise Broken(f"ORDER: {name}: {sent.body!r}")
-        elif sent.body.replace(sent.request_id.encode(), b""):
-            raise Broken(f"MIXED: {name} has another's body")
+            if [request.body.count(expected_event) for expected_event in expected] != [1] * 8:
+                raise RuleViolation(f"ORDER: {name}: {request.body!r}")
+        elif request.body.replace(request.request_id.encode(), b""):
+            raise RuleViolation(f"MIXED: {name} has the body of another response")
+
 
+def run_seeds(seeds: Iterable[int], has_real_clock: bool = False) -> None:
+    """Run all seeds at the same time, each with its own fleet.
 
-def play(seeds: Iterable[int], has_real_clock: bool = False) -> None:
-    """Play days, all at the same time: each has a fleet of its own. Raises Broken."""
+    Raises:
+        RuleViolation: A rule is violated.
+    """
     bounds = REAL_CLOCK if has_real_clock else VIRTUAL_CLOCK
 
-    async def days() -> None:
-        await asyncio.gather(*(Chaos(seed, bounds).play() for seed in seeds))
+    async def run_all() -> None:
+        await asyncio.gather(*(ChaosRun(seed, bounds).run() for seed in seeds))
 
     loop_factory = None if has_real_clock else VirtualClockLoop
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        runner.run(days())
+        runner.run(run_all())
 
 
 def main() -> None:
-    """Play seeds one after the other; the exit status is 1 where a rule did not hold."""
+    """Run the seeds one after the other; the exit status is 1 if a rule was violated."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--real-clock", action="store_true")
-    chosen = parser.parse_args()
-    broken = 0
-    for seed in range(chosen.first, chosen.first + chosen.seeds):
+    arguments = parser.parse_args()
+    violations = 0
+    for seed in range(arguments.first, arguments.first + arguments.seeds):
         try:
-            play([seed], chosen.real_clock)
-        except Broken as error:
-            broken += 1
+            run_seeds([seed], arguments.real_clock)
+        except RuleViolation as error:
+            violations += 1
             print(f"seed {seed}: {error}", flush=True)
-    print(f"{chosen.seeds} seeds from {chosen.first}: {broken} broken")
-    sys.exit(1 if broken else 0)
+    print(f"{arguments.seeds} seeds from {arguments.first}: {violations} with a violation")
+    sys.exit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/fleet.py
+++ b/tests/dataplane/fleet.py
@@ -1,4 +1,4 @@
-"""A data plane in the test's own process, with a control plane and upstreams that stand in on loopback."""
+"""An in-process data plane with a fake control plane and fake upstreams on loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 
 class ControlPlane:
-    """Speaks the publisher's side: a version, a document, a registry; keeps what it was told."""
+    """A fake control plane: publishes a configuration and a registry, records the messages it receives."""
 
     def __init__(self, document: dict[str, Any] | None) -> None:
         self.document = document
         self.records: dict[str, UpstreamRecord] = {}
-        self.heard: list[ToControlPlane] = []
-        self.arrivals: asyncio.Queue[ToControlPlane] = asyncio.Queue()
+        self.received: list[ToControlPlane] = []
+        self.received_queue: asyncio.Queue[ToControlPlane] = asyncio.Queue()
         self.age_ms: float | None = 0.0
         self._sockets: set[web.WebSocketResponse] = set()
-        self._beating: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self, port: int = 0) -> int:
         application = web.Application()
@@ -52,13 +52,13 @@
         self._runner = web.AppRunner(application, shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, HOST, port, reuse_address=True).start()
-        self._beating = asyncio.get_running_loop().create_task(self._beat())
+        self._heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
         self.port = int(self._runner.addresses[0][1])
         return self.port
 
     async def close(self) -> None:
-        if self._beating is not None:
-            self._beating.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         for socket in list(self._sockets):
             await socket.close()
         await self._runner.cleanup()
@@ -69,13 +69,13 @@
 
     async def publish(self, document: dict[str, Any]) -> None:
         self.document = document
-        await self.tell(self._freshness())
+        await self.broadcast(self._freshness())
 
     async def register(self, *records: UpstreamRecord) -> None:
         self.records.update({record.instance: record for record in records})
-        await self.tell(RegistrySnapshot(records))
+        await self.broadcast(RegistrySnapshot(records))
 
-    async def tell(self, message: ToDataPlane) -> None:
+    async def broadcast(self, message: ToDataPlane) -> None:
         for socket in list(self._sockets):
             await socket.send_bytes(to_data_plane.encode(message))
 
@@ -83,10 +83,10 @@
         clock_ms = asyncio.get_running_loop().time() * 1000.0
         return Freshness(self.version, 1, self.age_ms, True, 1, clock_ms)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(0.1)
-            await self.tell(self._freshness())
+            await self.broadcast(self._freshness())
 
     async def _subscribe(self, request: web.Request) -> web.WebSocketResponse:
         socket = web.WebSocketResponse(compress=False)
@@ -100,10 +100,10 @@
             await socket.send_bytes(to_data_plane.encode(message))
         self._sockets.add(socket)
         async for frame in socket:
-            told = to_control_plane.decode(frame.data)
-            self.heard.append(told)
-            self.arrivals.put_nowait(told)
-            if isinstance(told, FetchConfiguration) and self.document is not None:
+            received = to_control_plane.decode(frame.data)
+            self.received.append(received)
+            self.received_queue.put_nowait(received)
+            if isinstance(received, FetchConfiguration) and self.document is not None:
                 snapshot = ConfigurationSnapshot(self.version, json.dumps(self.document).encode())
                 await socket.send_bytes(to_data_plane.encode(snapshot))
         self._sockets.discard(socket)
@@ -111,20 +111,20 @@
 
 
 def document(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """A configuration with a safe, an unsafe, a resumable and a plain streaming route."""
+    """Return a configuration with a safe, an unsafe, a plain streaming, a resumable and a quick route."""
 
-    def route(name: str, kind: str, **more: Any) -> dict[str, Any]:
+    def route(name: str, route_type: str, **overrides: Any) -> dict[str, Any]:
         return {
             "name": name,
             "host": CLIENT_HOST,
             "path_prefix": f"/{name}/",
-            "route_type": kind,
+            "route_type": route_type,
             "timeout_ms": 5000,
             "target_latency_ms": 3000,
             "priority": 3,
             "service": "app",
             "max_attempts": 2,
-            **more,
+            **overrides,
         }
 
     return {
@@ -152,7 +152,7 @@
 
 
 def settings(control_port: int, **changes: Any) -> NodeSettings:
-    """A data plane's settings whose seeds are the control plane at that internal port."""
+    """Return settings of a data plane whose seed, by its internal ports, is the control plane's port."""
     raw = {
         "node": "front-1",
         "ip": HOST,
@@ -173,7 +173,7 @@
 
 
 def served(body: bytes = b"yes", status: int = 200, **headers: str) -> Behaviour:
-    """Answers as upstreams do: with the id that was asked and the upstream's signature."""
+    """Answer as a real upstream does, with the id of the request and the upstream's signature."""
 
     async def behave(message: Message, writer: Writer) -> None:
         request_id = message.header("X-Request-Id") or ""
@@ -183,7 +183,7 @@
 
 
 def refuses(status: int = 503) -> Behaviour:
-    """States that it did not run the request."""
+    """Refuse the request and state with X-Not-Executed that it was not executed."""
 
     async def behave(message: Message, writer: Writer) -> None:
         request_id = message.header("X-Request-Id") or ""
@@ -204,14 +204,14 @@
 
 
 class Fleet:
-    """One data plane, one control plane, some upstreams; to be used as an async context."""
+    """One data plane, one control plane and several upstreams, as an async context manager."""
 
     def __init__(self, *behaviours: Behaviour, document: dict[str, Any] | None, **settings: Any) -> None:
         self.upstreams = [Upstream(behave) for behave in behaviours]
         self.control = ControlPlane(document)
         self._settings = settings
         self.log: list[tuple[str, dict[str, object]]] = []
-        self._ids = itertools.count(1)
+        self._request_ids = itertools.count(1)
 
     async def __aenter__(self) -> Fleet:
         for upstream in self.upstreams:
@@ -219,11 +219,11 @@
         for number, upstream in enumerate(self.upstreams):
             self.control.records[f"i-{number}"] = record(upstream, f"i-{number}")
         port = await self.control.start()
-        loop_settings = settings(port, **self._settings)
-        self.plane = DataPlane(loop_settings, self._note, random.Random(1), still_accepting_s=0.0)
+        node_settings = settings(port, **self._settings)
+        self.plane = DataPlane(node_settings, self._record_event, random.Random(1), still_accepting_s=0.0)
         self.port, self.ready_port = await self.plane.start()
         if self.control.document is not None:
-            await until(lambda: self.plane.is_ready and len(self.known()) == len(self.upstreams))
+            await until(lambda: self.plane.is_ready and len(self.ready_instances()) == len(self.upstreams))
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -232,20 +232,20 @@
         for upstream in self.upstreams:
             await upstream.__aexit__()
 
-    def known(self) -> Sequence[str]:
+    def ready_instances(self) -> Sequence[str]:
         return self.plane.upstreams.ready_of_service("app")
 
-    def _note(self, event: str, /, **fields: object) -> None:
+    def _record_event(self, event: str, /, **fields: object) -> None:
         self.log.append((event, fields))
 
     async def client(self) -> Client:
-        return Client(await Caller.connect(self.port), self._ids)
+        return Client(await Caller.connect(self.port), self._request_ids)
 
-    async def ask(self, path: str = "/safe/x", **more: Any) -> Message:
-        return await (await self.client()).ask(path, **more)
+    async def ask(self, path: str = "/safe/x", **request: Any) -> Message:
+        return await (await self.client()).ask(path, **request)
 
-    async def ready(self) -> int:
-        """The status that the platform gets at the ready address."""
+    async def readiness_status(self) -> int:
+        """Return the status that the platform's readiness probe gets."""
         caller = await Caller.connect(self.ready_port)
         try:
             return (await caller.ask("GET /ready")).status
@@ -254,16 +254,16 @@
 
 
 class Client:
-    """One connection of a client, with what clients of the system send."""
+    """One client connection, whose requests carry the headers that clients of the system send."""
 
-    def __init__(self, caller: Caller, ids: itertools.count[int]) -> None:
-        self.caller, self._ids = caller, ids
+    def __init__(self, caller: Caller, request_ids: itertools.count[int]) -> None:
+        self.caller, self._request_ids = caller, request_ids
 
     def write(
         self, path: str = "/safe/x", method: str = "POST", body: bytes = b"hi", **headers: str | None
     ) -> str:
-        request_id = f"r-{next(self._ids)}"
-        told: dict[str, Any] = {
+        request_id = f"r-{next(self._request_ids)}"
+        header_values: dict[str, Any] = {
             "Host": CLIENT_HOST,
             "X-Trace-Id": None,
             "X-Customer": None,
@@ -273,19 +273,19 @@
             "X-Deadline-Ms": "4000",
             **headers,
         }
-        self.caller.write(f"{method} {path}", body, **told)
+        self.caller.write(f"{method} {path}", body, **header_values)
         return request_id
 
     async def read(self) -> Message:
         return await self.caller.read()
 
-    async def ask(self, path: str = "/safe/x", **more: Any) -> Message:
-        self.write(path, **more)
+    async def ask(self, path: str = "/safe/x", **request: Any) -> Message:
+        self.write(path, **request)
         return await self.read()
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    """Wait for a condition that must come about."""
+async def until(condition: Callable[[], bool]) -> None:
+    """Wait until the condition holds; fail if it does not within 10 s."""
     async with asyncio.timeout(10):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.002)
--- a/tests/dataplane/forwarder.py
+++ b/tests/dataplane/forwarder.py
@@ -1,4 +1,4 @@
-"""The data plane's forwarding between loopback sockets, without a control plane: for scripted upstreams."""
+"""A listener and a forwarder on loopback without a control plane, for tests with scripted upstreams."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 from tests.examples import HOST
 
 MS_PER_S = 1000.0
-MOST_CONNECTIONS = 100
-# So small that a long body stays with its sender until it is read.
+MAX_CONNECTIONS = 100
+# Small enough that most of a long body stays in the sender's buffers until the receiver reads it.
 RECEIVE_BUFFER_BYTES = 4096
-LONGEST_BODY_BYTES = 8_000_000
-# Bytes that the system still moves between two sockets of this machine arrive within this.
-IN_TRANSIT_S = 0.001
+MAX_BODY_BYTES = 8_000_000
+# Bytes in transit between two sockets of this machine arrive within this time.
+LOOPBACK_DELIVERY_S = 0.001
 
-Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class NoWaits(random.Random):
-    """Draws the shortest wait before each retry."""
+class ShortestBackoff(random.Random):
+    """Random source that makes each retry backoff the shortest possible."""
 
     def random(self) -> float:
         return 0.0
@@ -53,38 +53,38 @@
         return True
 
     def refund(self, now_ms: float, tenant_name: str, amount: float, *, is_late: bool = False) -> None:
-        """Nothing was drawn."""
+        """Do nothing: `admit` takes nothing from a quota."""
 
     def retry_after_ms(self, now_ms: float, tenant_name: str) -> float:
         return 0.0
 
 
 class JumpingLoop(asyncio.SelectorEventLoop):
-    """Its clock jumps to the next timer once no socket has anything more to tell: no time is waited out."""
+    """Event loop whose clock skips to the next timer once no socket event is pending, instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._ahead_s = 0.0
+        self._skipped_s = 0.0
         select = self._selector.select  # type: ignore[attr-defined]
 
-        def select_or_jump(timeout_s: float | None) -> Any:
-            if timeout_s is None or timeout_s <= IN_TRANSIT_S:
+        def select_or_skip(timeout_s: float | None) -> Any:
+            if timeout_s is None or timeout_s <= LOOPBACK_DELIVERY_S:
                 return select(timeout_s)
-            if events := select(IN_TRANSIT_S):
+            if events := select(LOOPBACK_DELIVERY_S):
                 return events
-            self._ahead_s += timeout_s - IN_TRANSIT_S
+            self._skipped_s += timeout_s - LOOPBACK_DELIVERY_S
             return []
 
-        self._selector.select = select_or_jump  # type: ignore[attr-defined]
+        self._selector.select = select_or_skip  # type: ignore[attr-defined]
 
     def time(self) -> float:
-        return super().time() + self._ahead_s
+        return super().time() + self._skipped_s
 
 
 class VirtualClockLoop(asyncio.SelectorEventLoop):
-    """Its clock stands still while anything is done, and jumps to the next timer once nothing is left to do.
+    """Event loop whose clock stops while code runs and skips to the next timer once the loop is idle.
 
-    What a busy machine adds to the time between two events doesn't show: only timers take time.
+    Delays that a busy machine adds between two events are not measured: only timers advance the clock.
     """
 
     def __init__(self) -> None:
@@ -92,51 +92,53 @@
         self._virtual_s = 0.0
         select = self._selector.select  # type: ignore[attr-defined]
 
-        def select_or_jump(timeout_s: float | None) -> Any:
+        def select_or_skip(timeout_s: float | None) -> Any:
             if timeout_s is None or timeout_s <= 0.0:
                 return select(timeout_s)
-            if events := select(IN_TRANSIT_S):
+            if events := select(LOOPBACK_DELIVERY_S):
                 return events
             self._virtual_s += timeout_s
             return []
 
-        self._selector.select = select_or_jump  # type: ignore[attr-defined]
+        self._selector.select = select_or_skip  # type: ignore[attr-defined]
 
     def time(self) -> float:
         return self._virtual_s
 
 
-def run_by_virtual_clock(story: Coroutine[Any, Any, None]) -> None:
-    """Run a story on a loop of its own whose clock only timers move."""
+def run_on_virtual_clock(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a test scenario on a new event loop whose clock is advanced only by timers."""
     with asyncio.Runner(loop_factory=VirtualClockLoop) as runner:
-        runner.run(story)
+        runner.run(scenario)
 
 
-def run_jumping(story: Coroutine[Any, Any, None]) -> None:
-    """Run a story on a loop of its own whose time jumps."""
+def run_jumping(scenario: Coroutine[Any, Any, None]) -> None:
+    """Run a test scenario on a new event loop whose clock skips idle time."""
     with asyncio.Runner(loop_factory=JumpingLoop) as runner:
-        runner.run(story)
+        runner.run(scenario)
 
 
 class ByteUpstream:
-    """Listens on a free port; what each connection says and reads is up to `serve`."""
+    """Upstream on a free port; `handle_connection` decides what each connection reads and writes."""
 
-    def __init__(self, serve: Serve) -> None:
-        self._serve = serve
+    def __init__(self, handle_connection: ConnectionHandler) -> None:
+        self._handle_connection = handle_connection
         self.writers: list[asyncio.StreamWriter] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen, with small buffers."""
-        # With the protocol named, the loop sends each write at once on what is accepted.
+        """Start listening, with small receive buffers."""
+        # asyncio sets TCP_NODELAY on accepted connections only if the listening socket names IPPROTO_TCP.
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         listening.bind((HOST, 0))
-        self._server = await asyncio.start_server(self._accepted, sock=listening, limit=RECEIVE_BUFFER_BYTES)
+        self._server = await asyncio.start_server(
+            self._accept_connection, sock=listening, limit=RECEIVE_BUFFER_BYTES
+        )
         self.port = int(listening.getsockname()[1])
 
     async def close(self) -> None:
-        """End all connections."""
+        """Stop listening and close all connections."""
         self._server.close()
         for task in self._tasks:
             task.cancel()
@@ -144,23 +146,23 @@
         for writer in self.writers:
             writer.transport.abort()
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
         try:
-            await self._serve(reader, writer)
+            await self._handle_connection(reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
         except asyncio.CancelledError:
-            writer.transport.abort()  # by `close`
+            writer.transport.abort()  # `close` cancelled the task
         finally:
             self._tasks.discard(task)
 
 
 class ScriptedFleet:
-    """A listener, a forwarder and some upstreams; to be used as an async context."""
+    """A listener, a forwarder and several upstreams, as an async context manager."""
 
     def __init__(self, *upstreams: ByteUpstream) -> None:
         self.upstreams = upstreams
@@ -168,17 +170,17 @@
 
     async def __aenter__(self) -> ScriptedFleet:
         loop = asyncio.get_running_loop()
-        # The client library reads a clock of its own where it keeps connections.
-        self._clock = patch("aiohttp.connector.monotonic", loop.time)
-        self._clock.start()
+        # aiohttp's connector times its kept-alive connections by its own `monotonic`, not by the loop.
+        self._clock_patch = patch("aiohttp.connector.monotonic", loop.time)
+        self._clock_patch.start()
         for upstream in self.upstreams:
             await upstream.start()
         rng = random.Random(1)
         known = KnownUpstreams(heartbeat_ms=1000.0)
         known.merge(loop.time() * MS_PER_S, self._records())
-        self.pool = UpstreamPool(MOST_CONNECTIONS)
+        self.pool = UpstreamPool(MAX_CONNECTIONS)
         admission = Admission(UnlimitedQuota(), lambda: True, rng)
-        limits = {"max_body_bytes": LONGEST_BODY_BYTES, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
+        limits = {"max_body_bytes": MAX_BODY_BYTES, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}
         raw = document(limits={"max_header_bytes": 16384, **limits})
         admission.configure(read_document(json.dumps(raw).encode()))
         budget = FleetRetryBudget(ratio=1.0, slack=1000.0, window_ms=10_000.0)
@@ -190,12 +192,12 @@
                 rng, known, Placement(rng, "z1"), "z1", lambda instance, service: True, self.pool.keeps
             ),
             pool=self.pool,
-            retries=Retries(RetryQuota(NoWaits(), refund_on_success=False), budget),
+            retries=Retries(RetryQuota(ShortestBackoff(), refund_on_success=False), budget),
             budget=budget,
             log=lambda event, /, **fields: None,
             counters=self.counters,
         )
-        self.listener = Listener(Forwarder(shared).serve, MOST_CONNECTIONS, lambda event, /, **fields: None)
+        self.listener = Listener(Forwarder(shared).serve, MAX_CONNECTIONS, lambda event, /, **fields: None)
         self.listener.tune(CallerTimes())
         self.port = await self.listener.start(HOST, 0)
         return self
@@ -205,7 +207,7 @@
         await self.pool.close()
         for upstream in self.upstreams:
             await upstream.close()
-        self._clock.stop()
+        self._clock_patch.stop()
 
     def _records(self) -> Sequence[UpstreamRecord]:
         return [
--- a/tests/dataplane/test_chaos.py
+++ b/tests/dataplane/test_chaos.py
@@ -1,4 +1,4 @@
-"""A small share of the disturbed days, and faults put into the code that they have to find."""
+"""A few seeds of the chaos test, and mutants of the data plane that it must detect."""
 
 from __future__ import annotations
 
@@ -8,47 +8,47 @@
 
 from madderwind.dataplane.attempt_exchange import AttemptExchange
 from madderwind.dataplane.headers import deadline_header
-from tests.dataplane.chaos import Broken, play
+from tests.dataplane.chaos import RuleViolation, run_seeds
 from tests.dataplane.forwarder import VirtualClockLoop
 
-# Less than the rule allows, more than a timer is early or late.
-LITTLE_MS = 20.0
+# Less than the rule allows, more than a timer fires early or late.
+EXCESS_MS = 20.0
 
 
-class DisturbedDays(unittest.TestCase):
-    def test_break_no_rule(self) -> None:
-        play(range(1, 4))
+class ChaosRuns(unittest.TestCase):
+    def test_violate_no_rule(self) -> None:
+        run_seeds(range(1, 4))
 
 
-class FaultsAreFound(unittest.TestCase):
-    """Each shows in the first days, so that the verdict is the same each time."""
+class MutantsAreDetected(unittest.TestCase):
+    """Each mutant violates a rule within the first seeds, so the result is the same in each run."""
 
-    def assert_found(self, mutant: Callable[[AttemptExchange], dict[str, str]]) -> None:
+    def assert_detected(self, mutant: Callable[[AttemptExchange], dict[str, str]]) -> None:
         mutated = mock.patch.object(AttemptExchange, "_deadline_header", mutant)
-        with mutated, self.assertRaisesRegex(Broken, "BUDGET"):
-            play(range(1, 4))
+        with mutated, self.assertRaisesRegex(RuleViolation, "BUDGET"):
+            run_seeds(range(1, 4))
 
-    def test_a_deadline_that_is_not_the_clients(self) -> None:
-        self.assert_found(lambda _: {"X-Deadline-Ms": "5000"})
+    def test_a_deadline_other_than_the_clients(self) -> None:
+        self.assert_detected(lambda _: {"X-Deadline-Ms": "5000"})
 
-    def test_a_deadline_that_is_a_little_too_long(self) -> None:
-        def too_long(exchange: AttemptExchange) -> dict[str, str]:
-            return deadline_header(exchange._admitted.until_ms - exchange._now_ms() + LITTLE_MS)
+    def test_a_deadline_slightly_beyond_the_clients(self) -> None:
+        def slightly_too_long(exchange: AttemptExchange) -> dict[str, str]:
+            return deadline_header(exchange._admitted.until_ms - exchange._now_ms() + EXCESS_MS)
 
-        self.assert_found(too_long)
+        self.assert_detected(slightly_too_long)
 
 
-class TheClock(unittest.TestCase):
-    def test_stands_still_while_the_machine_is_busy(self) -> None:
+class VirtualClock(unittest.TestCase):
+    def test_does_not_advance_while_code_runs(self) -> None:
         loop = VirtualClockLoop()
         self.addCleanup(loop.close)
 
-        async def busy() -> float:
-            began_s = loop.time()
+        async def compute() -> float:
+            started_s = loop.time()
             sum(range(300_000))
-            return loop.time() - began_s
+            return loop.time() - started_s
 
-        self.assertEqual(loop.run_until_complete(busy()), 0.0)
+        self.assertEqual(loop.run_until_complete(compute()), 0.0)
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_hazards.py
+++ b/tests/dataplane/test_hazards.py
@@ -178,12 +178,12 @@
                 got = await fleet.ask("/unsafe/x")
                 self.assertEqual((got.status, got.header("Retry-After") is None), (503, False))
                 self.assertEqual([len(u.asked) for u in fleet.upstreams], [1, 1])
-                self.assertEqual(fleet.known(), ())
+                self.assertEqual(fleet.ready_instances(), ())
                 for upstream in fleet.upstreams:
                     upstream.behave = served()
                 await fleet.control.register(record(fleet.upstreams[0], "i-0", sequence=2))  # a late record
                 await fleet.control.register(record(fleet.upstreams[0], "i-new"))
-                await until(lambda: fleet.known() == ("i-new",))
+                await until(lambda: fleet.ready_instances() == ("i-new",))
                 self.assertEqual((await fleet.ask("/unsafe/x")).status, 200)
                 self.assertEqual(fleet.upstreams[0].asked[-1].header("X-Expect-Instance"), "i-new")
 
@@ -205,7 +205,7 @@
             async with Fleet(served(), served(), document=document()) as fleet:
                 await fleet.upstreams[0].__aexit__()
                 await fleet.control.register(record(fleet.upstreams[0], "i-gone-1"))
-                await until(lambda: len(fleet.known()) == 3)
+                await until(lambda: len(fleet.ready_instances()) == 3)
                 for _ in range(6):
                     self.assertEqual((await fleet.ask("/unsafe/x")).status, 200)
                 self.assertEqual(len(fleet.upstreams[1].asked), 6)
@@ -353,7 +353,7 @@
                 client.write("/stream/x")
                 await client.caller.reader.readuntil(event(1))
                 await fleet.control.register(record(fleet.upstreams[0], "i-0", "draining", 2))
-                await until(lambda: not fleet.known())
+                await until(lambda: not fleet.ready_instances())
                 self.assertEqual((await fleet.ask("/safe/x")).status, 503)
                 writers[0].write(chunk(event(2)) + b"0\r\n\r\n")
                 await within(client.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
--- a/tests/dataplane/test_misdirected.py
+++ b/tests/dataplane/test_misdirected.py
@@ -34,7 +34,7 @@
                     self.assertLessEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 2)
                     for upstream in fleet.upstreams:
                         upstream.asked.clear()
-                self.assertEqual(fleet.known(), known_after)
+                self.assertEqual(fleet.ready_instances(), known_after)
 
         run(story())
 
@@ -51,7 +51,7 @@
                 async with Fleet(turns_away("i-9"), served(), document=document()) as fleet:
                     for _ in range(3):
                         self.assertEqual((await fleet.ask(path)).status, 200)
-                    self.assertEqual(fleet.known(), ("i-1",))
+                    self.assertEqual(fleet.ready_instances(), ("i-1",))
 
         run(story())
 
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -68,7 +68,7 @@
         limits={"max_header_bytes": 1, "max_body_bytes": 1, "header_timeout_ms": 1, "idle_timeout_ms": 1},
     )
     await fleet.control.publish(changed)
-    await until(lambda: ConfigurationApplied(7) in fleet.control.heard)
+    await until(lambda: ConfigurationApplied(7) in fleet.control.received)
 
 
 async def loses_all_control_planes(fleet: Fleet) -> None:
@@ -79,7 +79,7 @@
 def upstream_enters(state: str) -> Work:
     async def enters(fleet: Fleet) -> None:
         await fleet.control.register(record(fleet.upstreams[0], "i-0", state, 2))
-        await until(lambda: not fleet.known())
+        await until(lambda: not fleet.ready_instances())
 
     return enters
 
@@ -160,7 +160,7 @@
                     self.assertEqual((await fleet.ask()).status, 200)
                 leaving.asked.clear()
                 await fleet.control.register(record(leaving, "i-0", "gone", 3))
-                await until(lambda: fleet.known() == ("i-1",))
+                await until(lambda: fleet.ready_instances() == ("i-1",))
                 for late in (
                     record(leaving, "i-0", "ready", 2),
                     record(leaving, "i-0", "ready", 9),
@@ -168,10 +168,10 @@
                 ):
                     await fleet.control.register(late)
                 await fleet.control.register(record(staying, "i-2"))  # comes behind those
-                await until(lambda: "i-2" in fleet.known())
+                await until(lambda: "i-2" in fleet.ready_instances())
                 for _ in range(12):
                     self.assertEqual((await fleet.ask()).status, 200)
-                self.assertEqual((leaving.asked, set(fleet.known())), ([], {"i-1", "i-2"}))
+                self.assertEqual((leaving.asked, set(fleet.ready_instances())), ([], {"i-1", "i-2"}))
 
         run(story())
 
@@ -247,24 +247,24 @@
                 client: Client = await fleet.client()
                 client.write("/safe/x")
                 await until(lambda: len(fleet.upstreams[0].asked) == 1)
-                self.assertEqual(await fleet.ready(), 200)
+                self.assertEqual(await fleet.readiness_status(), 200)
                 fleet.plane._still_accepting_s = 0.05
                 ending = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await asyncio.sleep(0)
-                self.assertEqual(await fleet.ready(), 503)
+                self.assertEqual(await fleet.readiness_status(), 503)
                 await changes_seeds(fleet)
-                self.assertEqual(await fleet.ready(), 503)
+                self.assertEqual(await fleet.readiness_status(), 503)
                 await drops_routes_and_shortens_times(fleet)
-                self.assertEqual(await fleet.ready(), 503)
+                self.assertEqual(await fleet.readiness_status(), 503)
                 await fleet.plane.drain()  # a second signal
-                self.assertEqual(await fleet.ready(), 503)
+                self.assertEqual(await fleet.readiness_status(), 503)
                 await until(lambda: fleet.plane._phase is Phase.FINISHING)
-                self.assertEqual(await fleet.ready(), 503)
+                self.assertEqual(await fleet.readiness_status(), 503)
                 held.goes_on.set()
                 self.assertEqual((await client.read()).status, 200)
                 await within(ending)
                 with self.assertRaises(ConnectionError):
-                    await fleet.ready()
+                    await fleet.readiness_status()
 
         run(story())
 
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -56,10 +56,10 @@
                     statuses.append(got.status)
                 self.assertIsNotNone(got.header("Retry-After"))
                 self.assertEqual(len(fleet.upstreams[0].asked), len(statuses) - 1)
-                used = [m for m in fleet.control.heard if isinstance(m, UsageReport) and m.used]
+                used = [m for m in fleet.control.received if isinstance(m, UsageReport) and m.used]
                 if not used:
                     await until(
-                        lambda: any(isinstance(m, UsageReport) and m.used for m in fleet.control.heard)
+                        lambda: any(isinstance(m, UsageReport) and m.used for m in fleet.control.received)
                     )
 
         run(story())
@@ -82,19 +82,19 @@
     def test_makes_ready_and_changes_at_once(self) -> None:
         async def story() -> None:
             async with Fleet(served(), document=None) as fleet:
-                await until(lambda: any(isinstance(m, Subscribe) for m in fleet.control.heard))
-                self.assertEqual(await fleet.ready(), 503)
+                await until(lambda: any(isinstance(m, Subscribe) for m in fleet.control.received))
+                self.assertEqual(await fleet.readiness_status(), 503)
                 self.assertEqual((await fleet.ask("/safe/x")).status, 503)
                 await fleet.control.publish(document(1))
                 await until(lambda: fleet.plane.is_ready)
-                self.assertEqual(await fleet.ready(), 200)
+                self.assertEqual(await fleet.readiness_status(), 200)
                 self.assertEqual((await fleet.ask("/safe/x")).status, 200)
                 changed = document(4)
                 changed["routes"] = [
                     {**r, "path_prefix": "/new" + r["path_prefix"]} for r in changed["routes"]
                 ]
                 await fleet.control.publish(changed)
-                await until(lambda: ConfigurationApplied(4) in fleet.control.heard)
+                await until(lambda: ConfigurationApplied(4) in fleet.control.received)
                 self.assertEqual((await fleet.ask("/safe/x")).status, 404)
                 self.assertEqual((await fleet.ask("/new/safe/x")).status, 200)
 
@@ -120,7 +120,7 @@
                 fleet.plane._still_accepting_s = 0.3
                 ending = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await until(lambda: not fleet.plane.is_ready)
-                self.assertEqual(await fleet.ready(), 503)
+                self.assertEqual(await fleet.readiness_status(), 503)
                 for client in (resting, fresh, await fleet.client()):
                     got = await client.ask()
                     self.assertEqual((got.status, got.header("Connection")), (200, "close"))
@@ -129,7 +129,7 @@
                 await within(streaming.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
                 await within(ending)
                 await within(fleet.plane.wait_until_ended())
-                self.assertIn(Goodbye(), fleet.control.heard)
+                self.assertIn(Goodbye(), fleet.control.received)
 
         run(story())
 
--- a/tests/dataplane/test_time_limits.py
+++ b/tests/dataplane/test_time_limits.py
@@ -25,7 +25,7 @@
     served,
     stream_head,
 )
-from tests.dataplane.forwarder import run_by_virtual_clock
+from tests.dataplane.forwarder import run_on_virtual_clock
 from tests.standins import Behaviour, Upstream, resets, run, silent, within
 
 MS_PER_S = 1000.0
@@ -116,7 +116,7 @@
                 with mock.patch.object(BoundedConnector, "connect", connect_late):
                     await fleet.ask("/unsafe/x", X_Deadline_Ms="900")
 
-        run_by_virtual_clock(story())
+        run_on_virtual_clock(story())
         self.assertEqual([900.0 - CONNECTING_MS], [left_ms for _, left_ms in told])
 
     def test_is_what_is_left_when_the_connection_is_up(self) -> None:
--- a/tests/dataplane/test_unsure_refusals.py
+++ b/tests/dataplane/test_unsure_refusals.py
@@ -34,7 +34,7 @@
     def test_given_no_configuration_then_clients_are_asked_to_come_back(self) -> None:
         async def story() -> None:
             async with Fleet(served(), document=None) as fleet:
-                await until(lambda: any(isinstance(told, Subscribe) for told in fleet.control.heard))
+                await until(lambda: any(isinstance(told, Subscribe) for told in fleet.control.received))
                 self.assert_asked_to_come_back(await asked_all(fleet))
 
         run(story())
