--- a/tests/dataplane/chaos.py
+++ b/tests/dataplane/chaos.py
@@ -353,7 +353,7 @@
             self._check_successful_response(name, request)
 
     def _check_complete_response(self, name: str, request: ClientRequest, arrivals: list[Arrival]) -> None:
-        """Check that a response that an upstream completed before the deadline reached the client."""
+        """Check that a response that an upstream completed well before the deadline reached the client."""
         until_ms = (
             request.sent_ms + min(request.deadline_ms or TIMEOUT_MS, TIMEOUT_MS) - self._bounds.forwarding_ms
         )
--- a/tests/dataplane/fleet.py
+++ b/tests/dataplane/fleet.py
@@ -152,7 +152,7 @@
 
 
 def settings(control_port: int, **changes: Any) -> NodeSettings:
-    """Return settings of a data plane whose seed, by its internal ports, is the control plane's port."""
+    """Return data plane settings whose internal ports make the seed the control plane at `control_port`."""
     raw = {
         "node": "front-1",
         "ip": HOST,
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -1,4 +1,4 @@
-"""Stories of clients that leave: nothing is sent on for them any more, and their upstreams' work ends."""
+"""Clients that disconnect: nothing more is forwarded for them, and the work at their upstreams ends."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 )
 from tests.standins import Behaviour, reset, run, silent, within
 
-WITHIN_S = 0.5
-LONG_WAIT_MS = 200.0
+DISCONNECT_DETECTION_S = 0.5
+LONG_BACKOFF_MS = 200.0
 ROUTES = ("/safe/x", "/unsafe/x", "/stream/x", "/resumable/x")
 
 
-async def closes(client: Client) -> None:
+async def close(client: Client) -> None:
     client.caller.close()
 
 
-async def resets(client: Client) -> None:
+async def reset_connection(client: Client) -> None:
     reset(client.caller.writer)
 
 
-async def ends_its_sending(client: Client) -> None:
+async def half_close(client: Client) -> None:
     client.caller.writer.write_eof()
 
 
-WAYS_TO_LEAVE = (closes, resets, ends_its_sending)
+DISCONNECTS = (close, reset_connection, half_close)
 
 
-async def streams(message: Message, writer: Writer) -> None:
-    """Sends events until nobody is there."""
+async def stream_until_closed(message: Message, writer: Writer) -> None:
+    """Send events until the connection is closed."""
     writer.write(stream_head(message))
     number = 0
     while not writer.is_closing():
@@ -57,105 +57,109 @@
         await asyncio.sleep(0)
 
 
-async def begins_a_stream(message: Message, writer: Writer) -> None:
+async def begin_stream(message: Message, writer: Writer) -> None:
     writer.write(stream_head(message) + chunk(event(1)))
 
 
-class AClientLeaves(unittest.TestCase):
-    """Within half a second nothing of its request is at an upstream."""
+class ClientDisconnect(unittest.TestCase):
+    """Half a second after a client disconnects, no upstream works on its request."""
 
     def assert_work_ends(
-        self, behave: Behaviour, path: str, leave: Callable[[Client], Awaitable[None]], reads: bytes = b""
+        self,
+        behave: Behaviour,
+        path: str,
+        disconnect: Callable[[Client], Awaitable[None]],
+        read_first: bytes = b"",
     ) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             async with Fleet(behave, behave, document=document()) as fleet:
                 client = await fleet.client()
                 client.write(path)
                 await until(lambda: any(upstream.asked for upstream in fleet.upstreams))
-                if reads:
-                    await within(client.caller.reader.readuntil(reads))
-                (asked,) = [upstream for upstream in fleet.upstreams if upstream.asked]
-                await leave(client)
-                async with asyncio.timeout(WITHIN_S):
-                    await asked.ended.get()
+                if read_first:
+                    await within(client.caller.reader.readuntil(read_first))
+                (serving,) = [upstream for upstream in fleet.upstreams if upstream.asked]
+                await disconnect(client)
+                async with asyncio.timeout(DISCONNECT_DETECTION_S):
+                    await serving.ended.get()
                 self.assertEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 1)
 
-        run(story())
+        run(scenario())
 
-    def test_before_an_answer_has_begun(self) -> None:
+    def test_before_the_response_begins(self) -> None:
         for path in ROUTES:
-            self.assert_work_ends(silent, path, closes)
-        for leave in WAYS_TO_LEAVE:
-            self.assert_work_ends(silent, "/safe/x", leave)
+            self.assert_work_ends(silent, path, close)
+        for disconnect in DISCONNECTS:
+            self.assert_work_ends(silent, "/safe/x", disconnect)
 
-    def test_within_a_stream(self) -> None:
-        for behave in (streams, begins_a_stream):
-            for leave in WAYS_TO_LEAVE:
-                self.assert_work_ends(behave, "/resumable/x", leave, reads=event(1))
+    def test_during_a_stream(self) -> None:
+        for behave in (stream_until_closed, begin_stream):
+            for disconnect in DISCONNECTS:
+                self.assert_work_ends(behave, "/resumable/x", disconnect, read_first=event(1))
 
-    def test_that_is_not_noticed_would_be_found(self) -> None:
-        served_whole = Forwarder.serve
+    def test_undetected_disconnect_fails_the_check(self) -> None:
+        serve = Forwarder.serve
 
-        async def goes_on(forwarder: Forwarder, request: Any) -> Any:
-            return await asyncio.shield(served_whole(forwarder, request))
+        async def serve_to_the_end(forwarder: Forwarder, request: Any) -> Any:
+            return await asyncio.shield(serve(forwarder, request))
 
-        with mock.patch.object(Forwarder, "serve", goes_on), self.assertRaises(TimeoutError):
-            self.assert_work_ends(silent, "/safe/x", closes)
+        with mock.patch.object(Forwarder, "serve", serve_to_the_end), self.assertRaises(TimeoutError):
+            self.assert_work_ends(silent, "/safe/x", close)
 
 
-class WhatIsStillToBeSent(unittest.TestCase):
-    """For a client that has left it is dropped."""
+class UnsentRequests(unittest.TestCase):
+    """What has not been sent to an upstream is dropped when the client disconnects."""
 
-    def test_a_second_send_that_waits(self) -> None:
-        async def story() -> None:
+    def test_retry_during_its_backoff(self) -> None:
+        async def scenario() -> None:
             async with Fleet(refuses(), refuses(), document=document()) as fleet:
-                with mock.patch.object(Retries, "wait_ms", return_value=LONG_WAIT_MS) as wait:
+                with mock.patch.object(Retries, "wait_ms", return_value=LONG_BACKOFF_MS) as wait:
                     client = await fleet.client()
                     client.write("/safe/x")
                     await until(lambda: wait.called)
-                    await closes(client)
+                    await close(client)
                     await until(lambda: not fleet.plane._listener.open_requests)
                 self.assertEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 1)
 
-        run(story())
+        run(scenario())
 
-    def test_a_request_whose_connection_comes_up(self) -> None:
-        async def story() -> None:
-            begun, may_go_on = asyncio.Event(), asyncio.Event()
+    def test_request_that_waits_for_its_connection(self) -> None:
+        async def scenario() -> None:
+            exchange_started, may_connect = asyncio.Event(), asyncio.Event()
             exchange = UpstreamPool.exchange
 
-            async def deferred(pool: UpstreamPool, *told: Any) -> Any:
-                begun.set()
-                await may_go_on.wait()
-                return await exchange(pool, *told)
+            async def delayed_exchange(pool: UpstreamPool, *arguments: Any) -> Any:
+                exchange_started.set()
+                await may_connect.wait()
+                return await exchange(pool, *arguments)
 
             async with Fleet(served(), document=document()) as fleet:
-                with mock.patch.object(UpstreamPool, "exchange", deferred):
+                with mock.patch.object(UpstreamPool, "exchange", delayed_exchange):
                     client = await fleet.client()
                     client.write("/unsafe/x")
-                    await within(begun.wait())
-                    await closes(client)
+                    await within(exchange_started.wait())
+                    await close(client)
                     await until(lambda: not fleet.plane._listener.open_requests)
-                    may_go_on.set()
+                    may_connect.set()
                     self.assertEqual((await fleet.ask("/unsafe/x")).status, 200)
                 self.assertEqual(len(fleet.upstreams[0].asked), 1)
 
-        run(story())
+        run(scenario())
 
-    def test_a_request_behind_another_one_on_its_connection(self) -> None:
-        async def story() -> None:
+    def test_request_pipelined_behind_another_one(self) -> None:
+        async def scenario() -> None:
             async with Fleet(silent, silent, document=document()) as fleet:
                 client = await fleet.client()
                 client.write("/safe/x")
                 client.write("/safe/x")
                 await until(lambda: any(upstream.asked for upstream in fleet.upstreams))
-                await closes(client)
-                async with asyncio.timeout(WITHIN_S):
+                await close(client)
+                async with asyncio.timeout(DISCONNECT_DETECTION_S):
                     while fleet.plane._listener.open_requests:
                         await asyncio.sleep(0)
                 self.assertEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 1)
 
-        run(story())
+        run(scenario())
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -1,4 +1,4 @@
-"""Stories of planned work: a signal, a new configuration, an upstream that leaves. No request is cut."""
+"""Planned work interrupts no request: a signal, a new configuration, an upstream that leaves."""
 
 from __future__ import annotations
 
@@ -30,36 +30,36 @@
 )
 from tests.standins import run, within
 
-Work = Callable[[Fleet], Awaitable[None]]
-# Shorter than connections are taken for where there is time.
+PlannedWork = Callable[[Fleet], Awaitable[None]]
+# Shorter than STILL_ACCEPTING_S, for which a process with enough time still accepts connections.
 GRACE_S = 1.2
-END = b"0\r\n\r\n"
-STREAMING = ("POST /stream/", "POST /resumable/")
+LAST_CHUNK = b"0\r\n\r\n"
+STREAMING_REQUEST_LINES = ("POST /stream/", "POST /resumable/")
 
 
-class HeldUpstream:
-    """Keeps each request until it is told to go on; a stream has given its first event by then."""
+class BlockedUpstream:
+    """Delays each response until `released` is set; a stream sends its first event before that."""
 
     def __init__(self) -> None:
-        self.goes_on = asyncio.Event()
+        self.released = asyncio.Event()
 
     async def __call__(self, message: Message, writer: Writer) -> None:
-        if not message.start.startswith(STREAMING):
-            await self.goes_on.wait()
+        if not message.start.startswith(STREAMING_REQUEST_LINES):
+            await self.released.wait()
             await served()(message, writer)
             return
         writer.write(stream_head(message) + chunk(event(1)))
-        await self.goes_on.wait()
-        writer.write(chunk(event(2)) + END)
+        await self.released.wait()
+        writer.write(chunk(event(2)) + LAST_CHUNK)
 
 
-async def changes_seeds(fleet: Fleet) -> None:
-    """As SIGHUP, or the settings file without it, has the process do."""
+async def change_seeds(fleet: Fleet) -> None:
+    """Apply changed settings, as the process does after SIGHUP or when the settings file changes."""
     fleet.plane.apply_settings(settings(fleet.control.port, seeds=["127.0.0.9:1"]))
 
 
-async def drops_routes_and_shortens_times(fleet: Fleet) -> None:
-    """A new configuration without the routes, keys and service that the requests use."""
+async def drop_routes_and_shorten_timeouts(fleet: Fleet) -> None:
+    """Publish a configuration without the routes, keys and service that the requests use."""
     changed = document(
         7,
         routes=[{**document()["routes"][0], "path_prefix": "/other/", "service": "other"}],
@@ -71,29 +71,29 @@
     await until(lambda: ConfigurationApplied(7) in fleet.control.received)
 
 
-async def loses_all_control_planes(fleet: Fleet) -> None:
+async def lose_all_control_planes(fleet: Fleet) -> None:
     await fleet.control.close()
     await until(lambda: not fleet.plane.subscriber.open_links)
 
 
-def upstream_enters(state: str) -> Work:
-    async def enters(fleet: Fleet) -> None:
+def upstream_state_change(state: str) -> PlannedWork:
+    async def change_state(fleet: Fleet) -> None:
         await fleet.control.register(record(fleet.upstreams[0], "i-0", state, 2))
         await until(lambda: not fleet.ready_instances())
 
-    return enters
+    return change_state
 
 
-async def begins_to_end(fleet: Fleet) -> None:
-    """As SIGTERM has the process do."""
-    fleet.ending = asyncio.get_running_loop().create_task(fleet.plane.drain())  # type: ignore[attr-defined]
+async def begin_shutdown(fleet: Fleet) -> None:
+    """Begin the shutdown, as the process does on SIGTERM."""
+    fleet.shutdown_task = asyncio.get_running_loop().create_task(fleet.plane.drain())  # type: ignore[attr-defined]
     await until(lambda: fleet.plane._phase is Phase.FINISHING)
 
 
-def unchunked(body: bytes) -> bytes:
-    """The payload of a chunked body that ends: how events are spread over chunks depends on the machine."""
+def decode_chunks(body: bytes) -> bytes:
+    """Return the payload of a chunked body; how events are split into chunks depends on the machine."""
     payload = b""
-    while body != END:
+    while body != LAST_CHUNK:
         size, _, rest = body.partition(b"\r\n")
         length = int(size, 16)
         payload += rest[:length]
@@ -101,11 +101,11 @@
     return payload
 
 
-class RequestsThatRun(unittest.TestCase):
-    def assert_end_whole(self, work: Work) -> None:
-        async def story() -> None:
-            held = HeldUpstream()
-            async with Fleet(held, document=document()) as fleet:
+class RunningRequests(unittest.TestCase):
+    def assert_complete(self, work: PlannedWork) -> None:
+        async def scenario() -> None:
+            blocked = BlockedUpstream()
+            async with Fleet(blocked, document=document()) as fleet:
                 clients = [await fleet.client() for _ in range(4)]
                 for client, path in zip(
                     clients, ("/safe/x", "/unsafe/x", "/stream/x", "/resumable/x"), strict=True
@@ -113,116 +113,118 @@
                     client.write(path)
                 await until(lambda: len(fleet.upstreams[0].asked) == len(clients))
                 await work(fleet)
-                held.goes_on.set()
+                blocked.released.set()
                 for client in clients[:2]:
-                    got = await client.read()
-                    self.assertEqual((got.status, got.header("X-Upstream-Signature")), (200, SIGNATURE))
+                    response = await client.read()
+                    self.assertEqual(
+                        (response.status, response.header("X-Upstream-Signature")), (200, SIGNATURE)
+                    )
                 for client in clients[2:]:
-                    answer = await within(client.caller.reader.readuntil(END))
-                    body = answer.partition(b"\r\n\r\n")[2]
-                    self.assertEqual(event(1) + event(2), unchunked(body))
+                    stream = await within(client.caller.reader.readuntil(LAST_CHUNK))
+                    body = stream.partition(b"\r\n\r\n")[2]
+                    self.assertEqual(event(1) + event(2), decode_chunks(body))
                 self.assertEqual(len(fleet.upstreams[0].asked), len(clients))
 
-        run(story())
+        run(scenario())
 
-    def test_end_whole_after_a_change_of_the_settings(self) -> None:
-        self.assert_end_whole(changes_seeds)
+    def test_complete_after_a_change_of_the_settings(self) -> None:
+        self.assert_complete(change_seeds)
 
-    def test_end_whole_after_a_configuration_that_drops_what_they_use(self) -> None:
-        self.assert_end_whole(drops_routes_and_shortens_times)
+    def test_complete_after_a_configuration_without_their_routes(self) -> None:
+        self.assert_complete(drop_routes_and_shorten_timeouts)
 
-    def test_end_whole_without_any_control_plane(self) -> None:
-        self.assert_end_whole(loses_all_control_planes)
+    def test_complete_without_any_control_plane(self) -> None:
+        self.assert_complete(lose_all_control_planes)
 
-    def test_end_whole_at_an_upstream_that_drains_or_deregisters_without_a_word_before(self) -> None:
+    def test_complete_at_an_upstream_that_drains_or_deregisters_without_notice(self) -> None:
         for state in ("draining", "gone"):
-            self.assert_end_whole(upstream_enters(state))
+            self.assert_complete(upstream_state_change(state))
 
-    def test_end_whole_in_a_process_that_ends(self) -> None:
-        self.assert_end_whole(begins_to_end)
+    def test_complete_in_a_process_that_shuts_down(self) -> None:
+        self.assert_complete(begin_shutdown)
 
-    def test_that_were_cut_would_be_noticed(self) -> None:
-        async def cuts(fleet: Fleet) -> None:
+    def test_interruption_is_detected(self) -> None:
+        async def close_upstream_connections(fleet: Fleet) -> None:
             await fleet.plane.pool.close()
 
         with self.assertRaises((AssertionError, asyncio.IncompleteReadError)):
-            self.assert_end_whole(cuts)
+            self.assert_complete(close_upstream_connections)
 
 
-class AnUpstreamThatOnlyDeregisters(unittest.TestCase):
-    """It never said that it drains, and serves what it has."""
+class UpstreamThatOnlyDeregisters(unittest.TestCase):
+    """An upstream that deregisters without draining first, and still serves the requests that it has."""
 
-    def test_gets_nothing_new_whatever_late_heartbeats_say(self) -> None:
-        async def story() -> None:
+    def test_gets_no_new_request_despite_late_heartbeats(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), served(), document=document()) as fleet:
                 leaving, staying = fleet.upstreams
-                for _ in range(4):  # so that connections to both stand
+                for _ in range(4):  # opens connections to both upstreams
                     self.assertEqual((await fleet.ask()).status, 200)
                 leaving.asked.clear()
                 await fleet.control.register(record(leaving, "i-0", "gone", 3))
                 await until(lambda: fleet.ready_instances() == ("i-1",))
-                for late in (
+                for late_record in (
                     record(leaving, "i-0", "ready", 2),
                     record(leaving, "i-0", "ready", 9),
                     record(leaving, "i-0", "draining", 4),
                 ):
-                    await fleet.control.register(late)
-                await fleet.control.register(record(staying, "i-2"))  # comes behind those
+                    await fleet.control.register(late_record)
+                await fleet.control.register(record(staying, "i-2"))  # arrives after the late records
                 await until(lambda: "i-2" in fleet.ready_instances())
                 for _ in range(12):
                     self.assertEqual((await fleet.ask()).status, 200)
                 self.assertEqual((leaving.asked, set(fleet.ready_instances())), ([], {"i-1", "i-2"}))
 
-        run(story())
+        run(scenario())
 
-    def test_gets_nothing_that_waited_for_its_connection(self) -> None:
-        async def story() -> None:
-            begun, may_go_on = asyncio.Event(), asyncio.Event()
+    def test_gets_no_request_that_waited_for_its_connection(self) -> None:
+        async def scenario() -> None:
+            exchange_started, may_connect = asyncio.Event(), asyncio.Event()
             exchange = UpstreamPool.exchange
 
-            async def deferred(pool: UpstreamPool, *told: Any) -> Any:
-                begun.set()
-                await may_go_on.wait()
-                return await exchange(pool, *told)
+            async def delayed_exchange(pool: UpstreamPool, *arguments: Any) -> Any:
+                exchange_started.set()
+                await may_connect.wait()
+                return await exchange(pool, *arguments)
 
             async with Fleet(served(), document=document()) as fleet:
-                with mock.patch.object(UpstreamPool, "exchange", deferred):
+                with mock.patch.object(UpstreamPool, "exchange", delayed_exchange):
                     client = await fleet.client()
                     client.write("/unsafe/x")
-                    await within(begun.wait())
-                    await upstream_enters("gone")(fleet)
-                    may_go_on.set()
-                    got = await client.read()
-                self.assertEqual((got.status, fleet.upstreams[0].asked), (503, []))
-                self.assertIsNotNone(got.header("Retry-After"))
+                    await within(exchange_started.wait())
+                    await upstream_state_change("gone")(fleet)
+                    may_connect.set()
+                    response = await client.read()
+                self.assertEqual((response.status, fleet.upstreams[0].asked), (503, []))
+                self.assertIsNotNone(response.header("Retry-After"))
 
-        run(story())
+        run(scenario())
 
 
-class AShortGrace(unittest.TestCase):
-    """The process ends within it, whatever it is, and most of it is for requests that run."""
+class ShortGracePeriod(unittest.TestCase):
+    """The process ends within any grace period, and most of the period is left to running requests."""
 
-    def test_is_kept_and_serves_what_ends_within_half_of_it(self) -> None:
-        async def story() -> None:
-            held = HeldUpstream()
+    def test_process_ends_within_it_and_serves_a_request_that_takes_half_of_it(self) -> None:
+        async def scenario() -> None:
+            blocked = BlockedUpstream()
             bounds = {"grace_s": GRACE_S, "retry_slack": 50, "quota_slack": 0}
-            async with Fleet(held, document=document(), bounds=bounds) as fleet:
+            async with Fleet(blocked, document=document(), bounds=bounds) as fleet:
                 fleet.plane._still_accepting_s = STILL_ACCEPTING_S
                 loop = asyncio.get_running_loop()
                 client = await fleet.client()
                 client.write("/safe/x")
                 await until(lambda: len(fleet.upstreams[0].asked) == 1)
-                began_s = loop.time()
-                ending = loop.create_task(fleet.plane.drain())
-                loop.call_at(began_s + GRACE_S / 2, held.goes_on.set)
+                started_s = loop.time()
+                shutdown = loop.create_task(fleet.plane.drain())
+                loop.call_at(started_s + GRACE_S / 2, blocked.released.set)
                 self.assertEqual((await client.read()).status, 200)
-                await within(ending)
-                self.assertLess(loop.time() - began_s, GRACE_S)
+                await within(shutdown)
+                self.assertLess(loop.time() - started_s, GRACE_S)
 
-        run(story())
+        run(scenario())
 
-    def test_that_runs_out_leaves_a_promise_for_what_was_never_sent(self) -> None:
-        async def story() -> None:
+    def test_expiry_gives_503_for_a_refused_request_that_waits_for_its_retry(self) -> None:
+        async def scenario() -> None:
             bounds = {"grace_s": GRACE_S / 4, "retry_slack": 50, "quota_slack": 0}
             async with Fleet(refuses(), document=document(), bounds=bounds) as fleet:
                 waits_ms = [1000 * GRACE_S / 2, None]
@@ -231,47 +233,47 @@
                     client.write("/unsafe/x")
                     await until(lambda: wait.called)
                     await fleet.plane.drain()
-                    got = await client.read()
-                self.assertEqual((got.status, len(fleet.upstreams[0].asked)), (503, 1))
+                    response = await client.read()
+                self.assertEqual((response.status, len(fleet.upstreams[0].asked)), (503, 1))
 
-        run(story())
+        run(scenario())
 
 
-class ReadinessAtThePlannedEnd(unittest.TestCase):
-    """From the signal on no question of the platform's is answered with 200."""
+class ReadinessDuringShutdown(unittest.TestCase):
+    """From the signal on, no readiness probe of the platform is answered with 200."""
 
     def assert_never_ready_again(self) -> None:
-        async def story() -> None:
-            held = HeldUpstream()
-            async with Fleet(held, document=document()) as fleet:
+        async def scenario() -> None:
+            blocked = BlockedUpstream()
+            async with Fleet(blocked, document=document()) as fleet:
                 client: Client = await fleet.client()
                 client.write("/safe/x")
                 await until(lambda: len(fleet.upstreams[0].asked) == 1)
                 self.assertEqual(await fleet.readiness_status(), 200)
                 fleet.plane._still_accepting_s = 0.05
-                ending = asyncio.get_running_loop().create_task(fleet.plane.drain())
+                shutdown = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await asyncio.sleep(0)
                 self.assertEqual(await fleet.readiness_status(), 503)
-                await changes_seeds(fleet)
+                await change_seeds(fleet)
                 self.assertEqual(await fleet.readiness_status(), 503)
-                await drops_routes_and_shortens_times(fleet)
+                await drop_routes_and_shorten_timeouts(fleet)
                 self.assertEqual(await fleet.readiness_status(), 503)
                 await fleet.plane.drain()  # a second signal
                 self.assertEqual(await fleet.readiness_status(), 503)
                 await until(lambda: fleet.plane._phase is Phase.FINISHING)
                 self.assertEqual(await fleet.readiness_status(), 503)
-                held.goes_on.set()
+                blocked.released.set()
                 self.assertEqual((await client.read()).status, 200)
-                await within(ending)
+                await within(shutdown)
                 with self.assertRaises(ConnectionError):
                     await fleet.readiness_status()
 
-        run(story())
+        run(scenario())
 
-    def test_is_over_at_once_and_for_good(self) -> None:
+    def test_process_is_not_ready_from_the_signal_on(self) -> None:
         self.assert_never_ready_again()
 
-    def test_that_went_on_would_be_noticed(self) -> None:
+    def test_continued_readiness_is_detected(self) -> None:
         still_ready = property(lambda plane: plane.subscriber.is_ready)
         with mock.patch.object(DataPlane, "is_ready", still_ready), self.assertRaises(AssertionError):
             self.assert_never_ready_again()
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -1,4 +1,4 @@
-"""Stories of a data plane's life: what it refuses by itself, its configuration, and its planned end."""
+"""The life of a data plane: requests that it rejects itself, its configuration and its shutdown."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 ROOT = Path(__file__).parents[2]
 
 
-class WhatIsRefusedHere(unittest.TestCase):
-    def test_by_route_key_quota_and_size(self) -> None:
-        async def story() -> None:
+class RejectedRequests(unittest.TestCase):
+    def test_unknown_route_unknown_key_and_oversized_request_get_their_status(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 self.assertEqual((await fleet.ask("/nowhere/x")).status, 404)
                 self.assertEqual((await fleet.ask("/safe/x", X_Key="k-unknown")).status, 401)
@@ -45,16 +45,16 @@
                 self.assertEqual((await fleet.ask("/safe/x", X_Long="x" * 17_000)).status, 431)
                 self.assertEqual(fleet.upstreams[0].asked, [])
 
-        run(story())
+        run(scenario())
 
-    def test_beyond_a_quota_nothing_is_sent_and_the_client_is_told_when_to_come_back(self) -> None:
-        async def story() -> None:
+    def test_request_over_quota_is_not_sent_and_gets_retry_after(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 statuses = []
                 while 429 not in statuses:
-                    got = await fleet.ask("/unsafe/x", X_Key="k-thrifty")
-                    statuses.append(got.status)
-                self.assertIsNotNone(got.header("Retry-After"))
+                    response = await fleet.ask("/unsafe/x", X_Key="k-thrifty")
+                    statuses.append(response.status)
+                self.assertIsNotNone(response.header("Retry-After"))
                 self.assertEqual(len(fleet.upstreams[0].asked), len(statuses) - 1)
                 used = [m for m in fleet.control.received if isinstance(m, UsageReport) and m.used]
                 if not used:
@@ -62,25 +62,25 @@
                         lambda: any(isinstance(m, UsageReport) and m.used for m in fleet.control.received)
                     )
 
-        run(story())
+        run(scenario())
 
-    def test_while_the_version_in_force_may_be_old_the_client_is_asked_to_come_back(self) -> None:
-        async def story() -> None:
+    def test_possibly_outdated_configuration_gives_503_with_retry_after(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 await fleet.control.close()
                 await until(lambda: not fleet.plane.subscriber.open_links)
                 for path, key in (("/nowhere/x", "k-acme"), ("/safe/x", "k-unknown")):
-                    got = await fleet.ask(path, X_Key=key)
-                    self.assertEqual(got.status, 503)
-                    self.assertIsNotNone(got.header("Retry-After"))
-                self.assertEqual((await fleet.ask("/safe/x")).status, 200)  # service goes on
+                    response = await fleet.ask(path, X_Key=key)
+                    self.assertEqual(response.status, 503)
+                    self.assertIsNotNone(response.header("Retry-After"))
+                self.assertEqual((await fleet.ask("/safe/x")).status, 200)  # valid requests are still served
 
-        run(story())
+        run(scenario())
 
 
-class TheConfiguration(unittest.TestCase):
-    def test_makes_ready_and_changes_at_once(self) -> None:
-        async def story() -> None:
+class Configuration(unittest.TestCase):
+    def test_first_configuration_makes_ready_and_a_new_one_applies_at_once(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=None) as fleet:
                 await until(lambda: any(isinstance(m, Subscribe) for m in fleet.control.received))
                 self.assertEqual(await fleet.readiness_status(), 503)
@@ -98,13 +98,13 @@
                 self.assertEqual((await fleet.ask("/safe/x")).status, 404)
                 self.assertEqual((await fleet.ask("/new/safe/x")).status, 200)
 
-        run(story())
+        run(scenario())
 
 
-class ThePlannedEnd(unittest.TestCase):
-    def test_loses_no_request_and_ends_by_itself(self) -> None:
-        async def story() -> None:
-            async def streams(message: Message, writer: Writer) -> None:
+class PlannedShutdown(unittest.TestCase):
+    def test_loses_no_request_and_completes_by_itself(self) -> None:
+        async def scenario() -> None:
+            async def respond(message: Message, writer: Writer) -> None:
                 if "stream" in message.start:
                     writer.write(stream_head(message) + chunk(event(1)))
                     writers.append(writer)
@@ -112,59 +112,59 @@
                     await served()(message, writer)
 
             writers: list[Writer] = []
-            async with Fleet(streams, document=document()) as fleet:
-                resting, streaming, fresh = [await fleet.client() for _ in range(3)]
-                self.assertEqual((await resting.ask()).status, 200)
+            async with Fleet(respond, document=document()) as fleet:
+                idle, streaming, unused = [await fleet.client() for _ in range(3)]
+                self.assertEqual((await idle.ask()).status, 200)
                 streaming.write("/stream/x")
                 await streaming.caller.reader.readuntil(event(1))
                 fleet.plane._still_accepting_s = 0.3
-                ending = asyncio.get_running_loop().create_task(fleet.plane.drain())
+                shutdown = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await until(lambda: not fleet.plane.is_ready)
                 self.assertEqual(await fleet.readiness_status(), 503)
-                for client in (resting, fresh, await fleet.client()):
-                    got = await client.ask()
-                    self.assertEqual((got.status, got.header("Connection")), (200, "close"))
+                for client in (idle, unused, await fleet.client()):
+                    response = await client.ask()
+                    self.assertEqual((response.status, response.header("Connection")), (200, "close"))
                     self.assertTrue(await client.caller.at_end())
                 writers[0].write(chunk(event(2)) + b"0\r\n\r\n")
                 await within(streaming.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
-                await within(ending)
+                await within(shutdown)
                 await within(fleet.plane.wait_until_ended())
                 self.assertIn(Goodbye(), fleet.control.received)
 
-        run(story())
+        run(scenario())
 
-    def test_closes_connections_that_rest(self) -> None:
-        async def story() -> None:
+    def test_closes_idle_connections(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 client = await fleet.client()
                 self.assertEqual((await client.ask()).status, 200)
                 await fleet.plane.drain()
                 self.assertTrue(await client.caller.at_end())
 
-        run(story())
+        run(scenario())
 
 
-class TheProcess(unittest.TestCase):
+class DataPlaneProcess(unittest.TestCase):
     def command(self, path: str, *arguments: str) -> list[str]:
         return [sys.executable, "-m", "madderwind.dataplane", *arguments]
 
     def environment(self, path: str) -> dict[str, str]:
         return {**os.environ, "MADDERWIND_CONFIG": path, "PYTHONPATH": str(ROOT)}
 
-    def test_says_in_one_line_why_its_settings_cannot_be_used(self) -> None:
+    def test_reports_unusable_settings_in_one_line(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = str(Path(folder) / "node.json")
             for text in (None, "{", '{"node": 3}', '{"node": "n", "ip": "127.0.0.1"}'):
                 if text is not None:
                     Path(path).write_text(text)
-                ended = subprocess.run(
+                completed = subprocess.run(
                     self.command(path), cwd=ROOT, env=self.environment(path), capture_output=True, text=True
                 )
-                self.assertEqual(ended.returncode, 1, ended.stderr)
-                self.assertEqual(len(ended.stderr.splitlines()), 1, ended.stderr)
+                self.assertEqual(completed.returncode, 1, completed.stderr)
+                self.assertEqual(len(completed.stderr.splitlines()), 1, completed.stderr)
 
-    def test_serves_reads_its_settings_again_and_ends_on_sigterm(self) -> None:
-        async def story() -> None:
+    def test_serves_reloads_its_settings_and_exits_on_sigterm(self) -> None:
+        async def scenario() -> None:
             control = ControlPlane(document())
             upstream = Upstream(served())
             await upstream.start()
@@ -181,15 +181,15 @@
                 )
                 assert process.stdout is not None
                 try:
-                    started = await self.line(process.stdout, "started")
-                    await self.line(process.stdout, "configuration_in_force")
+                    started = await self.next_event(process.stdout, "started")
+                    await self.next_event(process.stdout, "configuration_in_force")
                     process.send_signal(signal.SIGHUP)
                     changed = _raw_settings(port, seeds=["127.0.0.9:1"])
                     path.write_bytes(msgspec.json.encode(changed))
-                    await self.line(process.stdout, "seeds_changed")
+                    await self.next_event(process.stdout, "seeds_changed")
                     caller = await Caller.connect(started["front"])
                     process.terminate()
-                    await self.line(process.stdout, "phase")
+                    await self.next_event(process.stdout, "phase")
                     caller.write(
                         "POST /safe/x", b"hi", Host="shop.example", X_Key="k-acme", X_Request_Id="r-1"
                     )
@@ -202,14 +202,14 @@
             await control.close()
             await upstream.__aexit__()
 
-        run(story())
+        run(scenario())
 
-    async def line(self, output: asyncio.StreamReader, name: str) -> dict[str, int]:
-        """The next line of the log with this event."""
+    async def next_event(self, output: asyncio.StreamReader, name: str) -> dict[str, int]:
+        """Return the next line of the log with this event."""
         while True:
-            said = msgspec.json.decode(await within(output.readline()))
-            if said["event"] == name:
-                return dict(said)
+            log_line = msgspec.json.decode(await within(output.readline()))
+            if log_line["event"] == name:
+                return dict(log_line)
 
 
 def _raw_settings(control_port: int, **changes: object) -> dict[str, object]:
--- a/tests/dataplane/test_unsure_refusals.py
+++ b/tests/dataplane/test_unsure_refusals.py
@@ -1,4 +1,4 @@
-"""Stories of a data plane that doesn't know the newest configuration: nothing is refused for good."""
+"""A data plane that may not have the newest configuration rejects no request permanently."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.dataplane.fleet import ControlPlane, Fleet, Message, document, served, until
 from tests.standins import run
 
-# What some configuration may allow though the one in force, or none, doesn't.
-REFUSABLE: tuple[tuple[str, dict[str, Any]], ...] = (
+# Requests that another configuration may allow although the current one, or having none, does not.
+REJECTED_REQUESTS: tuple[tuple[str, dict[str, Any]], ...] = (
     ("/nowhere/x", {}),
     ("/safe/x", {"X_Key": "k-unknown"}),
     ("/safe/x", {"X_Key": None}),
@@ -20,50 +20,52 @@
 )
 
 
-async def asked_all(fleet: Fleet) -> list[Message]:
-    return [await fleet.ask(path, **more) for path, more in REFUSABLE]
+async def send_all(fleet: Fleet) -> list[Message]:
+    return [await fleet.ask(path, **request) for path, request in REJECTED_REQUESTS]
 
 
-class WhatIsRefused(unittest.TestCase):
-    def assert_asked_to_come_back(self, answers: list[Message]) -> None:
-        for (path, more), got in zip(REFUSABLE, answers, strict=True):
-            self.assertEqual(got.status, 503, (path, list(more)))
-            self.assertTrue(0 < float(got.header("Retry-After") or 0) < 1)
-            self.assertIsNone(got.header("X-Upstream-Signature"))
+class RejectedRequests(unittest.TestCase):
+    def assert_retryable(self, responses: list[Message]) -> None:
+        for (path, request), response in zip(REJECTED_REQUESTS, responses, strict=True):
+            self.assertEqual(response.status, 503, (path, list(request)))
+            self.assertTrue(0 < float(response.header("Retry-After") or 0) < 1)
+            self.assertIsNone(response.header("X-Upstream-Signature"))
 
-    def test_given_no_configuration_then_clients_are_asked_to_come_back(self) -> None:
-        async def story() -> None:
+    def test_without_a_configuration_rejections_are_retryable(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=None) as fleet:
-                await until(lambda: any(isinstance(told, Subscribe) for told in fleet.control.received))
-                self.assert_asked_to_come_back(await asked_all(fleet))
+                await until(lambda: any(isinstance(message, Subscribe) for message in fleet.control.received))
+                self.assert_retryable(await send_all(fleet))
 
-        run(story())
+        run(scenario())
 
-    def test_given_one_that_may_be_old_then_clients_are_asked_to_come_back(self) -> None:
-        async def story() -> None:
+    def test_with_a_possibly_outdated_configuration_rejections_are_retryable(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 await fleet.control.close()
                 await until(lambda: not fleet.plane.subscriber.open_links)
-                self.assert_asked_to_come_back(await asked_all(fleet))
+                self.assert_retryable(await send_all(fleet))
 
-        run(story())
+        run(scenario())
 
-    def test_given_a_newer_one_that_has_not_come_yet_then_clients_are_asked_to_come_back(self) -> None:
-        async def story() -> None:
+    def test_before_a_newer_configuration_arrives_rejections_are_retryable(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 with mock.patch.object(ControlPlane, "version", 9):
-                    fleet.control.document = None  # a version is told that is not handed out
+                    fleet.control.document = None  # announces a version without a configuration to fetch
                     await until(lambda: not fleet.plane.admission.knows_newest)
-                    self.assert_asked_to_come_back(await asked_all(fleet))
+                    self.assert_retryable(await send_all(fleet))
 
-        run(story())
+        run(scenario())
 
-    def test_given_the_newest_then_it_is_refused_for_good(self) -> None:
-        async def story() -> None:
+    def test_with_the_newest_configuration_rejections_are_final(self) -> None:
+        async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
-                self.assertEqual([got.status for got in await asked_all(fleet)], [404, 401, 401, 413, 431])
+                self.assertEqual(
+                    [response.status for response in await send_all(fleet)], [404, 401, 401, 413, 431]
+                )
 
-        run(story())
+        run(scenario())
 
 
 if __name__ == "__main__":
