--- a/tests/dataplane/chaos.py
+++ b/tests/dataplane/chaos.py
@@ -97,9 +97,8 @@
         self._seed = seed
         self.arrivals: list[Arrival] = []
         self.requests: dict[str, ClientRequest] = {}
-        self.drained_ms: dict[
-            str, float
-        ] = {}  # when the data plane knew that an instance takes no new requests
+        # When the data plane knew that an instance takes no new requests.
+        self.drained_ms: dict[str, float] = {}
         self.loop_errors: list[str] = []
         self._fleet: Fleet
         self._instance_count = UPSTREAM_COUNT
