--- a/madderwind/transport/__init__.py
+++ b/madderwind/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: listening for callers, connections to upstreams, and how connecting, resets and waits end."""
+"""Sockets: listening for callers, connections to upstreams, and how connects, resets and timeouts end."""
--- a/madderwind/transport/accepting.py
+++ b/madderwind/transport/accepting.py
@@ -1,4 +1,4 @@
-"""Taking in the connections that wait at a listening socket, also when descriptors run short."""
+"""Accepts the connections pending on a listening socket, also when file descriptors run short."""
 
 from __future__ import annotations
 
@@ -8,32 +8,37 @@
 
 from madderwind.transport.limits import OWN_LIMITS
 
-# How often it is looked whether a descriptor has come free.
-LOOK_S = 0.01
-# Connections taken in one go, before others have their turn.
-ACCEPTS = 64
+# How long to wait before the next attempt to accept.
+RETRY_INTERVAL_S = 0.01
+# Connections accepted in one callback of the event loop, before other callbacks get their turn.
+MAX_ACCEPTS_PER_CALLBACK = 64
 
 
 class Acceptor:
-    """Accepts for one listener.
+    """Accepts connections for one listener.
 
-    Guards against the loop's own server, which for want of a descriptor tries once for each place in its
-    queue and then accepts nothing for a second, while requests on waiting connections run out of time.
+    Guards against asyncio's own server: when file descriptors run out, it retries once for each place in its
+    backlog and then accepts nothing for a second, while requests on pending connections time out.
 
-    `no_descriptor` is asked then: whether it has let one go, so that it may be tried again at once.
-    `has_room` is asked before each, with how many are being taken in: the rest waits in the system's queue.
+    `on_descriptor_shortage` is called when no descriptor is free; it returns whether it has freed one, so
+    that accepting can be retried at once. `has_capacity` is called before each accept with the number of
+    connections still being set up; while it returns false, connections stay in the system's backlog.
     """
 
     def __init__(
         self,
-        protocol: Callable[[], asyncio.BaseProtocol],
-        no_descriptor: Callable[[], bool],
-        has_room: Callable[[int], bool] = lambda _: True,
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
+        on_descriptor_shortage: Callable[[], bool],
+        has_capacity: Callable[[int], bool] = lambda _: True,
     ) -> None:
-        self._protocol, self._no_descriptor, self._has_room = protocol, no_descriptor, has_room
+        self._protocol_factory, self._on_descriptor_shortage, self._has_capacity = (
+            protocol_factory,
+            on_descriptor_shortage,
+            has_capacity,
+        )
         self.listening: socket.socket | None = None
         self.paused = False
-        self._taking_in: set[asyncio.Task[None]] = set()
+        self._pending_setups: set[asyncio.Task[None]] = set()
 
     def open(self, listening: socket.socket) -> None:
         self.listening = listening
@@ -41,35 +46,35 @@
         self.resume()
 
     def pause(self) -> None:
-        """Leave what waits to another process, which accepts from the same queue."""
+        """Leave pending connections to another process, which accepts from the same backlog."""
         self.paused = True
         if self.listening is not None:
             asyncio.get_running_loop().remove_reader(self.listening)
 
     def resume(self) -> None:
         self.paused = False
-        self._listen()
+        self._add_reader()
 
-    def close(self, take_what_waits: bool = False) -> None:
-        """Listen no more; what waits by now may be taken, and is not reset."""
+    def close(self, accept_pending: bool = False) -> None:
+        """Stop listening; `accept_pending` first accepts connections in the backlog, which would be reset."""
         if self.listening is None:
             return
-        if take_what_waits and not self.paused:
+        if accept_pending and not self.paused:
             self._accept()
         asyncio.get_running_loop().remove_reader(self.listening)
         self.listening.close()
         self.listening = None
 
-    def _listen(self) -> None:
+    def _add_reader(self) -> None:
         if self.listening is not None and not self.paused:
             asyncio.get_running_loop().add_reader(self.listening, self._accept)
 
     def _accept(self) -> None:
         assert self.listening is not None
         loop = asyncio.get_running_loop()
-        for _ in range(ACCEPTS):
-            if not self._has_room(len(self._taking_in)):
-                self._look_again()
+        for _ in range(MAX_ACCEPTS_PER_CALLBACK):
+            if not self._has_capacity(len(self._pending_setups)):
+                self._retry_later()
                 return
             try:
                 accepted, _ = self.listening.accept()
@@ -78,23 +83,23 @@
             except OSError as error:
                 if error.errno not in OWN_LIMITS:
                     raise
-                if self._no_descriptor():
+                if self._on_descriptor_shortage():
                     continue
-                self._look_again()
+                self._retry_later()
                 return
             accepted.setblocking(False)
-            task = loop.create_task(self._take_in(accepted))
-            self._taking_in.add(task)
-            task.add_done_callback(self._taking_in.discard)
+            task = loop.create_task(self._set_up_connection(accepted))
+            self._pending_setups.add(task)
+            task.add_done_callback(self._pending_setups.discard)
 
-    def _look_again(self) -> None:
+    def _retry_later(self) -> None:
         assert self.listening is not None
         loop = asyncio.get_running_loop()
         loop.remove_reader(self.listening)
-        loop.call_later(LOOK_S, self._listen)
+        loop.call_later(RETRY_INTERVAL_S, self._add_reader)
 
-    async def _take_in(self, accepted: socket.socket) -> None:
+    async def _set_up_connection(self, accepted: socket.socket) -> None:
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(self._protocol, accepted)
-        except OSError:  # it ended while it was taken in
+            await asyncio.get_running_loop().connect_accepted_socket(self._protocol_factory, accepted)
+        except OSError:  # the connection was lost during its setup
             accepted.close()
--- a/madderwind/transport/bodies.py
+++ b/madderwind/transport/bodies.py
@@ -1,4 +1,6 @@
-"""A caller's body: whole where it is short, its beginning and the rest in pieces where it is long."""
+"""The body of a caller's request: buffered whole if it is short, else its beginning, with the rest
+streamed.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +12,23 @@
 
 from madderwind.transport.budget import Budget
 
-# Messages hold at most 32 MB; this leaves some room, and keeps out those that are longer by far.
+# Messages hold at most 32 MB; the margin admits slightly longer ones and rejects those that are far longer.
 LONGEST_BODY = 40 * 1024 * 1024
-# Up to here a body is short: its bytes are there whatever else is held.
-SHORT_BODY = 64 * 1024
-# Up to here it is held whole if the budget allows it, so that it can be sent again.
+# A body up to this length is short: it is always buffered, whatever the budget.
+SHORT_BODY_BYTES = 64 * 1024
+# A body up to this length is buffered whole if the budget allows it, so that it can be resent.
 HELD_BODY = 1024 * 1024
-# What passing a message on holds: its buffers between two sockets.
+# The memory that streaming a message takes: its buffers between two sockets.
 PASSING = 256 * 1024
-# Waiting for a caller's bytes: so long for the first, and no slower than this after. A caller with a body is
-# owed its time at 64 kB a second, one that sends less than it said an error within 3 s of connecting.
+# Wait for the first bytes of a body, and the lowest rate after them. Callers are promised time for 64 kB a
+# second; a caller that sends less than it announced is owed an error within 3 s of connecting.
 READ_S, SLOWEST_BYTES_PER_S = 2.0, 48_000
-# An answer before the last byte came is not overtaken by a reset, if the rest comes within this time.
+# How long to read the rest of a body after an early response, so that no reset overtakes the response.
 LINGER_S = 2.0
 
 
 class BadBody(ValueError):
-    """A body that is too long, broken, or never whole, with the status that says so."""
+    """A body that is too long, malformed or incomplete, with the status to answer it with."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -34,33 +36,35 @@
 
 
 class Body:
-    """What came of a body so far, and the rest when it is asked for."""
+    """The part of a body received so far, and the rest on demand."""
 
     def __init__(self, request: web.BaseRequest, budget: Budget, read_s: float) -> None:
         self._request, self._budget, self._read_s = request, budget, read_s
-        self.length = request.content_length  # None where only its end tells
+        self.length = request.content_length  # None for a chunked body
         self.held = b""
         self.whole = False
-        self._spent, self._came, self._waited_s = 0, 0, 0.0
-        self.broken: BadBody | None = None  # why the rest never came
+        self._reserved_bytes, self._received_bytes, self._waited_s = 0, 0, 0.0
+        self.broken: BadBody | None = None  # why the rest never arrived
 
     async def begin(self) -> None:
-        """Read it whole, or as much of it as may be held. Callers that ask first are told to go on.
+        """Read the body whole, or as much of it as may be buffered, after a 100 Continue where one is
+        expected.
 
-        Guards against reading what is too long by its own header: that takes time from all other requests.
+        Guards against reading a body whose stated length is too long: this takes time from all other
+        requests.
         """
         request = self._request
         if (self.length or 0) > LONGEST_BODY:
             raise BadBody(413, "the body is too long")
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            request.writer.output_size = 0  # or the answer's own headers would count as sent
+            request.writer.output_size = 0  # otherwise aiohttp counts the response's own headers as sent
         if not request.body_exists:
             self.whole = True
             return
         parts = []
-        while self._may_hold_more():
-            part = await self._piece()
+        while self._may_buffer_more():
+            part = await self._read_chunk()
             if not part:
                 self.whole = True
                 break
@@ -69,41 +73,45 @@
 
     @property
     def is_long(self) -> bool:
-        return self._came > SHORT_BODY
+        return self._received_bytes > SHORT_BODY_BYTES
 
-    def _may_hold_more(self) -> bool:
-        if self._came < self._spent:
+    def _may_buffer_more(self) -> bool:
+        if self._received_bytes < self._reserved_bytes:
             return True
-        if self._came >= HELD_BODY:
+        if self._received_bytes >= HELD_BODY:
             return False
-        left = SHORT_BODY if self.length is None else max(1, self.length - self._came)
-        wanted = min(left, SHORT_BODY)
-        if self._came < SHORT_BODY:
-            self._budget.spend(wanted)
-        elif not self._budget.try_spend(wanted):
+        remaining_bytes = (
+            SHORT_BODY_BYTES if self.length is None else max(1, self.length - self._received_bytes)
+        )
+        wanted_bytes = min(remaining_bytes, SHORT_BODY_BYTES)
+        if self._received_bytes < SHORT_BODY_BYTES:
+            self._budget.reserve(wanted_bytes)
+        elif not self._budget.try_reserve(wanted_bytes):
             return False
-        self._spent += wanted
+        self._reserved_bytes += wanted_bytes
         return True
 
     async def rest(self) -> AsyncIterator[bytes]:
-        """The held beginning, which is let go, and what comes after it, a piece at a time."""
+        """Yield the buffered beginning, which is released, and then the rest as it arrives."""
         held = self.held
         self.end()
-        for at in range(0, len(held), SHORT_BODY):
-            yield held[at : at + SHORT_BODY]
+        for at in range(0, len(held), SHORT_BODY_BYTES):
+            yield held[at : at + SHORT_BODY_BYTES]
         del held
         while not self.whole:
-            part = await self._piece()
+            part = await self._read_chunk()
             self.whole = not part
             yield part
 
-    async def _piece(self) -> bytes:
-        """Some more bytes; none at the end. Only time in which the caller is waited for counts."""
+    async def _read_chunk(self) -> bytes:
+        """Return more bytes, or none at the end. Only time spent waiting for the caller counts towards the
+        limit.
+        """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        may_wait_s = self._read_s + self._came / SLOWEST_BYTES_PER_S - self._waited_s
+        timeout_s = self._read_s + self._received_bytes / SLOWEST_BYTES_PER_S - self._waited_s
         try:
-            async with asyncio.timeout(may_wait_s):
+            async with asyncio.timeout(timeout_s):
                 part = await self._request.content.readany()
         except TimeoutError:
             self.broken = BadBody(408, "the body never came whole")
@@ -111,20 +119,20 @@
             self.broken = BadBody(400, f"the body cannot be read: {type(error).__name__}")
         else:
             self._waited_s += loop.time() - began_s
-            self._came += len(part)
-            if self._came <= LONGEST_BODY:
+            self._received_bytes += len(part)
+            if self._received_bytes <= LONGEST_BODY:
                 return part
             self.broken = BadBody(413, "the body is too long")
         raise self.broken
 
     def linger(self) -> None:
-        """The rest is read and dropped for a while after the answer.
+        """Read and discard the rest for a while after the response.
 
-        Guards against a reset that overtakes the answer at a caller who still writes.
+        Guards against a reset that overtakes the response at a caller that is still writing.
         """
         self._request.protocol._lingering_time = LINGER_S
 
     def end(self) -> None:
-        """Nothing of it is held any more."""
-        self.held, spent, self._spent = b"", self._spent, 0
-        self._budget.give_back(spent)
+        """Release all buffered bytes."""
+        self.held, reserved_bytes, self._reserved_bytes = b"", self._reserved_bytes, 0
+        self._budget.give_back(reserved_bytes)
--- a/madderwind/transport/budget.py
+++ b/madderwind/transport/budget.py
@@ -1,4 +1,4 @@
-"""How many bytes of messages this machine may hold at once."""
+"""Limits how many bytes of messages this machine holds at once."""
 
 from __future__ import annotations
 
@@ -6,71 +6,73 @@
 from collections import deque
 
 MIB = 1024 * 1024
-# What a process takes before it holds a byte, seen to be 26 MB; and the part of the rest that messages may
-# take, as buffers of the system and of Python come on top. In an upgrade there are two processes.
-PROCESS_MIB, PROCESSES, PART = 28, 2, 0.7
-LEAST_MIB = 2
+# The memory of a process that holds no messages (26 MB were seen), and the fraction of the remaining memory
+# that messages may take, as system and Python buffers come on top. During an upgrade two processes run.
+PROCESS_MIB, MAX_PROCESSES, MESSAGE_FRACTION = 28, 2, 0.7
+MIN_BUDGET_MIB = 2
 
 
 class Budget:
-    """Short messages always get their bytes; long ones wait in turn while too few are left.
+    """Short messages always get their bytes; long ones queue in order while too few bytes are available.
 
-    Guards against long messages, more at once than memory holds, for which the process would be killed.
+    Guards against more long messages at once than memory holds: the process would be killed.
     """
 
     def __init__(self, size: int) -> None:
         self.left = self.size = size
-        self._waiting: deque[tuple[int, asyncio.Future[None]]] = deque()
+        self._waiters: deque[tuple[int, asyncio.Future[None]]] = deque()
 
     def resize(self, size: int) -> None:
-        """More or less from now on; what is held stays held."""
+        """Change the total; bytes that are reserved stay reserved."""
         self.left, self.size = self.left + size - self.size, size
         self.give_back(0)
 
-    def spend(self, count: int) -> None:
-        """For a short message, whatever is left."""
-        self.left -= count
+    def reserve(self, size_bytes: int) -> None:
+        """Reserve for a short message, even beyond the limit."""
+        self.left -= size_bytes
 
-    def try_spend(self, count: int) -> bool:
-        """For more of a message, if nobody waits and it is there."""
-        if self._waiting or self.left < count:
+    def try_reserve(self, size_bytes: int) -> bool:
+        """Reserve more for a message if nobody is queued and enough is available."""
+        if self._waiters or self.left < size_bytes:
             return False
-        self.left -= count
+        self.left -= size_bytes
         return True
 
-    async def wait_for(self, count: int) -> None:
-        """For a long message, in turn."""
-        if self.try_spend(count):
+    async def wait_for(self, size_bytes: int) -> None:
+        """Reserve for a long message, in order of arrival."""
+        if self.try_reserve(size_bytes):
             return
         turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiting.append((count, turn))
+        self._waiters.append((size_bytes, turn))
         try:
             await turn
         except asyncio.CancelledError:
             if turn.done() and not turn.cancelled():
-                self.give_back(count)  # its turn came as it left
+                self.give_back(size_bytes)  # cancelled after its reservation was granted
             raise
 
-    def give_back(self, count: int) -> None:
-        self.left += count
-        while self._waiting and (self._waiting[0][1].done() or self.left >= self._waiting[0][0]):
-            wanted, turn = self._waiting.popleft()
+    def give_back(self, size_bytes: int) -> None:
+        self.left += size_bytes
+        while self._waiters and (self._waiters[0][1].done() or self.left >= self._waiters[0][0]):
+            wanted_bytes, turn = self._waiters.popleft()
             if not turn.done():
-                self.left -= wanted
+                self.left -= wanted_bytes
                 turn.set_result(None)
 
 
 class Budgets:
-    """One budget of bytes, half for messages that are held and half for those that pass on in pieces.
+    """Two budgets of equal size: for messages that are buffered whole, and for those that are streamed.
 
-    Guards against a standstill: who passes a message on waits for nobody who holds one.
+    Guards against a deadlock: a streamed message never waits for one that is buffered.
     """
 
     def __init__(self, memory_mb: float) -> None:
-        self._size = int(max(LEAST_MIB, (memory_mb - PROCESSES * PROCESS_MIB) * PART) * MIB)
+        self._size = int(
+            max(MIN_BUDGET_MIB, (memory_mb - MAX_PROCESSES * PROCESS_MIB) * MESSAGE_FRACTION) * MIB
+        )
         self.holding, self.passing = Budget(self._size // 2), Budget(self._size // 2)
 
     def share(self, processes: int) -> None:
-        """So many processes of one balancer share this machine from now on."""
+        """Divide the memory between this many processes of one balancer on this machine."""
         for budget in (self.holding, self.passing):
             budget.resize(self._size // 2 // processes)
--- a/madderwind/transport/encoded_request.py
+++ b/madderwind/transport/encoded_request.py
@@ -1,4 +1,4 @@
-"""One attempt's request, as it is handed to the connections to upstreams."""
+"""The request of one attempt, in the form that the upstream connections send."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from madderwind.transport.answering import Addresses, OneAnswer
+from madderwind.transport.answering import AddresseeCheck, SingleResponseHandler
 
 
 class Sink(Protocol):
-    """Takes an answer that passes on in pieces."""
+    """Receives a streamed response."""
 
     async def begin(self, headers: CIMultiDictProxy[str], length: int | None) -> bool:
-        """Whether the answer is wanted."""
+        """Start the response; return whether it is still wanted."""
 
     async def write(self, part: bytes) -> None:
-        """The next bytes; returns when there is room for more."""
+        """Write the next bytes; return when there is room for more."""
 
 
 class Upload(NamedTuple):
-    """A body that passes on in pieces, and its length where that is told."""
+    """A streamed body, and its length where it is known."""
 
     pieces: AsyncIterator[bytes]
     length: int | None
 
 
 class EncodedRequest:
-    """One attempt's request, and whether its writing has begun.
+    """The request of one attempt, and how far it has been sent.
 
-    `may_write` is asked when the connection is up: what was right to send may by then be wrong. For the same
-    reason `headers_at_write` is called then: it gives the headers whose values depend on the time.
+    `may_write` is called once the connection is established, as the decision to send may be outdated by then.
+    `headers_at_write` is called at the same time and returns the headers whose values depend on the time.
     """
 
     __slots__ = (
         "addresses",
-        "begun",
+        "write_started",
         "body",
         "connection",
         "headers",
@@ -52,8 +52,8 @@
         "target",
         "upload",
         "upstream",
-        "whole",
-        "written",
+        "write_finished",
+        "write_approved",
     )
 
     def __init__(
@@ -67,28 +67,31 @@
         on_whole: Callable[[], None] = lambda: None,
         upload: Upload | None = None,
         sink: Sink | None = None,
-        addresses: Addresses | None = None,
+        addresses: AddresseeCheck | None = None,
         headers_at_write: Callable[[], dict[str, str]] = dict,
     ) -> None:
         self.method, self.target, self.headers, self.body = method, target, headers, body
         self.may_write = may_write
         self.headers_at_write = headers_at_write
-        self.may_repeat = may_repeat  # whether a second copy of it would do no harm
-        self.on_whole = on_whole  # called when its last byte has been written
-        self.upload = upload  # in the place of `body`
-        self.sink = sink  # for an answer that is too long to be held
-        self.addresses = addresses  # an answer that is not this request's can't be read
-        self.written = False  # decided on: its writing comes next
-        self.begun, self.whole = False, False  # whether its first byte may have left, and its last
+        self.may_repeat = may_repeat  # whether a duplicate would do no harm
+        self.on_whole = on_whole  # called when the last byte has been written
+        self.upload = upload  # replaces `body`
+        self.sink = sink  # receives a response that is too long to buffer
+        self.addresses = addresses  # a response that belongs to another request is an error
+        self.write_approved = False  # `may_write` has allowed it, and writing comes next
+        self.write_started, self.write_finished = (
+            False,
+            False,
+        )  # whether its first byte may have been sent, and its last
         self.limit: asyncio.Timeout | None = None
-        self.upstream = -1  # the number of the upstream asked
-        self.connection: OneAnswer | None = None  # that it is written to
+        self.upstream = -1  # number of the upstream
+        self.connection: SingleResponseHandler | None = None  # the connection that sends it
 
-    def was_written(self) -> None:
-        """To its last byte."""
-        self.whole = True
+    def mark_written(self) -> None:
+        """Record that the last byte has been written."""
+        self.write_finished = True
         self.on_whole()
 
 
-# The request that the present task is making.
+# The request that the current task is sending.
 current_request: ContextVar[EncodedRequest] = ContextVar("current_request")
--- a/madderwind/transport/gated_request.py
+++ b/madderwind/transport/gated_request.py
@@ -1,4 +1,4 @@
-"""The client's request with a gate between the connection's coming up and the first byte."""
+"""The aiohttp client request, with a last check between the connect and the first byte."""
 
 from __future__ import annotations
 
@@ -8,65 +8,69 @@
 from aiohttp.client_reqrep import ClientRequest, ClientResponse, ConnectionKey
 from aiohttp.connector import Connection
 
-from madderwind.transport.answering import OneAnswer
+from madderwind.transport.answering import SingleResponseHandler
 from madderwind.transport.encoded_request import current_request
 
 
 class NotWrittenError(Exception):
-    """The connection came up too late for this attempt."""
+    """The attempt was no longer wanted, or its connection no longer usable, before anything was sent."""
 
 
 class _Target(NamedTuple):
-    """Stands where the client looks for a URL's path and query: the target as it came, to the letter."""
+    """Replaces the URL where aiohttp reads the path and query: the request target, byte for byte."""
 
     raw_path_qs: str
 
 
 class GatedRequest(ClientRequest):
-    """Asks the encoded request between the connection's coming up and the first byte.
+    """Consults the encoded request between the connect and the first byte.
 
-    Guards against a drain notice, a deadline or an answer that came while the connection came up, against an
-    answer that lies on the connection before anything is asked, and against targets that a URL cannot hold
-    unchanged, such as one that ends in a bare question mark.
+    Guards against sending after a drain notice, a deadline or a response that came during the connect;
+    against a response that is already on the connection before the request; and against changing targets that
+    a URL cannot represent exactly, such as one that ends in a bare question mark.
     """
 
     @property
     def connection_key(self) -> ConnectionKey:
-        """Connections belong to an upstream, not to its address.
+        """Pool connections by upstream, not by address.
 
-        Guards against a new upstream at the address of one that is gone, served by connections to the old.
-        The client tells pools apart by a proxy's headers too; there is no proxy: the number stands there.
+        Guards against reusing connections to a removed upstream for a new one at the same address. aiohttp
+        also keys its pools by the hash of a proxy's headers; as there is no proxy, that field holds the
+        upstream's number.
         """
         return super().connection_key._replace(proxy_headers_hash=current_request.get().upstream)
 
     async def send(self, conn: Connection) -> ClientResponse:
         encoded, connection = current_request.get(), conn.protocol
-        assert isinstance(connection, OneAnswer)
-        if not encoded.may_write() or not connection.clean():
+        assert isinstance(connection, SingleResponseHandler)
+        if not encoded.may_write() or not connection.is_reusable():
             raise NotWrittenError
         encoded.connection, connection.addresses = connection, encoded.addresses
-        encoded.written = True
+        encoded.write_approved = True
         self.headers.update(encoded.headers_at_write())
-        encoded.begun = not self._body  # a head that a body follows leaves with it, in `write_bytes`
+        encoded.write_started = (
+            not self._body
+        )  # with a body, the head is sent together with it, in `write_bytes`
         self.url = _Target(encoded.target)  # type: ignore[assignment]
         response = await super().send(conn)
         if self._writer is None and not self._body:
-            encoded.was_written()
+            encoded.mark_written()
         return response
 
     async def write_bytes(
         self, writer: AbstractStreamWriter, conn: Connection, content_length: int | None = None
     ) -> None:
-        """The first byte of a request with a body leaves here, a turn of the loop after `send` looked.
+        """Send the first byte of a request with a body, one iteration of the event loop after the check in
+        `send`.
 
-        Guards against an end of the connection, or an answer on it, that came in this turn.
+        Guards against a close of the connection, or a response on it, during that iteration.
         """
         encoded, connection = current_request.get(), conn.protocol
-        if not encoded.begun and isinstance(connection, OneAnswer):
-            if connection.heard or not connection.clean():
-                conn.close()  # its reader is told that the connection is lost
+        if not encoded.write_started and isinstance(connection, SingleResponseHandler):
+            if connection.response_started or not connection.is_reusable():
+                conn.close()  # the reader of the response sees a lost connection
                 return
-            encoded.begun = True
+            encoded.write_started = True
         await super().write_bytes(writer, conn, content_length)
         if conn.protocol is not None and conn.protocol.exception() is None:
-            current_request.get().was_written()
+            current_request.get().mark_written()
--- a/madderwind/transport/limits.py
+++ b/madderwind/transport/limits.py
@@ -1,4 +1,4 @@
-"""Errors that tell of this machine's own limits and of nobody else."""
+"""Errors caused by the limits of this machine, and not by the peer."""
 
 import errno
 
--- a/madderwind/transport/lingering_close.py
+++ b/madderwind/transport/lingering_close.py
@@ -1,4 +1,4 @@
-"""A lingering close: how a connection to a caller is ended from this side."""
+"""A lingering close: how this side closes a connection to a caller."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-# The other side has so long to end its own sending, and may send so much till then: it is read and dropped.
+# How long the peer may take to close its sending side, and how many bytes it may send until then; these are
+# read and discarded.
 LINGER_S, LINGER_BYTES = 1.0, 1024 * 1024
 
 
 class LingeringTransport:
-    """A transport whose `close` ends the sending, drops what still comes, and goes once the other side has
-    ended too, within bounds of time and bytes.
+    """A transport whose `close` shuts down the sending side, discards what still arrives, and closes once the
+    peer has closed too, within limits of time and bytes.
 
-    Guards against a close over bytes that nobody read: that is a reset, and takes along what the system still
-    holds back of the last answer. What comes after the end of sending goes to nobody: it can't be answered.
+    Guards against closing a socket with unread bytes: this causes a reset, which discards the part of the
+    last response that the system has not yet sent. Bytes that arrive after the shutdown cannot be answered.
     """
 
     def __init__(
-        self, transport: asyncio.Transport, protocol: asyncio.Protocol, lingering: Lingering
+        self, transport: asyncio.Transport, protocol: asyncio.Protocol, lingering: LingeringConnections
     ) -> None:
         self._transport, self._protocol, self._lingering = transport, protocol, lingering
 
     @classmethod
-    def around(
-        cls, transport: asyncio.BaseTransport, protocol: asyncio.Protocol, lingering: Lingering
+    def wrap(
+        cls, transport: asyncio.BaseTransport, protocol: asyncio.Protocol, lingering: LingeringConnections
     ) -> asyncio.Transport:
         return cast(asyncio.Transport, cls(cast(asyncio.Transport, transport), protocol, lingering))
 
@@ -39,11 +40,11 @@
         if self.is_closing():
             return
         self._lingering[self] = None
-        self._transport.set_protocol(_Rest(self._transport, self._ended))
+        self._transport.set_protocol(_DrainProtocol(self._transport, self._ended))
         try:
-            self._transport.write_eof()  # behind all that is still to be written
+            self._transport.write_eof()  # follows everything that is still buffered
             self._transport.resume_reading()
-        except OSError:  # the other side has reset it
+        except OSError:  # the peer has reset the connection
             self._transport.abort()
 
     def _ended(self, exc: Exception | None) -> None:
@@ -51,23 +52,23 @@
         self._protocol.connection_lost(exc)
 
 
-# Those that wait for the other side's end, the longest first: each still holds its descriptor.
-Lingering = dict[LingeringTransport, None]
+# Transports that wait for the peer's close, the oldest first; each still holds its descriptor.
+LingeringConnections = dict[LingeringTransport, None]
 
 
-class _Rest(asyncio.Protocol):
-    """What comes after the end of sending."""
+class _DrainProtocol(asyncio.Protocol):
+    """Discards what arrives after the sending side was shut down."""
 
     def __init__(self, transport: asyncio.Transport, on_end: Callable[[Exception | None], None]) -> None:
         self._transport, self._on_end = transport, on_end
-        self._left = LINGER_BYTES
-        self._bound = asyncio.get_running_loop().call_later(LINGER_S, transport.abort)
+        self._bytes_left = LINGER_BYTES
+        self._abort_timer = asyncio.get_running_loop().call_later(LINGER_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
-        self._left -= len(data)
-        if self._left < 0:
+        self._bytes_left -= len(data)
+        if self._bytes_left < 0:
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._bound.cancel()
+        self._abort_timer.cancel()
         self._on_end(exc)
--- a/madderwind/transport/stream.py
+++ b/madderwind/transport/stream.py
@@ -1,4 +1,4 @@
-"""A chunked answer that stays open."""
+"""A chunked response that stays open."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 
 
 class StreamEnded(Exception):
-    """The stream broke, fell silent or was no stream at all; the text says how."""
+    """The stream broke, timed out or never started; the text says how."""
 
 
 async def parts(
     address: tuple[str, int], target: str, until_s: Callable[[], float]
 ) -> AsyncGenerator[bytes, None]:
-    """The answer's bytes as they come. StreamEnded when it ends, or once the loop's clock is past `until_s`.
+    """Yield the response's bytes as they arrive.
 
-    That is asked anew before each wait: the caller moves it on for what it takes for a sign of life. It
-    bounds the connecting and the answer's head as well, so no sum of waits goes past it.
+    Raises StreamEnded when the response ends, or once the loop's clock is past `until_s`. `until_s` is called
+    before each wait, so that the caller can extend the time on any sign of life. It bounds the connect and
+    the response's head as well, so the waits never add up beyond it.
     """
     url = URL(f"http://{address[0]}:{address[1]}{target}", encoded=True)
     try:
--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -1,8 +1,8 @@
 """Connections to upstreams, on aiohttp's client.
 
-An attempt is written once or not at all: the client's own second tries, redirects, cookies, decompression and
-rewriting of targets are off. A connection on which an attempt was given up is closed and never kept; what was
-still to be written on it is dropped.
+An attempt is sent once or not at all: aiohttp's own retries, redirects, cookies, decompression and rewriting
+of targets are disabled. The connection of a cancelled attempt is closed and never reused; its unsent bytes
+are discarded.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from yarl import URL
 
 from madderwind.balancing.outcomes import Outcome
-from madderwind.transport.answering import LONGEST_ANSWER
-from madderwind.transport.connector import IDLE_PART, BoundedConnector, ConnectionOptions
+from madderwind.transport.answering import MAX_RESPONSE_BYTES
+from madderwind.transport.connector import IDLE_FRACTION, BoundedConnector, ConnectionOptions
 from madderwind.transport.encoded_request import EncodedRequest, Sink, current_request
 from madderwind.transport.gated_request import GatedRequest, NotWrittenError
 from madderwind.transport.limits import OWN_LIMITS
 
-# An answer up to this is held whole, so that one which is spoilt can still be tried again; the longest hold
-# of one whose length nothing tells; and what is read ahead: twice this at most.
-HELD_ANSWER, HELD_S, READ_BUFFER = 64 * 1024, 1.0, 64 * 1024
-AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+# A response up to this length is buffered whole, so that the request can still be retried if the response
+# fails; the longest buffering of a response without a stated length; and half of the most that is read ahead.
+MAX_BUFFERED_BYTES, MAX_BUFFERING_S, READ_BUFFER = 64 * 1024, 1.0, 64 * 1024
+SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 Received = TypeVar("Received")
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer, with the bytes as they came; no body where that has passed on in pieces."""
+    """A complete response, its body byte for byte as received; the body is empty if it was streamed."""
 
     status: int
     headers: CIMultiDictProxy[str]
@@ -59,32 +59,34 @@
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
             trust_env=False,
-            skip_auto_headers=AUTO_HEADERS,
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
             read_bufsize=READ_BUFFER,
         )
-        # Guards against a second copy: the client resends a GET by itself when a kept connection breaks.
+        # Guards against a duplicate request: aiohttp resends a GET by itself when a reused connection breaks.
         self._session._retry_connection = False
 
     def held(self) -> int:
-        """How many connections there are."""
+        """The number of open connections."""
         return self._connector.held()
 
     def share(self, most: int) -> None:
-        """How many connections it may hold from now on."""
+        """Set how many connections the pool may hold from now on."""
         self._connector.most = most
 
     def retune(self, connect_timeout_ms: float, idle_ms: float) -> None:
-        """New times, for connections from now on."""
+        """Set the timeouts of connections from now on."""
         self._timeout = aiohttp.ClientTimeout(total=None, connect=(connect_timeout_ms / 1000) or None)
-        # An answer that has begun goes on within the time in which a connection comes up.
-        self._connector.tune(idle_ms * IDLE_PART / 1000, connect_timeout_ms / 1000)
+        # The connect timeout also limits a pause within a response that has started.
+        self._connector.tune(idle_ms * IDLE_FRACTION / 1000, connect_timeout_ms / 1000)
 
     async def ask(
         self, upstream: int, address: tuple[str, int], encoded: EncodedRequest, until_s: float
     ) -> Answer | Outcome:
-        """One attempt: the upstream's answer, or how it ended without one. `until_s`: the loop's clock."""
+        """Make one attempt; return the response, or the outcome without one. `until_s` is on the loop's
+        clock.
+        """
         return await self.exchange(
-            upstream, address, encoded, until_s, lambda response: self._taken_in(response, encoded)
+            upstream, address, encoded, until_s, lambda response: self._receive(response, encoded)
         )
 
     async def exchange(
@@ -95,8 +97,8 @@
         until_s: float,
         receive: Callable[[ClientResponse], Awaitable[Received]],
     ) -> Received | Outcome:
-        """One attempt, with what `receive` makes of an answer from its head on, or how it ended without."""
-        if self._session.closed:  # the process ends: what waited for its turn is not sent any more
+        """Make one attempt; return what `receive` makes of the response, or the outcome without one."""
+        if self._session.closed:  # the process is shutting down: queued attempts are no longer sent
             return Outcome.NOT_SENT
         encoded.upstream = upstream
         current_request.set(encoded)
@@ -114,66 +116,68 @@
                 ) as response,
             ):
                 answer = await receive(response)
-                if encoded.connection is not None and encoded.connection.asked > 1:
-                    self._connector.trust.went_well()
+                if encoded.connection is not None and encoded.connection.requests_written > 1:
+                    self._connector.trust.record_success()
                 return answer
         except NotWrittenError:
             return Outcome.NOT_SENT
         except (aiohttp.ConnectionTimeoutError, aiohttp.ClientConnectorError) as error:
             if isinstance(error, aiohttp.ConnectionTimeoutError):
-                # Guards against a machine that vanished: a kept connection is silent until the deadline,
-                # while one that never comes up proves that nothing ran.
+                # Guards against a machine that vanished: a reused connection is silent until the deadline,
+                # while a connection that is never established proves that nothing ran.
                 self.close_idle(upstream)
-            own = isinstance(error, OSError) and error.errno in OWN_LIMITS
-            # what this machine lacks says nothing of the upstream
-            return Outcome.NOT_SENT if own else Outcome.CONNECT_FAILED
+            is_local = isinstance(error, OSError) and error.errno in OWN_LIMITS
+            # a shortage on this machine says nothing about the upstream
+            return Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED
         except TimeoutError:
-            if not encoded.begun:
+            if not encoded.write_started:
                 return Outcome.NOT_SENT
             return Outcome.TIMEOUT if self._may_have_run(encoded) else Outcome.CONNECT_FAILED
         except (aiohttp.ClientError, OSError):
-            if encoded.written and not encoded.begun:
+            if encoded.write_approved and not encoded.write_started:
                 return Outcome.NOT_SENT
             if not self._may_have_run(encoded):
                 return Outcome.CONNECT_FAILED
-            # What cannot be read says that the upstream lives; that a connection ends does not.
+            # A response that cannot be parsed shows that the upstream is alive; a closed connection does not.
             if encoded.connection is not None and encoded.connection.unreadable:
                 return Outcome.ERROR
-            if encoded.connection is not None and encoded.connection.given_up:
-                self._connector.trust.was_reset(asyncio.get_running_loop().time())
+            if encoded.connection is not None and encoded.connection.is_stale:
+                self._connector.trust.record_reset(asyncio.get_running_loop().time())
             return Outcome.RESET
 
     def _may_have_run(self, encoded: EncodedRequest) -> bool:
-        """Whether the upstream may have started what was written of it. The only such test."""
-        return encoded.whole if self._starts_when_whole else encoded.begun
+        """Whether the upstream may have started the request. The only place that decides this."""
+        return encoded.write_finished if self._starts_when_whole else encoded.write_started
 
-    async def _taken_in(self, response: ClientResponse, encoded: EncodedRequest) -> Answer | Outcome:
-        """An answer that is short is held whole; of one that is long, what serves a request passes on."""
+    async def _receive(self, response: ClientResponse, encoded: EncodedRequest) -> Answer | Outcome:
+        """Buffer a short response whole; stream a long one if it is a success."""
         loop = asyncio.get_running_loop()
         length = response.content_length
-        hold_until_s = loop.time() + HELD_S if length is None else None
-        held, ended = b"", False
-        while not ended and len(held) <= HELD_ANSWER and (length or 0) <= HELD_ANSWER:
+        buffer_until_s = loop.time() + MAX_BUFFERING_S if length is None else None
+        buffered, at_end = b"", False
+        while not at_end and len(buffered) <= MAX_BUFFERED_BYTES and (length or 0) <= MAX_BUFFERED_BYTES:
             try:
-                async with asyncio.timeout_at(hold_until_s):
+                async with asyncio.timeout_at(buffer_until_s):
                     part = await response.content.readany()
             except TimeoutError:
                 break
-            held, ended = held + part, not part
-        if ended:
-            return Answer(response.status, response.headers, held)
-        if response.status != 200:  # whatever else it says, its status says enough
+            buffered, at_end = buffered + part, not part
+        if at_end:
+            return Answer(response.status, response.headers, buffered)
+        if response.status != 200:  # for an error the status suffices
             response.close()
             return Answer(response.status, response.headers, b"")
         if encoded.sink is None:
             response.close()
             return Outcome.ERROR
-        return await self._pass_on(response, encoded, encoded.sink, held)
+        return await self._stream(response, encoded, encoded.sink, buffered)
 
-    async def _pass_on(
-        self, response: ClientResponse, encoded: EncodedRequest, sink: Sink, held: bytes
+    async def _stream(
+        self, response: ClientResponse, encoded: EncodedRequest, sink: Sink, buffered: bytes
     ) -> Answer | Outcome:
-        """Piece by piece, as fast as both sides allow. No deadline cuts off what the upstream still gives."""
+        """Stream the response as fast as both sides allow, without a deadline while the upstream keeps
+        sending.
+        """
         if encoded.connection is not None:
             encoded.connection.passes_on()
         if not await sink.begin(response.headers, response.content_length):
@@ -181,17 +185,17 @@
             return Outcome.CANCELLED
         if encoded.limit is not None:
             encoded.limit.reschedule(None)
-        passed = 0
-        while part := held or await response.content.readany():
-            held, passed = b"", passed + len(part)
-            if passed > LONGEST_ANSWER:
+        streamed_bytes = 0
+        while part := buffered or await response.content.readany():
+            buffered, streamed_bytes = b"", streamed_bytes + len(part)
+            if streamed_bytes > MAX_RESPONSE_BYTES:
                 response.close()
                 return Outcome.ERROR
             await sink.write(part)
         return Answer(response.status, response.headers, b"")
 
     def keeps(self, upstream: int) -> bool:
-        """Whether a connection to it stands idle, as far as is known."""
+        """Whether an idle connection to the upstream is known."""
         return any(key.proxy_headers_hash == upstream for key in self._connector._conns)
 
     def close_idle(self, upstream: int) -> None:
--- a/tests/dataplane/answer_mutants.py
+++ b/tests/dataplane/answer_mutants.py
@@ -26,7 +26,7 @@
 from madderwind.dataplane.client_answers import ClientAnswer
 from madderwind.dataplane.upstream_heads import REQUEST_ID, Head, read_head
 from madderwind.transport import answering
-from madderwind.transport.answering import OneAnswer
+from madderwind.transport.answering import SingleResponseHandler
 from madderwind.transport.connector import ConnectionOptions
 from madderwind.transport.encoded_request import current_request
 from madderwind.transport.gated_request import GatedRequest
@@ -72,12 +72,12 @@
 async def keep_within_the_body(
     request: Any, writer: Any, conn: Any, content_length: int | None = None
 ) -> None:
-    current_request.get().begun = True
+    current_request.get().write_started = True
     await ClientRequest.write_bytes(request, writer, _NeverClosed(conn), content_length)  # type: ignore[arg-type]
 
 
 async def look_once(request: Any, writer: Any, conn: Any, content_length: int | None = None) -> None:
-    current_request.get().begun = True
+    current_request.get().write_started = True
     await ClientRequest.write_bytes(request, writer, conn, content_length)
 
 
@@ -85,8 +85,8 @@
     transport.close()
 
 
-def fail_at_an_extra_answer(connection: OneAnswer, *told: Any) -> None:
-    connection.set_exception(HttpProcessingError(message="no answer to this request"))
+def fail_at_an_extra_answer(connection: SingleResponseHandler, *told: Any) -> None:
+    connection.set_exception(HttpProcessingError(message="the response is not for this request"))
 
 
 Mutant = Callable[[], AbstractContextManager[Any]]
@@ -101,7 +101,7 @@
         upstream_pool, "ConnectionOptions", last_byte_decides
     ),
     "an unframed answer that was reset passes as whole": lambda: patch.object(
-        OneAnswer, "connection_lost", ResponseHandler.connection_lost
+        SingleResponseHandler, "connection_lost", ResponseHandler.connection_lost
     ),
     "half an event passes as a stream's end": lambda: patch.object(
         answer_relay, "tells_its_end", lambda headers: True
@@ -117,7 +117,7 @@
         answering, "_close_or_abort", close_after_writing
     ),
     "an extra answer fails the next request": lambda: patch.object(
-        OneAnswer, "_not_this_requests", fail_at_an_extra_answer
+        SingleResponseHandler, "_skip_or_reject", fail_at_an_extra_answer
     ),
 }
 
--- a/tests/dataplane/test_answers.py
+++ b/tests/dataplane/test_answers.py
@@ -9,7 +9,7 @@
 from unittest.mock import patch
 
 from madderwind.dataplane.attempts import Attempt, AttemptResult
-from madderwind.transport.answering import OneAnswer
+from madderwind.transport.answering import SingleResponseHandler
 from tests.dataplane.fleet import SIGNATURE, Client, event
 from tests.dataplane.forwarder import ByteUpstream, ScriptedFleet, run_jumping
 from tests.standins import Caller, Message, Writer, answer, read_message, reset, run
@@ -375,16 +375,16 @@
             async with ScriptedFleet(upstream) as fleet:
                 client = await client_of(fleet)
                 self.assertEqual((await client.ask("/unsafe/x")).status, 200)
-                looked = OneAnswer.clean
+                looked = SingleResponseHandler.is_reusable
 
-                def cross(connection: OneAnswer) -> bool:
+                def cross(connection: SingleResponseHandler) -> bool:
                     is_clean = looked(connection)
-                    if not done and connection.asked == 2:
+                    if not done and connection.requests_written == 2:
                         done.append(True)
                         crosses(writers[0])
                     return is_clean
 
-                with patch.object(OneAnswer, "clean", cross):
+                with patch.object(SingleResponseHandler, "is_reusable", cross):
                     got.append(await client.ask("/unsafe/x"))
 
         done: list[bool] = []
--- a/tests/transport/test_listening.py
+++ b/tests/transport/test_listening.py
@@ -1,4 +1,4 @@
-"""Taking in connections when descriptors run short."""
+"""Accepting connections when descriptors run short, and closing idle ones."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
 from tests.standins import Caller, run, within
 
 
-def test_want_of_a_descriptor_is_waited_out_briefly(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a second without accepting, in which waiting requests run out of time."""
-    said: list[str] = []
-    fails = [OSError(errno.EMFILE, "no"), ConnectionAbortedError(), OSError(errno.EMFILE, "no")]
+def test_accepting_resumes_soon_after_a_descriptor_shortage(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a second without accepting, during which pending requests time out."""
+    events: list[str] = []
+    failures = [OSError(errno.EMFILE, "no"), ConnectionAbortedError(), OSError(errno.EMFILE, "no")]
     accept = socket.socket.accept
 
-    def short(self: socket.socket) -> Any:
-        if fails:
-            raise fails.pop()
+    def accept_with_failures(self: socket.socket) -> Any:
+        if failures:
+            raise failures.pop()
         return accept(self)
 
     async def handler(_: web.BaseRequest) -> web.Response:
         return web.Response(body=b"taken")
 
     async def test() -> None:
-        listener = Listener(handler, 10, lambda event, /, **_: said.append(event))
+        listener = Listener(handler, 10, lambda event, /, **_: events.append(event))
         port = await listener.start(HOST, 0)
-        monkeypatch.setattr(socket.socket, "accept", short)
+        monkeypatch.setattr(socket.socket, "accept", accept_with_failures)
         caller = await Caller.connect(port)
         got = await caller.ask()
         assert got.body == b"taken"
-        assert said == ["no_descriptor_to_accept_with"] * 2
+        assert events == ["no_descriptor_to_accept_with"] * 2
         assert await within(listener.finish(5.0)) == 0
         assert await caller.at_end()
         with pytest.raises(ConnectionRefusedError):
@@ -46,8 +46,8 @@
     run(test())
 
 
-def test_what_waits_at_the_end_is_still_taken() -> None:
-    """Guards against connections reset at a planned restart, with a request already on them."""
+def test_pending_connections_are_accepted_at_shutdown() -> None:
+    """Guards against connections that are reset at a planned restart with a request already on them."""
 
     async def handler(_: web.BaseRequest) -> web.Response:
         return web.Response(body=b"taken")
@@ -55,17 +55,17 @@
     async def test() -> None:
         listener = Listener(handler, 10, lambda *_, **__: None)
         port = await listener.start(HOST, 0)
-        with socket.create_connection((HOST, port)) as waits:
-            waits.sendall(b"GET /lookup HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert await within(listener.finish(5.0)) == 0  # it had not been accepted before
-            waits.setblocking(False)
-            assert waits.recv(1000).startswith(b"HTTP/1.1 200")
+        with socket.create_connection((HOST, port)) as pending:
+            pending.sendall(b"GET /lookup HTTP/1.1\r\nHost: x\r\n\r\n")
+            assert await within(listener.finish(5.0)) == 0  # it was not accepted before
+            pending.setblocking(False)
+            assert pending.recv(1000).startswith(b"HTTP/1.1 200")
 
     run(test())
 
 
-def test_room_is_made_only_between_requests() -> None:
-    """Guards against lost requests: one just written to a connection, or the first on a new one."""
+def test_only_connections_between_requests_are_closed_for_new_ones() -> None:
+    """Guards against losing a request just written to a connection, or the first one on a new connection."""
 
     async def handler(_: web.BaseRequest) -> web.Response:
         return web.Response(body=b"taken")
@@ -73,22 +73,26 @@
     async def test() -> None:
         listener = Listener(handler, 10, lambda *_, **__: None)
         port = await listener.start(HOST, 0)
-        fresh, used, crossing = [await Caller.connect(port) for _ in range(3)]
-        for caller in (used, crossing):
+        fresh, used, requesting = [await Caller.connect(port) for _ in range(3)]
+        for caller in (used, requesting):
             assert (await caller.ask()).status == 200
-        crossing.write()  # goes to the socket at once, and is not read before the next line
+        requesting.write()  # is in the socket buffer at once, unread before the next line
         listener._web.make_room(3)
         assert await used.at_end()
-        assert (await crossing.read()).body == b"taken"
+        assert (await requesting.read()).body == b"taken"
         assert (await fresh.ask()).body == b"taken"
         await listener.finish(5.0)
 
     run(test())
 
 
-@pytest.mark.parametrize("said", [b"", b"GET /lookup HTTP/1.1\r\nHost:"], ids=["nothing", "half a head"])
-def test_a_caller_that_says_nothing_is_closed(monkeypatch: pytest.MonkeyPatch, said: bytes) -> None:
-    """Guards against hundreds that keep their descriptors for good. A request that has come is served."""
+@pytest.mark.parametrize(
+    "partial_head", [b"", b"GET /lookup HTTP/1.1\r\nHost:"], ids=["nothing", "half a head"]
+)
+def test_a_caller_without_a_complete_head_is_closed(
+    monkeypatch: pytest.MonkeyPatch, partial_head: bytes
+) -> None:
+    """Guards against hundreds of callers that hold their descriptors forever; a pending request is served."""
     monkeypatch.setattr(listening, "SILENT_S", 0.0)
 
     async def handler(_: web.BaseRequest) -> web.Response:
@@ -97,19 +101,19 @@
     async def test() -> None:
         listener = Listener(handler, 10, lambda *_, **__: None)
         port = await listener.start(HOST, 0)
-        quiet, asks = await Caller.connect(port), await Caller.connect(port)
-        quiet.writer.write(said)
-        asks.write()  # lies on the socket when connections are looked through
-        listener._web.close_quiet()
-        assert (await asks.read()).body == b"taken"
-        assert await quiet.at_end()
+        silent_caller, active = await Caller.connect(port), await Caller.connect(port)
+        silent_caller.writer.write(partial_head)
+        active.write()  # is unread when the connections are checked
+        listener._web.close_timed_out()
+        assert (await active.read()).body == b"taken"
+        assert await silent_caller.at_end()
         await listener.finish(5.0)
 
     run(test())
 
 
-def test_a_caller_that_asked_once_and_stays_is_closed_later(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against connections that grow in number all day."""
+def test_an_idle_caller_is_closed_after_its_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a number of connections that grows all day."""
     monkeypatch.setattr(listening, "IDLE_S", 0.0)
 
     async def handler(_: web.BaseRequest) -> web.Response:
@@ -125,8 +129,8 @@
     run(test())
 
 
-def test_for_want_of_descriptors_silent_callers_make_room_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against silent connections that hold all descriptors for two seconds, over and over."""
+def test_silent_callers_are_closed_when_descriptors_run_short(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against silent connections that repeatedly hold all descriptors for two seconds."""
 
     async def handler(_: web.BaseRequest) -> web.Response:
         return web.Response(body=b"taken")
@@ -135,15 +139,15 @@
         listener = Listener(handler, 10, lambda *_, **__: None)
         port = await listener.start(HOST, 0)
         fresh = await Caller.connect(port)
-        asks = await Caller.connect(port)
-        assert (await asks.ask()).status == 200
+        active = await Caller.connect(port)
+        assert (await active.ask()).status == 200
         listener._web.make_room(2)
-        assert await asks.at_end()
-        assert (await fresh.ask()).body == b"taken"  # it was too new to be taken for silent
+        assert await active.at_end()
+        assert (await fresh.ask()).body == b"taken"  # it was too new to count as silent
         silent = await Caller.connect(port)
         while len(listener._web.connections) < 2:
             await asyncio.sleep(0)
-        monkeypatch.setattr(listening, "FRESH_S", 0.0)
+        monkeypatch.setattr(listening, "FIRST_REQUEST_GRACE_S", 0.0)
         listener._web.make_room(2)
         assert await silent.at_end()
         await listener.finish(5.0)
@@ -151,8 +155,8 @@
     run(test())
 
 
-def test_requests_that_come_at_once_get_one_error_and_a_close() -> None:
-    """Guards against hundreds on one connection, which take from the time of all others."""
+def test_too_many_pipelined_requests_get_one_error_and_a_close() -> None:
+    """Guards against hundreds of requests on one connection, which take time from all others."""
 
     async def handler(_: web.BaseRequest) -> web.Response:
         raise AssertionError("none of them is served")
--- a/tests/transport/test_upstreams.py
+++ b/tests/transport/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Attempts over real sockets: what is written, how it ends, and which connections are kept."""
+"""Attempts over real sockets: what is written, how the attempt ends, and which connections are reused."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from madderwind.standalone.policy.api import Outcome
 from madderwind.transport import answering
 from madderwind.transport import upstreams as transport
-from madderwind.transport.answering import LONGEST_ANSWER, OneAnswer
+from madderwind.transport.answering import MAX_RESPONSE_BYTES, SingleResponseHandler
 from madderwind.transport.encoded_request import EncodedRequest, Upload
-from madderwind.transport.upstreams import HELD_ANSWER, READ_BUFFER, Answer, Upstreams
+from madderwind.transport.upstreams import MAX_BUFFERED_BYTES, READ_BUFFER, Answer, Upstreams
 from tests.examples import HOST
 from tests.standins import Message, Upstream, Writer, answer, reset, resets, run, says, silent, within
 
-FAR_S = 1000.0
+DISTANT_S = 1000.0
 
 
 def encoded(
@@ -32,7 +32,7 @@
 
 
 class Pool(Upstreams):
-    """A pool that a test closes by itself."""
+    """A pool that closes itself at the end of a context."""
 
     def __init__(
         self, connect_timeout_ms: float = 5000.0, idle_ms: float = 30_000.0, most: int = 100
@@ -46,7 +46,7 @@
         await self.close()
 
     async def get(
-        self, upstream: Upstream, sent: EncodedRequest | None = None, in_s: float = FAR_S, number: int = 0
+        self, upstream: Upstream, sent: EncodedRequest | None = None, in_s: float = DISTANT_S, number: int = 0
     ) -> Answer | Outcome:
         until_s = asyncio.get_running_loop().time() + in_s
         return await self.ask(number, upstream.address, sent or encoded(), until_s)
@@ -56,8 +56,8 @@
     "target",
     ["/lookup", "/lookup?", "/lookup//a/%2F/./..?x=%zz&y=%20+z", "/lookup;v=1?a=b?c&d", "/lookup?q=#frag"],
 )
-def test_target_and_body_go_on_to_the_letter(target: str) -> None:
-    """Guards against a client library that tidies up what is not its own."""
+def test_target_and_body_are_forwarded_unchanged(target: str) -> None:
+    """Guards against a client library that normalizes targets or adds headers."""
 
     async def test() -> None:
         body = bytes(range(256)) * 200
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_a_kept_connection_is_used_again() -> None:
+def test_an_idle_connection_is_reused() -> None:
     async def test() -> None:
         async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
             for _ in range(3):
@@ -84,8 +84,8 @@
     run(test())
 
 
-def test_a_get_is_not_sent_again_when_a_kept_connection_breaks() -> None:
-    """Guards against the client's own second try: a second copy that no decision asked for."""
+def test_a_get_is_not_resent_when_a_reused_connection_breaks() -> None:
+    """Guards against aiohttp's own retry, which would send a duplicate that no retry policy decided on."""
 
     async def test() -> None:
         async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
@@ -97,8 +97,8 @@
     run(test())
 
 
-def test_the_client_still_has_the_switch_that_turns_its_second_try_off() -> None:
-    """Guards against a new version of the client in which the switch has another name."""
+def test_aiohttp_still_has_the_option_that_disables_its_retry() -> None:
+    """Guards against an aiohttp version that renames the option."""
 
     async def test() -> None:
         async with aiohttp.ClientSession() as session:
@@ -109,41 +109,41 @@
     run(test())
 
 
-def test_a_kept_connection_that_was_given_up_brings_new_ones_for_a_time(
+def test_a_reset_of_a_stale_connection_pauses_reuse(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against resets that may have run, one for each connection that the upstream gave up silently."""
+    """Guards against a reset of a possibly executed request for each connection dropped without a close."""
 
     async def test() -> None:
-        async def once(message: Message, writer: Writer) -> None:
+        async def reset_on_reuse(message: Message, writer: Writer) -> None:
             earlier = [m for m in upstream.asked if m.connection == message.connection]
             await (resets if len(earlier) > 1 else says(answer(200, b"a")))(message, writer)
 
-        def unsafe() -> EncodedRequest:
+        def unrepeatable() -> EncodedRequest:
             return EncodedRequest("POST", "/charge", CIMultiDict(), b"1", lambda: True, may_repeat=False)
 
-        async with Upstream(once) as upstream, Pool() as pool:
+        async with Upstream(reset_on_reuse) as upstream, Pool() as pool:
             trust = pool._connector.trust
             assert isinstance(await pool.get(upstream), Answer)
             assert await pool.get(upstream) is Outcome.RESET
             for _ in range(9):
                 assert isinstance(await pool.get(upstream), Answer)
-            monkeypatch.setattr(trust, "_until_s", 0.0)  # the time is over
-            assert isinstance(await pool.get(upstream, unsafe()), Answer)
-            assert await pool.get(upstream) is Outcome.RESET  # who may be sent twice has tried one
-            assert trust._until_s > asyncio.get_running_loop().time() + 1.0  # twice as long
-            monkeypatch.setattr(trust, "_until_s", 0.0)
+            monkeypatch.setattr(trust, "_paused_until_s", 0.0)  # ends the pause
+            assert isinstance(await pool.get(upstream, unrepeatable()), Answer)
+            assert await pool.get(upstream) is Outcome.RESET  # a repeatable request reused a connection
+            assert trust._paused_until_s > asyncio.get_running_loop().time() + 1.0  # the pause has doubled
+            monkeypatch.setattr(trust, "_paused_until_s", 0.0)
             upstream.behave = says(answer(200, b"a"))
-            for _ in range(trust.ENOUGH + 1):
+            for _ in range(trust.SUCCESSES_TO_RECOVER + 1):
                 assert isinstance(await pool.get(upstream), Answer)
             connections = upstream.connections
-            assert isinstance(await pool.get(upstream, unsafe()), Answer)
+            assert isinstance(await pool.get(upstream, unrepeatable()), Answer)
             assert upstream.connections == connections
 
     run(test())
 
 
-def test_refused_is_could_not_connect() -> None:
+def test_a_refused_connection_is_a_failed_connect() -> None:
     async def test() -> None:
         async with Upstream(silent) as upstream:
             pass
@@ -153,26 +153,26 @@
     run(test())
 
 
-def test_a_connection_that_never_comes_up_could_not_connect() -> None:
-    """Guards against taking the connecting's time-out for an attempt that may have run."""
+def test_a_connect_timeout_is_a_failed_connect() -> None:
+    """Guards against taking a connect timeout for an attempt that may have run."""
 
     async def test() -> None:
-        with socket.socket() as full:
-            full.bind((HOST, 0))
-            full.listen(0)
-            address = full.getsockname()
+        with socket.socket() as listening:
+            listening.bind((HOST, 0))
+            listening.listen(0)
+            address = listening.getsockname()
             fillers = [socket.socket() for _ in range(4)]
-            for filler in fillers:  # the queue of connections not accepted is full from here on
+            for filler in fillers:  # fills the listen backlog
                 filler.setblocking(False)
                 filler.connect_ex(address)
             try:
                 async with Pool(connect_timeout_ms=50.0) as pool:
-                    until_s = asyncio.get_running_loop().time() + FAR_S
+                    until_s = asyncio.get_running_loop().time() + DISTANT_S
                     sent = encoded()
                     assert await pool.ask(0, address, sent, until_s) is Outcome.CONNECT_FAILED
-                    assert not sent.written
+                    assert not sent.write_approved
                     sent = encoded()
-                    assert await pool.ask(0, address, sent, until_s - FAR_S) is Outcome.NOT_SENT
+                    assert await pool.ask(0, address, sent, until_s - DISTANT_S) is Outcome.NOT_SENT
             finally:
                 for filler in fillers:
                     filler.close()
@@ -180,8 +180,8 @@
     run(test())
 
 
-def test_silence_times_out_and_its_connection_is_closed() -> None:
-    """Guards against a late answer that is read as the answer to the next request."""
+def test_a_missing_response_times_out_and_closes_the_connection() -> None:
+    """Guards against reading a late response as the response to the next request."""
 
     async def test() -> None:
         async with Upstream(silent) as upstream, Pool() as pool:
@@ -196,7 +196,7 @@
     run(test())
 
 
-def test_an_attempt_taken_back_closes_its_connection() -> None:
+def test_a_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
         async with Upstream(silent) as upstream, Pool() as pool:
             task = asyncio.create_task(pool.get(upstream))
@@ -209,8 +209,8 @@
     run(test())
 
 
-def test_nothing_is_written_when_the_attempt_is_not_wanted_any_more() -> None:
-    """Guards against sends after a drain notice, a deadline or the answer, while a connection came up."""
+def test_nothing_is_written_for_an_attempt_that_is_no_longer_wanted() -> None:
+    """Guards against sending after a drain notice, a deadline or the response came during the connect."""
 
     async def test() -> None:
         async with Upstream(silent) as upstream, Pool() as pool:
@@ -218,13 +218,13 @@
             assert await pool.get(upstream, sent) is Outcome.NOT_SENT
             assert await within(upstream.ended.get()) == 1
             assert not upstream.asked
-            assert not sent.written
+            assert not sent.write_approved
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "said",
+    "raw",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
@@ -232,45 +232,47 @@
         b"",
     ],
 )
-def test_an_answer_that_is_not_whole_is_a_reset(said: bytes) -> None:
-    """Guards against serving half an answer: it may have run, and it is no answer."""
+def test_a_truncated_response_is_a_reset(raw: bytes) -> None:
+    """Guards against serving a truncated response: the request may have run, but has no valid response."""
 
-    async def half(_: Message, writer: Writer) -> None:
-        writer.write(said)
+    async def respond_partly(_: Message, writer: Writer) -> None:
+        writer.write(raw)
         writer.close()
 
     async def test() -> None:
-        async with Upstream(half) as upstream, Pool() as pool:
+        async with Upstream(respond_partly) as upstream, Pool() as pool:
             assert await pool.get(upstream) is Outcome.RESET
 
     run(test())
 
 
-NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\nhalf of it"
+UNFRAMED_RESPONSE = b"HTTP/1.1 200 OK\r\n\r\nhalf of it"
 
 
-@pytest.mark.parametrize("passes", [False, True])
+@pytest.mark.parametrize("is_streamed", [False, True])
 @pytest.mark.parametrize("ends", ["reset", "closed here", "closed there"])
-def test_only_the_upstreams_end_ends_an_answer_of_no_told_length(
-    monkeypatch: pytest.MonkeyPatch, ends: str, passes: bool
+def test_only_the_upstreams_close_ends_a_response_without_a_length(
+    monkeypatch: pytest.MonkeyPatch, ends: str, is_streamed: bool
 ) -> None:
-    """Guards against serving what came before a reset as the whole answer, held or passing on. The end comes
-    once the half has been read."""
-    monkeypatch.setattr(transport, "HELD_S", 0.01 if passes else FAR_S)
+    """Guards against serving what came before a reset as the complete response, buffered or streamed.
+
+    The connection ends only once the first half of the response has been read.
+    """
+    monkeypatch.setattr(transport, "MAX_BUFFERING_S", 0.01 if is_streamed else DISTANT_S)
 
     async def test() -> None:
         writers: asyncio.Queue[Writer] = asyncio.Queue()
 
-        async def half(_: Message, writer: Writer) -> None:
-            writer.write(NO_LENGTH)
+        async def respond_partly(_: Message, writer: Writer) -> None:
+            writer.write(UNFRAMED_RESPONSE)
             writers.put_nowait(writer)
 
-        async with Upstream(half) as upstream, Pool() as pool:
-            sink = Kept()
-            sent = to(sink)
+        async with Upstream(respond_partly) as upstream, Pool() as pool:
+            sink = RecordingSink()
+            sent = request_for(sink)
             task = asyncio.create_task(pool.get(upstream, sent))
             writer = await within(writers.get())
-            while not (sink.parts if passes else sent.connection is not None and sent.connection._body):
+            while not (sink.parts if is_streamed else sent.connection is not None and sent.connection._body):
                 await asyncio.sleep(0)
             assert sent.connection is not None
             if ends == "reset":
@@ -283,19 +285,21 @@
             got = await within(task)
             if ends == "closed there":
                 assert isinstance(got, Answer)
-                assert (got.body, sink.parts) == ((b"", [b"half of it"]) if passes else (b"half of it", []))
+                assert (got.body, sink.parts) == (
+                    (b"", [b"half of it"]) if is_streamed else (b"half of it", [])
+                )
             else:
                 assert got is Outcome.RESET
 
     run(test())
 
 
-def test_redirects_cookies_and_compression_are_left_alone() -> None:
+def test_redirects_cookies_and_compression_are_passed_through() -> None:
     async def test() -> None:
-        packed = gzip.compress(b"x" * 1000)
+        compressed = gzip.compress(b"x" * 1000)
         replies = (
             answer(302, Location="/elsewhere", Set_Cookie="k=v"),
-            answer(200, packed, Content_Encoding="gzip"),
+            answer(200, compressed, Content_Encoding="gzip"),
         )
         async with Upstream(says(*replies)) as upstream, Pool() as pool:
             got = await pool.get(upstream)
@@ -303,31 +307,31 @@
             assert got.status == 302
             got = await pool.get(upstream)
             assert isinstance(got, Answer)
-            assert got.body == packed
+            assert got.body == compressed
             assert [m.start for m in upstream.asked] == ["GET /lookup HTTP/1.1"] * 2
             assert upstream.asked[1].header("Cookie") is None
 
     run(test())
 
 
-class Kept:
-    """A sink that keeps what it is given, and may be slow or not want it."""
+class RecordingSink:
+    """A sink that records what it is given; it may be slow or refuse the response."""
 
-    def __init__(self, wants: bool = True, waits_s: float = 0.0) -> None:
-        self.wants, self.waits_s = wants, waits_s
+    def __init__(self, accepts: bool = True, write_delay_s: float = 0.0) -> None:
+        self.accepts, self.write_delay_s = accepts, write_delay_s
         self.length: int | None = None
         self.parts: list[bytes] = []
 
     async def begin(self, _: object, length: int | None) -> bool:
         self.length = length
-        return self.wants
+        return self.accepts
 
     async def write(self, part: bytes) -> None:
-        await asyncio.sleep(self.waits_s)
+        await asyncio.sleep(self.write_delay_s)
         self.parts.append(part)
 
 
-def to(sink: Kept) -> EncodedRequest:
+def request_for(sink: RecordingSink) -> EncodedRequest:
     return EncodedRequest("GET", "/lookup", CIMultiDict({"X-Trace-Id": "t1"}), b"", lambda: True, sink=sink)
 
 
@@ -340,26 +344,26 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-@pytest.mark.parametrize("size", [HELD_ANSWER, HELD_ANSWER + 1, 3_000_000])
-def test_long_answers_pass_on_in_pieces_and_short_ones_are_whole(chunked: bool, size: int) -> None:
+@pytest.mark.parametrize("size", [MAX_BUFFERED_BYTES, MAX_BUFFERED_BYTES + 1, 3_000_000])
+def test_long_responses_are_streamed_and_short_ones_buffered(chunked: bool, size: int) -> None:
     async def test() -> None:
         body = (bytes(range(250)) * (size // 250 + 1))[:size]
-        said = CHUNKED + chunks(body, 9000) if chunked else answer(200, body)
-        async with Upstream(says(said)) as upstream, Pool() as pool:
+        raw = CHUNKED + chunks(body, 9000) if chunked else answer(200, body)
+        async with Upstream(says(raw)) as upstream, Pool() as pool:
             for _ in range(2):
-                sink = Kept()
-                got = await pool.get(upstream, to(sink))
+                sink = RecordingSink()
+                got = await pool.get(upstream, request_for(sink))
                 assert isinstance(got, Answer)
                 assert got.body + b"".join(sink.parts) == body
-                assert bool(got.body) == (size <= HELD_ANSWER)
+                assert bool(got.body) == (size <= MAX_BUFFERED_BYTES)
                 assert sink.length == (None if chunked or got.body else size)
-            assert upstream.connections == 1  # it is of use after a long answer too
+            assert upstream.connections == 1  # it is reusable after a streamed response too
 
     run(test())
 
 
-def test_a_slow_reader_holds_the_upstream_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against an answer that is held because its reader is slow, and against calling that a stall."""
+def test_a_slow_reader_applies_backpressure_to_the_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against buffering a response whose reader is slow, and against taking that for a stall."""
     monkeypatch.setattr(answering, "PASSING_STALL_S", 0.1)
 
     async def test() -> None:
@@ -374,72 +378,73 @@
                 await writer.drain()
                 sent = at + 100_000
 
-        class Slow(Kept):
+        class SlowSink(RecordingSink):
             async def write(self, part: bytes) -> None:
                 if not self.parts:
                     await asyncio.sleep(0.5)
-                    assert sent < len(body)  # the system's buffers hold some megabytes, and no more
+                    assert sent < len(body)  # the system buffers only a few megabytes
                 self.parts.append(part)
 
         async with Upstream(behave) as upstream, Pool(connect_timeout_ms=100.0) as pool:
-            sink = Slow()
-            assert isinstance(await pool.get(upstream, to(sink), in_s=0.3), Answer)  # no deadline cuts it off
+            sink = SlowSink()
+            # the deadline does not cut off a streamed response
+            assert isinstance(await pool.get(upstream, request_for(sink), in_s=0.3), Answer)
             assert sum(map(len, sink.parts)) == len(body)
             assert max(map(len, sink.parts)) <= 4 * READ_BUFFER
 
     run(test())
 
 
-def test_a_long_answer_that_breaks_off_or_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_streamed_response_that_breaks_off_or_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(answering, "PASSING_STALL_S", 0.05)
 
-    async def breaks(_: Message, writer: Writer) -> None:
+    async def break_off(_: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 500_000)
         await writer.drain()
         writer.close()
 
-    async def stalls(_: Message, writer: Writer) -> None:
+    async def stall(_: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 500_000)
 
     async def test() -> None:
-        for behave, outcome in ((breaks, Outcome.RESET), (stalls, Outcome.ERROR)):
+        for behave, outcome in ((break_off, Outcome.RESET), (stall, Outcome.ERROR)):
             async with Upstream(behave) as upstream, Pool(connect_timeout_ms=50.0) as pool:
-                assert await pool.get(upstream, to(Kept())) is outcome
+                assert await pool.get(upstream, request_for(RecordingSink())) is outcome
 
     run(test())
 
 
-def test_a_long_answer_that_pauses_behind_its_head_is_not_cut_off() -> None:
-    """Guards against the bound on short answers' pauses, which runs before this one is known to be long."""
+def test_a_long_response_that_pauses_after_its_head_is_not_cut_off() -> None:
+    """Guards against the stall limit of short responses, which runs until this one is known to be long."""
 
     async def test() -> None:
-        class Begun(Kept):
+        class SignallingSink(RecordingSink):
             async def begin(self, headers: object, length: int | None) -> bool:
                 began.set()
                 return await super().begin(headers, length)
 
-        async def pauses(_: Message, writer: Writer) -> None:
+        async def pause_after_head(_: Message, writer: Writer) -> None:
             writer.write(HEAD + b"Content-Length: 900000\r\n\r\n")
             await within(began.wait())
-            await asyncio.sleep(0.15)  # three times what a short one may pause
+            await asyncio.sleep(0.15)  # three times the stall limit of a short response
             writer.write(b"x" * 900_000)
 
-        began, sink = asyncio.Event(), Begun()
-        async with Upstream(pauses) as upstream, Pool(connect_timeout_ms=50.0) as pool:
-            assert isinstance(await pool.get(upstream, to(sink)), Answer)
+        began, sink = asyncio.Event(), SignallingSink()
+        async with Upstream(pause_after_head) as upstream, Pool(connect_timeout_ms=50.0) as pool:
+            assert isinstance(await pool.get(upstream, request_for(sink)), Answer)
             assert sum(map(len, sink.parts)) == 900_000
 
     run(test())
 
 
 @pytest.mark.parametrize("head", [b"\r\n", b"Content-Length: 120000\r\nConnection: close\r\n\r\n"])
-def test_a_long_answer_that_has_come_whole_is_read_to_its_end_after_its_connection_is_gone(
+def test_a_complete_response_is_read_to_its_end_after_the_connection_is_lost(
     head: bytes,
 ) -> None:
-    """Guards against a reader that asks for more taking the connection's end for a spoilt answer."""
+    """Guards against a reader that takes the end of the connection for an invalid response."""
 
     async def test() -> None:
-        class Late(Kept):
+        class DelayedSink(RecordingSink):
             async def write(self, part: bytes) -> None:
                 began.set()
                 while sent.connection is None or not sent.connection._connection_lost_called:
@@ -449,11 +454,11 @@
         async def ends(_: Message, writer: Writer) -> None:
             writer.write(HEAD + head + b"x" * 70_000)
             await within(began.wait())
-            writer.write(b"x" * 50_000)  # little enough to be taken in at once, and the end behind it
+            writer.write(b"x" * 50_000)  # small enough to arrive at once, followed by the close
             writer.close()
 
-        began, sink = asyncio.Event(), Late()
-        sent = to(sink)
+        began, sink = asyncio.Event(), DelayedSink()
+        sent = request_for(sink)
         async with Upstream(ends) as upstream, Pool() as pool:
             assert isinstance(await pool.get(upstream, sent), Answer)
             assert sum(map(len, sink.parts)) == 120_000
@@ -461,11 +466,14 @@
     run(test())
 
 
-def test_a_long_answer_that_nobody_wants_is_not_read() -> None:
+def test_an_unwanted_long_response_is_not_read() -> None:
     async def test() -> None:
-        for sink, status, is_wanted in ((Kept(wants=False), 200, False), (Kept(), 500, True)):
+        for sink, status, is_wanted in (
+            (RecordingSink(accepts=False), 200, False),
+            (RecordingSink(), 500, True),
+        ):
             async with Upstream(says(answer(status, b"x" * 900_000))) as upstream, Pool() as pool:
-                got = await pool.get(upstream, to(sink))
+                got = await pool.get(upstream, request_for(sink))
                 assert not sink.parts
                 assert (
                     isinstance(got, Answer) and got.status == 500 if is_wanted else got is Outcome.CANCELLED
@@ -475,13 +483,13 @@
     run(test())
 
 
-def test_an_answer_of_no_told_length_that_comes_slowly_is_not_held_back(
+def test_a_slow_response_without_a_length_is_not_buffered_for_long(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(transport, "HELD_S", 0.05)
+    monkeypatch.setattr(transport, "MAX_BUFFERING_S", 0.05)
 
     async def test() -> None:
-        sink = Kept()
+        sink = RecordingSink()
 
         async def behave(_: Message, writer: Writer) -> None:
             writer.write(CHUNKED + b"3\r\nabc\r\n")
@@ -490,26 +498,26 @@
             writer.write(b"2;ext=1\r\nde\r\n0\r\nX-Trailer: 1\r\n\r\n")
 
         async with Upstream(behave) as upstream, Pool() as pool:
-            assert isinstance(await pool.get(upstream, to(sink)), Answer)
+            assert isinstance(await pool.get(upstream, request_for(sink)), Answer)
             assert sink.parts == [b"abc", b"de"]
 
     run(test())
 
 
-def test_an_answer_over_the_bound_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(transport, "LONGEST_ANSWER", 200_000)
+def test_a_response_over_the_size_limit_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(transport, "MAX_RESPONSE_BYTES", 200_000)
 
     async def test() -> None:
         async with Upstream(says(CHUNKED + chunks(b"x" * 300_000, 9000))) as upstream, Pool() as pool:
-            assert await pool.get(upstream, to(Kept())) is Outcome.ERROR
+            assert await pool.get(upstream, request_for(RecordingSink())) is Outcome.ERROR
 
     run(test())
 
 
-def test_a_body_that_broke_before_its_last_byte_never_ran() -> None:
-    """Proof that nothing ran: the request may be refused."""
+def test_an_incomplete_request_body_means_that_the_request_never_ran() -> None:
+    """Guards against treating such a request as possibly run: an incomplete body proves that nothing ran."""
 
-    async def closes(_: asyncio.StreamReader, writer: Writer) -> None:
+    async def abort_early(_: asyncio.StreamReader, writer: Writer) -> None:
         await asyncio.sleep(0.05)
         writer.transport.abort()
 
@@ -518,52 +526,54 @@
             yield b"x" * 100_000
 
     async def test() -> None:
-        server = await asyncio.start_server(closes, HOST, 0)
+        server = await asyncio.start_server(abort_early, HOST, 0)
         async with server, Pool() as pool:
-            whole: list[bool] = []
+            completions: list[bool] = []
             sent = EncodedRequest(
                 *("POST", "/charge", CIMultiDict[str](), b"", lambda: True),
-                on_whole=lambda: whole.append(True),
+                on_whole=lambda: completions.append(True),
                 upload=Upload(pieces(), None),
             )
             until_s = asyncio.get_running_loop().time() + 10.0
             address = server.sockets[0].getsockname()
             assert await pool.ask(0, address, sent, until_s) is Outcome.CONNECT_FAILED
-            assert not whole
+            assert not completions
 
     run(test())
 
 
-def test_a_request_given_up_before_its_last_byte_never_gets_it_later() -> None:
-    """Guards against one that counts as never run and then reaches its upstream whole: a close would first
-    send what waits to be written."""
+def test_a_request_cancelled_before_its_last_byte_is_never_completed() -> None:
+    """Guards against a request that counts as never run and yet reaches its upstream in full.
+
+    A plain close would first send the buffered bytes.
+    """
 
     async def test() -> None:
         body = b"x" * 12_000_000
         read = asyncio.Queue[int]()
 
-        async def reads_late(reader: asyncio.StreamReader, writer: Writer) -> None:
-            await given_up.wait()
+        async def read_late(reader: asyncio.StreamReader, writer: Writer) -> None:
+            await cancelled.wait()
             size = 0
             while part := await reader.read(1 << 20):
                 size += len(part)
             read.put_nowait(size)
             writer.close()
 
-        given_up = asyncio.Event()
-        server = await asyncio.start_server(reads_late, HOST, 0)
+        cancelled = asyncio.Event()
+        server = await asyncio.start_server(read_late, HOST, 0)
         async with server, Pool() as pool:
             until_s = asyncio.get_running_loop().time() + 0.05
             address = server.sockets[0].getsockname()
             sent = encoded("POST", "/charge", body)
             assert await pool.ask(0, address, sent, until_s) is Outcome.CONNECT_FAILED
-            given_up.set()
+            cancelled.set()
             assert await within(read.get()) < len(body)
 
     run(test())
 
 
-def test_a_connection_idle_for_long_is_not_used(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_long_idle_connection_is_not_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against writing to a connection that the upstream may be closing."""
 
     async def test() -> None:
@@ -590,8 +600,8 @@
     run(test())
 
 
-def test_a_new_upstream_at_the_address_of_one_that_is_gone_gets_connections_of_its_own() -> None:
-    """Guards against connections to the old one that serve the new, and against an end that closes both."""
+def test_a_new_upstream_at_a_removed_ones_address_gets_its_own_connections() -> None:
+    """Guards against sharing connections with the removed upstream, and against closing those of both."""
 
     async def test() -> None:
         async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
@@ -605,21 +615,21 @@
     run(test())
 
 
-def test_no_more_connections_than_descriptors() -> None:
-    """Guards against attempts that take the descriptors that callers' connections need."""
+def test_connections_are_limited_to_the_descriptors() -> None:
+    """Guards against attempts that use up the descriptors that callers' connections need."""
 
     async def test() -> None:
         async with Upstream(silent) as busy, Upstream(says(answer(200))) as other, Pool(most=2) as pool:
             assert isinstance(await pool.get(other), Answer)  # leaves an idle connection
-            out = [asyncio.create_task(pool.get(busy)) for _ in range(2)]
-            for _ in out:
+            pending = [asyncio.create_task(pool.get(busy)) for _ in range(2)]
+            for _ in pending:
                 await within(busy.arrivals.get())
-            assert await within(other.ended.get()) == 1  # it made way
+            assert await within(other.ended.get()) == 1  # it was closed to free its descriptor
             assert await pool.get(other) is Outcome.NOT_SENT
             assert len(other.asked) == 1
-            for task in out:
+            for task in pending:
                 task.cancel()
-            await asyncio.gather(*out, return_exceptions=True)
+            await asyncio.gather(*pending, return_exceptions=True)
             assert isinstance(await pool.get(other), Answer)
 
     run(test())
@@ -629,35 +639,35 @@
     ("number", "outcome"),
     [(errno.EMFILE, Outcome.NOT_SENT), (errno.ECONNREFUSED, Outcome.CONNECT_FAILED)],
 )
-def test_want_of_descriptors_is_not_the_upstreams_fault(
+def test_a_local_descriptor_shortage_is_not_an_upstream_failure(
     monkeypatch: pytest.MonkeyPatch, number: int, outcome: Outcome
 ) -> None:
-    async def fails(*_: object, **__: object) -> None:
+    async def raise_error(*_: object, **__: object) -> None:
         raise OSError(number, "no")
 
     async def test() -> None:
         async with Upstream(silent) as upstream, Pool() as pool:
-            monkeypatch.setattr("aiohttp.connector.aiohappyeyeballs.start_connection", fails)
+            monkeypatch.setattr("aiohttp.connector.aiohappyeyeballs.start_connection", raise_error)
             assert await pool.get(upstream) is outcome
 
     run(test())
 
 
-GOOD = answer(200, b"made for this one")
+VALID_RESPONSE = answer(200, b"made for this one")
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
 @pytest.mark.parametrize("pieces", [1, 3, 1000])
-@pytest.mark.parametrize("behind", [GOOD, b"\x00\xff noise \r\n\r\n", HEAD, b"\r\n"])
-def test_what_follows_a_good_answer_neither_spoils_it_nor_serves_the_next(behind: bytes, pieces: int) -> None:
-    """Guards against a second copy read as the next answer, and against noise that fails the one before."""
+@pytest.mark.parametrize("surplus", [VALID_RESPONSE, b"\x00\xff noise \r\n\r\n", HEAD, b"\r\n"])
+def test_surplus_bytes_affect_neither_their_response_nor_the_next(surplus: bytes, pieces: int) -> None:
+    """Guards against a duplicate read as the next response, and garbage that fails the one before."""
 
     async def test() -> None:
         async def behave(_: Message, writer: Writer) -> None:
-            said = GOOD + behind
-            size = -(-len(said) // pieces)
-            for at in range(0, len(said), size):
-                writer.write(said[at : at + size])
+            raw = VALID_RESPONSE + surplus
+            size = -(-len(raw) // pieces)
+            for at in range(0, len(raw), size):
+                writer.write(raw[at : at + size])
                 await asyncio.sleep(0)
 
         async with Upstream(behave) as upstream, Pool() as pool:
@@ -670,8 +680,8 @@
     run(test())
 
 
-def test_what_comes_on_an_idle_connection_closes_it() -> None:
-    """Guards against the client, which keeps such bytes and reads them as the next request's answer."""
+def test_unsolicited_bytes_close_an_idle_connection() -> None:
+    """Guards against aiohttp's handler, which keeps such bytes and reads them as the next response."""
 
     async def test() -> None:
         writers: list[Writer] = []
@@ -686,7 +696,8 @@
                 assert isinstance(got, Answer)
                 assert got.body == b"%d" % number
                 writers[-1].write(answer(200, b"a copy"))
-                if number == 1:  # read by the loop before the next request, or still unread when it is sent
+                # read by the event loop before the next request, or still unread when that is sent
+                if number == 1:
                     assert await within(upstream.ended.get()) == 1
             assert upstream.connections == 3
 
@@ -694,7 +705,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "raw",
     [
         b"\x00\xff\x16 noise\r\n\r\n",
         b"HTTP/9 what\r\n\r\n",
@@ -702,7 +713,7 @@
         HEAD + b"X-Long: " + b"a" * 70_000,
         HEAD + b"".join(b"X-%d: 1\r\n" % n for n in range(4000)),
         HEAD + b"Content-Length: 3000000000\r\n\r\n" + b"a" * 70_000,
-        HEAD + b"Content-Length: %d\r\n\r\n" % (LONGEST_ANSWER + 1),
+        HEAD + b"Content-Length: %d\r\n\r\n" % (MAX_RESPONSE_BYTES + 1),
         HEAD + b"Content-Length: 5\r\nContent-Length: 6\r\n\r\nabcdef",
         HEAD + b"Content-Length: 5\r\nContent-Length: 5\r\n\r\nabcde",
         HEAD + b"Content-Length: -5\r\n\r\nabcde",
@@ -712,29 +723,29 @@
         HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\nabcde\r\n",
         HEAD + b"\r\n" + b"a" * 1_100_000,
         b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-        HEAD + b"Content-Length: 5\r\n\r\nabc",  # and no more
-        b"HTTP/1.1 2",  # and no more
+        HEAD + b"Content-Length: 5\r\n\r\nabc",  # truncated
+        b"HTTP/1.1 2",  # truncated
     ],
     ids=range(18),
 )
-def test_a_spoilt_answer_is_an_error_at_once_and_its_connection_is_closed(said: bytes) -> None:
+def test_an_invalid_response_is_an_immediate_error_and_closes_its_connection(raw: bytes) -> None:
     """Guards against waiting for its end until the deadline, and against taking the upstream for dead."""
 
     async def test() -> None:
-        async with Upstream(says(said)) as upstream, Pool(connect_timeout_ms=200.0) as pool:
+        async with Upstream(says(raw)) as upstream, Pool(connect_timeout_ms=200.0) as pool:
             assert await pool.get(upstream) is Outcome.ERROR
             assert await within(upstream.ended.get()) == 1
-            upstream.behave = says(GOOD)
+            upstream.behave = says(VALID_RESPONSE)
             assert isinstance(await pool.get(upstream), Answer)
 
     run(test())
 
 
-def test_an_answer_that_was_held_back_goes_on() -> None:
-    """Guards against a parser that stopped for want of room, and is never told to go on."""
+def test_a_parser_that_was_paused_continues() -> None:
+    """Guards against a parser that was paused by a full buffer and never resumed."""
 
     async def test() -> None:
-        connection = OneAnswer(asyncio.get_running_loop(), 5.0)
+        connection = SingleResponseHandler(asyncio.get_running_loop(), 5.0)
         connection.connection_made(asyncio.Transport())
         connection.set_response_params(read_bufsize=1000)
         connection.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + b"a" * 50_000)
@@ -748,12 +759,12 @@
     run(test())
 
 
-def test_answers_ahead_are_passed_over_and_may_be_waited_after() -> None:
+def test_interim_responses_are_skipped_and_do_not_start_the_stall_limit() -> None:
     async def test() -> None:
         async def behave(_: Message, writer: Writer) -> None:
             writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
-            await asyncio.sleep(0.1)  # longer than an answer that has begun may stand still
-            writer.write(GOOD)
+            await asyncio.sleep(0.1)  # longer than the stall limit
+            writer.write(VALID_RESPONSE)
 
         async with Upstream(behave) as upstream, Pool(connect_timeout_ms=50.0) as pool:
             got = await pool.get(upstream)
