--- a/tests/dataplane/answer_mutants.py
+++ b/tests/dataplane/answer_mutants.py
@@ -1,5 +1,8 @@
-"""Faults put into the handling of answers on purpose. By hand, which of them the fuzzer finds, and after how
-many scripts: `python -m tests.dataplane.answer_mutants [EXAMPLES]`."""
+"""Deliberate faults in the handling of responses.
+
+`python -m tests.dataplane.answer_mutants [EXAMPLES]` shows which of them the fuzzer finds, and after how many
+scripts.
+"""
 
 from __future__ import annotations
 
@@ -31,36 +34,36 @@
 from madderwind.transport.encoded_request import current_request
 from madderwind.transport.gated_request import GatedRequest
 from tests.dataplane import fuzz_answers
-from tests.dataplane.answer_oracle import Broken
+from tests.dataplane.answer_oracle import RuleViolation
 from tests.dataplane.answer_player import Player
 from tests.dataplane.answer_scripts import Script
 
 DEFAULT_EXAMPLES = 1000
 
 
-def send_again_after_a_reset(progress: Progress) -> bool:
+def retry_after_reset(progress: Progress) -> bool:
     return progress.arrivals < progress.max_attempts and not progress.answer_begun
 
 
-def promise_after_a_send(progress: Progress) -> bool:
+def claim_unexecuted_after_send(progress: Progress) -> bool:
     return not progress.answer_begun
 
 
-def without_the_id(request_id: str | None, status: int, headers: Mapping[str, str]) -> Head:
+def read_head_without_id(request_id: str | None, status: int, headers: Mapping[str, str]) -> Head:
     others = {name: value for name, value in headers.items() if name.lower() != REQUEST_ID.lower()}
     return read_head(None, status, others)
 
 
-def last_byte_decides(**options: Any) -> ConnectionOptions:
+def require_last_byte(**options: Any) -> ConnectionOptions:
     return ConnectionOptions(**{**options, "starts_when_whole": True})
 
 
-def leave_open(answer: ClientAnswer) -> web.StreamResponse:
+def leave_stream_open(answer: ClientAnswer) -> web.StreamResponse:
     return answer._response or web.Response(status=502)
 
 
-class _NeverClosed:
-    """A connection that its client can't close."""
+class _UnclosableConnection:
+    """A connection that its client cannot close."""
 
     def __init__(self, connection: Any) -> None:
         self.protocol = connection.protocol
@@ -69,76 +72,82 @@
         pass
 
 
-async def keep_within_the_body(
+async def keep_connection_during_body(
     request: Any, writer: Any, conn: Any, content_length: int | None = None
 ) -> None:
     current_request.get().write_started = True
-    await ClientRequest.write_bytes(request, writer, _NeverClosed(conn), content_length)  # type: ignore[arg-type]
+    await ClientRequest.write_bytes(request, writer, _UnclosableConnection(conn), content_length)  # type: ignore[arg-type]
 
 
-async def look_once(request: Any, writer: Any, conn: Any, content_length: int | None = None) -> None:
+async def check_connection_once(
+    request: Any, writer: Any, conn: Any, content_length: int | None = None
+) -> None:
     current_request.get().write_started = True
     await ClientRequest.write_bytes(request, writer, conn, content_length)
 
 
-def close_after_writing(transport: asyncio.WriteTransport) -> None:
+def close_after_flush(transport: asyncio.WriteTransport) -> None:
     transport.close()
 
 
-def fail_at_an_extra_answer(connection: SingleResponseHandler, *told: Any) -> None:
+def fail_on_surplus_response(connection: SingleResponseHandler, *details: Any) -> None:
     connection.set_exception(HttpProcessingError(message="the response is not for this request"))
 
 
 Mutant = Callable[[], AbstractContextManager[Any]]
 
 MUTANTS: dict[str, Mutant] = {
-    "an unsafe request is sent again after a reset": lambda: patch.object(
-        retrying, "may_be_sent_again", send_again_after_a_reset
+    "an unsafe request is retried after a reset": lambda: patch.object(
+        retrying, "may_be_sent_again", retry_after_reset
     ),
-    "a promise after a send": lambda: patch.object(request_forwarding, "may_promise", promise_after_a_send),
-    "X-Request-Id is not checked": lambda: patch.object(attempt_exchange, "read_head", without_the_id),
+    "a request that was sent is reported as unexecuted": lambda: patch.object(
+        request_forwarding, "may_promise", claim_unexecuted_after_send
+    ),
+    "X-Request-Id is not checked": lambda: patch.object(attempt_exchange, "read_head", read_head_without_id),
     "only the last byte of a request counts as a send": lambda: patch.object(
-        upstream_pool, "ConnectionOptions", last_byte_decides
+        upstream_pool, "ConnectionOptions", require_last_byte
     ),
-    "an unframed answer that was reset passes as whole": lambda: patch.object(
+    "an unframed response that was reset passes as complete": lambda: patch.object(
         SingleResponseHandler, "connection_lost", ResponseHandler.connection_lost
     ),
-    "half an event passes as a stream's end": lambda: patch.object(
+    "a partial event passes as the end of a stream": lambda: patch.object(
         answer_relay, "tells_its_end", lambda headers: True
     ),
-    "a stream that broke off ends in good command": lambda: patch.object(ClientAnswer, "abort", leave_open),
-    "a connection is reused after an early answer": lambda: patch.object(
-        GatedRequest, "write_bytes", keep_within_the_body
+    "a stream that broke off is ended cleanly": lambda: patch.object(
+        ClientAnswer, "abort", leave_stream_open
+    ),
+    "a connection is reused after an early response": lambda: patch.object(
+        GatedRequest, "write_bytes", keep_connection_during_body
     ),
-    "a connection is looked at before, not as, a body is written": lambda: patch.object(
-        GatedRequest, "write_bytes", look_once
+    "a connection is checked before, but not when, a body is written": lambda: patch.object(
+        GatedRequest, "write_bytes", check_connection_once
     ),
-    "what was given up is still written": lambda: patch.object(
-        answering, "_close_or_abort", close_after_writing
+    "a cancelled request is still written": lambda: patch.object(
+        answering, "_close_or_abort", close_after_flush
     ),
-    "an extra answer fails the next request": lambda: patch.object(
-        SingleResponseHandler, "_skip_or_reject", fail_at_an_extra_answer
+    "a surplus response fails the next request": lambda: patch.object(
+        SingleResponseHandler, "_skip_or_reject", fail_on_surplus_response
     ),
 }
 
 
 def main() -> None:
-    """Let the fuzzer look for each mutant."""
+    """Run the fuzzer on each mutant."""
     examples = int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_EXAMPLES
     for name, mutant in MUTANTS.items():
-        played: list[Script] = []
+        played_scripts: list[Script] = []
 
-        def counted(script: Script, played: list[Script] = played) -> Player:
-            played.append(script)
+        def record_script(script: Script, played_scripts: list[Script] = played_scripts) -> Player:
+            played_scripts.append(script)
             return Player(script)
 
         found = "not found"
-        with mutant(), patch.object(fuzz_answers, "Player", counted):
+        with mutant(), patch.object(fuzz_answers, "Player", record_script):
             try:
-                fuzz_answers.fuzzer(examples, shrinks=False)()
-            except Broken as broken:
-                found = f"found: {broken}"
-        print(f"{name}: after {len(played)} scripts {found}", flush=True)
+                fuzz_answers.fuzzer(examples, is_shrinking=False)()
+            except RuleViolation as violation:
+                found = f"found: {violation}"
+        print(f"{name}: after {len(played_scripts)} scripts {found}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/dataplane/answer_player.py
+++ b/tests/dataplane/answer_player.py
@@ -1,4 +1,4 @@
-"""Plays a script of the fuzzer of answers: scripted upstreams and clients around the real forwarding."""
+"""Runs a script of the response fuzzer: scripted upstreams and clients around the real forwarder."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from madderwind.dataplane import upstream_pool
 from madderwind.testing.fault_tests.wire import chunk
-from tests.dataplane.answer_oracle import Broken, Oracle, Request, is_stream, reply_body, said
+from tests.dataplane.answer_oracle import Oracle, Request, RuleViolation, is_stream, reply_body, sent_reply
 from tests.dataplane.answer_scripts import (
-    Ask,
+    ClientConnection,
+    Disconnect,
     Ending,
     Framing,
-    Leaving,
     Owner,
     Reply,
+    RequestSpec,
     Script,
     Turn,
-    Visit,
 )
 from tests.dataplane.fleet import CLIENT_HOST, SIGNATURE
 from tests.dataplane.forwarder import ByteUpstream, ScriptedFleet
@@ -28,8 +28,8 @@
 from tests.standins import Writer, read_message, reset
 
 DEADLINE_MS = 1000
-# Longer than any request lasts, and than a late answer takes to arrive.
-LONG_S, LATE_S = 3.0, 0.05
+# Longer than any request takes; and longer than a response takes to arrive, for one that is sent late.
+REQUEST_TIMEOUT_S, LATE_DELAY_S = 3.0, 0.05
 INTERIM = b"HTTP/1.1 103 Early Hints\r\nX-Hint: h\r\n\r\n"
 TRAILERS = b"0\r\nX-Checked: yes\r\n\r\n"
 READ_SIZE = 1 << 16
@@ -39,136 +39,136 @@
 _open_socket = upstream_pool._open_socket
 
 
-def _small_socket(address_info: object) -> socket.socket:
-    """Long bodies wait with their sender, as they do between machines."""
+def _open_small_buffer_socket(address_info: object) -> socket.socket:
+    """Open a socket with a small send buffer: long bodies wait at the sender, as they do between machines."""
     opened = _open_socket(address_info)
     opened.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
     return opened
 
 
 class Player:
-    """One script; raises Broken where the oracle does."""
+    """Runs one script; raises the oracle's RuleViolation."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self._turns = list(script.turns)
         self.oracle = Oracle()
-        self._broken: Broken | None = None
-        self._ids: list[str] = []  # of requests that upstreams have had
+        self._violation: RuleViolation | None = None
+        self._arrived_ids: list[str] = []  # of requests that arrived at upstreams
 
     async def play(self) -> None:
-        """From the first client's first byte until nothing happens any more."""
+        """Run from the first client's first byte until all activity has ended."""
         upstreams = [ByteUpstream(self._serve) for _ in range(2)]
-        with patch.object(upstream_pool, "_open_socket", _small_socket):
+        with patch.object(upstream_pool, "_open_socket", _open_small_buffer_socket):
             async with ScriptedFleet(*upstreams) as fleet:
                 self._port = fleet.port
-                for visit in self._script.visits:
-                    await self._visit(visit)
-                await asyncio.sleep(LONG_S)
-        if self._broken is not None:
-            raise self._broken
-        self.oracle.finish(not any(turn.behind and turn.is_late for turn in self._script.turns))
+                for connection in self._script.connections:
+                    await self._run_connection(connection)
+                await asyncio.sleep(REQUEST_TIMEOUT_S)
+        if self._violation is not None:
+            raise self._violation
+        self.oracle.finish(not any(turn.trailing and turn.is_late for turn in self._script.turns))
 
-    # --- upstreams ---
+    # Behaviour of the upstreams.
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         try:
-            while await self._take_turn(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
-        except Broken as broken:
-            self._broken = self._broken or broken
+        except RuleViolation as violation:
+            self._violation = self._violation or violation
         except asyncio.IncompleteReadError as error:
-            if error.partial:  # a head that never ended: it may be garbage all the same
-                self._note_garbage(error.partial)
+            if error.partial:  # an incomplete head may still show garbage
+                self._check_partial_request(error.partial)
             writer.close()
 
-    def _note_garbage(self, partial: bytes) -> None:
+    def _check_partial_request(self, partial: bytes) -> None:
         if not partial.startswith(b"POST /"[: len(partial)]):
-            self._broken = self._broken or Broken(f"{partial[:40]!r} where a request is due")
+            self._violation = self._violation or RuleViolation(f"{partial[:40]!r} in place of a request")
 
-    async def _take_turn(self, reader: Reader, writer: Writer) -> bool:
-        """Whether the connection goes on."""
+    async def _serve_request(self, reader: Reader, writer: Writer) -> bool:
+        """Serve one request; return whether the connection stays open."""
         head = await reader.readuntil(b"\r\n\r\n")
         start, *lines = head.decode("latin-1").split("\r\n")
         headers = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in lines if line)}
         now_s = asyncio.get_running_loop().time()
-        request = self.oracle.arrived(now_s, start, headers.get("x-request-id"))
+        request = self.oracle.request_arrived(now_s, start, headers.get("x-request-id"))
         turn = self._turns.pop(0) if self._turns else Turn()
         request.turns.append(turn)
         if turn.reads_body_first:
             await self._read_body(reader, request, headers)
         if turn.runs:
-            self.oracle.ran(request)
-        is_on = await self._say_all(writer, request, turn, int(headers.get("last-event-id", 0)))
+            self.oracle.request_started(request)
+        is_open = await self._send_turn(writer, request, turn, int(headers.get("last-event-id", 0)))
         if request.request_id is not None:
-            self._ids.append(request.request_id)
-        if is_on and not turn.reads_body_first:
+            self._arrived_ids.append(request.request_id)
+        if is_open and not turn.reads_body_first:
             await self._read_body(reader, request, headers)
         if turn.ending is Ending.SILENCE:
             await reader.read()
-        return is_on
+        return is_open
 
     async def _read_body(self, reader: Reader, request: Request, headers: dict[str, str]) -> None:
         length = int(headers.get("content-length", 0))
         if "transfer-encoding" in headers or length != len(request.body):
-            raise Broken(f"the framing of {request.path} was changed")
+            raise RuleViolation(f"the framing of {request.path} was changed")
         try:
-            self.oracle.body_came(request, await reader.readexactly(length), True)
+            self.oracle.body_received(request, await reader.readexactly(length), True)
         except asyncio.IncompleteReadError as error:
-            self.oracle.body_came(request, error.partial, False)
+            self.oracle.body_received(request, error.partial, False)
             raise ConnectionResetError from None
 
-    async def _say_all(self, writer: Writer, request: Request, turn: Turn, last_event: int) -> bool:
-        """Whether the connection goes on after it."""
+    async def _send_turn(self, writer: Writer, request: Request, turn: Turn, last_event: int) -> bool:
+        """Send what the turn contains; return whether the connection stays open."""
         reply = turn.reply
         is_closing = turn.ending is Ending.CLOSE or (reply is not None and reply.closes)
-        raw = INTERIM * turn.interim + self._raw(request, turn.before, last_event)
+        raw = INTERIM * turn.interim_count + self._encode(request, turn.before, last_event)
         if reply is not None:
-            head, body = self._head(request, reply, last_event), reply_body(request, reply, last_event)
-            framed = _framed(reply, body)
-            count = int(len(framed) * turn.said_part)
-            part = body[:count] if reply.framing is Framing.CLOSE or count < len(framed) else body
-            whole = reply.framing is Framing.CLOSE or count == len(framed)
-            if whole:
+            head, body = self._encode_head(request, reply, last_event), reply_body(request, reply, last_event)
+            framed_body = _frame_body(reply, body)
+            count = int(len(framed_body) * turn.sent_fraction)
+            part = body[:count] if reply.framing is Framing.CLOSE or count < len(framed_body) else body
+            is_complete = reply.framing is Framing.CLOSE or count == len(framed_body)
+            if is_complete:
                 is_ended = is_closing and turn.ending is not Ending.RESET
-                request.said.append(said(request, reply, last_event, part, is_ended))
-            raw += head + framed[:count]
-        await self._say(writer, raw, turn.piece)
-        if turn.behind is not None and turn.has_place_behind:
+                request.sent_replies.append(sent_reply(request, reply, last_event, part, is_ended))
+            raw += head + framed_body[:count]
+        await self._send(writer, raw, turn.write_size)
+        if turn.trailing is not None and turn.allows_trailing:
             if turn.is_late:
-                await asyncio.sleep(LATE_S)
-            if isinstance(turn.behind, Reply) and turn.behind.owner is Owner.OWN:
-                body = reply_body(request, turn.behind, last_event)
-                request.said.append(said(request, turn.behind, last_event, body, False))
-            await self._say(writer, self._raw(request, turn.behind, last_event), turn.piece)
+                await asyncio.sleep(LATE_DELAY_S)
+            if isinstance(turn.trailing, Reply) and turn.trailing.owner is Owner.OWN:
+                body = reply_body(request, turn.trailing, last_event)
+                request.sent_replies.append(sent_reply(request, turn.trailing, last_event, body, False))
+            await self._send(writer, self._encode(request, turn.trailing, last_event), turn.write_size)
         if turn.ending is Ending.RESET:
             reset(writer)
         elif is_closing:
             writer.close()
         return turn.ending is Ending.KEEP and not is_closing
 
-    async def _say(self, writer: Writer, raw: bytes, piece: int) -> None:
-        size = max(piece, len(raw) // 50)
+    async def _send(self, writer: Writer, raw: bytes, write_size: int) -> None:
+        size = max(write_size, len(raw) // 50)
         for at in range(0, len(raw), size):
             writer.write(raw[at : at + size])
             await writer.drain()
             await asyncio.sleep(0)
 
-    def _raw(self, request: Request, spoken: Reply | bytes | None, last_event: int) -> bytes:
-        if not isinstance(spoken, Reply):
-            return spoken or b""
-        body = reply_body(request, spoken, last_event)
-        return self._head(request, spoken, last_event) + _framed(spoken, body)
+    def _encode(self, request: Request, message: Reply | bytes | None, last_event: int) -> bytes:
+        if not isinstance(message, Reply):
+            return message or b""
+        body = reply_body(request, message, last_event)
+        return self._encode_head(request, message, last_event) + _frame_body(message, body)
 
-    def _head(self, request: Request, reply: Reply, last_event: int) -> bytes:
+    def _encode_head(self, request: Request, reply: Reply, last_event: int) -> bytes:
         lines = [f"HTTP/1.1 {reply.status} Said"]
         if reply.framing is Framing.LENGTH:
             lines.append(f"Content-Length: {len(reply_body(request, reply, last_event))}")
         elif reply.framing is not Framing.CLOSE:
             lines.append("Transfer-Encoding: chunked")
-        echoed = self._echoed(request, reply.owner)
-        if echoed is not None:
-            lines.append(f"X-Request-Id: {echoed}")
+        echoed_id = self._echoed_id(request, reply.owner)
+        if echoed_id is not None:
+            lines.append(f"X-Request-Id: {echoed_id}")
         if reply.is_signed:
             lines.append(f"X-Upstream-Signature: {SIGNATURE}")
         if reply.is_refusal:
@@ -181,105 +181,107 @@
             lines.append("Content-Type: text/event-stream")
         return "\r\n".join((*lines, "", "")).encode()
 
-    def _echoed(self, request: Request, owner: Owner) -> str | None:
-        others = [known for known in self._ids if known != request.request_id]
+    def _echoed_id(self, request: Request, owner: Owner) -> str | None:
+        other_ids = [known for known in self._arrived_ids if known != request.request_id]
         if owner is Owner.OWN:
             return request.request_id
-        if owner is Owner.EARLIER and others:
-            return others[-1]
+        if owner is Owner.EARLIER and other_ids:
+            return other_ids[-1]
         return None if owner is Owner.NONE else "r-other"
 
-    # --- clients ---
+    # Behaviour of the clients.
 
-    async def _visit(self, visit: Visit) -> None:
-        """One client's connection, and another one for what is left of its requests if it is ended."""
-        left = list(visit.asks)
-        while left:
+    async def _run_connection(self, connection: ClientConnection) -> None:
+        """Run one client connection, and further ones for the requests that remain if it is closed."""
+        remaining = list(connection.specs)
+        while remaining:
             reader, writer = await asyncio.open_connection(HOST, self._port)
             try:
-                async with asyncio.timeout(LONG_S * len(left)):
-                    await self._converse(visit, left, reader, writer)
+                async with asyncio.timeout(REQUEST_TIMEOUT_S * len(remaining)):
+                    await self._run_requests(connection, remaining, reader, writer)
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
             except TimeoutError:
-                raise Broken("a request without an end") from None
+                raise RuleViolation("a request never ended") from None
             finally:
                 writer.transport.abort()
-            if visit.leaving is not Leaving.NEVER:
+            if connection.disconnect is not Disconnect.NEVER:
                 return
 
-    async def _converse(self, visit: Visit, left: list[Ask], reader: Reader, writer: Writer) -> None:
-        if visit.is_pipelined:
-            asks, left[:] = list(left), []
-            requests = [self.oracle.asked(ask) for ask in asks]
-            writing = asyncio.create_task(self._write_all(visit, requests, writer))
+    async def _run_requests(
+        self, connection: ClientConnection, remaining: list[RequestSpec], reader: Reader, writer: Writer
+    ) -> None:
+        if connection.is_pipelined:
+            specs, remaining[:] = list(remaining), []
+            requests = [self.oracle.request_sent(spec) for spec in specs]
+            writing = asyncio.create_task(self._write_all(connection, requests, writer))
             try:
-                await self._leave_or_read(visit, requests, reader, writer, writing)
+                await self._disconnect_or_read(connection, requests, reader, writer, writing)
             finally:
                 writing.cancel()
                 await asyncio.gather(writing, return_exceptions=True)
-        while left:
-            requests = [self.oracle.asked(left.pop(0))]
-            writing = asyncio.create_task(self._write_all(visit, requests, writer))
-            await self._leave_or_read(visit, requests, reader, writer, writing)
-        if visit.leaving is Leaving.NEVER:
+        while remaining:
+            requests = [self.oracle.request_sent(remaining.pop(0))]
+            writing = asyncio.create_task(self._write_all(connection, requests, writer))
+            await self._disconnect_or_read(connection, requests, reader, writer, writing)
+        if connection.disconnect is Disconnect.NEVER:
             await self._expect_nothing_more(reader)
 
-    async def _leave_or_read(
+    async def _disconnect_or_read(
         self,
-        visit: Visit,
+        connection: ClientConnection,
         requests: list[Request],
         reader: Reader,
         writer: Writer,
         writing: asyncio.Task[None],
     ) -> None:
-        if visit.leaving in (Leaving.IN_BODY, Leaving.AFTER_WRITING):
+        if connection.disconnect in (Disconnect.IN_BODY, Disconnect.AFTER_WRITING):
             await writing
             await asyncio.sleep(0)
-            self._leave(requests, writer)
-        if visit.leaving is Leaving.IN_ANSWER:
+            self._disconnect(requests, writer)
+        if connection.disconnect is Disconnect.IN_ANSWER:
             await reader.readexactly(1)
-            self._leave(requests, writer)
+            self._disconnect(requests, writer)
         for request in requests:
             got = await read_message(reader)
-            self.oracle.answered(request, got)
+            self.oracle.response_received(request, got)
             if (got.header("Connection") or "").lower() == "close":
                 raise ConnectionResetError
 
-    def _leave(self, requests: list[Request], writer: Writer) -> None:
+    def _disconnect(self, requests: list[Request], writer: Writer) -> None:
         for request in requests:
-            request.left_s = asyncio.get_running_loop().time()
+            request.disconnected_s = asyncio.get_running_loop().time()
         writer.transport.abort()
         raise ConnectionResetError
 
-    async def _write_all(self, visit: Visit, requests: list[Request], writer: Writer) -> None:
+    async def _write_all(self, connection: ClientConnection, requests: list[Request], writer: Writer) -> None:
         with contextlib.suppress(ConnectionError):
             for request in requests:
-                async for piece in _pieces(_asked(request), visit):
+                async for piece in _pieces(_encode_request(request), connection):
                     writer.write(piece)
                     await writer.drain()
-                if visit.leaving is Leaving.IN_BODY:
+                if connection.disconnect is Disconnect.IN_BODY:
                     return
 
     async def _expect_nothing_more(self, reader: Reader) -> None:
         try:
-            async with asyncio.timeout(LATE_S * 2):
+            async with asyncio.timeout(LATE_DELAY_S * 2):
                 more = await reader.read(READ_SIZE)
         except (TimeoutError, ConnectionError):
             return
         if more:
-            raise Broken(f"{more[:40]!r} where no answer is due")
+            raise RuleViolation(f"{more[:40]!r} after the last response")
 
 
-async def _pieces(raw: bytes, visit: Visit) -> AsyncIterator[bytes]:
-    end = len(raw) - 1 if visit.leaving is Leaving.IN_BODY else len(raw)
-    size = max(visit.piece, end // 50)
+async def _pieces(raw: bytes, connection: ClientConnection) -> AsyncIterator[bytes]:
+    end = len(raw) - 1 if connection.disconnect is Disconnect.IN_BODY else len(raw)
+    size = max(connection.write_size, end // 50)
     for at in range(0, end, size):
         yield raw[at : min(at + size, end)]
         await asyncio.sleep(0)
 
 
-def _asked(request: Request) -> bytes:
+def _encode_request(request: Request) -> bytes:
     """The request as its client writes it."""
     lines = [
         f"POST {request.path} HTTP/1.1",
@@ -290,7 +292,7 @@
     if request.request_id is not None:
         lines.append(f"X-Request-Id: {request.request_id}")
     body = request.body
-    if request.ask.is_chunked:
+    if request.spec.is_chunked:
         lines.append("Transfer-Encoding: chunked")
         half = len(body) // 2
         body = b"".join(chunk(part) for part in (body[:half], body[half:]) if part) + TRAILERS
@@ -299,7 +301,7 @@
     return "\r\n".join((*lines, "", "")).encode() + body
 
 
-def _framed(reply: Reply, body: bytes) -> bytes:
+def _frame_body(reply: Reply, body: bytes) -> bytes:
     if reply.framing in (Framing.LENGTH, Framing.CLOSE):
         return body
     half = len(body) // 2
--- a/tests/dataplane/answer_scripts.py
+++ b/tests/dataplane/answer_scripts.py
@@ -1,4 +1,4 @@
-"""Scripts of what clients ask and upstreams say, drawn by Hypothesis: the input of the fuzzer of answers."""
+"""Random scripts of client requests and upstream replies: the input of the response fuzzer."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 import attrs
 from hypothesis import strategies as st
 
-EVENTS = 4
-LONG_BODY = 200_000
+EVENT_COUNT = 4
+LONG_BODY_BYTES = 200_000
 
 
 class Owner(Enum):
-    """Whose id a reply echoes."""
+    """Whose request ID a reply echoes."""
 
     OWN = "own"
-    EARLIER = "earlier"  # of a request that some upstream had before
-    OTHER = "other"  # of no request
+    EARLIER = "earlier"  # of an earlier request at any upstream
+    OTHER = "other"  # an ID that no request has
     NONE = "none"
 
 
 class Framing(Enum):
-    """How a reply's end is told."""
+    """How the end of a reply's body is marked."""
 
     LENGTH = "length"
     CHUNKED = "chunked"
@@ -38,8 +38,8 @@
     SILENCE = "silence"
 
 
-class Leaving(Enum):
-    """When a client goes away."""
+class Disconnect(Enum):
+    """When a client disconnects."""
 
     NEVER = "never"
     IN_BODY = "in its body"
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class Reply:
-    """One answer. `size`: of its body, for what is no stream."""
+    """One reply; `size` is the length of its body, unless that is a stream of events."""
 
     status: int = 200
     owner: Owner = Owner.OWN
@@ -61,8 +61,8 @@
     closes: bool = False
 
     @property
-    def states_that_it_has_not_run(self) -> bool:
-        """An honest upstream that says so of a request does not run it."""
+    def states_not_executed(self) -> bool:
+        """Whether the reply says that its request was not executed; a correct upstream then never runs it."""
         return self.owner in (Owner.OWN, Owner.NONE) and (self.is_refusal or self.status == 421)
 
 
@@ -70,38 +70,43 @@
 class Turn:
     """What an upstream does with one request.
 
-    `before`: said ahead of the reply; `behind`: after it, late where `is_late`; `said_part`: of the reply;
-    `piece`: the bytes that are said at a time.
+    `before` is sent ahead of the reply; `trailing` follows it, with a delay if `is_late`. `sent_fraction`:
+    the part of the reply that is sent. `write_size`: the bytes in each write.
     """
 
     reads_body_first: bool = True
-    interim: int = 0
+    interim_count: int = 0
     before: Reply | bytes | None = None
     reply: Reply | None = Reply()
-    said_part: float = 1.0
-    behind: Reply | bytes | None = None
+    sent_fraction: float = 1.0
+    trailing: Reply | bytes | None = None
     is_late: bool = False
-    piece: int = 1 << 16
+    write_size: int = 1 << 16
     ending: Ending = Ending.KEEP
 
     @property
     def runs(self) -> bool:
         """Whether the upstream runs the request."""
-        return self.reply is None or not self.reply.states_that_it_has_not_run
+        return self.reply is None or not self.reply.states_not_executed
 
     @property
-    def has_place_behind(self) -> bool:
-        """Whether more bytes can be told from the reply's own: not within it, nor where its connection's end
-        ends it."""
+    def allows_trailing(self) -> bool:
+        """Whether trailing bytes are distinguishable from the reply.
+
+        They are not within the reply, nor where the connection's end delimits it.
+        """
         if self.reply is None:
             return True
-        return self.reply.framing is not Framing.CLOSE and self.said_part == 1.0
+        return self.reply.framing is not Framing.CLOSE and self.sent_fraction == 1.0
 
     @property
-    def is_good(self) -> bool:
+    def must_succeed(self) -> bool:
         """Whether the client must get this turn's reply."""
         return self == Turn(
-            reads_body_first=self.reads_body_first, interim=self.interim, reply=self.reply, piece=self.piece
+            reads_body_first=self.reads_body_first,
+            interim_count=self.interim_count,
+            reply=self.reply,
+            write_size=self.write_size,
         ) and self.reply in (Reply(), Reply(framing=Framing.CHUNKED), Reply(closes=True))
 
 
@@ -115,17 +120,17 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answers are events."""
+        """Whether responses are streams of events."""
         return self in (Route.STREAM, Route.RESUMABLE)
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether its requests may run more than once."""
+        """Whether requests may run more than once."""
         return self in (Route.SAFE, Route.RESUMABLE)
 
 
 @attrs.frozen
-class Ask:
+class RequestSpec:
     """One request of a client."""
 
     route: Route = Route.UNSAFE
@@ -135,20 +140,23 @@
 
 
 @attrs.frozen
-class Visit:
-    """One connection of a client; `is_pipelined`: all is written before anything is read."""
+class ClientConnection:
+    """One client connection; if `is_pipelined`, all requests are written before any response is read."""
 
-    asks: tuple[Ask, ...]
+    specs: tuple[RequestSpec, ...]
     is_pipelined: bool = False
-    leaving: Leaving = Leaving.NEVER
-    piece: int = 1 << 16
+    disconnect: Disconnect = Disconnect.NEVER
+    write_size: int = 1 << 16
 
 
 @attrs.frozen
 class Script:
-    """All that happens; upstreams take turns in the order in which requests arrive, and are good after."""
+    """A whole run.
+
+    Upstreams take the turns in the order in which requests arrive, and reply normally after the last one.
+    """
 
-    visits: tuple[Visit, ...]
+    connections: tuple[ClientConnection, ...]
     turns: tuple[Turn, ...]
 
 
@@ -174,19 +182,19 @@
     is_refusal=_usually(True, False),
     size=st.sampled_from([0, 40]),
 )
-_foreign_refusals = st.builds(
+_refusals_to_others = st.builds(
     Reply,
     status=st.sampled_from([503, 421]),
     owner=st.sampled_from([Owner.EARLIER, Owner.OTHER]),
     is_refusal=st.just(True),
 )
-_foreign = st.builds(
+_replies_to_others = st.builds(
     Reply,
     status=_usually(200, 500),
     owner=st.sampled_from([Owner.EARLIER, Owner.OTHER]),
     framing=st.sampled_from([Framing.LENGTH, Framing.CHUNKED]),
 )
-_noise = st.sampled_from(
+_garbage = st.sampled_from(
     [
         b"\r\n",
         b"0\r\n\r\n",
@@ -198,40 +206,40 @@
 _any_turns = st.builds(
     Turn,
     reads_body_first=_usually(True, False),
-    interim=_usually(0, 1, 2),
-    before=st.none() | st.none() | _foreign | _foreign_refusals | _noise,
+    interim_count=_usually(0, 1, 2),
+    before=st.none() | st.none() | _replies_to_others | _refusals_to_others | _garbage,
     reply=_own_replies | _own_replies | _refusals | st.none(),
-    said_part=_usually(1.0, 0.0, 0.3, 0.9, 0.999),
-    behind=st.none() | _foreign | _foreign_refusals | _noise | st.just(Reply()),
+    sent_fraction=_usually(1.0, 0.0, 0.3, 0.9, 0.999),
+    trailing=st.none() | _replies_to_others | _refusals_to_others | _garbage | st.just(Reply()),
     is_late=st.booleans(),
-    piece=st.sampled_from([1 << 16, 7, 50]),
+    write_size=st.sampled_from([1 << 16, 7, 50]),
     ending=st.sampled_from(Ending),
 )
-# A signed answer that is broken off.
-_cut_turns = st.builds(
+# Signed replies that are truncated.
+_truncated_turns = st.builds(
     Turn,
     reply=st.builds(Reply, framing=st.sampled_from(Framing), size=st.sampled_from([40, 70_000])),
-    said_part=st.sampled_from([0.0, 0.3, 0.5, 0.9, 0.999]),
+    sent_fraction=st.sampled_from([0.0, 0.3, 0.5, 0.9, 0.999]),
     ending=st.sampled_from([Ending.CLOSE, Ending.RESET]),
 )
-_turns = _any_turns | _any_turns | _cut_turns
-_asks = st.builds(
-    Ask,
+_turns = _any_turns | _any_turns | _truncated_turns
+_specs = st.builds(
+    RequestSpec,
     route=st.sampled_from(Route),
-    size=_usually(10, 0, LONG_BODY),
+    size=_usually(10, 0, LONG_BODY_BYTES),
     is_chunked=st.booleans(),
     has_id=_usually(True, True, False),
 )
-_visits = st.builds(
-    Visit,
-    asks=st.lists(_asks, min_size=1, max_size=3).map(tuple),
+_connections = st.builds(
+    ClientConnection,
+    specs=st.lists(_specs, min_size=1, max_size=3).map(tuple),
     is_pipelined=st.booleans(),
-    leaving=_usually(Leaving.NEVER, *Leaving),
-    piece=st.sampled_from([1 << 16, 40, 1000]),
+    disconnect=_usually(Disconnect.NEVER, *Disconnect),
+    write_size=st.sampled_from([1 << 16, 40, 1000]),
 )
 
 scripts = st.builds(
     Script,
-    visits=st.lists(_visits, min_size=1, max_size=3).map(tuple),
+    connections=st.lists(_connections, min_size=1, max_size=3).map(tuple),
     turns=st.lists(_turns, max_size=6).map(tuple),
 )
--- a/tests/dataplane/fuzz_answers.py
+++ b/tests/dataplane/fuzz_answers.py
@@ -1,4 +1,4 @@
-"""Fuzzes the answers that pass through a data plane.
+"""Fuzzes the responses that pass through a data plane.
 
 By hand: `python -m tests.dataplane.fuzz_answers [EXAMPLES [SEED]]`.
 """
@@ -19,35 +19,38 @@
 
 
 def play(script: Script) -> None:
-    """Play one script; raises Broken."""
+    """Run one script; raises RuleViolation."""
     with asyncio.Runner(loop_factory=JumpingLoop) as runner:
         runner.run(Player(script).play())
 
 
-def fuzzer(examples: int, seeded: int | None = None, shrinks: bool = True) -> Callable[[], None]:
-    """A function that plays so many scripts and raises with one that breaks; the same ones at each call where
-    no seed is given. `shrinks`: whether it looks for the shortest such script."""
-    phases = (Phase.generate, Phase.shrink, Phase.explain) if shrinks else (Phase.generate,)
+def fuzzer(examples: int, seed_value: int | None = None, is_shrinking: bool = True) -> Callable[[], None]:
+    """A function that runs this many scripts and raises for one that breaks a rule.
+
+    Without a seed it runs the same scripts at each call. `is_shrinking`: look for the shortest failing
+    script.
+    """
+    phases = (Phase.generate, Phase.shrink, Phase.explain) if is_shrinking else (Phase.generate,)
     bounds = settings(
         phases=phases,
         max_examples=examples,
-        derandomize=seeded is None,
+        derandomize=seed_value is None,
         deadline=None,
         database=None,
         suppress_health_check=list(HealthCheck),
     )
 
     checked = bounds(given(scripts)(play))
-    return checked if seeded is None else seed(seeded)(checked)
+    return checked if seed_value is None else seed(seed_value)(checked)
 
 
 def main() -> None:
-    """Play the scripts asked for."""
-    told = [int(argument) for argument in sys.argv[1:]]
-    examples = told[0] if told else DEFAULT_EXAMPLES
-    seeded = told[1] if len(told) > 1 else DEFAULT_SEED
-    fuzzer(examples, seeded)()
-    print(f"{examples} scripts, seed {seeded}: no rule broken")
+    """Run the scripts given by the command line."""
+    numbers = [int(argument) for argument in sys.argv[1:]]
+    examples = numbers[0] if numbers else DEFAULT_EXAMPLES
+    seed_value = numbers[1] if len(numbers) > 1 else DEFAULT_SEED
+    fuzzer(examples, seed_value)()
+    print(f"{examples} scripts, seed {seed_value}: no rule broken")
 
 
 if __name__ == "__main__":
