--- a/madderwind/transport/answering.py
+++ b/madderwind/transport/answering.py
@@ -67,7 +67,7 @@
         """`passing_stall_s`: as `stall_s`, for a streamed response; 0 disables the limit."""
         super().__init__(loop)
         self.unreadable = False
-        self.requests_written = 0
+        self.request_count = 0  # requests written to this connection
         self.response_started = False  # whether a byte of the current response has arrived
         self._is_streaming = False
         self._stall_s, self._passing_stall_s = stall_s, passing_stall_s
@@ -85,11 +85,7 @@
 
     def set_response_params(self, **params: Any) -> None:
         self._expected = _Expected.HEAD
-        self.requests_written, self.response_started, self._is_streaming = (
-            self.requests_written + 1,
-            False,
-            False,
-        )
+        self.request_count, self.response_started, self._is_streaming = self.request_count + 1, False, False
         self._is_skipping = self._has_skipped = False
         self._expects_body = not params.get("skip_payload", False)
         super().set_response_params(**params)
@@ -137,9 +133,7 @@
         place of its own. On a connection without an earlier request there can be no such response.
         """
         is_short = len(lengths) == 1 and lengths[0].isdecimal() and int(lengths[0]) <= MAX_SKIPPED_BODY_BYTES
-        is_extra = (
-            addressee is Addressee.ANOTHER_REQUEST and self.requests_written > 1 and not self._has_skipped
-        )
+        is_extra = addressee is Addressee.ANOTHER_REQUEST and self.request_count > 1 and not self._has_skipped
         if not is_extra or not is_short or message.chunked or message.should_close:
             self.set_exception(HttpProcessingError(message="the response is not for this request"))
             return
@@ -241,7 +235,7 @@
     @property
     def is_stale(self) -> bool:
         """Whether the connection was reused from the pool and no byte of the current response arrived."""
-        return self.requests_written > 1 and not self.response_started
+        return self.request_count > 1 and not self.response_started
 
     def close(self) -> None:
         """As in aiohttp, but without writing what is still buffered."""
--- a/madderwind/transport/bodies.py
+++ b/madderwind/transport/bodies.py
@@ -1,6 +1,4 @@
-"""The body of a caller's request: buffered whole if it is short, else its beginning, with the rest
-streamed.
-"""
+"""The body of a caller's request: short ones are buffered whole, long ones are streamed after their start."""
 
 from __future__ import annotations
 
@@ -47,11 +45,9 @@
         self.broken: BadBody | None = None  # why the rest never arrived
 
     async def begin(self) -> None:
-        """Read the body whole, or as much of it as may be buffered, after a 100 Continue where one is
-        expected.
+        """Read the body whole, or as much of it as may be buffered; send 100 Continue first if expected.
 
-        Guards against reading a body whose stated length is too long: this takes time from all other
-        requests.
+        Guards against reading a body whose stated length is too long, which takes time from all requests.
         """
         request = self._request
         if (self.length or 0) > LONGEST_BODY:
@@ -104,8 +100,9 @@
             yield part
 
     async def _read_chunk(self) -> bytes:
-        """Return more bytes, or none at the end. Only time spent waiting for the caller counts towards the
-        limit.
+        """Return more bytes, or none at the end.
+
+        Only the time spent waiting for the caller counts towards the timeout.
         """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/madderwind/transport/connection_trust.py
+++ b/madderwind/transport/connection_trust.py
@@ -26,9 +26,8 @@
             self._reset_count, self._successes = 0, 0
 
     def record_reset(self, now_s: float) -> None:
-        if (
-            now_s >= self._paused_until_s
-        ):  # resets of other open requests during the pause carry no new information
+        # resets of other open requests during the pause carry no new information
+        if now_s >= self._paused_until_s:
             self._paused_until_s = now_s + min(self.MAX_PAUSE_S, self.BASE_PAUSE_S * 2.0**self._reset_count)
             self._reset_count, self._successes = self._reset_count + 1, 0
 
--- a/madderwind/transport/connector.py
+++ b/madderwind/transport/connector.py
@@ -46,8 +46,8 @@
     """Holds no more connections than its share of this machine's file descriptors.
 
     Guards against callers' connections that cannot be accepted for lack of a descriptor: their requests would
-    be lost. At the limit an idle connection is closed for a new one; if none is idle, the attempt is not
-    sent.
+    be lost. At the limit an idle connection is closed for a new one; if none is idle, the attempt fails
+    unsent.
     """
 
     def __init__(self, most: int, options: ConnectionOptions) -> None:
@@ -92,7 +92,7 @@
         self._conns.pop(key, None)
 
     def _is_reusable(self, protocol: SingleResponseHandler, idle_since_s: float) -> bool:
-        """Whether no bytes are unread and the upstream's idle timeout is not near."""
+        """Whether the connection is clean and safely within the upstream's idle timeout."""
         idle_s = self._loop.time() - idle_since_s
         keep_alive_s = self._options.untold_idle_s if protocol.keep_alive_s is None else protocol.keep_alive_s
         return protocol.is_reusable() and idle_s <= keep_alive_s * IDLE_FRACTION
--- a/madderwind/transport/encoded_request.py
+++ b/madderwind/transport/encoded_request.py
@@ -79,10 +79,8 @@
         self.sink = sink  # receives a response that is too long to buffer
         self.addresses = addresses  # a response that belongs to another request is an error
         self.write_approved = False  # `may_write` has allowed it, and writing comes next
-        self.write_started, self.write_finished = (
-            False,
-            False,
-        )  # whether its first byte may have been sent, and its last
+        # whether its first byte may have been sent, and its last
+        self.write_started, self.write_finished = False, False
         self.limit: asyncio.Timeout | None = None
         self.upstream = -1  # number of the upstream
         self.connection: SingleResponseHandler | None = None  # the connection that sends it
--- a/madderwind/transport/listening.py
+++ b/madderwind/transport/listening.py
@@ -81,8 +81,8 @@
 
     most = 0
 
-    def __init__(self, *args: Any, **more: Any) -> None:
-        super().__init__(*args, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.lingering: LingeringConnections = {}
         self.times = CallerTimes()
 
@@ -275,15 +275,13 @@
     async def serve_on(self, until_s: float) -> None:
         """Stop accepting, and keep serving the open connections while there are any, until `until_s`.
 
-        `until_s` is on the loop's clock. Guards against sending callers away while another balancer is down
-        too.
+        Guards against sending callers away while another balancer is down too. `until_s`: the loop's clock.
         """
         loop = asyncio.get_running_loop()
         if self._acceptor.listening is not None:
             self._acceptor.close(accept_pending=True)
-            await asyncio.sleep(
-                FIRST_REQUEST_WAIT_S
-            )  # connections accepted last get time for their first request
+            # connections accepted last get time for their first request
+            await asyncio.sleep(FIRST_REQUEST_WAIT_S)
         while self._web.connections and loop.time() < until_s:
             await asyncio.sleep(RETRY_INTERVAL_S)
 
--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -116,7 +116,7 @@
                 ) as response,
             ):
                 answer = await receive(response)
-                if encoded.connection is not None and encoded.connection.requests_written > 1:
+                if encoded.connection is not None and encoded.connection.request_count > 1:
                     self._connector.trust.record_success()
                 return answer
         except NotWrittenError:
@@ -175,9 +175,7 @@
     async def _stream(
         self, response: ClientResponse, encoded: EncodedRequest, sink: Sink, buffered: bytes
     ) -> Answer | Outcome:
-        """Stream the response as fast as both sides allow, without a deadline while the upstream keeps
-        sending.
-        """
+        """Stream the response as fast as both sides allow; no deadline cuts off what is still arriving."""
         if encoded.connection is not None:
             encoded.connection.passes_on()
         if not await sink.begin(response.headers, response.content_length):
--- a/tests/dataplane/test_answers.py
+++ b/tests/dataplane/test_answers.py
@@ -311,7 +311,7 @@
 
 class UnusualFramingTests(unittest.TestCase):
     def exchange(self, request_bytes: bytes, raw: bytes) -> tuple[bytes, int]:
-        """What a client gets for these bytes if the upstream sends `raw`, and how many requests arrive there."""
+        """What a client gets for these bytes if the upstream sends `raw`, and how many requests arrive."""
         arrivals = Arrivals()
         got: list[bytes] = []
 
@@ -389,7 +389,7 @@
 
                 def interfere_once(connection: SingleResponseHandler) -> bool:
                     is_clean = original(connection)
-                    if not interferences and connection.requests_written == 2:
+                    if not interferences and connection.request_count == 2:
                         interferences.append(True)
                         interfere(writers[0])
                     return is_clean
