--- a/tests/dataplane/answer_mutants.py
+++ b/tests/dataplane/answer_mutants.py
@@ -34,7 +34,7 @@
 from madderwind.transport.encoded_request import current_request
 from madderwind.transport.gated_request import GatedRequest
 from tests.dataplane import fuzz_answers
-from tests.dataplane.answer_oracle import RuleViolation
+from tests.dataplane.answer_oracle import Broken
 from tests.dataplane.answer_player import Player
 from tests.dataplane.answer_scripts import Script
 
@@ -145,7 +145,7 @@
         with mutant(), patch.object(fuzz_answers, "Player", record_script):
             try:
                 fuzz_answers.fuzzer(examples, is_shrinking=False)()
-            except RuleViolation as violation:
+            except Broken as violation:
                 found = f"found: {violation}"
         print(f"{name}: after {len(played_scripts)} scripts {found}", flush=True)
 
--- a/tests/dataplane/answer_oracle.py
+++ b/tests/dataplane/answer_oracle.py
@@ -16,7 +16,7 @@
 DATA_PLANE_FAILURES = frozenset((408, 502, 503, 504))
 
 
-class RuleViolation(AssertionError):
+class Broken(AssertionError):
     """A rule of the oracle was violated."""
 
 
@@ -100,7 +100,7 @@
 
 
 class Oracle:
-    """Records what happens, and raises RuleViolation."""
+    """Records what happens, and raises Broken."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -117,7 +117,7 @@
             if start == f"POST {request.path} HTTP/1.1":
                 break
         else:
-            raise RuleViolation(f"an upstream received an unknown request: {start!r}")
+            raise Broken(f"an upstream received an unknown request: {start!r}")
         _require(request.request_id == request_id, f"{start} arrived with the request ID {request_id!r}")
         request.arrivals += 1
         _require(request.arrivals <= MAX_ARRIVALS, f"{request.path} was sent too often")
@@ -182,4 +182,4 @@
 
 def _require(condition: bool, message: str) -> None:
     if not condition:
-        raise RuleViolation(message)
+        raise Broken(message)
--- a/tests/dataplane/answer_player.py
+++ b/tests/dataplane/answer_player.py
@@ -10,7 +10,7 @@
 
 from madderwind.dataplane import upstream_pool
 from madderwind.testing.fault_tests.wire import chunk
-from tests.dataplane.answer_oracle import Oracle, Request, RuleViolation, is_stream, reply_body, sent_reply
+from tests.dataplane.answer_oracle import Broken, Oracle, Request, is_stream, reply_body, sent_reply
 from tests.dataplane.answer_scripts import (
     ClientConnection,
     Disconnect,
@@ -47,13 +47,13 @@
 
 
 class Player:
-    """Runs one script; raises the oracle's RuleViolation."""
+    """Runs one script; raises the oracle's Broken."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
         self._turns = list(script.turns)
         self.oracle = Oracle()
-        self._violation: RuleViolation | None = None
+        self._violation: Broken | None = None
         self._arrived_ids: list[str] = []  # of requests that arrived at upstreams
 
     async def play(self) -> None:
@@ -75,7 +75,7 @@
         try:
             while await self._serve_request(reader, writer):
                 pass
-        except RuleViolation as violation:
+        except Broken as violation:
             self._violation = self._violation or violation
         except asyncio.IncompleteReadError as error:
             if error.partial:  # an incomplete head may still show garbage
@@ -84,7 +84,7 @@
 
     def _check_partial_request(self, partial: bytes) -> None:
         if not partial.startswith(b"POST /"[: len(partial)]):
-            self._violation = self._violation or RuleViolation(f"{partial[:40]!r} in place of a request")
+            self._violation = self._violation or Broken(f"{partial[:40]!r} in place of a request")
 
     async def _serve_request(self, reader: Reader, writer: Writer) -> bool:
         """Serve one request; return whether the connection stays open."""
@@ -111,7 +111,7 @@
     async def _read_body(self, reader: Reader, request: Request, headers: dict[str, str]) -> None:
         length = int(headers.get("content-length", 0))
         if "transfer-encoding" in headers or length != len(request.body):
-            raise RuleViolation(f"the framing of {request.path} was changed")
+            raise Broken(f"the framing of {request.path} was changed")
         try:
             self.oracle.body_received(request, await reader.readexactly(length), True)
         except asyncio.IncompleteReadError as error:
@@ -202,7 +202,7 @@
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
             except TimeoutError:
-                raise RuleViolation("a request never ended") from None
+                raise Broken("a request never ended") from None
             finally:
                 writer.transport.abort()
             if connection.disconnect is not Disconnect.NEVER:
@@ -270,7 +270,7 @@
         except (TimeoutError, ConnectionError):
             return
         if more:
-            raise RuleViolation(f"{more[:40]!r} after the last response")
+            raise Broken(f"{more[:40]!r} after the last response")
 
 
 async def _pieces(raw: bytes, connection: ClientConnection) -> AsyncIterator[bytes]:
--- a/tests/dataplane/fuzz_answers.py
+++ b/tests/dataplane/fuzz_answers.py
@@ -18,8 +18,10 @@
 DEFAULT_EXAMPLES, DEFAULT_SEED = 2000, 1
 
 
+# Without a seed, Hypothesis derives the scripts from the source of this function, including its docstring:
+# any change to it changes which scripts are run.
 def play(script: Script) -> None:
-    """Run one script; raises RuleViolation."""
+    """Play one script; raises Broken."""
     with asyncio.Runner(loop_factory=JumpingLoop) as runner:
         runner.run(Player(script).play())
 
