--- a/madderwind/transport/budget.py
+++ b/madderwind/transport/budget.py
@@ -6,8 +6,8 @@
 from collections import deque
 
 MIB = 1024 * 1024
-# The memory of a process that holds no messages (26 MB were seen), and the fraction of the remaining memory
-# that messages may take, as system and Python buffers come on top. During an upgrade two processes run.
+# A process without messages takes about 26 MB. During an upgrade two processes run. Messages may take only a
+# fraction of the remaining memory, as system and Python buffers come on top.
 PROCESS_MIB, MAX_PROCESSES, MESSAGE_FRACTION = 28, 2, 0.7
 MIN_BUDGET_MIB = 2
 
