--- a/madderwind/cli/__init__.py
+++ b/madderwind/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the whole system: local fleets, load, faults, configurations, status."""
+"""Command line of the system: local fleets, load, fault injection, configurations and status."""
--- a/madderwind/cli/__main__.py
+++ b/madderwind/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m madderwind.cli`."""
+"""Entry point of `python -m madderwind.cli`."""
 
 from madderwind.cli.commands import main
 
--- a/madderwind/cli/attempt_commands.py
+++ b/madderwind/cli/attempt_commands.py
@@ -1,4 +1,4 @@
-"""`madderwind attempts`: what data planes' logs say of their choices."""
+"""The `madderwind attempts` command: summarizes the upstream attempts in data planes' logs."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 
 
 class AttemptLogError(MadderwindError):
-    """A log that can't be read, or that holds no attempt."""
+    """A log cannot be read or contains no attempts."""
 
 
 def attempts(log: str) -> None:
-    """Print the table of the attempts in a log.
+    """Print a summary table of the attempts in a log.
 
     Raises:
-        AttemptLogError: It can't be read, or holds no attempt.
+        AttemptLogError: The log cannot be read or contains no attempts.
     """
     try:
         with Path(log).open(encoding="utf-8", errors="replace") as lines:
-            found = read_attempts(lines)
+            found_attempts = read_attempts(lines)
     except OSError as error:
         raise AttemptLogError(f"{log}: {error.strerror}") from None
-    if not found:
-        raise AttemptLogError(f"{log}: no attempt in it; data planes write them with serve --log-level=debug")
-    print(attempt_table(found))
+    if not found_attempts:
+        raise AttemptLogError(
+            f"{log}: no attempts found; data planes log them only with serve --log-level=debug"
+        )
+    print(attempt_table(found_attempts))
--- a/madderwind/metrics/__init__.py
+++ b/madderwind/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of a process for Prometheus, at an address of their own, only where a setting asks for it."""
+"""Prometheus metrics of a process, served at a separate address if the settings name one."""
--- a/madderwind/metrics/exporter.py
+++ b/madderwind/metrics/exporter.py
@@ -1,4 +1,4 @@
-"""GET /metrics for Prometheus, by its client library, which is imported only where this is used."""
+"""Serves GET /metrics with the Prometheus client library, imported only if an exporter is created."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from prometheus_client.core import Metric
 
-METRICS, METRICS_PATH = "metrics", "/metrics"
+METRICS_LISTENER, METRICS_PATH = "metrics", "/metrics"
 PREFIX = "madderwind_"
 
 
@@ -28,22 +28,26 @@
         self._registry.register(_Collector(collect))
 
     async def start(self, address: str) -> str:
-        """Listen; the address, with the port that was chosen for 0. SettingsError where it is none."""
+        """Start listening and return the address, with the port that the system chose if 0 was given.
+
+        Raises:
+            SettingsError: `address` is not of the form ip:port.
+        """
         ip, _, port = address.rpartition(":")
         if not ip or not port.isdigit():
-            raise SettingsError(f"listen.{METRICS}", f"{address!r} is no ip:port")
+            raise SettingsError(f"listen.{METRICS_LISTENER}", f"{address!r} is not of the form ip:port")
         application = web.Application()
-        application.router.add_get(METRICS_PATH, self._answer)
+        application.router.add_get(METRICS_PATH, self._handle_scrape)
         self._runner = web.AppRunner(application, access_log=None, handle_signals=False, shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, ip, int(port), reuse_address=True).start()
         return f"{ip}:{self._runner.addresses[0][1]}"
 
     async def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         await self._runner.cleanup()
 
-    async def _answer(self, _: web.Request) -> web.Response:
+    async def _handle_scrape(self, _: web.Request) -> web.Response:
         from prometheus_client import CONTENT_TYPE_LATEST, generate_latest
 
         body = generate_latest(self._registry)
@@ -51,8 +55,8 @@
 
 
 async def start_exporter(listen: dict[str, str], collect: Collect) -> MetricsExporter | None:
-    """An exporter where the settings' `listen` names an address for metrics; else none."""
-    address = listen.get(METRICS)
+    """Start an exporter if the settings' `listen` names an address for metrics; otherwise return None."""
+    address = listen.get(METRICS_LISTENER)
     if address is None:
         return None
     exporter = MetricsExporter(collect)
@@ -61,13 +65,13 @@
 
 
 class _Collector:
-    """What the client library asks for all values."""
+    """The collector that the client library calls on each scrape."""
 
     def __init__(self, collect: Collect) -> None:
         self._collect = collect
 
     def collect(self) -> Iterator[Metric]:
-        """One family for each name, in the order in which the names come."""
+        """Yield one metric family per sample name, in order of first appearance."""
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
         families: dict[str, CounterMetricFamily | GaugeMetricFamily] = {}
--- a/madderwind/metrics/samples.py
+++ b/madderwind/metrics/samples.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself: named values with labels, read when somebody asks."""
+"""Samples of a process's metrics: named values with labels, collected on each scrape."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class SampleKind(Enum):
-    """`COUNTER` only rises within a process's life; `GAUGE` goes up and down."""
+    """`COUNTER` only increases during a process's lifetime; `GAUGE` may go up and down."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """One value. Samples of one name have the same kind, help and label names."""
+    """One value of a metric. All samples of a name have the same kind, help text and label names."""
 
     name: str
     help: str
--- a/tests/cli/test_attempts.py
+++ b/tests/cli/test_attempts.py
@@ -1,4 +1,4 @@
-"""The table of attempts from data planes' logs."""
+"""Tests of the summary table of attempts in data planes' logs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from madderwind.placement.attempt_record import PlacementReason
 
 
-def line(
+def attempt_line(
     route: str = "chat",
     first_ms: float | None = 100.0,
     alone_ms: float = 80.0,
@@ -40,11 +40,11 @@
 @pytest.mark.parametrize(
     ("attempt", "cause"),
     [
-        (line(), None),
-        (line(first_ms=None), None),
-        (line(first_ms=500.0, alone_ms=450.0, predicted_ms=460.0), LateCause.OWN_PREFILL),
-        (line(first_ms=500.0, alone_ms=200.0, predicted_ms=460.0), LateCause.QUEUE),
-        (line(first_ms=500.0, alone_ms=200.0, predicted_ms=300.0), LateCause.NOT_FORESEEN),
+        (attempt_line(), None),
+        (attempt_line(first_ms=None), None),
+        (attempt_line(first_ms=500.0, alone_ms=450.0, predicted_ms=460.0), LateCause.OWN_PREFILL),
+        (attempt_line(first_ms=500.0, alone_ms=200.0, predicted_ms=460.0), LateCause.QUEUE),
+        (attempt_line(first_ms=500.0, alone_ms=200.0, predicted_ms=300.0), LateCause.NOT_FORESEEN),
     ],
     ids=["in time", "no event", "own prefill", "queue", "not foreseen"],
 )
@@ -52,28 +52,34 @@
     assert attempt.late_cause is cause
 
 
-def test_lines_are_found_behind_other_text_and_spoilt_ones_passed_over() -> None:
-    encoded = msgspec.json.encode(line()).decode()
+def test_text_before_json_is_ignored_and_truncated_lines_are_skipped() -> None:
+    encoded = msgspec.json.encode(attempt_line()).decode()
     lines = [f"  12.3 front-1 {encoded}\n", encoded[:-9], '{"event":"counters"}', "", "no object"]
-    assert read_attempts(lines) == [line()]
+    assert read_attempts(lines) == [attempt_line()]
 
 
-def test_the_table_has_a_row_a_route_and_one_for_all() -> None:
-    table = attempt_table([line("a"), line("b", first_ms=900.0), line("b", reason=PlacementReason.SPILL)])
+def test_the_table_has_one_row_per_route_and_one_for_all() -> None:
+    table = attempt_table(
+        [
+            attempt_line("a"),
+            attempt_line("b", first_ms=900.0),
+            attempt_line("b", reason=PlacementReason.SPILL),
+        ]
+    )
     rows = [row.split() for row in table.splitlines()[1:]]
     assert [row[:4] for row in rows] == [["a", "1", "0", "0"], ["b", "2", "0", "1"], ["all", "3", "0", "1"]]
     assert rows[1][-3:] == ["0.50", "0.00", "0.50"]
 
 
-def test_the_command_prints_it(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_prints_the_table(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     log = tmp_path / "log"
-    log.write_bytes(msgspec.json.encode(line()) + b"\n")
+    log.write_bytes(msgspec.json.encode(attempt_line()) + b"\n")
     attempts(str(log))
     assert capsys.readouterr().out.splitlines()[1].split()[0] == "chat"
 
 
 @pytest.mark.parametrize("content", [None, "", '{"event":"counters"}\n'], ids=["missing", "empty", "other"])
-def test_a_log_without_attempts_is_a_typed_error(tmp_path: Path, content: str | None) -> None:
+def test_a_log_without_attempts_raises_attempt_log_error(tmp_path: Path, content: str | None) -> None:
     log = tmp_path / "log"
     if content is not None:
         log.write_text(content)
--- a/tests/metrics/test_exporter.py
+++ b/tests/metrics/test_exporter.py
@@ -1,4 +1,4 @@
-"""Figures for Prometheus: what is told, and that nothing listens without a setting."""
+"""Tests of the Prometheus exporter: the samples it serves, and that it listens only if configured."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 )
 
 
-class AnExporter(unittest.IsolatedAsyncioTestCase):
+class ExporterTest(unittest.IsolatedAsyncioTestCase):
     async def scrape(self, samples: list[Sample]) -> list[str]:
         def collect() -> Iterator[Sample]:
             yield from samples
@@ -44,7 +44,7 @@
             self.assertEqual(answer.status, 200)
             return (await answer.text()).splitlines()
 
-    async def test_tells_gauges_and_counters_with_their_labels(self) -> None:
+    async def test_exports_gauges_and_counters_with_their_labels(self) -> None:
         lines = await self.scrape(
             [
                 Sample("ready", "Whether it is ready.", 1.0),
@@ -57,7 +57,7 @@
         self.assertIn('madderwind_events_total{event="refused"} 1.0', lines)
         self.assertEqual(sum(line.startswith("# TYPE madderwind_events") for line in lines), 1)
 
-    async def test_tells_how_a_control_plane_stands(self) -> None:
+    async def test_exports_control_plane_status(self) -> None:
         lines = await self.scrape(list(control_plane_samples(STATUS)))
         self.assertIn("madderwind_primary 1.0", lines)
         self.assertIn("madderwind_lease_age_seconds 0.25", lines)
@@ -67,7 +67,7 @@
     async def test_does_not_listen_without_a_setting(self) -> None:
         self.assertIsNone(await start_exporter({"front": "127.0.0.1:1"}, lambda: ()))
 
-    async def test_names_an_address_that_is_none(self) -> None:
+    async def test_rejects_an_invalid_address(self) -> None:
         with self.assertRaises(SettingsError):
             await start_exporter({"metrics": "nowhere"}, lambda: ())
 
