--- a/madderwind/__init__.py
+++ b/madderwind/__init__.py
@@ -1,3 +1,3 @@
-"""madderwind: a load balancer for services that call services, around one small module of decisions."""
+"""madderwind: a load balancer for service-to-service calls, built around a small decision module."""
 
 __version__ = "0.2.0"
--- a/madderwind/__main__.py
+++ b/madderwind/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m madderwind`: the command line."""
+"""Entry point of `python -m madderwind`, the command line."""
 
 import sys
 
--- a/madderwind/early_signals.py
+++ b/madderwind/early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that may come before a process can handle them."""
+"""Handling of signals that may arrive before a process has installed its handlers."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def ignore_hangup() -> None:
-    """Ignore SIGHUP until a handler is set; to be called before anything that takes time to import.
+    """Ignore SIGHUP until a handler is installed; call this before any slow import.
 
-    Guards against the signal's default, which ends the process: the platform may announce a changed settings
-    file at any moment. The file is read once more when its watch begins.
+    The platform may announce a changed settings file at any moment, and the signal's default action would end
+    the process. No change is lost: `SettingsWatch` reads the file once more when it starts.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/madderwind/errors.py
+++ b/madderwind/errors.py
@@ -1,14 +1,14 @@
-"""The tree of errors of the system's programs. Every failure has a type; none is a bare string."""
+"""The error hierarchy of the system's programs: every kind of failure has its own type."""
 
 from __future__ import annotations
 
 
 class MadderwindError(Exception):
-    """The root of every error that the system's own code raises."""
+    """Base class of all errors that the system's own code raises."""
 
 
 class SettingsError(MadderwindError):
-    """A process's settings file cannot be used. `field` names the place, such as `limits.max_fds`."""
+    """A process's settings file cannot be used. `field` is the path of the field, such as `limits.max_fds`."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -16,7 +16,7 @@
 
 
 class MessageError(MadderwindError):
-    """Bytes from another process that are no message of this version, or are longer than any may be."""
+    """Bytes from another process are not a message of this version, or exceed the length limit."""
 
 
 class StorageError(MadderwindError):
@@ -24,7 +24,7 @@
 
 
 class ConfigurationError(MadderwindError):
-    """An operator's configuration breaks a rule. `field` names the place, such as `routes[3].timeout_ms`."""
+    """An operator's configuration is invalid. `field` is the path, such as `routes[3].timeout_ms`."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -36,17 +36,17 @@
 
 
 class FileFormatError(MadderwindError):
-    """A file that somebody wrote cannot be used. `line` counts from 1, 0 where none can be named."""
+    """A user-written file cannot be used. `line` counts from 1; it is 0 if the line is unknown."""
 
     def __init__(self, path: str, line: int, field: str, reason: str) -> None:
-        place = f"{path}:{line}" if line else path
-        super().__init__(f"{place}: {field}: {reason}" if field else f"{place}: {reason}")
+        location = f"{path}:{line}" if line else path
+        super().__init__(f"{location}: {field}: {reason}" if field else f"{location}: {reason}")
         self.path, self.line, self.field, self.reason = path, line, field, reason
 
 
 class LocalFleetError(MadderwindError):
-    """A fleet on this machine cannot be started, or is not in the state that a command needs."""
+    """A fleet on this machine cannot be started, or is not in the state that a command requires."""
 
 
 class OperatorCallError(MadderwindError):
-    """A control plane refused an operator's call, or none answered it."""
+    """A control plane refused an operator's request, or none answered it."""
--- a/madderwind/eventlog.py
+++ b/madderwind/eventlog.py
@@ -1,6 +1,6 @@
-"""What every layer says to the log, and what must hold.
+"""The event log as every layer uses it, rate-limited events, and checks of invariants.
 
-The layers take an `EventLog` and do not know where its lines go; the program writes them.
+The layers depend only on `EventLog`; the program decides where its lines are written.
 """
 
 from __future__ import annotations
@@ -11,43 +11,45 @@
 
 
 class EventLog(Protocol):
-    """Takes an event's name and its fields."""
+    """A function that logs an event with its fields."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """One event, with its fields."""
+        """Log one event with its fields."""
 
 
 class Sparing:
-    """Events that others can cause at will: one line of each a second, with how many there were.
+    """Rate limiter for events that peers and clients can cause at will: one line per event name a second.
 
-    Guards against a caller that fills the log, and takes the time that this costs, with what cannot be used.
+    Each line has the number of events suppressed since the previous one.
+
+    This prevents a caller from filling the log, and using up processing time, with invalid input.
     """
 
     EVERY_MS = 1000.0
 
     def __init__(self, log: EventLog, now_ms: Callable[[], float]) -> None:
         self._log, self._now_ms = log, now_ms
-        self._said: dict[str, tuple[float, int]] = {}
+        self._last_logged: dict[str, tuple[float, int]] = {}
 
     def __call__(self, event: str, /, **fields: object) -> None:
         now_ms = self._now_ms()
-        said_ms, unsaid = self._said.get(event, (float("-inf"), 0))
-        if now_ms - said_ms < self.EVERY_MS:
-            self._said[event] = said_ms, unsaid + 1
+        logged_ms, suppressed = self._last_logged.get(event, (float("-inf"), 0))
+        if now_ms - logged_ms < self.EVERY_MS:
+            self._last_logged[event] = logged_ms, suppressed + 1
             return
-        self._said[event] = now_ms, 0
-        self._log(event, **fields, unsaid_before=unsaid)
+        self._last_logged[event] = now_ms, 0
+        self._log(event, **fields, unsaid_before=suppressed)
 
 
 class Invariants:
-    """What must hold: asserted in debug builds, counted and logged in release builds (`python -O`)."""
+    """Checks of invariants: asserted in debug builds, counted and logged in release builds (`python -O`)."""
 
     def __init__(self, log: EventLog) -> None:
         self.broken: Counter[str] = Counter()
         self._log = log
 
     def must(self, holds: bool, name: str, **fields: object) -> bool:
-        """Whether it holds; a release build goes on after the count."""
+        """Return whether the invariant holds; a release build continues after counting a violation."""
         if not holds:
             self.broken[name] += 1
             self._log("invariant_broken", name=name, times=self.broken[name], **fields)
--- a/madderwind/log_events/control_plane.py
+++ b/madderwind/log_events/control_plane.py
@@ -6,12 +6,12 @@
 from madderwind.log_events.shared import SETTINGS_RELOADED as SETTINGS_RELOADED
 from madderwind.log_events.shared import SETTINGS_UNUSABLE as SETTINGS_UNUSABLE
 
-# The process.
+# Process lifecycle.
 CONTROL_PLANE_STARTED = LogEvent("control_plane_started", ("address",))
 SHUTDOWN_REQUESTED = LogEvent("shutdown_requested")
 CONTROL_PLANE_STOPPED = LogEvent("control_plane_stopped")
 
-# The replica.
+# Replication.
 VIEW_CHANGED = LogEvent("view_changed", ("epoch", "primary", "in_sync"))
 ROLE_CHANGED = LogEvent("role_changed", ("role", "epoch"))
 PRIMARY_CHANGED = LogEvent("primary_changed", ("is_primary", "primary", "epoch"))
@@ -22,7 +22,7 @@
 SNAPSHOT_SENT = LogEvent("snapshot_sent", ("to", "index"))
 SNAPSHOT_INSTALLED = LogEvent("snapshot_installed", ("index",))
 
-# The configuration.
+# Configuration changes.
 COMMAND_COMPLETED = LogEvent(
     "command_completed", ("kind", "base_version", "outcome", "version", "field", "reason")
 )
--- a/madderwind/log_events/event.py
+++ b/madderwind/log_events/event.py
@@ -1,4 +1,4 @@
-"""What a log event is, and what one line of the log says."""
+"""Log events and the log lines that report their occurrences."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Level(Enum):
-    """How much an event matters."""
+    """The severity of an event."""
 
     INFO = "info"
     WARNING = "warning"
@@ -27,9 +27,9 @@
     """An event that a program may log.
 
     Attributes:
-        name: What operators search for, in snake_case.
-        fields: Names of the fields that each line carries.
-        level: How much it matters.
+        name: The name that operators search for, in snake_case.
+        fields: Names of the fields that each line has.
+        level: Its severity.
     """
 
     name: str
@@ -37,7 +37,7 @@
     level: Level = Level.INFO
 
     def line(self, **fields: FieldValue) -> LogLine:
-        """A line of this event.
+        """Create a log line of this event.
 
         Raises:
             ValueError: The fields are not those of the event.
--- a/madderwind/log_events/shared.py
+++ b/madderwind/log_events/shared.py
@@ -1,4 +1,4 @@
-"""Events that both programs log."""
+"""Events that both the control plane and the data plane log."""
 
 from __future__ import annotations
 
--- a/madderwind/node_settings.py
+++ b/madderwind/node_settings.py
@@ -1,6 +1,6 @@
-"""The settings file of one process of the system: read once, checked by field, unknown fields passed over.
+"""The settings file of one process of the system. Each field is validated; unknown fields are ignored.
 
-The file is the one that `MADDERWIND_CONFIG` names; docs/system.md lists what is taken from it.
+`MADDERWIND_CONFIG` names the file; docs/system.md lists the fields that are used.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from madderwind.errors import SettingsError
 
 SETTINGS_VARIABLE = "MADDERWIND_CONFIG"
-# Offsets into `internal_ports`: two processes of one machine share the range.
+# Offsets into `internal_ports`: two processes on one machine share the range.
 CONTROL_PLANE_PORT, DATA_PLANE_PORT = 0, 1
 
 
 @attrs.frozen
 class MachineLimits:
-    """What the machine allows: MB of memory and disk, descriptors, Mbit/s of its link."""
+    """Resource limits of the machine: MB of memory and disk, file descriptors, Mbit/s of its link."""
 
     memory_mb: float = 256.0
     max_fds: int = 1024
@@ -33,14 +33,14 @@
 
 @attrs.frozen
 class FaultTolerance:
-    """What may be lost at the same moment while every promise holds."""
+    """The simultaneous failures under which every guarantee still holds."""
 
     machines: int = 1
 
 
 @attrs.frozen
 class Bounds:
-    """The deployment's bounds, from the settings file; `_ms` and `_s` tell the unit."""
+    """The deployment's bounds, from the settings file; the suffixes `_ms` and `_s` give the unit."""
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -66,10 +66,10 @@
 
 @attrs.frozen
 class NodeSettings:
-    """One process's settings.
+    """Settings of one process.
 
-    Addresses are `ip:port`. `bind_ip` is where to listen for other processes where that is not `ip`, the one
-    they connect to: behind a relay or an address translation.
+    Addresses are `ip:port`. Other processes connect to `ip`. `bind_ip` is the address to listen on if it
+    differs from `ip`, as behind a relay or address translation.
     """
 
     node: str
@@ -89,74 +89,74 @@
     bounds: Bounds = attrs.field(factory=Bounds)
 
     def internal_address(self, offset: int) -> str:
-        """Where this machine's process with that offset takes messages of other processes."""
+        """The address at which other processes reach this machine's process with that port offset."""
         return f"{self.ip}:{self.internal_ports[0] + offset}"
 
     def internal_bind_address(self, offset: int) -> str:
-        """Where this machine's process with that offset listens for other processes."""
+        """The address on which this machine's process with that port offset listens for other processes."""
         return f"{self.bind_ip or self.ip}:{self.internal_ports[0] + offset}"
 
     def seed_addresses(self) -> tuple[str, ...]:
-        """The control planes' internal addresses, as far as the seeds tell them."""
+        """The internal addresses of the control planes that the seeds name."""
         port = self.internal_ports[0] + CONTROL_PLANE_PORT
         return tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in self.seeds)
 
 
 def _converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=True)
-    converter.register_structure_hook(float, _number)
-    converter.register_structure_hook(int, _whole_number)
-    converter.register_structure_hook(bool, _truth)
-    converter.register_structure_hook(str, _text)
-    for kind in (MachineLimits, FaultTolerance, Bounds, NodeSettings):
-        converter.register_structure_hook(kind, make_dict_structure_fn(kind, converter))
+    converter.register_structure_hook(float, _structure_float)
+    converter.register_structure_hook(int, _structure_int)
+    converter.register_structure_hook(bool, _structure_bool)
+    converter.register_structure_hook(str, _structure_str)
+    for settings_type in (MachineLimits, FaultTolerance, Bounds, NodeSettings):
+        converter.register_structure_hook(settings_type, make_dict_structure_fn(settings_type, converter))
     return converter
 
 
-def _number(value: Any, _: type) -> float:
+def _structure_float(value: Any, _: type) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise ValueError(f"a number was expected, not {value!r}")
+        raise ValueError(f"expected a number, got {value!r}")
     return float(value)
 
 
-def _whole_number(value: Any, _: type) -> int:
+def _structure_int(value: Any, _: type) -> int:
     if isinstance(value, bool) or not isinstance(value, (int, float)) or value != int(value):
-        raise ValueError(f"a whole number was expected, not {value!r}")
+        raise ValueError(f"expected an integer, got {value!r}")
     return int(value)
 
 
-def _truth(value: Any, _: type) -> bool:
+def _structure_bool(value: Any, _: type) -> bool:
     if not isinstance(value, bool):
-        raise ValueError(f"true or false was expected, not {value!r}")
+        raise ValueError(f"expected true or false, got {value!r}")
     return value
 
 
-def _text(value: Any, _: type) -> str:
+def _structure_str(value: Any, _: type) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"a text was expected, not {value!r}")
+        raise ValueError(f"expected a string, got {value!r}")
     return value
 
 
 def parse_settings(text: bytes) -> NodeSettings:
-    """The settings in a file's bytes; SettingsError names the field at fault."""
+    """Parse the settings in a file's bytes; SettingsError names the invalid field."""
     try:
         raw = msgspec.json.decode(text)
     except msgspec.DecodeError as error:
-        raise SettingsError("(file)", f"no JSON: {error}") from None
+        raise SettingsError("(file)", f"not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise SettingsError("(file)", "an object was expected")
+        raise SettingsError("(file)", "expected a JSON object")
     try:
         return _converter().structure(raw, NodeSettings)
     except cattrs.BaseValidationError as error:
-        place, _, reason = cattrs.transform_error(error)[0].partition(" @ ")
-        raise SettingsError(reason.removeprefix("$.") or "(file)", place) from None
+        description, _, field_path = cattrs.transform_error(error)[0].partition(" @ ")
+        raise SettingsError(field_path.removeprefix("$.") or "(file)", description) from None
 
 
 def read_settings(path: str | None = None) -> NodeSettings:
-    """The settings of this process; SettingsError where there are none that can be used."""
+    """Read the settings of this process; SettingsError if the file is missing or invalid."""
     path = path or os.environ.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsError(SETTINGS_VARIABLE, "no settings file is named")
+        raise SettingsError(SETTINGS_VARIABLE, "the variable is not set; it has to name the settings file")
     try:
         return parse_settings(Path(path).read_bytes())
     except OSError as error:
--- a/madderwind/settings_watch.py
+++ b/madderwind/settings_watch.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs: the platform may change it, with a signal or without."""
+"""Reloads the settings file when the platform changes it, with or without a signal."""
 
 from __future__ import annotations
 
@@ -10,43 +10,42 @@
 from madderwind.eventlog import EventLog
 from madderwind.node_settings import NodeSettings, read_settings
 
-# How often it is looked whether the file has changed.
-WATCH_S = 1.0
+CHECK_INTERVAL_S = 1.0
 
 
 class SettingsWatch:
-    """Reads the settings file again when it is told to, or when the file has changed."""
+    """Reads the settings file again on request, or when the file has changed."""
 
-    def __init__(self, path: Path, take: Callable[[NodeSettings], None], log: EventLog) -> None:
-        self._path, self._take, self._log = path, take, log
-        self._seen = self._mark()
+    def __init__(self, path: Path, apply: Callable[[NodeSettings], None], log: EventLog) -> None:
+        self._path, self._apply, self._log = path, apply, log
+        self._seen_version = self._file_version()
 
     async def run(self) -> None:
-        """Look at the file from time to time.
+        """Check the file for changes every `CHECK_INTERVAL_S` seconds.
 
-        It is read at once, as it may have changed while the process started.
+        The file is read once at the start, as it may have changed while the process started.
         """
         self.read_again()
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.look()
 
     def look(self) -> None:
-        """Read the file again if it has changed since the last look."""
-        if (mark := self._mark()) != self._seen:
-            self._seen = mark
+        """Read the file again if it has changed since the last check."""
+        if (version := self._file_version()) != self._seen_version:
+            self._seen_version = version
             self.read_again()
 
     def read_again(self) -> None:
-        """Take what the file says now; one that can't be read changes nothing."""
+        """Apply the file's current settings; an invalid or unreadable file changes nothing."""
         try:
-            self._take(read_settings(str(self._path)))
+            self._apply(read_settings(str(self._path)))
         except SettingsError as error:
             self._log("settings_unusable", error=str(error))
 
-    def _mark(self) -> tuple[int, int]:
+    def _file_version(self) -> tuple[int, int]:
         try:
-            known = self._path.stat()
+            stat = self._path.stat()
         except OSError:
             return 0, 0
-        return known.st_mtime_ns, known.st_size
+        return stat.st_mtime_ns, stat.st_size
--- a/madderwind/structured_log.py
+++ b/madderwind/structured_log.py
@@ -1,6 +1,7 @@
-"""The log of the system's programs: structlog's events as JSON lines on standard output, written in batches.
+"""The log of the system's programs: structlog events as JSON lines on standard output, written in batches.
 
-A write an event would cost more than most events; a reader that stands still must not hold up the program.
+One write per event would cost more than handling most events. A stalled reader of the log must not block
+the program.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from madderwind.log_events.event import Level, LogLine
 from madderwind.log_events.shared import LOG_LINES_DROPPED
 
-FLUSH_S = 0.2
-MOST_GATHERED_BYTES = 64 * 1024
-# While nobody reads the log, so much of it is kept; more is dropped and counted.
-MOST_UNREAD_BYTES = 1024 * 1024
+FLUSH_INTERVAL_S = 0.2
+MAX_BATCH_BYTES = 64 * 1024
+# The limit of output buffered while nobody reads the log; further lines are dropped and counted.
+MAX_BUFFERED_BYTES = 1024 * 1024
 
 Log = structlog.typing.FilteringBoundLogger
 
@@ -31,58 +32,61 @@
 
 
 class BatchedOutput:
-    """Gathers lines and writes them in one go, a few times a second."""
+    """Buffers lines and writes them in batches, a few times a second."""
 
     def __init__(self, descriptor: int = 1) -> None:
         self._descriptor = descriptor
         self._lines: list[bytes] = []
-        self._gathered_bytes = self._dropped = 0
-        self._planned: asyncio.TimerHandle | None = None
+        self._buffered_bytes = self._dropped = 0
+        self._flush_timer: asyncio.TimerHandle | None = None
 
     def write_line(self, line: bytes) -> None:
-        """Take a line without its end; it is written within `FLUSH_S`, at once where no loop runs."""
-        if self._gathered_bytes > MOST_UNREAD_BYTES:
+        """Buffer a line without its line end; it is written within `FLUSH_INTERVAL_S`.
+
+        Without a running event loop it is written immediately.
+        """
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
             self._dropped += 1
             return
         self._lines.append(line + b"\n")
-        self._gathered_bytes += len(line) + 1
-        if self._gathered_bytes > MOST_GATHERED_BYTES or not self._plan():
+        self._buffered_bytes += len(line) + 1
+        if self._buffered_bytes > MAX_BATCH_BYTES or not self._schedule_flush():
             self.flush()
 
     def flush(self) -> None:
-        """Write what is gathered."""
-        if self._planned is not None:
-            self._planned.cancel()
-            self._planned = None
+        """Write the buffered lines."""
+        if self._flush_timer is not None:
+            self._flush_timer.cancel()
+            self._flush_timer = None
         remaining = self._write(b"".join(self._lines))
         self._lines = [remaining] if remaining else []
-        self._gathered_bytes = len(remaining)
+        self._buffered_bytes = len(remaining)
         if remaining:
-            self._plan()
+            self._schedule_flush()
         elif self._dropped:
             dropped, self._dropped = self._dropped, 0
             self.write_line(msgspec.json.encode({"event": LOG_LINES_DROPPED.name, "count": dropped}))
 
     def _write(self, data: bytes) -> bytes:
-        """Write as much as the reader takes; the rest."""
+        """Write as much as the descriptor accepts and return the rest."""
         try:
             while data:
                 data = data[os.write(self._descriptor, data) :]
         except BlockingIOError:
             return data
         except OSError:
-            return b""  # nobody reads the log any more: no reason to stop serving
+            return b""  # the log's reader is gone; the program keeps serving
         return b""
 
-    def _plan(self) -> bool:
-        if self._planned is None:
+    def _schedule_flush(self) -> bool:
+        if self._flush_timer is None:
             with contextlib.suppress(RuntimeError):
-                self._planned = asyncio.get_running_loop().call_later(FLUSH_S, self.flush)
-        return self._planned is not None
+                self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_INTERVAL_S, self.flush)
+        return self._flush_timer is not None
 
 
 class _LineLogger:
-    """What structlog hands its rendered events to."""
+    """The logger to which structlog passes its rendered events."""
 
     def __init__(self, output: BatchedOutput) -> None:
         self._output = output
@@ -98,7 +102,7 @@
 
 
 def open_log(node: str, output: BatchedOutput, level: str = "info") -> Log:
-    """The log of a process on the machine of that name; `level` is the lowest that is written."""
+    """Create the log of a process on the machine `node`; `level` is the lowest level that is written."""
     log: Log = structlog.wrap_logger(
         _LineLogger(output),
         processors=[
--- a/tests/test_early_signals.py
+++ b/tests/test_early_signals.py
@@ -1,4 +1,4 @@
-"""A signal that comes while a process starts."""
+"""Tests of SIGHUP during the start of a process."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 WAIT_S = 30.0
 
 
-class SighupAtTheStart(unittest.TestCase):
-    def assert_outlasts_it(self, program: str, says: str) -> None:
-        """The process waits for its settings, a pipe, gets the signal, and then goes on."""
+class SighupDuringStartTest(unittest.TestCase):
+    def assert_survives_sighup(self, program: str, expected_stderr_prefix: str) -> None:
+        """Send SIGHUP while the process reads its settings from a pipe, and check that it continues."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.json"
             os.mkfifo(path)
@@ -28,19 +28,21 @@
                 text=True,
             )
             try:
-                with path.open("wb") as settings:  # opens once the process reads
+                with path.open("wb") as settings:  # blocks until the process opens the pipe
                     process.send_signal(signal.SIGHUP)
                     settings.write(b"{")
-                _, said = process.communicate(timeout=WAIT_S)
+                _, stderr = process.communicate(timeout=WAIT_S)
             finally:
                 process.kill()
-            self.assertEqual((process.returncode, said.startswith(says)), (1, True), said)
+            self.assertEqual(
+                (process.returncode, stderr.startswith(expected_stderr_prefix)), (1, True), stderr
+            )
 
     def test_does_not_end_a_data_plane(self) -> None:
-        self.assert_outlasts_it("madderwind.dataplane", "settings: ")
+        self.assert_survives_sighup("madderwind.dataplane", "settings: ")
 
     def test_does_not_end_a_control_plane(self) -> None:
-        self.assert_outlasts_it("madderwind.controlplane", "control plane: ")
+        self.assert_survives_sighup("madderwind.controlplane", "control plane: ")
 
 
 if __name__ == "__main__":
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -1,4 +1,4 @@
-"""Reading a process's settings file."""
+"""Tests of parsing a process's settings file."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def settings_text(**changed: object) -> bytes:
-    """A whole settings file with some fields changed."""
+    """A complete settings file with some fields changed."""
     fields: dict[str, object] = {
         "node": "front-a-1",
         "ip": "10.1.0.3",
@@ -31,8 +31,8 @@
     return msgspec.json.encode({**fields, **changed})
 
 
-class ReadingSettings(unittest.TestCase):
-    def test_given_a_whole_file_then_fields_are_typed_and_unknown_ones_passed_over(self) -> None:
+class ParseSettingsTest(unittest.TestCase):
+    def test_fields_are_typed_and_unknown_ones_ignored(self) -> None:
         settings = parse_settings(settings_text())
         self.assertEqual(settings.internal_address(CONTROL_PLANE_PORT), "10.1.0.3:7500")
         self.assertEqual(settings.internal_address(DATA_PLANE_PORT), "10.1.0.3:7501")
@@ -40,25 +40,25 @@
         self.assertEqual(settings.bounds.drain_ms, 2000.0)
         self.assertTrue(settings.bootstrap)
 
-    def test_given_a_field_of_the_wrong_type_then_the_error_names_it(self) -> None:
-        wrong: list[tuple[str, object]] = [
+    def test_a_field_of_the_wrong_type_is_named_in_the_error(self) -> None:
+        invalid_fields: list[tuple[str, object]] = [
             ("node", 5),
             ("bootstrap", "yes"),
             ("limits.max_fds", {"max_fds": "many"}),
             ("limits.max_fds", {"max_fds": 1.5}),
             ("bounds.drain_ms", {"drain_ms": "long"}),
         ]
-        for place, value in wrong:
-            with self.subTest(place=place, value=value), self.assertRaises(SettingsError) as caught:
-                parse_settings(settings_text(**{place.partition(".")[0]: value}))
-            self.assertEqual(caught.exception.field, place)
+        for field_path, value in invalid_fields:
+            with self.subTest(field_path=field_path, value=value), self.assertRaises(SettingsError) as caught:
+                parse_settings(settings_text(**{field_path.partition(".")[0]: value}))
+            self.assertEqual(caught.exception.field, field_path)
 
-    def test_given_what_is_no_object_then_it_is_one_typed_error(self) -> None:
+    def test_text_that_is_not_a_settings_object_raises_settings_error(self) -> None:
         for text in (b"", b"[]", b"{", b'{"node": "a"}'):
             with self.subTest(text=text), self.assertRaises(SettingsError):
                 parse_settings(text)
 
-    def test_given_a_path_then_the_file_is_read_and_a_missing_one_is_a_typed_error(self) -> None:
+    def test_reads_a_file_by_path_and_reports_a_missing_one(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.json"
             path.write_bytes(settings_text(node="core-1"))
