--- a/madderwind/errors.py
+++ b/madderwind/errors.py
@@ -8,7 +8,7 @@
 
 
 class SettingsError(MadderwindError):
-    """A process's settings file cannot be used. `field` is the path of the field, such as `limits.max_fds`."""
+    """A process's settings file cannot be used. `field` is the field's path, such as `limits.max_fds`."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a real fault that is known: KNOWN-RED.txt names them, and CI passes over just these.
+"""Known failures: CI tolerates the failure of the tests that KNOWN-RED.txt lists, and of no others.
 
-One a line: test | cause | issue. A listed test has to fail: once it passes its line has to go. A cause that
-begins with "intermittent: " belongs to a test that fails now and then: it may also pass.
+Each line has the form: test | cause | issue. A listed test has to fail; once it passes, its line has to be
+removed. A test whose cause begins with "intermittent: " fails only at times, so it may also pass.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from xdist.remote import Producer
 from xdist.scheduler import Scheduling
 
-from tests.parallel import LanesAndFiles, needs_real_time
+from tests.parallel import GroupAndFileScheduling, needs_real_time
 
-LIST, MOST = Path(__file__).parents[1] / "KNOWN-RED.txt", 3
-INTERMITTENT = "intermittent: "
+KNOWN_FAILURES_FILE, MAX_KNOWN_FAILURES = Path(__file__).parents[1] / "KNOWN-RED.txt", 3
+INTERMITTENT_PREFIX = "intermittent: "
 
 
 class KnownFailure(NamedTuple):
@@ -26,22 +26,22 @@
 
     @property
     def is_intermittent(self) -> bool:
-        return self.cause.startswith(INTERMITTENT)
+        return self.cause.startswith(INTERMITTENT_PREFIX)
 
 
 def known_failures(text: str) -> list[KnownFailure]:
-    """ValueError where a line is not of the form, or there are more than may be."""
+    """Parse the list; ValueError if a line is malformed or there are more than MAX_KNOWN_FAILURES."""
     failures = [
         KnownFailure(*(part.strip() for part in line.split("|")))
         for line in text.splitlines()
         if line.strip()
     ]
-    if len(failures) > MOST or not all(all(failure) for failure in failures):
-        raise ValueError(f"KNOWN-RED.txt holds at most {MOST} lines of: test | cause | issue")
+    if len(failures) > MAX_KNOWN_FAILURES or not all(all(failure) for failure in failures):
+        raise ValueError(f"KNOWN-RED.txt holds at most {MAX_KNOWN_FAILURES} lines of: test | cause | issue")
     return failures
 
 
-FAILURES = known_failures(LIST.read_text()) if LIST.exists() else []
+FAILURES = known_failures(KNOWN_FAILURES_FILE.read_text()) if KNOWN_FAILURES_FILE.exists() else []
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -55,8 +55,8 @@
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_make_scheduler(config: pytest.Config, log: Producer) -> Scheduling:
-    """Parallel runs go by lanes and files whatever the options say: what needs real time is kept apart."""
-    return LanesAndFiles(config, log)
+    """Parallel runs schedule by group and file whatever the options say: real-time tests are kept apart."""
+    return GroupAndFileScheduling(config, log)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
--- a/tests/examples.py
+++ b/tests/examples.py
@@ -1,4 +1,4 @@
-"""The settings of a small deployment as the configuration file holds them, for the tests of every layer."""
+"""Settings of a small deployment in the form of the configuration file, for the tests of every layer."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 from pathlib import Path
 from typing import Any
 
-# Each process has a loopback address of its own where the system has them: a port that one test leaves closed
-# is not taken by another run beside it.
+# On Linux each process uses a loopback address of its own, so that a concurrent test run cannot bind a port
+# that a test here expects to be closed.
 HOST = (
     "127.0.0.1" if sys.platform != "linux" else f"127.90.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}"
 )
 
 EXAMPLE = Path(__file__).parents[1] / "deploy" / "example-config.json"
 
-# The README's example, with a name that lines cannot hold and a class whose aim no busy machine misses.
+# The README's example, with a customer name that a line cannot hold (it has a comma), and a class whose
+# goal time even a busy machine meets.
 SETTINGS: dict[str, Any] = json.loads(EXAMPLE.read_text())["settings"]
 SETTINGS["Customers"][1]["Name"] = "rueda, andina"
 SETTINGS["Profiles"][0].update(DeadlineMs=40000.0, GoalTimeMs=30000.0)
 
 
 def settings(**ceilings: Any) -> dict[str, Any]:
-    """The example's settings, with some of its ceilings changed."""
+    """A copy of the example's settings with some ceilings changed."""
     tree = copy.deepcopy(SETTINGS)
     tree["Ceilings"].update(ceilings)
     return tree
--- a/tests/free_ports.py
+++ b/tests/free_ports.py
@@ -1,7 +1,8 @@
-"""Ports for servers of a test whose addresses have to be known before they listen.
+"""Ports for test servers whose addresses have to be known before they listen.
 
-They lie below the range from which the system gives ports to outgoing connections and to sockets bound to 0,
-and each worker of pytest-xdist has a part of its own: nobody takes one before the test has bound it.
+The ports are below the ephemeral range, from which the system assigns ports to outgoing connections and to
+sockets bound to port 0. Each worker of pytest-xdist has its own part of the range. So no other socket takes a
+port before the test has bound it.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 def free_port() -> int:
-    """A port that nobody listens at, another one each time.
+    """Return a port that no socket is bound to, a different one on each call.
 
     Raises:
         OSError: All of this worker's ports are in use.
@@ -26,12 +27,12 @@
     for _ in range(PORTS_PER_WORKER):
         port = FIRST_PORT + _worker * PORTS_PER_WORKER + next(_ports)
         with socket.socket() as probe:
-            if probe.connect_ex((LOOPBACK, port)) and _binds(port):
+            if probe.connect_ex((LOOPBACK, port)) and _is_bindable(port):
                 return port
     raise OSError(f"no port is free from {FIRST_PORT + _worker * PORTS_PER_WORKER} on")
 
 
-def _binds(port: int) -> bool:
+def _is_bindable(port: int) -> bool:
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins on loopback sockets: upstreams, discovery's agent, a caller. No load, no simulation."""
+"""Test doubles on loopback sockets: upstreams, the discovery agent and a client. No load, no simulation."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from madderwind.testing.fault_tests.wire import Message, answer, chunk, read_message
 from tests.examples import HOST
 
-__all__ = ["Message", "answer", "read_message", "reset"]  # for the tests, from one place with the stand-ins
+__all__ = ["Message", "answer", "read_message", "reset"]  # re-exported for the tests
 
-WAIT_S = 10.0  # how long a test waits for what must come; no test passes by waiting
+WAIT_S = 10.0  # timeout for an expected event; no test passes by reaching it
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test's coroutine, within a time that is never reached but by a fault."""
+    """Run a test's coroutine with a timeout that only a fault can reach."""
 
-    async def bounded() -> None:
+    async def run_with_timeout() -> None:
         async with asyncio.timeout(3 * WAIT_S):
             await test
 
-    asyncio.run(bounded())
+    asyncio.run(run_with_timeout())
 
 
 Writer = asyncio.StreamWriter
@@ -32,17 +32,17 @@
 
 
 def says(*answers: bytes) -> Behaviour:
-    """Gives these answers in turn, the last one for good."""
-    left = list(answers)
+    """Send these answers in turn, and the last one to every later request."""
+    remaining_answers = list(answers)
 
     async def behave(_: Message, writer: Writer) -> None:
-        writer.write(left.pop(0) if len(left) > 1 else left[0])
+        writer.write(remaining_answers.pop(0) if len(remaining_answers) > 1 else remaining_answers[0])
 
     return behave
 
 
 async def silent(_: Message, __: Writer) -> None:
-    """Takes the request and says nothing."""
+    """Read the request and send no answer."""
 
 
 async def resets(_: Message, writer: Writer) -> None:
@@ -50,13 +50,13 @@
 
 
 class Upstream:
-    """Listens on a free port, keeps what it was asked, and behaves as told."""
+    """An upstream on a free port that records its requests and answers each by calling `behave`."""
 
     def __init__(self, behave: Behaviour) -> None:
         self.behave = behave
         self.asked: list[Message] = []
         self.connections = 0
-        self.ended: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side ended
+        self.ended: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections that the peer closed
         self.arrivals: asyncio.Queue[Message] = asyncio.Queue()
         self._writers: set[Writer] = set()
 
@@ -95,7 +95,7 @@
 
 
 class Agent(Upstream):
-    """Discovery's agent: a watch that says what it is told to, in chunks."""
+    """The discovery agent: answers a watch with a chunked stream, to which tests add listings with `tell`."""
 
     def __init__(self) -> None:
         super().__init__(self._watch)
@@ -116,11 +116,11 @@
     writer.write(chunk(raw))
 
 
-_trace_ids = itertools.count(0x9B1F03AA5C7E2D41)  # new with every request, also with a client's retry
+_trace_ids = itertools.count(0x9B1F03AA5C7E2D41)  # unique per request; a client's retry gets a new one too
 
 
 class Caller:
-    """One connection of a client."""
+    """A client with one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -152,7 +152,7 @@
         return await self.read()
 
     async def at_end(self) -> bool:
-        """Whether the other side ends the connection with nothing more said."""
+        """Whether the peer closes the connection without sending anything more."""
         try:
             async with asyncio.timeout(WAIT_S):
                 return await self.reader.read(1) == b""
@@ -163,7 +163,7 @@
         self.writer.close()
 
 
-async def within(thing: Awaitable[Any]) -> Any:
-    """Wait for what must come."""
+async def within(expected: Awaitable[Any]) -> Any:
+    """Wait for an expected event, for at most WAIT_S."""
     async with asyncio.timeout(WAIT_S):
-        return await thing
+        return await expected
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Each package imports only from layers below it: the table says from which."""
+"""Checks that each package imports only from the layers that the table allows."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[1] / "madderwind"
 
-# The router fleet's packages from the ground up: each may import all those before it.
+# The router fleet's packages from the lowest layer up: each may import all that precede it.
 FLEET_LAYERS = (
     "errors",
     "log_events",
@@ -26,12 +26,13 @@
 )
 _FLEET = " ".join(FLEET_LAYERS)
 
-# What both hosts of the fleet may import beside the layers above.
-_HOST_PARTS = "early_signals eventlog settings_watch structured_log transport metrics"
+# Parts that both programs of the fleet may import in addition to the layers above.
+_PROGRAM_PARTS = "early_signals eventlog settings_watch structured_log transport metrics"
 
-# What each part may import, itself aside; parts of `standalone` and `testing` are named with their package.
+# The parts that each part may import beside itself. Parts of `standalone` and `testing` are named with their
+# package.
 ALLOWED_IMPORTS = {
-    # Free of all others.
+    # Independent of all others.
     "early_signals": "",
     "eventlog": "",
     "structured_log": "log_events",
@@ -43,8 +44,8 @@
     **{name: " ".join(FLEET_LAYERS[:index]) for index, name in enumerate(FLEET_LAYERS)},
     "balancing": "",
     "controlplane": " ".join(name for name in FLEET_LAYERS if name not in ("limits", "placement"))
-    + f" {_HOST_PARTS}",
-    "dataplane": f"{_FLEET} {_HOST_PARTS}",
+    + f" {_PROGRAM_PARTS}",
+    "dataplane": f"{_FLEET} {_PROGRAM_PARTS}",
     "cli": f"{_FLEET} testing.local_fleet",
     # The standalone balancer.
     "standalone.clock": "",
@@ -61,7 +62,7 @@
     "standalone.program": "eventlog transport standalone.admin standalone.agreement standalone.clock"
     " standalone.evacuation standalone.gossip standalone.handover standalone.protocol standalone.routing"
     " standalone.settings testing.fault_tests testing.simulation",
-    # What tests and measures.
+    # Test and measurement tools.
     "testing.bench_adapter": "standalone.policy standalone.settings",
     "testing.simulation": "standalone.evacuation standalone.gossip standalone.policy",
     "testing.fault_tests": "standalone.gossip standalone.policy testing.simulation",
@@ -73,14 +74,14 @@
 
 
 def part_of(module: list[str]) -> str:
-    """The part that a module belongs to, from its name below madderwind."""
+    """The part that a module belongs to, given the components of its name below madderwind."""
     if module[0] in NESTING_PACKAGES and len(module) > 1:
         return ".".join(module[:2])
     return module[0]
 
 
 def imported_parts(path: Path) -> set[str]:
-    """Parts of madderwind that a file imports, also inside functions."""
+    """Parts of madderwind that a file imports, including imports inside functions."""
     modules = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -88,26 +89,26 @@
         elif isinstance(node, ast.ImportFrom):
             assert node.level == 0, f"{path}: relative import"
             modules |= {f"{node.module}.{alias.name}" for alias in node.names}
-    below = (module.split(".")[1:] for module in modules if module.startswith("madderwind."))
-    return {part_of(module) for module in below} - {"__version__"}
+    submodules = (module.split(".")[1:] for module in modules if module.startswith("madderwind."))
+    return {part_of(module) for module in submodules} - {"__version__"}
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.rglob("*.py")), ids=lambda path: str(path.relative_to(ROOT)))
-def test_imports_go_downwards(path: Path) -> None:
+def test_imports_only_allowed_parts(path: Path) -> None:
     part = part_of(list(path.relative_to(ROOT).with_suffix("").parts))
     if part.rpartition(".")[2] in ENTRY_POINTS:
         return
     assert imported_parts(path) <= {*ALLOWED_IMPORTS[part].split(), part}
 
 
-def test_every_part_stands_in_the_table() -> None:
+def test_every_part_is_in_the_table() -> None:
     parts = {part_of(list(path.relative_to(ROOT).with_suffix("").parts)) for path in ROOT.rglob("*.py")}
-    named = {part for part in parts if part.rpartition(".")[2] not in ENTRY_POINTS}
-    assert named == set(ALLOWED_IMPORTS)
+    listed_parts = {part for part in parts if part.rpartition(".")[2] not in ENTRY_POINTS}
+    assert listed_parts == set(ALLOWED_IMPORTS)
 
 
 def imported_modules(path: Path, known: set[str]) -> set[str]:
-    """Those of the known modules that a file imports, also inside functions and for types alone."""
+    """The known modules that a file imports, including imports inside functions or only for type checking."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -118,22 +119,23 @@
     return found & known
 
 
-def test_no_module_imports_itself_by_way_of_others() -> None:
+def test_no_import_cycles() -> None:
     paths = {
         ".".join(path.relative_to(ROOT.parent).with_suffix("").parts): path for path in ROOT.rglob("*.py")
     }
     imports = {name: imported_modules(path, set(paths)) for name, path in paths.items()}
-    reached = {name: set(direct) for name, direct in imports.items()}
-    for middle in paths:
-        for modules in reached.values():
-            if middle in modules:
-                modules |= reached[middle]
-    assert {name for name, modules in reached.items() if name in modules} == set()
+    reachable = {name: set(direct) for name, direct in imports.items()}
+    for intermediate in paths:
+        for modules in reachable.values():
+            if intermediate in modules:
+                modules |= reachable[intermediate]
+    assert {name for name, modules in reachable.items() if name in modules} == set()
 
 
-def test_protocol_does_no_input_or_output() -> None:
+def test_protocol_does_no_io() -> None:
     for path in (ROOT / "standalone" / "protocol").glob("*.py"):
         text = path.read_text()
         assert not any(
-            word in text for word in ("asyncio", "import socket", "aiohttp", "open(", "import time")
+            forbidden_text in text
+            for forbidden_text in ("asyncio", "import socket", "aiohttp", "open(", "import time")
         )
--- a/tests/test_lint_rules.py
+++ b/tests/test_lint_rules.py
@@ -1,4 +1,4 @@
-"""All lint rules hold in finished packages: no exception in the project's settings names one of them."""
+"""Checks that all lint rules apply to finished packages: no exception in pyproject.toml matches them."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def finished_packages() -> list[str]:
-    """The packages that the glossary's table calls done."""
+    """The packages that the glossary's table lists as done."""
     table = (ROOT / "docs" / "glossary.md").read_text().partition("| package | state | left |")[2]
     return re.findall(r"^\| `(madderwind/[a-z_/]+)` \| done \|", table, re.MULTILINE)
 
 
-def test_some_packages_are_finished_and_exist() -> None:
+def test_finished_packages_exist() -> None:
     assert len(finished_packages()) > 5
     assert all((ROOT / package).is_dir() for package in finished_packages())
 
@@ -34,18 +34,20 @@
     assert not [pattern for pattern in EXCEPTIONS if any(fnmatch(file, pattern) for file in files)]
 
 
-def test_exceptions_name_files_that_exist() -> None:
-    tracked = [str(path.relative_to(ROOT)) for path in ROOT.glob("*/**/*.py") if ".venv" not in str(path)]
-    assert not [pattern for pattern in EXCEPTIONS if not any(fnmatch(file, pattern) for file in tracked)]
+def test_exceptions_match_existing_files() -> None:
+    source_files = [
+        str(path.relative_to(ROOT)) for path in ROOT.glob("*/**/*.py") if ".venv" not in str(path)
+    ]
+    assert not [pattern for pattern in EXCEPTIONS if not any(fnmatch(file, pattern) for file in source_files)]
 
 
-def test_required_rules_are_on() -> None:
+def test_required_rules_are_enabled() -> None:
     assert set(LINT["select"]) >= REQUIRED_RULES
 
 
 @pytest.mark.parametrize("package", finished_packages())
 def test_suppressions_in_finished_packages_give_a_reason(package: str) -> None:
     for path in (ROOT / package).rglob("*.py"):
-        for found in SUPPRESSION.finditer(path.read_text()):
-            assert found["codes"], path
-            assert found["reason"], path
+        for suppression in SUPPRESSION.finditer(path.read_text()):
+            assert suppression["codes"], path
+            assert suppression["reason"], path
--- a/tests/test_system_packages.py
+++ b/tests/test_system_packages.py
@@ -1,4 +1,4 @@
-"""The system packages that the deploy files list are those that the builds and the compiled wheels need."""
+"""Checks that the deploy files list exactly the system packages that builds and compiled wheels need."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 ROOT = Path(__file__).parents[1]
 
-# What every Debian system has: packages marked as essential, and the C library that all of those need.
-ALWAYS_THERE = frozenset(("coreutils", "dash", "diffutils", "libc6"))
-# A command that is missing here has to be added with its package before a build script may call it.
+# Packages of every Debian system: those marked as essential, and the C library that all of those depend on.
+ALWAYS_INSTALLED = frozenset(("coreutils", "dash", "diffutils", "libc6"))
+# The package of each command that build scripts call. A build script may only call a command listed here.
 PACKAGE_OF_COMMAND = {
     "cat": "coreutils",
     "cmp": "diffutils",
@@ -26,9 +26,9 @@
     "rm": "coreutils",
     "sh": "dash",
 }
-# Modules of Python that Debian keeps apart from it.
+# Python modules that Debian packages separately from Python.
 PACKAGE_OF_MODULE = {"venv": "python3-venv"}
-# A shared library likewise.
+# The package of each shared library that compiled wheels link to.
 PACKAGE_OF_LIBRARY = {
     "ld-linux-x86-64.so.2": "libc6",
     "libc.so.6": "libc6",
@@ -39,19 +39,19 @@
     "librt.so.1": "libc6",
     "libstdc++.so.6": "libstdc++6",
 }
-BUILT_INS = frozenset((":", "[", "cd", "echo", "exec", "exit", "export", "set", "test"))
-KEYWORDS = frozenset(
+SHELL_BUILTINS = frozenset((":", "[", "cd", "echo", "exec", "exit", "export", "set", "test"))
+SHELL_KEYWORDS = frozenset(
     ("!", "do", "done", "elif", "else", "fi", "for", "if", "then", "until", "while", "{", "}")
 )
-SEPARATORS = frozenset((";", "&", "&&", "|", "||", "(", ")", ";;"))
-SUBSTITUTION = re.compile(r"\$\(([^()]*)\)")
-# What `ldd` says of one shared library: its name, and after an arrow where it was found.
-LIBRARY = re.compile(r"^\s*(\S+\.so\S*)(?: =>|\s*\()", re.MULTILINE)
-REQUIREMENT = re.compile(r"^([A-Za-z0-9._-]+)")
+COMMAND_SEPARATORS = frozenset((";", "&", "&&", "|", "||", "(", ")", ";;"))
+COMMAND_SUBSTITUTION = re.compile(r"\$\(([^()]*)\)")
+# A line of `ldd` output about a shared library: its name, then an arrow and the path found, or an address.
+LDD_LIBRARY = re.compile(r"^\s*(\S+\.so\S*)(?: =>|\s*\()", re.MULTILINE)
+REQUIREMENT_NAME = re.compile(r"^([A-Za-z0-9._-]+)")
 
 
 class Deployment(NamedTuple):
-    """One deploy file, the script that it builds with, and where that puts its own programs."""
+    """A deploy file, its build script, and the folder where that script puts the programs that it builds."""
 
     file: str
     script: str
@@ -64,7 +64,7 @@
 
 
 def commands_of(script: str) -> list[list[str]]:
-    """Every command that a shell script may run, with its arguments."""
+    """Every command in a shell script, with its arguments."""
     return [command for line in script.splitlines() for command in _commands_of_line(line)]
 
 
@@ -73,18 +73,20 @@
     words.whitespace_split = True
     commands: list[list[str]] = [[]]
     for word in words:
-        commands += [nested for inner in SUBSTITUTION.findall(word) for nested in _commands_of_line(inner)]
-        if word in SEPARATORS:
+        commands += [
+            nested for inner in COMMAND_SUBSTITUTION.findall(word) for nested in _commands_of_line(inner)
+        ]
+        if word in COMMAND_SEPARATORS:
             commands.append([])
-        elif commands[-1] or word not in KEYWORDS:
+        elif commands[-1] or word not in SHELL_KEYWORDS:
             commands[-1].append(word)
     return [command for command in commands if command]
 
 
 def packages_of_command(command: list[str], built_under: str) -> set[str]:
-    """What has to be installed for a command; raises KeyError where that isn't known."""
+    """The packages that a command needs; KeyError if the command or its Python module is unknown."""
     name = command[0]
-    if name in BUILT_INS:
+    if name in SHELL_BUILTINS:
         return packages_of_command(command[1:], built_under) if name == "exec" else set()
     if "/" in name:
         if not name.startswith(built_under):
@@ -96,37 +98,37 @@
     return packages
 
 
-def packages_of_libraries(listing: str) -> set[str]:
-    """The packages of the shared libraries in what `ldd` says; raises KeyError where one isn't known."""
-    names = {Path(name).name for name in LIBRARY.findall(listing)}
+def packages_of_libraries(ldd_text: str) -> set[str]:
+    """The packages of the shared libraries in `ldd` output; KeyError if a library is unknown."""
+    names = {Path(name).name for name in LDD_LIBRARY.findall(ldd_text)}
     return {PACKAGE_OF_LIBRARY[name] for name in names if not name.startswith("linux-vdso")}
 
 
-def required(requirements: Path) -> dict[str, Distribution]:
-    """The distributions that a file of requirements brings, those that they need included."""
+def required_distributions(requirements: Path) -> dict[str, Distribution]:
+    """The distributions that a requirements file installs, including their dependencies."""
     found: dict[str, Distribution] = {}
-    waiting = []
+    pending = []
     for line in requirements.read_text().splitlines():
         if line.startswith("-r "):
-            found |= required(requirements.parent / line.removeprefix("-r ").strip())
+            found |= required_distributions(requirements.parent / line.removeprefix("-r ").strip())
         elif line.strip():
-            waiting.append(line)
-    while waiting:
-        requirement = waiting.pop()
-        match = REQUIREMENT.match(requirement)
+            pending.append(line)
+    while pending:
+        requirement = pending.pop()
+        match = REQUIREMENT_NAME.match(requirement)
         assert match is not None, requirement
         name = match[1].lower()
         if name not in found and "extra ==" not in requirement:
             found[name] = distribution(name)
-            waiting += [need for need in found[name].requires or () if _is_needed_here(need)]
+            pending += [dependency for dependency in found[name].requires or () if _applies_here(dependency)]
     return found
 
 
-def _is_needed_here(requirement: str) -> bool:
-    """Whether it is for every Python; what only some need was installed where this one does."""
+def _applies_here(requirement: str) -> bool:
+    """Whether a dependency applies here: it has no marker, or was installed because its marker holds."""
     if ";" not in requirement:
         return True
-    match = REQUIREMENT.match(requirement)
+    match = REQUIREMENT_NAME.match(requirement)
     assert match is not None
     try:
         distribution(match[1])
@@ -136,42 +138,42 @@
 
 
 def compiled_modules(distributions: dict[str, Distribution]) -> list[str]:
-    """The shared objects that these distributions installed."""
-    files = [(one, file) for one in distributions.values() for file in one.files or ()]
-    return [str(one.locate_file(file)) for one, file in files if file.name.endswith(".so")]
+    """The shared objects that these distributions have installed."""
+    files = [(dist, file) for dist in distributions.values() for file in dist.files or ()]
+    return [str(dist.locate_file(file)) for dist, file in files if file.name.endswith(".so")]
 
 
-def listing_of(modules: list[str]) -> str:
-    """What `ldd` says of these."""
-    ended = subprocess.run(["ldd", *modules], capture_output=True, text=True, check=True)
-    assert "not found" not in ended.stdout, ended.stdout
-    return ended.stdout
+def ldd_output(modules: list[str]) -> str:
+    """The output of `ldd` for these shared objects."""
+    result = subprocess.run(["ldd", *modules], capture_output=True, text=True, check=True)
+    assert "not found" not in result.stdout, result.stdout
+    return result.stdout
 
 
-def needed(deployment: Deployment) -> set[str]:
-    """What a clean build and the processes need beyond what is always there."""
-    described = tomllib.loads((ROOT / "deploy" / deployment.file).read_text())
-    runs = [described.get("run", ""), described.get("sim", "")]
-    runs += [role["run"] for role in described.get("roles", {}).values()]
+def needed_packages(deployment: Deployment) -> set[str]:
+    """The packages that a clean build and the processes need in addition to ALWAYS_INSTALLED."""
+    deploy_table = tomllib.loads((ROOT / "deploy" / deployment.file).read_text())
+    run_commands = [deploy_table.get("run", ""), deploy_table.get("sim", "")]
+    run_commands += [role["run"] for role in deploy_table.get("roles", {}).values()]
     script = (ROOT / "deploy" / deployment.script).read_text()
     packages: set[str] = set()
-    for command in commands_of("\n".join((described["build"], *runs, script))):
+    for command in commands_of("\n".join((deploy_table["build"], *run_commands, script))):
         packages |= packages_of_command(command, deployment.built_under)
-    modules = compiled_modules(required(ROOT / deployment.requirements))
-    return (packages | packages_of_libraries(listing_of(modules))) - ALWAYS_THERE
+    modules = compiled_modules(required_distributions(ROOT / deployment.requirements))
+    return (packages | packages_of_libraries(ldd_output(modules))) - ALWAYS_INSTALLED
 
 
-class TheListedPackages(unittest.TestCase):
-    def test_are_all_that_is_needed_and_no_more(self) -> None:
+class ListedPackagesTest(unittest.TestCase):
+    def test_equal_the_needed_packages(self) -> None:
         for deployment in (BALANCER, SYSTEM):
             with self.subTest(deployment.file):
-                described = tomllib.loads((ROOT / "deploy" / deployment.file).read_text())
-                self.assertEqual(described["packages"], sorted(needed(deployment)))
-                self.assertIn(deployment.script, described["build"])
+                deploy_table = tomllib.loads((ROOT / "deploy" / deployment.file).read_text())
+                self.assertEqual(deploy_table["packages"], sorted(needed_packages(deployment)))
+                self.assertIn(deployment.script, deploy_table["build"])
 
 
-class AChangeThatNeedsAPackage(unittest.TestCase):
-    """Is noticed: the comparison can fail."""
+class MissingPackageDetectionTest(unittest.TestCase):
+    """Tests that the comparison detects a command, module or library whose package is not listed."""
 
     def packages(self, script: str) -> set[str]:
         found: set[str] = set()
@@ -179,7 +181,7 @@
             found |= packages_of_command(command, SYSTEM.built_under)
         return found
 
-    def test_a_command_is_found_wherever_it_stands(self) -> None:
+    def test_a_command_is_found_in_any_position(self) -> None:
         for script in (
             "curl x",
             "set -e; curl x",
@@ -195,29 +197,29 @@
             with self.subTest(script), self.assertRaises(KeyError):
                 self.packages(script)
 
-    def test_a_program_that_the_build_did_not_make_is_found(self) -> None:
+    def test_a_program_outside_the_build_folder_is_rejected(self) -> None:
         with self.assertRaises(KeyError):
             self.packages("/opt/tool/bin/python x")
 
-    def test_a_module_that_debian_keeps_apart_is_found(self) -> None:
+    def test_a_separately_packaged_module_is_found(self) -> None:
         self.assertEqual(self.packages("python3 -m venv x"), {"python3", "python3-venv"})
         with self.assertRaises(KeyError):
             self.packages("python3 -m pip install x")
 
-    def test_words_that_are_no_commands_need_nothing(self) -> None:
+    def test_text_that_is_not_a_command_needs_no_package(self) -> None:
         self.assertEqual(
             self.packages('# curl\nset -eu\necho "curl x; curl y" >&2\nif [ -d curl ]; then\nfi'), set()
         )
 
     def test_a_shared_library_is_found(self) -> None:
-        listing = "\tlinux-vdso.so.1 (0x1)\n\tlibm.so.6 => /lib/libm.so.6 (0x2)\n"
-        listing += "\t/lib64/ld-linux-x86-64.so.2 (0x3)\n"
-        self.assertEqual(packages_of_libraries(listing), {"libc6"})
+        ldd_text = "\tlinux-vdso.so.1 (0x1)\n\tlibm.so.6 => /lib/libm.so.6 (0x2)\n"
+        ldd_text += "\t/lib64/ld-linux-x86-64.so.2 (0x3)\n"
+        self.assertEqual(packages_of_libraries(ldd_text), {"libc6"})
         with self.assertRaises(KeyError):
-            packages_of_libraries(listing + "\tlibffi.so.8 => /lib/libffi.so.8 (0x4)\n")
+            packages_of_libraries(ldd_text + "\tlibffi.so.8 => /lib/libffi.so.8 (0x4)\n")
 
-    def test_compiled_wheels_are_looked_at(self) -> None:
-        modules = compiled_modules(required(ROOT / SYSTEM.requirements))
+    def test_compiled_modules_of_wheels_are_found(self) -> None:
+        modules = compiled_modules(required_distributions(ROOT / SYSTEM.requirements))
         names = {Path(module).name.partition(".")[0] for module in modules}
         self.assertLessEqual({"_core", "_frozenlist", "orjson", "_http_parser", "_multidict"}, names)
 
