--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -1,8 +1,8 @@
-"""Lays what the bench wants beside a site file here, from the kit beside the repository.
+"""Copies the files that the bench requires beside a site file here, from the kit beside the repository.
 
     python3 deploy/sites/lay.py [FOLDER]
 
-Nothing of the kit is committed: git passes over the three files.
+No file of the kit is committed: git ignores the three copies.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from pathlib import Path
 
 HERE = Path(__file__).resolve().parent
-WANTED = ("real.json", "wire.json", "unlock.txt")
+REQUIRED_FILES = ("real.json", "wire.json", "unlock.txt")
 KIT = HERE.parents[2] / "given" / "kit" / "more" / "mass" / "other"
 
 
-def lay(kit: Path, here: Path) -> str:
-    """Why nothing was laid; "" once all three lie there."""
-    missing = [name for name in WANTED if not (kit / name).is_file()]
+def lay(kit: Path, target: Path) -> str:
+    """Copy the required files; return the reason for a failure, or "" on success."""
+    missing = [name for name in REQUIRED_FILES if not (kit / name).is_file()]
     if missing:
         return f"missing in {kit}: {', '.join(missing)}"
     try:
-        for name in WANTED:
-            (here / name).unlink(missing_ok=True)  # an earlier copy may be read-only, as those of the kit are
-            shutil.copyfile(kit / name, here / name)
+        for name in REQUIRED_FILES:
+            (target / name).unlink(missing_ok=True)  # an earlier copy may be read-only, like the kit's files
+            shutil.copyfile(kit / name, target / name)
     except OSError as error:
         return f"{error.filename}: {error.strerror}"
     return ""
 
 
-def main(words: list[str]) -> int:
-    if len(words) > 1:
-        print("lay.py: one folder at most", file=sys.stderr)
+def main(arguments: list[str]) -> int:
+    if len(arguments) > 1:
+        print("lay.py: at most one folder can be given", file=sys.stderr)
         return 1
-    if why := lay(Path(words[0]) if words else KIT, HERE):
-        print(f"lay.py: {why}", file=sys.stderr)
+    if failure := lay(Path(arguments[0]) if arguments else KIT, HERE):
+        print(f"lay.py: {failure}", file=sys.stderr)
         return 1
     return 0
 
--- a/drills/system_days.py
+++ b/drills/system_days.py
@@ -1,11 +1,12 @@
-"""Plays days of the system's bench over sites and prints what each came to.
+"""Runs days of the system's bench on sites and prints the result of each.
 
     .venv-ci/bin/python drills/system_days.py BENCH SITE [SITE...] --why="..." [--days=FILE,...] [--jobs=3]
 
-BENCH is the bench's program, SITE a site file. Without `--days` all of deploy/days is played; a day may
-also be the name of one of the site's own. A line tells the day, its worth, the share served, the gate, what
-was broken and the journal's entry. `--out=FOLDER` keeps the bench's whole words. A day with troubles that
-are closed on a site is named as such. The exit code is 1 where a gate failed or the bench gave no figures.
+BENCH is the bench's program, SITE a site file. Without `--days` all days of deploy/days are run; a day may
+also be the name of one of the site's own days. Each line has the site, the day, its worth, the share served,
+the verdict of the gate, the journal entry and the broken rules. `--out=FOLDER` keeps the bench's complete
+output. A day with faults that the site does not allow is reported as closed. The exit code is 1 if a gate
+failed or the bench gave no figures.
 """
 
 from __future__ import annotations
@@ -26,13 +27,13 @@
 DAYS = ROOT / "deploy" / "days"
 JOURNAL = ROOT / "journal"
 SNAPSHOT = re.compile(r"^snapshot (?P<id>[0-9a-f]+)$", re.MULTILINE)
-CLOSED_CONTRACT = "is not open"
-MOST_WHY = 119
-"""Characters of a reason that the bench takes."""
+CLOSED_CONTRACT_TEXT = "is not open"
+MAX_REASON_CHARACTERS = 119
+"""The maximum length of a reason that the bench accepts, in characters."""
 
 
 class Verdict(Enum):
-    """What a play came to."""
+    """The result of running a day on a site."""
 
     PASSED = "passed"
     FAILED = "FAILED"
@@ -41,12 +42,12 @@
 
 
 class DayFigures(msgspec.Struct):
-    """What a journal's entry tells of one day."""
+    """The figures of one day in a journal entry."""
 
     name: str
     gate: bool
     worth: float = msgspec.field(name="G")
-    """What was earned of what was owed, less prices."""
+    """The share earned of what was owed, less prices."""
     served: float
     rules: dict[str, object]
     short: list[str]
@@ -54,7 +55,7 @@
 
 
 class Entry(msgspec.Struct):
-    """An entry of the journal."""
+    """A journal entry."""
 
     id: str
     days: list[DayFigures]
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Play:
-    """A day as it was played on a site."""
+    """The result and figures of a day that was run on a site."""
 
     site: str
     day: str
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Bench:
-    """The bench's program and how it is called."""
+    """The bench's program and the options that it is called with."""
 
     program: str
     why: str
@@ -84,34 +85,34 @@
     small: bool = False
 
     def command(self, site: str, day: str) -> list[str]:
-        """The words that play one day."""
-        words = [self.program, "run", site, day, "--jobs", "1", "--why", self.why]
+        """The command line that runs one day."""
+        command_line = [self.program, "run", site, day, "--jobs", "1", "--why", self.why]
         if self.until_s is not None:
-            words += ["--until", str(self.until_s)]
+            command_line += ["--until", str(self.until_s)]
         if self.seed is not None:
-            words += ["--seed", str(self.seed)]
+            command_line += ["--seed", str(self.seed)]
         if self.small:
-            words.append("--small")
-        return words
+            command_line.append("--small")
+        return command_line
 
-    def say(self, site: str, day: str) -> str:
-        """Plays a day and returns all that the bench said."""
-        done = subprocess.run(
+    def run_day(self, site: str, day: str) -> str:
+        """Run a day and return the bench's output."""
+        process = subprocess.run(
             self.command(site, day), cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, check=False
         )
-        return done.stdout.decode(errors="replace")
+        return process.stdout.decode(errors="replace")
 
 
-def judged(site: str, day: str, said: str, journal: Path) -> Play:
-    """What a play came to, from the bench's words and from the journal's entry that they name."""
+def judged(site: str, day: str, output: str, journal: Path) -> Play:
+    """Determine the result of a run from the bench's output and the journal entry that it names."""
     site, day = Path(site).stem, Path(day).stem
-    snapshot = SNAPSHOT.search(said)
+    snapshot = SNAPSHOT.search(output)
     if snapshot is None:
-        verdict = Verdict.CLOSED if CLOSED_CONTRACT in said else Verdict.NO_FIGURES
-        return Play(site, day, verdict, broken=last_line(said))
+        verdict = Verdict.CLOSED if CLOSED_CONTRACT_TEXT in output else Verdict.NO_FIGURES
+        return Play(site, day, verdict, broken=last_line(output))
     entry = read_entry(snapshot["id"], journal)
     if entry is None or not entry.days:
-        return Play(site, day, Verdict.NO_FIGURES, broken=last_line(said), journal=snapshot["id"])
+        return Play(site, day, Verdict.NO_FIGURES, broken=last_line(output), journal=snapshot["id"])
     figures = entry.days[0]
     return Play(
         site,
@@ -125,7 +126,7 @@
 
 
 def read_entry(entry_id: str, journal: Path) -> Entry | None:
-    """An entry by its id; None where there is none that can be read."""
+    """Read an entry by its id; None if it is missing or invalid."""
     for path in journal.glob(f"*-{entry_id}.json"):
         try:
             return msgspec.json.decode(path.read_bytes(), type=Entry)
@@ -134,47 +135,47 @@
     return None
 
 
-def last_line(said: str) -> str:
-    """The last line that is not empty."""
-    lines = [line.strip() for line in said.splitlines() if line.strip()]
-    return lines[-1] if lines else "the bench said nothing"
+def last_line(output: str) -> str:
+    """The last line of the output that is not empty."""
+    lines = [line.strip() for line in output.splitlines() if line.strip()]
+    return lines[-1] if lines else "the bench printed nothing"
 
 
-def line_of(play: Play) -> str:
-    """A play as one line of the table."""
+def table_line(result: Play) -> str:
+    """Render a run as one line of the table."""
     return (
-        f"{play.site:38} {play.day:28} {play.worth:6.3f} {play.served:6.3f}  {play.verdict.value:11} "
-        f"{play.journal:8}  {play.broken}"
+        f"{result.site:38} {result.day:28} {result.worth:6.3f} {result.served:6.3f}  "
+        f"{result.verdict.value:11} {result.journal:8}  {result.broken}"
     )
 
 
 def summary(plays: Sequence[Play]) -> str:
-    """How many plays came to what."""
-    counts = ((verdict, sum(play.verdict is verdict for play in plays)) for verdict in Verdict)
+    """The number of runs per verdict."""
+    counts = ((verdict, sum(result.verdict is verdict for result in plays)) for verdict in Verdict)
     return ", ".join(f"{count} {verdict.value}" for verdict, count in counts if count)
 
 
-def chosen_days(days: str | Sequence[str] | None) -> list[str]:
-    """The days named on the command line, or all of deploy/days."""
+def selected_days(days: str | Sequence[str] | None) -> list[str]:
+    """The days named on the command line, or all days of deploy/days."""
     if not days:
         return [str(path) for path in sorted(DAYS.glob("*.toml"))]
     return days.split(",") if isinstance(days, str) else [str(day) for day in days]
 
 
-def played(bench: Bench, pairs: Iterable[tuple[str, str]], jobs: int, out: Path | None) -> list[Play]:
-    """Plays every pair of site and day, `jobs` at once, and prints each as it ends."""
+def run_pairs(bench: Bench, pairs: Iterable[tuple[str, str]], jobs: int, out: Path | None) -> list[Play]:
+    """Run every pair of site and day, `jobs` at a time, and print each result as it arrives."""
 
-    def play(pair: tuple[str, str]) -> Play:
+    def run_pair(pair: tuple[str, str]) -> Play:
         site, day = pair
-        said = bench.say(site, day)
-        result = judged(site, day, said, JOURNAL)
+        output = bench.run_day(site, day)
+        result = judged(site, day, output, JOURNAL)
         if out is not None:
-            (out / f"{result.site}--{result.day}.txt").write_text(said)
-        print(line_of(result), flush=True)
+            (out / f"{result.site}--{result.day}.txt").write_text(output)
+        print(table_line(result), flush=True)
         return result
 
     with ThreadPoolExecutor(jobs) as pool:
-        return list(pool.map(play, pairs))
+        return list(pool.map(run_pair, pairs))
 
 
 def main(
@@ -188,19 +189,19 @@
     seed: int | None = None,
     small: bool = False,
 ) -> None:
-    """Plays days over sites; see the module's words."""
+    """Run days on sites; see the module's docstring."""
     if not sites:
-        sys.exit("system_days.py: name a site file at least")
-    if not 0 < len(why) <= MOST_WHY:
-        sys.exit(f"system_days.py: --why takes 1 to {MOST_WHY} characters")
+        sys.exit("system_days.py: at least one site file is required")
+    if not 0 < len(why) <= MAX_REASON_CHARACTERS:
+        sys.exit(f"system_days.py: --why takes 1 to {MAX_REASON_CHARACTERS} characters")
     folder = Path(out) if out else None
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
     program = Bench(str(Path(bench).resolve()), why, until, seed, small)
-    pairs = [(str(Path(site).resolve()), day) for site in sites for day in chosen_days(days)]
-    plays = played(program, pairs, jobs, folder)
+    pairs = [(str(Path(site).resolve()), day) for site in sites for day in selected_days(days)]
+    plays = run_pairs(program, pairs, jobs, folder)
     print(summary(plays))
-    sys.exit(any(play.verdict in (Verdict.FAILED, Verdict.NO_FIGURES) for play in plays))
+    sys.exit(any(result.verdict in (Verdict.FAILED, Verdict.NO_FIGURES) for result in plays))
 
 
 if __name__ == "__main__":
--- a/experiments/mixed_planes.py
+++ b/experiments/mixed_planes.py
@@ -1,14 +1,15 @@
-"""Runs processes of two checkouts beside each other: `mixed_planes.py OLD NEW`.
+"""Runs processes of two checkouts together to test compatibility: `mixed_planes.py OLD NEW`.
 
 Each checkout needs `target/venv` and `.venv` (deploy/build-system.sh and deploy/build.sh). Run it with the
-Python of `.venv-ci`: the stand-in upstream needs its packages.
+Python of `.venv-ci`, whose packages the emulated upstream needs.
 
-1. Data planes of both builds under control planes of one: a request is answered through each, and a changed
-   route comes in force at each.
+1. Data planes of both builds with control planes of one: each data plane answers a request, and then
+   applies a changed route.
 2. Each build reads the settings files of each role, and the standalone balancer's example configurations.
-3. Two standalone balancers of one fleet, one of each build: each counts the other as alive, and each answers.
+3. Two standalone balancers of one fleet, one of each build: each counts the other as alive and answers a
+   request.
 
-Prints one line a step; exit status 0 where every step holds.
+Prints one line per step; the exit status is 0 if every step succeeds.
 """
 
 from __future__ import annotations
@@ -39,8 +40,8 @@
 WAIT_S, CALL_S, POLL_S = 15.0, 2.0, 0.05
 HOST, KEY = "mixed.example", "key-of-the-tenant"
 OK, NOT_FOUND = 200, 404
-CALLER = {"X_Trace_Id": "1", "X_Customer": "acme", "X_Expires_In_Ms": "900"}
-ALIVE = "svc_fellows_alive 1\n"  # the balancer's figure: one other balancer is alive
+CALLER_HEADERS = {"X_Trace_Id": "1", "X_Customer": "acme", "X_Expires_In_Ms": "900"}
+ONE_PEER_ALIVE_METRIC = "svc_fellows_alive 1\n"  # the balancer's metric: one other balancer is alive
 
 
 class Steps:
@@ -50,7 +51,7 @@
         self.failed = 0
 
     def check(self, step: str, is_met: Callable[[], bool]) -> None:
-        """Wait until the condition is met, for WAIT_S at most."""
+        """Wait until the condition is met, for at most WAIT_S, and print the result."""
         deadline_s = time.monotonic() + WAIT_S
         met = is_met()
         while not met and time.monotonic() < deadline_s:
@@ -60,15 +61,15 @@
         print(f"{'ok  ' if met else 'FAIL'} {step}", flush=True)
 
 
-class Processes:
-    """The processes that were started; all are killed at the end."""
+class ProcessGroup:
+    """The processes that this script started; all are killed at the end."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._running: list[subprocess.Popen[bytes]] = []
 
     def start(self, name: str, command: list[str], checkout: Path, **environment: str) -> None:
-        """Start a process of a checkout; its output goes to a file of its own."""
+        """Start a process of a checkout; its output goes to a separate file."""
         with (self._folder / f"{name}.out").open("ab") as output:
             process = subprocess.Popen(
                 command, cwd=checkout, stdout=output, stderr=output, env={**os.environ, **environment}
@@ -85,9 +86,9 @@
 
 
 def status_of(url: str, method: str = "GET", body: bytes | None = None, **headers: str) -> int:
-    """The status of the response; 0 where there is none."""
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    request = urllib.request.Request(url, method=method, data=body, headers=named)
+    """The status of the response; 0 if there is no response."""
+    request_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+    request = urllib.request.Request(url, method=method, data=body, headers=request_headers)
     try:
         with urllib.request.urlopen(request, timeout=CALL_S) as response:
             return int(response.status)
@@ -97,7 +98,7 @@
         return 0
 
 
-def document(version: int) -> dict[str, Any]:
+def configuration_document(version: int) -> dict[str, Any]:
     """A configuration with one route, whose prefix carries the version."""
     route = {
         "name": "only",
@@ -139,15 +140,15 @@
     }
 
 
-def written(path: Path, content: object) -> Path:
-    """The path, with the content written there as JSON."""
+def write_json(path: Path, content: object) -> Path:
+    """Write the content to the path as JSON and return the path."""
     path.write_text(json.dumps(content))
     return path
 
 
 def replace_configuration(version: int) -> bool:
     """Whether a control plane acknowledged the replacement of the configuration by this version."""
-    body = json.dumps(document(version)).encode()
+    body = json.dumps(configuration_document(version)).encode()
     url = f"http://{CONTROL_IPS[version % len(CONTROL_IPS)]}:{CONTROL_PORT}/config/replace"
     return (
         status_of(url, "POST", body, Content_Type="application/json", X_Base_Version=str(version - 1)) == OK
@@ -161,20 +162,20 @@
 
 
 def run_planes(steps: Steps, folder: Path, control: Path, data: list[Path], title: str) -> None:
-    """Control planes of one checkout, a data plane of each of the others given."""
-    processes = Processes(folder)
+    """Check control planes of one checkout with one data plane of each checkout in `data`."""
+    processes = ProcessGroup(folder)
     program = ["target/venv/bin/python", "-O", "-B", "-m"]
     try:
         for number, ip in enumerate(CONTROL_IPS):
             data_dir = folder / f"control-{number}"
             data_dir.mkdir()
-            path = written(
+            path = write_json(
                 folder / f"control-{number}.json", node_settings(f"control-{number}", ip, data_dir)
             )
             command = [*program, "madderwind.controlplane"]
             processes.start(f"control-{number}", command, control, MADDERWIND_CONFIG=str(path))
         for number, (ip, checkout) in enumerate(zip(DATA_IPS, data, strict=True)):
-            path = written(folder / f"data-{number}.json", node_settings(f"data-{number}", ip, None))
+            path = write_json(folder / f"data-{number}.json", node_settings(f"data-{number}", ip, None))
             command = [*program, "madderwind.dataplane"]
             processes.start(f"data-{number}", command, checkout, MADDERWIND_CONFIG=str(path))
         upstream = {
@@ -187,7 +188,7 @@
             "heartbeat_ms": 500,
             "plain": {},
         }
-        path = written(folder / "upstream.json", upstream)
+        path = write_json(folder / "upstream.json", upstream)
         module = "madderwind.testing.engine_emulator.upstream_process"
         processes.start("upstream", [sys.executable, "-m", module, str(path)], control)
 
@@ -205,33 +206,40 @@
 
 
 def run_settings(steps: Steps, folder: Path, checkout: Path, title: str) -> None:
-    """Settings files of each role, written by this script and shipped as examples, read by one checkout."""
+    """Check that a checkout reads the settings of each role: written by this script, or shipped examples."""
     system, standalone = "target/venv/bin/python", ".venv/bin/python"
-    control = written(folder / "role-control.json", node_settings("c", CONTROL_IPS[0], folder))
-    data = written(folder / "role-data.json", node_settings("d", DATA_IPS[0], None))
-    read = "import sys; from madderwind.node_settings import read_settings; print(read_settings(sys.argv[1]))"
+    control = write_json(folder / "role-control.json", node_settings("c", CONTROL_IPS[0], folder))
+    data = write_json(folder / "role-data.json", node_settings("d", DATA_IPS[0], None))
+    read_script = (
+        "import sys; from madderwind.node_settings import read_settings; print(read_settings(sys.argv[1]))"
+    )
 
-    def runs(command: list[str], **environment: str) -> bool:
-        done = subprocess.run(
+    def succeeds(command: list[str], **environment: str) -> bool:
+        result = subprocess.run(
             command, cwd=checkout, capture_output=True, check=False, env={**os.environ, **environment}
         )
-        return done.returncode == 0
+        return result.returncode == 0
 
-    steps.check(f"{title} reads a control plane's settings", lambda: runs([system, "-c", read, str(control)]))
+    steps.check(
+        f"{title} reads a control plane's settings",
+        lambda: succeeds([system, "-c", read_script, str(control)]),
+    )
     command = [system, "-m", "madderwind.dataplane", "check_settings"]
-    steps.check(f"{title} reads a data plane's settings", lambda: runs(command, MADDERWIND_CONFIG=str(data)))
+    steps.check(
+        f"{title} reads a data plane's settings", lambda: succeeds(command, MADDERWIND_CONFIG=str(data))
+    )
     for example in sorted((Path(__file__).parents[1] / "deploy").glob("example-*.json")):
         check = [standalone, "-m", "madderwind", "check-config", f"--config={example}"]
-        steps.check(f"{title} reads {example.name}", lambda check=check: runs(check))
+        steps.check(f"{title} reads {example.name}", lambda check=check: succeeds(check))
 
 
-class Answering(BaseHTTPRequestHandler):
-    """A stand-in upstream of the standalone balancers, which answers each request with 200."""
+class TestUpstreamHandler(BaseHTTPRequestHandler):
+    """A test upstream for the standalone balancers that answers each request with 200."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:  # noqa: N802 - the name that http.server calls
-        """Answer at once."""
+        """Answer immediately."""
         self.send_response(200)
         self.send_header("Content-Length", "3")
         self.end_headers()
@@ -242,7 +250,7 @@
 
 
 def standalone_file(number: int) -> dict[str, Any]:
-    """The fleet's example with two balancers, each with one upstream."""
+    """The example fleet's configuration, adapted to two balancers with one upstream."""
     example: dict[str, Any] = json.loads(
         (Path(__file__).parents[1] / "deploy" / "example-fleet.json").read_text()
     )
@@ -261,7 +269,7 @@
 
 
 def metrics_of(ip: str) -> str:
-    """The figures that a standalone balancer gives at its second address; empty where it gives none."""
+    """The metrics that a standalone balancer serves at its admin address; empty if it does not answer."""
     try:
         with socket.create_connection((ip, ADMIN_PORT), timeout=CALL_S) as connection:
             connection.sendall(b"METRICS\n")
@@ -271,29 +279,34 @@
 
 
 def run_standalone(steps: Steps, folder: Path, checkouts: list[Path]) -> None:
-    """One standalone balancer of each checkout, in one fleet."""
-    processes = Processes(folder)
-    upstream = ThreadingHTTPServer((UPSTREAM_IP, UPSTREAM_PORT), Answering)
+    """Check one standalone balancer of each checkout, in one fleet."""
+    processes = ProcessGroup(folder)
+    upstream = ThreadingHTTPServer((UPSTREAM_IP, UPSTREAM_PORT), TestUpstreamHandler)
     threading.Thread(target=upstream.serve_forever, daemon=True).start()
     try:
         for number, checkout in enumerate(checkouts):
-            path = written(folder / f"standalone-{number}.json", standalone_file(number))
+            path = write_json(folder / f"standalone-{number}.json", standalone_file(number))
             command = [".venv/bin/python", "-O", "-B", "-m", "madderwind", "serve", f"--config={path}"]
             processes.start(f"standalone-{number}", command, checkout, TMPDIR=str(folder))
         for ip in STANDALONE_IPS:
-            steps.check(f"balancer at {ip} counts the other as alive", lambda ip=ip: ALIVE in metrics_of(ip))
+            steps.check(
+                f"balancer at {ip} counts the other as alive",
+                lambda ip=ip: ONE_PEER_ALIVE_METRIC in metrics_of(ip),
+            )
             url = f"http://{ip}:{STANDALONE_PORT}/lookup"
-            steps.check(f"balancer at {ip} answers a request", lambda url=url: status_of(url, **CALLER) == OK)
+            steps.check(
+                f"balancer at {ip} answers a request", lambda url=url: status_of(url, **CALLER_HEADERS) == OK
+            )
     finally:
         processes.kill_all()
         upstream.shutdown()
         upstream.server_close()
 
 
-def main(words: list[str]) -> int:
-    """Run all steps for the two checkouts that are named."""
+def main(arguments: list[str]) -> int:
+    """Run all steps for the two checkouts given as arguments."""
     try:
-        old, new = (Path(word).resolve() for word in words)
+        old, new = (Path(argument).resolve() for argument in arguments)
     except ValueError:
         print(__doc__, file=sys.stderr)
         return 1
--- a/experiments/pair_rows.py
+++ b/experiments/pair_rows.py
@@ -1,4 +1,4 @@
-"""Prints the parts and prices of two reports of the bench: `pair_rows.py BEFORE.json AFTER.json`."""
+"""Compares the parts and prices of two bench reports: `pair_rows.py BEFORE.json AFTER.json`."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 SMALLEST_PRICE = 0.0005
 
 
-def rows(report: dict[str, Any]) -> dict[str, float]:
-    """What of a report is compared, by name."""
-    found = {name: float(report[name]) for name in ("G", "served", "unserved", "refused", "failed")}
-    found |= {f"part: {name}": float(value) for name, _, value in report["parts"]}
-    found |= {f"price: {name}": float(value) for name, _, value in report["prices"]}
-    return found
+def figures_of(report: dict[str, Any]) -> dict[str, float]:
+    """The figures of a report that are compared, by name."""
+    figures = {name: float(report[name]) for name in ("G", "served", "unserved", "refused", "failed")}
+    figures |= {f"part: {name}": float(value) for name, _, value in report["parts"]}
+    figures |= {f"price: {name}": float(value) for name, _, value in report["prices"]}
+    return figures
 
 
 def main(before: str, after: str) -> None:
-    """Print a line a figure that is not small in both."""
-    first, second = (rows(json.loads(Path(path).read_text())) for path in (before, after))
+    """Print one line per figure that is not negligible in both reports."""
+    first, second = (figures_of(json.loads(Path(path).read_text())) for path in (before, after))
     for name, value in first.items():
         other = second.get(name, 0.0)
         if max(abs(value), abs(other)) >= SMALLEST_PRICE:
