--- a/madderwind/eventlog.py
+++ b/madderwind/eventlog.py
@@ -25,7 +25,7 @@
     This prevents a caller from filling the log, and using up processing time, with invalid input.
     """
 
-    EVERY_MS = 1000.0
+    MIN_INTERVAL_MS = 1000.0
 
     def __init__(self, log: EventLog, now_ms: Callable[[], float]) -> None:
         self._log, self._now_ms = log, now_ms
@@ -34,7 +34,7 @@
     def __call__(self, event: str, /, **fields: object) -> None:
         now_ms = self._now_ms()
         logged_ms, suppressed = self._last_logged.get(event, (float("-inf"), 0))
-        if now_ms - logged_ms < self.EVERY_MS:
+        if now_ms - logged_ms < self.MIN_INTERVAL_MS:
             self._last_logged[event] = logged_ms, suppressed + 1
             return
         self._last_logged[event] = now_ms, 0
--- a/madderwind/settings_watch.py
+++ b/madderwind/settings_watch.py
@@ -28,9 +28,9 @@
         self.read_again()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            self.look()
+            self.read_if_changed()
 
-    def look(self) -> None:
+    def read_if_changed(self) -> None:
         """Read the file again if it has changed since the last check."""
         if (version := self._file_version()) != self._seen_version:
             self._seen_version = version
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -34,13 +34,13 @@
         os.utime(self.path, ns=(changed_ns, changed_ns))
 
     def test_an_unchanged_file_is_not_read(self) -> None:
-        self.watch.look()
+        self.watch.read_if_changed()
         self.assertEqual(self.applied, [])
 
     def test_a_change_without_a_signal_is_applied_once(self) -> None:
         self.change(settings_text(seeds=["10.9.0.1:8367"]))
-        self.watch.look()
-        self.watch.look()
+        self.watch.read_if_changed()
+        self.watch.read_if_changed()
         self.assertEqual([settings.seeds for settings in self.applied], [("10.9.0.1:8367",)])
 
     def test_the_file_is_read_when_the_watch_starts(self) -> None:
@@ -58,9 +58,9 @@
 
     def test_an_invalid_or_missing_file_keeps_the_current_settings(self) -> None:
         self.change(b"{")
-        self.watch.look()
+        self.watch.read_if_changed()
         self.path.unlink()
-        self.watch.look()
+        self.watch.read_if_changed()
         self.assertEqual(self.applied, [])
         self.assertEqual(self.logged_events, ["settings_unusable", "settings_unusable"])
 
