--- a/madderwind/standalone/routing/__init__.py
+++ b/madderwind/standalone/routing/__init__.py
@@ -1,1 +1,1 @@
-"""One request's life, timers, and following discovery: events to the module, and its actions carried out."""
+"""Request processing, timers and the discovery watch: events to the policy module, actions carried out."""
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -1,4 +1,4 @@
-"""One copy of the balancer: the module, its timers, and who carries out which action."""
+"""One balancer instance: delivers events to the policy module, runs its timers and dispatches its actions."""
 
 from __future__ import annotations
 
@@ -31,28 +31,31 @@
 
 
 class LastWord(Enum):
-    """Why the host ends a request itself, with an answer that promises nothing."""
+    """Why the host ends a request itself, with an answer that does not say whether the request ran."""
 
     DEADLINE = "the module said nothing in time"
     ENDING = "this balancer ends"
 
 
-class Life(Protocol):
-    """An open request, as a copy knows it."""
+class OpenRequest(Protocol):
+    """An open request, as `Copy` uses it."""
 
     inbox: asyncio.Queue[api.Event | LastWord]
-    passing: int | None
+    streaming_attempt: int | None
 
     @property
     def over(self) -> bool: ...
 
     def carry_out(self, action: api.Action) -> None: ...
 
-    def take_back(self, attempt: int) -> None: ...
+    def cancel_repeatable_attempt(self, attempt: int) -> None: ...
 
 
 class Copy:
-    """Feeds the module its events, one by one on one clock, and hands out its actions. Decides nothing."""
+    """Passes events to the policy module, one by one and timed by one clock, and dispatches its actions.
+
+    It makes no routing decision of its own.
+    """
 
     def __init__(
         self,
@@ -68,72 +71,77 @@
         self.log_sparingly = Sparing(log, clock.now_ms)
         self.invariants = Invariants(log)
         self.reader = RequestReader(host)
-        self._served_until_ms: dict[str, float] = {}  # classes that vanished
-        self._tenants_until_ms: dict[str, float] = {}  # and tenants
+        self._served_until_ms: dict[str, float] = {}  # classes removed from the settings
+        self._tenants_until_ms: dict[str, float] = {}  # tenants removed from the settings
         self.directory = Directory(host.zone_names, host.kind_names)
         self.tally = Tally(host.class_names)
-        self.open: dict[int, Life] = {}
-        self.open_ids: set[str] = set()
+        self.open: dict[int, OpenRequest] = {}
+        self.open_trace_ids: set[str] = set()
         self.watch_asked_for = asyncio.Event()
-        self.peers: Peers | GossipPeers | None = None  # where the configuration names other copies
-        self.withdrawal: Withdrawal | None = None  # where its fleet leaves zones together
+        self.peers: Peers | GossipPeers | None = None  # set if the configuration names other copies
+        self.withdrawal: Withdrawal | None = None  # set if the fleet evacuates zones together
         self._balancer = Balancer(host.settings, seed)
-        self._last_number = 0
-        self._last_ms = 0.0
+        self._last_request_number = 0
+        self._last_event_ms = 0.0
         self._probes: set[asyncio.Task[None]] = set()
 
-    def next_number(self) -> int:
-        self._last_number = (self._last_number + 1) % 2**32
-        return self._last_number
+    def next_request_number(self) -> int:
+        self._last_request_number = (self._last_request_number + 1) % 2**32
+        return self._last_request_number
 
     def passes_answers(self) -> bool:
-        """Whether a long answer is on its way to a caller."""
-        return any(exchange.passing is not None for exchange in self.open.values())
+        """Whether a long answer is being streamed to a caller."""
+        return any(exchange.streaming_attempt is not None for exchange in self.open.values())
 
     def end_all(self, word: LastWord) -> None:
-        """Every open request gets the host's last word."""
+        """Tell every open request that the host ends it, and why."""
         for exchange in self.open.values():
             exchange.inbox.put_nowait(word)
 
     def listed(self, listing: Listing, cached: bool = False) -> None:
-        """What discovery told, in force for the module and for sends on their way from the same moment."""
-        for odd in listing.odd:
-            self.log("odd_member", member=odd)
+        """Apply a listing from discovery, to the module and to pending sends at the same moment."""
+        for unreadable in listing.odd:
+            self.log("odd_member", member=unreadable)
         event = self.directory.take(listing, cached)
         for entry in event.entries:
-            # Nothing new goes to one that is not ready: its idle connections are of no use.
+            # An upstream that is not ready gets no new requests, so its idle connections are useless.
             if entry.state is not UpstreamState.READY:
                 self.upstreams.close_idle(entry.upstream)
         self.happened(event)
-        self._places_changed()
+        self._update_evacuation_places()
 
-    def _places_changed(self) -> None:
+    def _update_evacuation_places(self) -> None:
         if self.withdrawal is not None:
             self.withdrawal.listed(self.directory.places())
 
     def leave(self, upstreams: frozenset[int]) -> None:
-        """Nothing more to these until they are reopened: their zone is left."""
-        self._changed(self.directory.leave(upstreams))
+        """Send nothing new to these upstreams until they are reopened: their zone is evacuated."""
+        self._apply_fleet_change(self.directory.leave(upstreams))
 
     def reopen(self, upstreams: frozenset[int], started_ms: float, owed: bool) -> None:
-        """New work again, as to upstreams that started then. `owed`: as ones called back by hand then, whose
-        turn the next request is, also where discovery says that they have started since."""
+        """Send new requests to these upstreams again, as if they had started at `started_ms`.
+
+        `owed`: treat them as upstreams that an operator restored at that time, so that the next request goes
+        to them even if discovery reports a later start.
+        """
         event = self.directory.reopen(upstreams, started_ms)
         if owed:
             ready = [entry for entry in event.entries if entry.state is UpstreamState.READY]
             for state in (UpstreamState.SUSPENDED, UpstreamState.READY):
-                then = (msgspec.structs.replace(entry, state=state, started_ms=started_ms) for entry in ready)
-                self.happened(msgspec.structs.replace(event, entries=tuple(then)))
-        self._changed(event)
-
-    def take_back(self, request: int, attempt: int) -> None:
-        """An attempt that hangs in what was left; what becomes of its request the module decides."""
-        life = self.open.get(request)
-        if life is not None and self.settings.may_cancel:
-            life.take_back(attempt)
+                changed = (
+                    msgspec.structs.replace(entry, state=state, started_ms=started_ms) for entry in ready
+                )
+                self.happened(msgspec.structs.replace(event, entries=tuple(changed)))
+        self._apply_fleet_change(event)
+
+    def cancel_repeatable_attempt(self, request: int, attempt: int) -> None:
+        """Cancel an attempt that hangs in an evacuated zone; the module decides on its request."""
+        open_request = self.open.get(request)
+        if open_request is not None and self.settings.may_cancel:
+            open_request.cancel_repeatable_attempt(attempt)
 
     def began(self, upstream: int, key: tuple[int, int]) -> None:
-        """An attempt is on its way."""
+        """Record that an attempt at an upstream has begun."""
         self.directory.began(upstream)
         if self.withdrawal is not None:
             self.withdrawal.began(upstream, key)
@@ -141,17 +149,23 @@
     def ended(
         self, upstream: int, key: tuple[int, int], outcome: api.Outcome | None, elapsed_ms: float
     ) -> None:
-        """It is over; `outcome` None: nobody knows how."""
+        """Record that an attempt has ended; `outcome` is None if its result is unknown."""
         self.directory.ended(upstream)
         if self.withdrawal is not None:
             self.withdrawal.ended(key, outcome, elapsed_ms)
 
     def retune(self, host: HostSettings) -> None:
-        """New settings, in which classes and tenants have the numbers of the old. The module keeps what it
-        knows. A class or tenant that vanished is served for one deadline more."""
+        """Apply new settings in which classes and tenants keep their numbers.
+
+        The module keeps its state. A class or tenant that was removed is still served for one more deadline.
+        """
         now_ms = self.clock.now_ms()
         deadlines_ms = dict(
-            zip(host.class_names, (c.deadline_ms for c in host.settings.classes), strict=True)
+            zip(
+                host.class_names,
+                (request_class.deadline_ms for request_class in host.settings.classes),
+                strict=True,
+            )
         )
         self._served_until_ms = {
             name: self._served_until_ms.get(name, now_ms + deadlines_ms[name]) for name in host.retired
@@ -167,86 +181,90 @@
         self.happened(api.Retuned(host.settings))
 
     def hand_over(self) -> tuple[float, float, dict[str, api.Known]]:
-        """What the module knows, for a successor: quota, room, and upstreams by discovery's ids."""
+        """The module's state for a successor process: quota, room, and upstreams by discovery's ids."""
         memory = self._balancer.hand_over()
         names = ((self.directory.name(number), known) for number, known in memory.upstreams.items())
         return memory.quota, memory.room, {name: known for name, known in names if name}
 
-    def heard(self, peer: int, words: bytes) -> None:
-        """Another copy's words."""
-        self.happened(api.PeerSpoke(peer, words))
+    def heard(self, peer: int, message: bytes) -> None:
+        """Deliver a message from another copy to the module."""
+        self.happened(api.PeerSpoke(peer, message))
 
     def recall(self, quota: float, room: float, upstreams: dict[str, api.Known], same: bool) -> None:
-        """What the process before this one knew; after the list that it followed.
+        """Restore the state of the previous process, after the list that it followed was applied.
 
-        `same`: it stood in a deployment of this shape. If not, what was learned in ratios to the usual there
-        starts afresh: the room, and how slow each upstream is. What is plain of an upstream holds: when it
-        started, that connects fail, that it is set aside. So does the quota: both spend no more than one.
+        `same`: the previous process ran in a deployment of the same shape. Otherwise what it learned as
+        ratios to the usual values there is reset: the room, and the slowness of each upstream. Facts about an
+        upstream are kept: when it started, that connects fail, that it is ejected. The quota is kept too, so
+        that both processes together spend no more than one.
         """
         if not same:
             room = 0.0
-            upstreams = {n: msgspec.structs.replace(k, slowness=0.0) for n, k in upstreams.items()}
+            upstreams = {
+                upstream_id: msgspec.structs.replace(state, slowness=0.0)
+                for upstream_id, state in upstreams.items()
+            }
         numbers = ((self.directory.number(name), known) for name, known in upstreams.items())
         by_number = {number: known for number, known in numbers if number is not None}
         self.happened(api.Recalled(api.Memory(quota, room, by_number)))
 
     def suspend(self, name: str, heard: bool = False) -> bool:
-        """Nothing more to this upstream from this moment on; whether it was ever listed.
+        """Send nothing more to this upstream from now on. Returns whether it was ever listed.
 
-        `heard`: of the other process of an upgrade, which knows it.
+        `heard`: the suspension came from the other process of an upgrade, which knows the upstream.
         """
         event = self.directory.suspend(name, heard)
         if event is not None:
             self.log("suspended", upstream=name)
-            self._suspension_changed(event)
+            self._apply_suspension_change(event)
         return event is not None
 
     def restore(self, name: str) -> bool:
-        """This upstream may be used again, as one that has just started; whether it was ever listed."""
+        """Use this upstream again, as one that has just started. Returns whether it was ever listed."""
         event = self.directory.restore(name, self.clock.now_ms())
         if event is not None:
             self.log("restored", upstream=name)
-            self._suspension_changed(event)
+            self._apply_suspension_change(event)
         return event is not None
 
-    def _changed(self, event: api.FleetListed) -> None:
+    def _apply_fleet_change(self, event: api.FleetListed) -> None:
         for entry in event.entries:
-            self.upstreams.close_idle(entry.upstream)  # nothing new for it, or it has restarted meanwhile
+            self.upstreams.close_idle(entry.upstream)  # no longer used, or restarted in the meantime
         self.happened(event)
 
-    def _suspension_changed(self, event: api.FleetListed) -> None:
-        self._changed(event)
-        self._places_changed()
+    def _apply_suspension_change(self, event: api.FleetListed) -> None:
+        self._apply_fleet_change(event)
+        self._update_evacuation_places()
 
     def skipped(self) -> int:
         """How many listed upstreams the module avoids now."""
         return self._balancer.skipped(self.clock.now_ms())
 
     def happened(self, event: api.Event) -> None:
-        """An event that no request's task waits for."""
+        """Deliver an event that belongs to no open request's task; an error is logged."""
         try:
             self.decide(event)
         except Exception as error:
             self.log("decision_broke", on=type(event).__name__, error=repr(error))
 
-    def decide(self, event: api.Event, exchange: Life | None = None) -> None:
-        """One point of choice: the event to the module, and its actions carried out in order."""
+    def decide(self, event: api.Event, exchange: OpenRequest | None = None) -> None:
+        """Deliver one event to the module and carry out its actions in order."""
         now_ms = self.clock.now_ms()
-        self.invariants.must(now_ms >= self._last_ms, "clock_only_advances")
-        self._last_ms = now_ms
+        self.invariants.must(now_ms >= self._last_event_ms, "clock_only_advances")
+        self._last_event_ms = now_ms
         for action in self._balancer.handle(now_ms, event):
             match action:
                 case api.SetTimer(after_ms, token):
                     loop = asyncio.get_running_loop()
                     loop.call_later(after_ms / 1000, self._timer_fired, token, exchange)
                 case api.Send() | api.Refuse() | api.Fail() | api.Cancel():
-                    asked_for = self.open.get(action.request_id)
-                    known = asked_for is not None
+                    open_request = self.open.get(action.request_id)
+                    known = open_request is not None
                     self.invariants.must(known, "acts_for_open_requests", action=type(action).__name__)
-                    if asked_for is not None:
-                        asked_for.carry_out(action)
+                    if open_request is not None:
+                        open_request.carry_out(action)
                 case api.Subscribe() | api.FetchList():
-                    self.watch_asked_for.set()  # it brings the whole list where it has a gap
+                    self.watch_asked_for.set()  # the watch fetches the whole list if it missed changes
                 case api.Probe(upstream):
                     self.start_probe(upstream)
                 case api.CloseIdle(upstream):
@@ -255,11 +273,11 @@
                     self.log("module_says", text=text)
                 case api.TellPeers(peer, message) if self.peers is not None:
                     self.peers.tell(peer, message)
-                case _:  # words to peers where none are named
+                case _:  # a message to peers while none are configured
                     self.log("action_not_carried_out", action=type(action).__name__)
 
     def report(self, upstream: int, text: str | None) -> tuple[float, ...]:
-        """A load report's figures for the module; none where none came, is wanted, or can be read."""
+        """The values of a load report; empty if none came, none is configured, or it cannot be parsed."""
         if text is None or not self.settings.report_columns:
             return ()
         report = read_report(text, self.host.report_names)
@@ -268,7 +286,7 @@
             return ()
         return report
 
-    def _timer_fired(self, token: int, exchange: Life | None) -> None:
+    def _timer_fired(self, token: int, exchange: OpenRequest | None) -> None:
         fired = api.TimerFired(token)
         if exchange is None or exchange.over:
             self.happened(fired)
@@ -276,7 +294,7 @@
             exchange.inbox.put_nowait(fired)
 
     def start_probe(self, upstream: int) -> None:
-        """Ask how it is, beside all requests; the module hears it, and who leaves zones."""
+        """Start a health probe independent of any request; its result goes to the module and evacuation."""
         task = asyncio.get_running_loop().create_task(self._probe(upstream))
         self._probes.add(task)
         task.add_done_callback(self._probes.discard)
--- a/madderwind/standalone/routing/directory.py
+++ b/madderwind/standalone/routing/directory.py
@@ -1,4 +1,4 @@
-"""Upstreams by discovery's ids, the module's numbers and their addresses."""
+"""Maps discovery's upstream ids to the module's numbers, and to addresses and states."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from madderwind.standalone.policy.api import FleetListed, ListKind, UpstreamEntry, UpstreamState
 from madderwind.standalone.protocol.listing import STATES, Listing, Member
 
-# So many ends (drains and goings) are remembered, the latest: a list that comes late is not older than that.
+# The latest ends (drains and removals) to remember: a delayed list is not older than that.
 ENDS_KEPT = 1024
-# So many ids that were ever listed are remembered, and so many starts after a call back, the latest.
+# The latest ids that were ever listed to remember, and the latest times of restoring an upstream.
 NAMES_KEPT, RESTORES_KEPT = 16384, 1024
 
 T = TypeVar("T")
 
 
 class End(NamedTuple):
-    """What was told of an upstream that may get nothing new."""
+    """What discovery reported about an upstream that gets no new requests."""
 
     revision: int
     state: UpstreamState
@@ -30,7 +30,7 @@
 
 
 class Memory(NamedTuple):
-    """What a directory knows beside the list in force. Upstreams go by discovery's ids."""
+    """The state of a directory apart from the list in force. Upstreams are keyed by discovery's ids."""
 
     ends: dict[str, End]
     listed_before: list[str]
@@ -39,12 +39,12 @@
 
 
 class Directory:
-    """Gives every id a number, and keeps where each is and whether it may get anything new.
+    """Assigns each id a number, and keeps each upstream's address and whether it may get new requests.
 
-    Guards against growth on days on which upstreams are replaced by ever new ones: one that the list no
-    longer has is forgotten once nothing is out there. No number is given twice, so none is taken for another.
-    Guards against a list that comes late or again: what drains or is gone is not revived by an older
-    revision, unless it has started since.
+    Memory stays bounded where upstreams are constantly replaced by new ones: one that is no longer listed is
+    forgotten once no attempt or probe is outstanding. Numbers are never reused, so no upstream is mistaken
+    for another. A delayed or repeated list does no harm: an older revision does not bring back an upstream
+    that drains or is gone, unless that has started since.
     """
 
     def __init__(self, zone_names: tuple[str, ...], kind_names: tuple[str, ...]) -> None:
@@ -53,33 +53,33 @@
         self._numbers: dict[str, int] = {}
         self._next_number = 0
         self._ids: dict[int, str] = {}
-        self._out: Counter[int] = Counter()  # attempts and probes
+        self._outstanding: Counter[int] = Counter()  # outstanding attempts and probes
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._members: dict[int, Member] = {}  # as discovery wrote them
-        self._told: dict[int, UpstreamEntry] = {}  # what discovery says, whatever was done by hand
+        self._members: dict[int, Member] = {}  # as received from discovery
+        self._told: dict[int, UpstreamEntry] = {}  # as reported by discovery, without manual changes
         self._ends: dict[str, End] = {}
-        self._ever: dict[str, None] = {}  # ids that were listed, the latest last
-        self.suspended: set[str] = set()  # by hand, whatever discovery says
+        self._ever_listed: dict[str, None] = {}  # ids that were ever listed, the latest last
+        self.suspended: set[str] = set()  # by an operator, whatever discovery says
         self._restored_ms: dict[str, float] = {}
-        self.left: set[int] = set()  # by the fleet, with their zone
+        self.left: set[int] = set()  # withheld by the fleet because their zone is evacuated
         self._reopened_ms: dict[int, float] = {}
         self.revision = 0
 
     def take(self, listing: Listing, cached: bool = False) -> FleetListed:
-        """The listing as the module's event, after the directory has learned from it."""
-        before = set(self._told)
+        """Apply a listing, and return it as an event for the module."""
+        listed_before_ids = set(self._told)
         entries = tuple(self._entry(member, listing.revision) for member in listing.members)
         if listing.complete:
-            self._told = {}  # what a whole list leaves out is gone
+            self._told = {}  # an upstream missing from a complete list is gone
         for member, entry in zip(listing.members, entries, strict=True):
             self._addresses[entry.upstream], self._members[entry.upstream] = member.address, member
             self._told[entry.upstream] = entry
-        told_gone = {entry.upstream for entry in entries if entry.state is UpstreamState.GONE}
-        left_out = before - set(self._told)
-        for number in left_out:  # nothing says when it started: only a revision as late brings it back
-            self._remember(self._ids[number], End(listing.revision, UpstreamState.GONE, float("inf")))
-        in_force = tuple(self._in_force(entry) for entry in entries)
-        for number in left_out | told_gone:
+        reported_gone = {entry.upstream for entry in entries if entry.state is UpstreamState.GONE}
+        left_out = listed_before_ids - set(self._told)
+        for number in left_out:  # start time unknown: only a revision at least as late brings it back
+            self._remember_end(self._ids[number], End(listing.revision, UpstreamState.GONE, float("inf")))
+        in_force = tuple(self._effective(entry) for entry in entries)
+        for number in left_out | reported_gone:
             self._told.pop(number, None)
             self._forget(number)
         self.revision = listing.revision
@@ -87,81 +87,85 @@
         return FleetListed(ListKind.CACHED if cached else kind, listing.revision, in_force)
 
     def listing(self) -> Listing:
-        """The list in force, with what drains."""
+        """The list in force, including draining upstreams."""
         return Listing(self.revision, True, tuple(self._members[number] for number in self._told))
 
     def memory(self) -> Memory:
-        """What was told and done that the list in force does not say."""
-        return Memory(dict(self._ends), list(self._ever), sorted(self.suspended), dict(self._restored_ms))
+        """The ends, known ids and manual changes, which the list in force does not contain."""
+        return Memory(
+            dict(self._ends), list(self._ever_listed), sorted(self.suspended), dict(self._restored_ms)
+        )
 
     def recall(self, memory: Memory) -> None:
-        """What the process before this one was told and did; before the list that it followed is taken."""
+        """Restore the state of the previous process, before the list that it followed is applied."""
         for name in (*memory.listed_before, *memory.suspended):
-            _keep(self._ever, name, None, NAMES_KEPT, beside=self.suspended)
+            _keep_latest(self._ever_listed, name, None, NAMES_KEPT, protected=self.suspended)
         self.suspended |= set(memory.suspended)
         for name, at_ms in memory.restored_ms.items():
-            _keep(self._restored_ms, name, at_ms, RESTORES_KEPT)
+            _keep_latest(self._restored_ms, name, at_ms, RESTORES_KEPT)
         for name, end in memory.ends.items():
-            self._remember(name, end)
+            self._remember_end(name, end)
 
     def suspend(self, name: str, heard: bool = False) -> FleetListed | None:
-        """Nothing more to it, whatever discovery says, until it is restored. None: never listed.
+        """Send nothing more to the upstream, whatever discovery says, until it is restored.
 
-        `heard`: of a process that knows it.
+        Returns None if it was never listed. `heard`: the suspension came from a process that knows it.
         """
         if heard:
-            _keep(self._ever, name, None, NAMES_KEPT, beside=self.suspended)
-        if name not in self._ever:
+            _keep_latest(self._ever_listed, name, None, NAMES_KEPT, protected=self.suspended)
+        if name not in self._ever_listed:
             return None
         self.suspended.add(name)
-        return self._changed(name)
+        return self._manual_change(name)
 
     def restore(self, name: str, now_ms: float) -> FleetListed | None:
-        """One word ends the ban, however many began it. None: never listed.
+        """End a suspension, however often it was requested. Returns None if the upstream was never listed.
 
-        Guards against a flood on an upstream that was restarted under the ban while the list is late to say
-        so: it counts as started now.
+        The upstream counts as started now. It may have been restarted during the suspension while the list
+        is late to say so, and would otherwise be flooded with requests.
         """
-        if name not in self._ever:
+        if name not in self._ever_listed:
             return None
         if name in self.suspended:
             self.suspended.discard(name)
-            _keep(self._restored_ms, name, now_ms, RESTORES_KEPT)
-        return self._changed(name)
+            _keep_latest(self._restored_ms, name, now_ms, RESTORES_KEPT)
+        return self._manual_change(name)
 
     def leave(self, upstreams: Iterable[int]) -> FleetListed:
-        """The fleet leaves their zone: nothing new to them until they are reopened."""
+        """Send nothing new to these upstreams, whose zone the fleet evacuates, until they are reopened."""
         numbers = [number for number in upstreams if number in self._told]
         self.left.update(numbers)
-        return self._told_anew(numbers)
+        return self._relisted(numbers)
 
     def reopen(self, upstreams: Iterable[int], started_ms: float) -> FleetListed:
-        """The fleet returns to these: they count as started then, whatever a late list says."""
+        """Use these upstreams again. They count as started at `started_ms`, whatever a late list says."""
         numbers = [number for number in upstreams if number in self._told]
         self.left.difference_update(upstreams)
         self._reopened_ms.update(dict.fromkeys(numbers, started_ms))
-        return self._told_anew(numbers)
+        return self._relisted(numbers)
 
     def places(self) -> dict[int, Place]:
-        """What discovery calls ready and nobody suspended, whether the fleet has left it or not."""
+        """The upstreams that are ready and not suspended, including those in evacuated zones."""
         return {
             number: Place(entry.mark, self._members[number].locality, entry.rating, entry.started_ms)
             for number, entry in self._told.items()
             if entry.state is UpstreamState.READY and self._ids[number] not in self.suspended
         }
 
-    def _told_anew(self, numbers: list[int]) -> FleetListed:
-        entries = tuple(self._in_force(self._told[number]) for number in numbers)
+    def _relisted(self, numbers: list[int]) -> FleetListed:
+        entries = tuple(self._effective(self._told[number]) for number in numbers)
         return FleetListed(ListKind.CHANGES, self.revision, entries)
 
-    def _changed(self, name: str) -> FleetListed:
-        """The module's event of a change by hand; empty where discovery does not list the upstream now."""
+    def _manual_change(self, name: str) -> FleetListed:
+        """The event of a manual change; it has no entries if discovery does not list the upstream now."""
         number = self._numbers.get(name)
-        return self._told_anew([number] if number in self._told else [])
+        return self._relisted([number] if number in self._told else [])
+
+    def _effective(self, entry: UpstreamEntry) -> UpstreamEntry:
+        """The effective entry of an upstream: discovery's report, the operator's changes and the fleet's.
 
-    def _in_force(self, entry: UpstreamEntry) -> UpstreamEntry:
-        """What discovery says of an upstream, with what was done by hand and by the fleet. The only place
-        that joins the three."""
+        This is the only place that combines the three.
+        """
         name, number = self._ids[entry.upstream], entry.upstream
         if name in self.suspended and entry.state is not UpstreamState.GONE:
             entry = msgspec.structs.replace(entry, state=UpstreamState.SUSPENDED)
@@ -172,17 +176,17 @@
         )
         return msgspec.structs.replace(entry, started_ms=started_ms)
 
-    def _remember(self, name: str, end: End) -> None:
-        """Remember an end; of two, the later revision and start count."""
+    def _remember_end(self, name: str, end: End) -> None:
+        """Remember an end; if one is known, keep the later revision and the later start."""
         known = self._ends.pop(name, end)
         latest = End(max(known.revision, end.revision), end.state, max(known.up_since_ms, end.up_since_ms))
-        _keep(self._ends, name, latest, ENDS_KEPT)
+        _keep_latest(self._ends, name, latest, ENDS_KEPT)
 
     def _state(self, member: Member, revision: int) -> UpstreamState:
-        """The state that is told, or the one told before if that is fresher."""
+        """The reported state, or the remembered one if that is newer."""
         state, end = STATES[member.phase], self._ends.get(member.id)
         if state is not UpstreamState.READY:
-            self._remember(member.id, End(revision, state, member.up_since_ms))
+            self._remember_end(member.id, End(revision, state, member.up_since_ms))
         elif end is not None:
             if revision < end.revision and member.up_since_ms <= end.up_since_ms:
                 return end.state
@@ -194,7 +198,7 @@
         if number == self._next_number:
             self._next_number += 1
             self._ids[number] = member.id
-        _keep(self._ever, member.id, None, NAMES_KEPT, beside=self.suspended)
+        _keep_latest(self._ever_listed, member.id, None, NAMES_KEPT, protected=self.suspended)
         return UpstreamEntry(
             number,
             self._zones.setdefault(member.locality, len(self._zones)),
@@ -203,21 +207,21 @@
             self._state(member, revision),
             member.size,
             max(0.0, member.up_since_ms),
-            zlib.crc32(member.id.encode()) or 1,  # alike at every copy, as the number is not
+            zlib.crc32(member.id.encode()) or 1,  # the same at every copy, unlike the number
         )
 
     def began(self, upstream: int) -> None:
-        """An attempt or a probe is out there."""
-        self._out[upstream] += 1
+        """Count an outstanding attempt or probe."""
+        self._outstanding[upstream] += 1
 
     def ended(self, upstream: int) -> None:
-        self._out[upstream] -= 1
+        self._outstanding[upstream] -= 1
         self._forget(upstream)
 
     def _forget(self, number: int) -> None:
-        """One that is gone, once nothing is out there."""
-        if self._out[number] <= 0:
-            del self._out[number]
+        """Forget an upstream that is no longer listed, once no attempt or probe is outstanding."""
+        if self._outstanding[number] <= 0:
+            del self._outstanding[number]
             if number in self._ids and number not in self._told:
                 del self._numbers[self._ids.pop(number)], self._addresses[number], self._members[number]
                 self.left.discard(number)
@@ -233,7 +237,7 @@
         return self._addresses.get(upstream)
 
     def takes_new(self, upstream: int) -> bool:
-        """Whether the list in force, and what was done by hand and by the fleet, let it have anything new."""
+        """Whether the upstream may get new requests, by the list in force, the operator and the fleet."""
         entry = self._told.get(upstream)
         ready = entry is not None and entry.state is UpstreamState.READY
         return ready and self._ids[upstream] not in self.suspended and upstream not in self.left
@@ -243,9 +247,11 @@
         return len(self._told)
 
 
-def _keep(table: dict[str, T], name: str, value: T, most: int, beside: Container[str] = ()) -> None:
-    """Keep it as the latest, and no more than `most`: the oldest goes, but for those named `beside`."""
+def _keep_latest(
+    table: dict[str, T], name: str, value: T, limit: int, protected: Container[str] = ()
+) -> None:
+    """Store an entry as the latest. Above `limit` the oldest entry that is not `protected` is dropped."""
     table.pop(name, None)
     table[name] = value
-    if len(table) > most:
-        del table[next(name for name in table if name not in beside)]
+    if len(table) > limit:
+        del table[next(name for name in table if name not in protected)]
--- a/madderwind/standalone/routing/gossip_peers.py
+++ b/madderwind/standalone/routing/gossip_peers.py
@@ -1,4 +1,4 @@
-"""The copies of a fleet on sockets: what `gossip` decides, as datagrams. No rule rests on them."""
+"""Sends and receives the fleet's gossip as UDP datagrams. They may be lost, so no rule depends on them."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from madderwind.standalone.policy.peer_messages import MARK_BYTES, RATE_BYTES, RATE_UNITS
 
 Address = tuple[str, int]
-# A life is the time of a process's start, in eighths of a second from here on: it fits for 17 years, and a
-# process that starts after another has the higher one.
-EPOCH_MS, LIFE_MS = 1_767_225_600_000.0, 125.0
-# What a copy said of its traffic is held for as long as it lives; the module is told again so often.
-AGAIN_MS = 2000.0
-LEAST_PER_S = 0.2  # a copy to which less comes has nothing to try with
-MARKS_AN_EVENT = 12
+# A member's life number is its process start, in eighths of a second since this epoch. The number fits for 17
+# years, and a process that starts after another has the higher number.
+EPOCH_MS, LIFE_UNIT_MS = 1_767_225_600_000.0, 125.0
+# A copy's reported traffic is kept while the copy is alive, and passed to the module again at this interval.
+REPEAT_INTERVAL_MS = 2000.0
+MIN_ACTIVE_PER_S = 0.2  # with less traffic a copy has no requests to probe with
+MARKS_PER_EVENT = 12
 
 
 class Listener(Protocol):
-    """Who looks at what copies see of zones."""
+    """Receives the zone views and the shared evacuation state of other copies."""
 
     def heard_message(self) -> None: ...
 
@@ -36,10 +36,10 @@
 
 
 class GossipPeers(asyncio.DatagramProtocol):
-    """This copy among those of its tier, in the place of `Peers` and with its calls.
+    """This copy's gossip endpoint among the copies of its tier, a replacement for `Peers` with its interface.
 
-    Guards against words from elsewhere as that does: only what comes from the very address of the copy that
-    it names is looked at; the rest is counted, and logged sparingly.
+    Like `Peers`, it accepts a datagram only from the configured address of the copy that it names as its
+    sender. Others are counted, with rate-limited log lines.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
         self._numbers = {address: number for number, address in enumerate(addresses)}
         self._log, self._log_sparingly, self._clock = log, log_sparingly, clock
         self._dead: set[int] = set()
-        life = int((clock.now_ms() - EPOCH_MS) / LIFE_MS)
+        life = int((clock.now_ms() - EPOCH_MS) / LIFE_UNIT_MS)
         self._membership = Membership(me, len(addresses), seed, life, fleet.name, fleet.datagrams_per_s)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._again_ms = clock.now_ms() + AGAIN_MS
+        self._repeat_at_ms = clock.now_ms() + REPEAT_INTERVAL_MS
         self.strangers = 0
         self.listener: Listener | None = None
         self.synced = asyncio.Event()
 
     async def start(self, shared: bool = False) -> None:
-        """Listen where this copy's own address says. `shared`: beside the other process of an upgrade."""
+        """Listen on this copy's own address. `shared`: together with the other process of an upgrade."""
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, self._addresses[self._me], reuse_port=shared or None
         )
@@ -82,60 +82,60 @@
             self.strangers += 1
             self._log_sparingly("odd_words", sender=list(addr[:2]), size=len(data))
             return
-        heard = self._membership.counts["heard"]
+        received_before = self._membership.counts["heard"]
         actions = self._membership.receive(self._clock.now_ms(), peer, data)
-        if self.listener is not None and self._membership.counts["heard"] > heard:
+        if self.listener is not None and self._membership.counts["heard"] > received_before:
             self.listener.heard_message()
         if self._membership.synced:
             self.synced.set()
-        self._do(actions)
+        self._carry_out(actions)
 
     def error_received(self, exc: Exception) -> None:
-        """A copy that is down: the next words may find it up."""
+        """Ignored: a copy may be down, and back up for the next message."""
 
     @property
     def closed(self) -> bool:
         return self._transport is None
 
-    def tell(self, peer: int | None, words: bytes) -> None:
-        """The module's words, which are for all: the rate as this copy's state, failures as what it saw."""
+    def tell(self, peer: int | None, message: bytes) -> None:
+        """Send the module's message to all copies: its rate as this copy's state, its failures as events."""
         if self._transport is None:
             return
-        rate, marks = words[:RATE_BYTES], words[RATE_BYTES:]
-        size = MARK_BYTES * MARKS_AN_EVENT
+        rate, marks = message[:RATE_BYTES], message[RATE_BYTES:]
+        size = MARK_BYTES * MARKS_PER_EVENT
         events = tuple(rate + marks[at : at + size] for at in range(0, len(marks), size))
-        self._do(self._membership.tell(self._clock.now_ms(), rate, events))
+        self._carry_out(self._membership.tell(self._clock.now_ms(), rate, events))
 
     def tell_view(self, payload: bytes) -> None:
-        """What this copy sees, to all, in place of what it told before."""
+        """Send this copy's view to all copies, replacing its earlier view."""
         if self._transport is not None:
-            self._do(self._membership.tell_view(self._clock.now_ms(), payload))
+            self._carry_out(self._membership.tell_view(self._clock.now_ms(), payload))
 
     def tell_shared(self, order: tuple[int, int], payload: bytes) -> None:
         if self._transport is not None:
-            self._do(self._membership.tell_shared(self._clock.now_ms(), order, payload))
+            self._carry_out(self._membership.tell_shared(self._clock.now_ms(), order, payload))
 
     def living(self) -> list[int]:
-        """The copies not held dead, this one among them."""
+        """The copies that are not considered dead, including this one."""
         return [self._me, *self._membership.members.living()]
 
     def able(self) -> list[int]:
-        """Those of them that do not say that next to nothing comes to them; all, where each says so."""
+        """The living copies except those that report almost no traffic; all of them if each reports that."""
         living = self.living()
-        return [n for n in living if self._rate(n) >= LEAST_PER_S] or living
+        return [n for n in living if self._rate(n) >= MIN_ACTIVE_PER_S] or living
 
     def _rate(self, number: int) -> float:
-        """What a copy says that it carries; without a word, as if it were enough."""
+        """The request rate that a copy reports; infinite if it has reported none."""
         item = self._membership.states.get(number)
         rate = item.payload[:RATE_BYTES] if item is not None else b""
         return int.from_bytes(rate, "little") / RATE_UNITS if rate else math.inf
 
     def carried_per_s(self) -> float:
-        """What all copies say that they carry, by the newest of each that lives."""
+        """The sum of the request rates that living copies reported last."""
         return sum(rate for n in self.living() if math.isfinite(rate := self._rate(n)))
 
     def counts(self) -> Counter[str]:
-        """What was sent, heard and passed over, by reason; and how many are held to be how."""
+        """Messages sent, received and ignored, by reason, and the number of members in each state."""
         counts = Counter(self._membership.counts)
         counts["strangers"] = self.strangers
         for member in self._membership.members.all.values():
@@ -144,14 +144,14 @@
 
     def _tick(self) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms >= self._again_ms:
-            self._again_ms = now_ms + AGAIN_MS
+        if now_ms >= self._repeat_at_ms:
+            self._repeat_at_ms = now_ms + REPEAT_INTERVAL_MS
             for number, item in list(self._membership.states.items()):
                 if number != self._me and self._membership.members.all[number].state is not State.DEAD:
                     self._heard(number, item.payload)
-        self._do(self._membership.tick(now_ms))
+        self._carry_out(self._membership.tick(now_ms))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Send(peer, data) if self._transport is not None:
@@ -169,12 +169,12 @@
         if self._transport is not None:
             if self._timer is not None:
                 self._timer.cancel()
-            due_ms = max(min(self._membership.due_ms, self._again_ms), self._clock.now_ms())
+            due_ms = max(min(self._membership.due_ms, self._repeat_at_ms), self._clock.now_ms())
             loop = asyncio.get_running_loop()
             self._timer = loop.call_at(self._clock.loop_time_s(due_ms), self._tick)
 
     def _changed(self, changed: Changed) -> None:
-        """Deaths and returns are told each; a suspicion may come often where words are lost."""
+        """Log each death and return. Suspicions are rate-limited: lost datagrams make them frequent."""
         member = changed.member
         if changed.state is State.DEAD:
             self._dead.add(member)
--- a/madderwind/standalone/routing/peers.py
+++ b/madderwind/standalone/routing/peers.py
@@ -1,4 +1,4 @@
-"""Words between copies: small datagrams, which may be lost. No rule rests on them."""
+"""Messages between copies as small UDP datagrams. They may be lost, so no rule depends on them."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from madderwind.eventlog import Sparing
 
-# A mark that tells our words from whatever else comes to a port, and the number of the copy that speaks.
+# A magic number that tells these messages from other datagrams, and the number of the sending copy.
 HEAD = struct.Struct("<4sI")
 MARK = b"mdw1"
-LONGEST_WORDS = 256
+MAX_MESSAGE_BYTES = 256
 
 Address = tuple[str, int]
 
 
 class Peers(asyncio.DatagramProtocol):
-    """This copy's place among the copies of its tier, which the configuration names in order.
+    """This copy's endpoint among the copies of its tier, which the configuration lists in order.
 
-    Guards against words from elsewhere: only what comes from the very address of the copy that it names is
-    handed on. What cannot be read is passed over, and logged sparingly.
+    A message is accepted only from the configured address of the copy that it names as its sender. Other or
+    malformed datagrams are ignored, with rate-limited log lines.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, shared: bool = False) -> None:
-        """Listen where this copy's own address says. `shared`: beside the other process of an upgrade."""
+        """Listen on this copy's own address. `shared`: together with the other process of an upgrade."""
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, self._addresses[self._me], reuse_port=shared or None
         )
@@ -41,25 +41,25 @@
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         mark, peer = HEAD.unpack_from(data) if len(data) >= HEAD.size else (b"", self._me)
-        words = data[HEAD.size :]
-        another = mark == MARK and peer != self._me and peer < len(self._addresses)
-        if another and self._addresses[peer] == tuple(addr[:2]) and len(words) <= LONGEST_WORDS:
-            self._heard(peer, words)
+        message = data[HEAD.size :]
+        is_peer_message = mark == MARK and peer != self._me and peer < len(self._addresses)
+        if is_peer_message and self._addresses[peer] == tuple(addr[:2]) and len(message) <= MAX_MESSAGE_BYTES:
+            self._heard(peer, message)
         else:
             self._log("odd_words", sender=list(addr[:2]), size=len(data))
 
     def error_received(self, exc: Exception) -> None:
-        """A copy that is down: the next words may find it up."""
+        """Ignored: a copy may be down, and back up for the next message."""
 
     @property
     def closed(self) -> bool:
         return self._transport is None
 
-    def tell(self, peer: int | None, words: bytes) -> None:
-        """To one copy, or to every other one."""
-        if self._transport is None or len(words) > LONGEST_WORDS:
+    def tell(self, peer: int | None, message: bytes) -> None:
+        """Send a message to one copy, or to every other one for None."""
+        if self._transport is None or len(message) > MAX_MESSAGE_BYTES:
             return
-        data = HEAD.pack(MARK, self._me) + words
+        data = HEAD.pack(MARK, self._me) + message
         for number, address in enumerate(self._addresses):
             if number != self._me and peer in (None, number):
                 self._transport.sendto(data, address)
--- a/madderwind/standalone/routing/tally.py
+++ b/madderwind/standalone/routing/tally.py
@@ -1,4 +1,4 @@
-"""What this process has done since its start, for whoever asks."""
+"""Counters of the process since its start, for the metrics."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class Tally:
-    """Every request that was taken ends once: in one of the outcomes, or because its client had gone."""
+    """Counts requests. Each accepted one ends once: with an outcome, or because its client disconnected."""
 
     def __init__(self, categories: Iterable[str]) -> None:
         self._handled: dict[str, Counter[str]] = {}
         self.taken, self.client_gone = 0, 0
         self.tries = 0  # attempts whose last byte was written to an upstream
         self.loads, self.load_errors = 0, 0
-        self.version: int | None = None  # of the settings in force, where their file says one
+        self.version: int | None = None  # of the settings in force, if their file gives one
         self.know(categories)
 
     def know(self, categories: Iterable[str]) -> None:
-        """Classes that are in use from now on. Those that were keep their counts."""
+        """Add classes that are in use from now on. Earlier classes keep their counts."""
         for category in categories:
             self._handled.setdefault(category, Counter())
 
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -1,6 +1,6 @@
-"""A copy's part in leaving zones as a fleet, on its loop: what `leaving` decides, carried out.
+"""A copy's part in the fleet's zone evacuation: runs the actions of `ZoneEvacuation` on the event loop.
 
-No rule rests on it: the module is told of upstreams that are not ready, as discovery or an operator would.
+No rule depends on it: the module is only told that upstreams are not ready, as by discovery or an operator.
 """
 
 from __future__ import annotations
@@ -28,23 +28,25 @@
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 
 
-class Hands(Protocol):
-    """What is done to upstreams and requests."""
+class UpstreamControl(Protocol):
+    """The operations on upstreams and requests that evacuation needs."""
 
     def leave(self, upstreams: frozenset[int]) -> None: ...
 
     def reopen(self, upstreams: frozenset[int], started_ms: float, owed: bool) -> None: ...
 
-    def take_back(self, request: int, attempt: int) -> None: ...
+    def cancel_repeatable_attempt(self, request: int, attempt: int) -> None: ...
 
     def start_probe(self, upstream: int) -> None: ...
 
 
 class Withdrawal:
+    """Connects zone evacuation with the fleet's gossip, the copy and a timer."""
+
     def __init__(
         self,
         peers: GossipPeers,
-        hands: Hands,
+        control: UpstreamControl,
         settings: Settings,
         zone: str,
         leaving: EvacuationSettings,
@@ -52,7 +54,7 @@
         log: EventLog,
         log_sparingly: Sparing,
     ) -> None:
-        self._peers, self._hands, self._clock = peers, hands, clock
+        self._peers, self._control, self._clock = peers, control, clock
         self._log, self._log_sparingly = log, log_sparingly
         self._evacuation = ZoneEvacuation(
             settings.me,
@@ -74,10 +76,8 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    # --- what happens ---
-
     def listed(self, places: Mapping[int, Place]) -> None:
-        self._do(self._evacuation.listed(self._clock.now_ms(), places))
+        self._carry_out(self._evacuation.listed(self._clock.now_ms(), places))
 
     def began(self, upstream: int, key: tuple[int, int]) -> None:
         self._evacuation.observations.began(self._clock.now_ms(), upstream, key)
@@ -95,44 +95,40 @@
         self._evacuation.heard_view(self._clock.now_ms(), origin, payload)
 
     def heard_shared(self, order: tuple[int, int], payload: bytes) -> None:
-        self._do(self._evacuation.heard_evacuation(self._clock.now_ms(), order, payload))
+        self._carry_out(self._evacuation.heard_evacuation(self._clock.now_ms(), order, payload))
 
     def by_hand(self, name: str, back: bool) -> str:
-        """Leave a zone or region, or return to it, as the whole fleet; "" or why not."""
+        """Evacuate a zone or region fleet-wide, or return to it. Returns "" or the reason for a refusal."""
         call = self._evacuation.return_to if back else self._evacuation.evacuate
         actions, why_not = call(self._clock.now_ms(), name)
         self._log("area_by_hand", area=name, back=back, why_not=why_not)
-        self._do(actions)
+        self._carry_out(actions)
         return why_not
 
-    # --- what is seen of it ---
-
     def counts(self) -> Counter[str]:
         return self._evacuation.counts + Counter(withheld=len(self._evacuation.withheld))
 
     def left(self) -> list[tuple[str, int]]:
         return self._evacuation.left()
 
-    # --- within ---
-
     def _tick(self) -> None:
         now_ms = self._clock.now_ms()
         self._timer = asyncio.get_running_loop().call_at(
             self._clock.loop_time_s(now_ms + TICK_MS), self._tick
         )
-        self._do(self._evacuation.tick(now_ms))
+        self._carry_out(self._evacuation.tick(now_ms))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Withhold(upstreams):
-                    self._hands.leave(upstreams)
+                    self._control.leave(upstreams)
                 case Reopen(upstreams, started_ms, owed):
-                    self._hands.reopen(upstreams, started_ms, owed)
+                    self._control.reopen(upstreams, started_ms, owed)
                 case TakeBack((request, attempt)):
-                    self._hands.take_back(request, attempt)
+                    self._control.cancel_repeatable_attempt(request, attempt)
                 case Probe(upstream):
-                    self._hands.start_probe(upstream)
+                    self._control.start_probe(upstream)
                 case TellView(payload):
                     self._peers.tell_view(payload)
                 case TellEvacuation(order, payload):
--- a/tests/standalone/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -161,7 +161,7 @@
             caller.writer.write(LONG[:3_000_000])
             await caller.writer.drain()
             while not any(
-                getattr(exchange, "let_go", False) for exchange in running.service.copy.open.values()
+                getattr(exchange, "body_released", False) for exchange in running.service.copy.open.values()
             ):
                 await asyncio.sleep(0.001)
             caller.writer.transport.abort()
--- a/tests/standalone/routing/test_actions.py
+++ b/tests/standalone/routing/test_actions.py
@@ -1,4 +1,4 @@
-"""Actions that belong to no request, carried out for a module that asks for them."""
+"""Actions of the module that do not belong to a request."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from tests.standalone.program.harness import Running
 from tests.standins import Behaviour, Caller, Upstream, answer, run, says, silent, within
 
-ASK = api.TimerFired(0)  # the module of these tests answers this with the actions in question
+ASK = api.TimerFired(0)  # the patched module answers this event with the actions under test
 
 
-class Asks:
-    """Makes the module ask for these actions when told to, and keeps what it hears of probes."""
+class PatchedModule:
+    """Patches the module to return these actions for ASK, and records the probe results that it receives."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *actions: api.Action) -> None:
         self.probes: asyncio.Queue[api.ProbeEnded] = asyncio.Queue()
         handle = Balancer.handle
 
-        def asks(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
+        def patched_handle(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
             if event is ASK:
                 return list(actions)
             if isinstance(event, api.ProbeEnded):
                 self.probes.put_nowait(event)
             return handle(balancer, now, event)
 
-        monkeypatch.setattr(Balancer, "handle", asks)
+        monkeypatch.setattr(Balancer, "handle", patched_handle)
 
 
 @pytest.mark.parametrize(
@@ -44,17 +44,17 @@
         (silent, Outcome.TIMEOUT, ()),
     ],
 )
-def test_a_probe(
+def test_a_probe_reports_its_result(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, behave: Behaviour, outcome: Outcome, report: Any
 ) -> None:
     monkeypatch.setattr(routing, "PROBE_TIMEOUT_MS", 300.0 if behave is not silent else 30.0)
-    asks = Asks(monkeypatch, api.Probe(0))
+    module = PatchedModule(monkeypatch, api.Probe(0))
 
     async def test() -> None:
         upstream = Upstream(behave)
         async with Running(tmp_path, upstream) as running:
             running.service.copy.happened(ASK)
-            ended = await within(asks.probes.get())
+            ended = await within(module.probes.get())
             assert (ended.outcome, ended.upstream, ended.report) == (outcome, 0, report)
             assert ended.elapsed_ms > 0
             assert [m.start for m in upstream.asked] == ["GET /load HTTP/1.1"]
@@ -62,11 +62,13 @@
     run(test())
 
 
-def test_idle_connections_are_closed_and_words_are_logged(
+def test_idle_connections_are_closed_and_unsupported_actions_logged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    words = api.TellPeers(None, b"psst")
-    Asks(monkeypatch, api.CloseIdle(0), api.CloseIdle(7), api.Log("hello"), words, api.Subscribe(True))
+    peer_message = api.TellPeers(None, b"psst")
+    PatchedModule(
+        monkeypatch, api.CloseIdle(0), api.CloseIdle(7), api.Log("hello"), peer_message, api.Subscribe(True)
+    )
 
     async def test() -> None:
         upstream = Upstream(says(answer(200)))
@@ -82,8 +84,8 @@
     run(test())
 
 
-def test_an_attempt_that_the_module_takes_back(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Giving an attempt up closes its connection, and the module hears of it as cancelled."""
+def test_a_cancelled_attempt_closes_its_connection(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Cancelling an attempt closes its connection, and the module is told that it was cancelled."""
 
     async def test() -> None:
         upstream = Upstream(silent)
@@ -92,7 +94,7 @@
             caller.write("POST /charge", b"1")
             await within(upstream.arrivals.get())
             (number,) = running.service.copy.open
-            Asks(monkeypatch, api.Cancel(number, 0))
+            PatchedModule(monkeypatch, api.Cancel(number, 0))
             running.service.copy.happened(ASK)
             assert await within(upstream.ended.get()) == 1
             assert (await caller.read()).status == 502
@@ -105,7 +107,7 @@
 def test_an_action_for_no_open_request_is_a_broken_invariant(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    Asks(monkeypatch, api.Fail(4711))
+    PatchedModule(monkeypatch, api.Fail(4711))
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(silent)) as running:
--- a/tests/standalone/routing/test_directory.py
+++ b/tests/standalone/routing/test_directory.py
@@ -1,4 +1,4 @@
-"""Numbers, addresses and states of upstreams, and what is kept of those that are gone."""
+"""Numbers, addresses and states of upstreams, and the state kept for removed ones."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests import examples
 
 
-def told(
+def take_listing(
     directory: Directory, *members: dict[str, object], complete: bool = False, revision: int = 41
 ) -> list[int]:
     text = json.dumps(examples.listing(*members, complete=complete, revision=revision))
@@ -20,129 +20,137 @@
     return [entry.upstream for entry in directory.take(listing).entries]
 
 
-def kept(directory: Directory) -> list[int]:
-    tables = (directory._numbers, directory._ids, directory._addresses, directory._told, directory._out)
+def table_sizes(directory: Directory) -> list[int]:
+    tables = (
+        directory._numbers,
+        directory._ids,
+        directory._addresses,
+        directory._told,
+        directory._outstanding,
+    )
     return [len(table) for table in tables]
 
 
-def test_what_is_gone_is_forgotten() -> None:
-    """Guards against growth on days on which upstreams are replaced by ever new ones."""
+def test_removed_upstreams_are_forgotten() -> None:
+    """Memory stays bounded where upstreams are constantly replaced by new ones."""
     directory = Directory((), ())
     for n in range(100):
-        (number,) = told(directory, examples.member(f"s-{n}", 5000))
-        assert number >= n  # none is given twice
+        (number,) = take_listing(directory, examples.member(f"s-{n}", 5000))
+        assert number >= n  # numbers are never reused
         directory.began(number)
         directory.ended(number)
-        told(
+        take_listing(
             directory,
             examples.member(f"s-{n}", 5000, phase="Gone"),
             examples.member("other", 1, phase="Gone"),
         )
-    assert kept(directory) == [0] * 5
-    told(directory, *(examples.member(f"t-{n}", 5000) for n in range(9)), complete=True)
-    told(directory, examples.member("t-3", 5000), complete=True)
-    assert kept(directory) == [1, 1, 1, 1, 0]
+    assert table_sizes(directory) == [0] * 5
+    take_listing(directory, *(examples.member(f"t-{n}", 5000) for n in range(9)), complete=True)
+    take_listing(directory, examples.member("t-3", 5000), complete=True)
+    assert table_sizes(directory) == [1, 1, 1, 1, 0]
 
 
-def test_what_is_gone_keeps_its_name_while_something_is_out_there() -> None:
+def test_a_removed_upstream_keeps_its_name_while_attempts_are_outstanding() -> None:
     directory = Directory((), ())
-    (number,) = told(directory, examples.member("s-1", 5000))
+    (number,) = take_listing(directory, examples.member("s-1", 5000))
     directory.began(number)
     directory.began(number)
-    told(directory, examples.member("s-1", 5000, phase="Gone"))
+    take_listing(directory, examples.member("s-1", 5000, phase="Gone"))
     directory.ended(number)
     assert directory.name(number) == "s-1"
     assert not directory.takes_new(number)
     directory.ended(number)
-    assert kept(directory) == [0] * 5
-    (again,) = told(directory, examples.member("s-1", 5001))
+    assert table_sizes(directory) == [0] * 5
+    (again,) = take_listing(directory, examples.member("s-1", 5001))
     assert again != number
     assert directory.address(again) == (examples.HOST, 5001)
 
 
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
 @pytest.mark.parametrize("complete", [False, True])
-def test_an_older_revision_revives_nothing(phase: str, complete: bool) -> None:
-    """Rule 3: a list that comes late, or again, would send new work to what drains or is gone."""
+def test_an_older_revision_does_not_bring_back_an_upstream(phase: str, complete: bool) -> None:
+    """Rule 3: a delayed or repeated list would send new requests to upstreams that drain or are gone."""
     directory = Directory((), ())
-    told(directory, examples.member("s-1", 5000), complete=True, revision=41)
-    told(directory, examples.member("s-1", 5000, phase=phase), revision=43)
-    (number,) = told(directory, examples.member("s-1", 5000), complete=complete, revision=42)
+    take_listing(directory, examples.member("s-1", 5000), complete=True, revision=41)
+    take_listing(directory, examples.member("s-1", 5000, phase=phase), revision=43)
+    (number,) = take_listing(directory, examples.member("s-1", 5000), complete=complete, revision=42)
     assert not directory.takes_new(number)
-    (number,) = told(directory, examples.member("s-1", 5000), revision=43)
+    (number,) = take_listing(directory, examples.member("s-1", 5000), revision=43)
     assert directory.takes_new(number)
 
 
-def test_what_a_whole_list_left_out_is_not_revived_by_an_older_one() -> None:
+def test_an_older_list_does_not_bring_back_an_upstream_missing_from_a_complete_one() -> None:
     directory = Directory((), ())
     both = examples.member("s-1", 5000), examples.member("s-2", 5001)
-    told(directory, *both, complete=True, revision=41)
-    told(directory, both[1], complete=True, revision=43)
-    numbers = told(directory, *both, complete=True, revision=42)
+    take_listing(directory, *both, complete=True, revision=41)
+    take_listing(directory, both[1], complete=True, revision=43)
+    numbers = take_listing(directory, *both, complete=True, revision=42)
     assert [directory.takes_new(number) for number in numbers] == [False, True]
 
 
-def test_one_that_started_since_is_ready_under_any_revision() -> None:
-    """Guards against a discovery that counts anew and would never bring a returned upstream back."""
+def test_a_restarted_upstream_is_ready_at_any_revision() -> None:
+    """Discovery may restart its revisions, and a returned upstream must not stay excluded because of it."""
     directory = Directory((), ())
-    told(directory, examples.member("s-1", 5000, up_since_ms=1000.0), revision=41)
-    told(directory, examples.member("s-1", 5000, phase="Terminating", up_since_ms=1000.0), revision=43)
-    (number,) = told(directory, examples.member("s-1", 5000, up_since_ms=2000.0), revision=1)
+    take_listing(directory, examples.member("s-1", 5000, up_since_ms=1000.0), revision=41)
+    take_listing(
+        directory, examples.member("s-1", 5000, phase="Terminating", up_since_ms=1000.0), revision=43
+    )
+    (number,) = take_listing(directory, examples.member("s-1", 5000, up_since_ms=2000.0), revision=1)
     assert directory.takes_new(number)
 
 
-def test_ends_are_kept_within_bounds() -> None:
+def test_remembered_ends_are_bounded() -> None:
     directory = Directory((), ())
     for n in range(ENDS_KEPT + 50):
-        told(directory, examples.member(f"s-{n}", 5000, phase="Gone"))
+        take_listing(directory, examples.member(f"s-{n}", 5000, phase="Gone"))
     assert len(directory._ends) == ENDS_KEPT
 
 
-def test_a_ban_goes_by_id_and_one_word_ends_it() -> None:
-    """Guards against a ban that a listing, a restart, or a going and coming back would end."""
+def test_a_suspension_applies_to_the_id_and_one_restore_ends_it() -> None:
+    """Neither a listing, a restart, nor the removal and return of an upstream ends its suspension."""
     directory = Directory((), ())
-    (number,) = told(directory, examples.member("s-1", 5000))
+    (number,) = take_listing(directory, examples.member("s-1", 5000))
     for _ in range(3):
         event = directory.suspend("s-1")
         assert event is not None and event.entries[0].state is UpstreamState.SUSPENDED
     for phase in ("Ready", "Terminating"):
-        told(directory, examples.member("s-1", 5000, phase=phase, up_since_ms=900.0), revision=42)
+        take_listing(directory, examples.member("s-1", 5000, phase=phase, up_since_ms=900.0), revision=42)
         assert not directory.takes_new(number)
-    told(directory, examples.member("s-1", 5000, phase="Gone"), revision=43)
-    assert directory.suspend("s-1") is not None  # listed once, and gone since
-    (again,) = told(directory, examples.member("s-1", 5000, up_since_ms=950.0), revision=44)
+    take_listing(directory, examples.member("s-1", 5000, phase="Gone"), revision=43)
+    assert directory.suspend("s-1") is not None  # listed earlier, now gone
+    (again,) = take_listing(directory, examples.member("s-1", 5000, up_since_ms=950.0), revision=44)
     assert again != number and not directory.takes_new(again)
     event = directory.restore("s-1", 1000.0)
     assert event is not None and directory.takes_new(again)
-    # it was restarted under the ban, whether the list says so by now or not
+    # restarted while suspended, whether the list shows that yet or not
     assert event.entries[0].started_ms == 1000.0
     listing = read_listing(json.dumps(examples.listing(examples.member("s-1", 5000), revision=45)).encode())
     assert directory.take(listing).entries[0].started_ms == 1000.0
 
 
-def test_a_ban_holds_for_what_is_not_listed_at_the_moment() -> None:
+def test_a_suspension_holds_for_an_upstream_not_listed_now() -> None:
     directory = Directory((), ())
-    told(directory, examples.member("s-1", 5000), complete=True)
-    told(directory, complete=True, revision=42)
+    take_listing(directory, examples.member("s-1", 5000), complete=True)
+    take_listing(directory, complete=True, revision=42)
     event = directory.suspend("s-1")
     assert event is not None and event.entries == ()
-    (number,) = told(directory, examples.member("s-1", 5000), complete=True, revision=43)
+    (number,) = take_listing(directory, examples.member("s-1", 5000), complete=True, revision=43)
     assert not directory.takes_new(number)
 
 
-def test_an_id_never_listed_is_no_id() -> None:
+def test_an_id_that_was_never_listed_is_rejected() -> None:
     directory = Directory((), ())
     assert directory.suspend("s-1") is None and directory.restore("s-1", 1.0) is None
-    told(directory, examples.member("s-1", 5000))
+    take_listing(directory, examples.member("s-1", 5000))
     assert directory.restore("s-1", 1.0) is not None
 
 
-def test_ids_are_remembered_within_bounds_and_bans_for_good() -> None:
+def test_remembered_ids_are_bounded_and_suspensions_permanent() -> None:
     directory = Directory((), ())
-    told(directory, examples.member("s-banned", 5000))
+    take_listing(directory, examples.member("s-banned", 5000))
     directory.suspend("s-banned")
     for n in range(NAMES_KEPT + 50):
-        told(directory, examples.member(f"s-{n}", 5000, phase="Gone"))
-    assert len(directory._ever) == NAMES_KEPT
+        take_listing(directory, examples.member(f"s-{n}", 5000, phase="Gone"))
+    assert len(directory._ever_listed) == NAMES_KEPT
     assert directory.restore("s-0", 1.0) is None
     assert directory.restore("s-banned", 1.0) is not None
--- a/tests/standalone/routing/test_peers.py
+++ b/tests/standalone/routing/test_peers.py
@@ -1,4 +1,4 @@
-"""Words between copies, as datagrams on loopback."""
+"""Messages between copies, as datagrams on loopback."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 from madderwind.eventlog import Sparing
-from madderwind.standalone.routing.peers import HEAD, LONGEST_WORDS, MARK, Peers
+from madderwind.standalone.routing.peers import HEAD, MARK, MAX_MESSAGE_BYTES, Peers
 from tests.examples import HOST
 from tests.standalone.program.harness import KeptLog
 from tests.standins import run, within
@@ -18,36 +18,36 @@
 
 def free_ports(count: int) -> list[int]:
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for taken in sockets:
-        taken.bind((HOST, 0))
-    ports = [taken.getsockname()[1] for taken in sockets]
-    for taken in sockets:
-        taken.close()
+    for probe in sockets:
+        probe.bind((HOST, 0))
+    ports = [probe.getsockname()[1] for probe in sockets]
+    for probe in sockets:
+        probe.close()
     return ports
 
 
-async def three(log: KeptLog) -> tuple[list[Peers], list[Heard], list[tuple[str, int]]]:
+async def start_three_copies(log: KeptLog) -> tuple[list[Peers], list[Heard], list[tuple[str, int]]]:
     addresses = [(HOST, port) for port in free_ports(3)]
     heard: list[Heard] = [asyncio.Queue() for _ in addresses]
     copies = []
     for me, queue in enumerate(heard):
-        said = Sparing(log, lambda: 0.0)
-        peers = Peers(tuple(addresses), me, lambda n, w, queue=queue: queue.put_nowait((n, w)), said)  # type: ignore[misc]
+        log_sparingly = Sparing(log, lambda: 0.0)
+        peers = Peers(tuple(addresses), me, lambda n, w, queue=queue: queue.put_nowait((n, w)), log_sparingly)  # type: ignore[misc]
         await peers.start()
         copies.append(peers)
     return copies, heard, addresses
 
 
-def test_words_reach_every_other_copy_or_one() -> None:
+def test_a_message_reaches_every_other_copy_or_one() -> None:
     async def test() -> None:
-        copies, heard, _ = await three(KeptLog())
+        copies, heard, _ = await start_three_copies(KeptLog())
         copies[0].tell(None, b"all")
         copies[0].tell(2, b"one")
         assert await within(heard[1].get()) == (0, b"all")
         assert [await within(heard[2].get()) for _ in range(2)] == [(0, b"all"), (0, b"one")]
         assert heard[0].empty() and heard[1].empty()
         copies[2].close()
-        copies[0].tell(None, b"one is down")  # an error that comes back disturbs nobody
+        copies[0].tell(None, b"one is down")  # the returned socket error has no effect
         assert await within(heard[1].get()) == (0, b"one is down")
         for peers in copies:
             peers.close()
@@ -63,15 +63,15 @@
         HEAD.pack(MARK, 2) + b"another's number",
         HEAD.pack(MARK, 1) + b"the hearer's own",
         HEAD.pack(MARK, 99) + b"nobody's",
-        HEAD.pack(MARK, 0) + b"x" * (LONGEST_WORDS + 1),
+        HEAD.pack(MARK, 0) + b"x" * (MAX_MESSAGE_BYTES + 1),
     ],
 )
-def test_words_that_are_not_a_copys_own_are_passed_over(data: bytes) -> None:
-    """Guards against a rate under a wrong number, which would shrink everybody's room."""
+def test_invalid_messages_are_ignored(data: bytes) -> None:
+    """A rate under a wrong copy number would shrink every copy's room."""
 
     async def test() -> None:
         log = KeptLog()
-        copies, heard, addresses = await three(log)
+        copies, heard, addresses = await start_three_copies(log)
         assert copies[0]._transport is not None
         copies[0]._transport.sendto(data, addresses[1])
         copies[0].tell(1, b"good")
@@ -83,10 +83,10 @@
     run(test())
 
 
-def test_words_from_another_address_are_passed_over() -> None:
+def test_messages_from_an_unknown_address_are_ignored() -> None:
     async def test() -> None:
         log = KeptLog()
-        copies, heard, addresses = await three(log)
+        copies, heard, addresses = await start_three_copies(log)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(HEAD.pack(MARK, 0) + b"123", addresses[1])
         copies[0].tell(1, b"good")
