--- a/madderwind/standalone/admin/__init__.py
+++ b/madderwind/standalone/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: commands and figures. Off unless the configuration names an address for it."""
+"""The admin address: commands and metrics. Off unless the configuration gives an address for it."""
--- a/madderwind/standalone/admin/calling.py
+++ b/madderwind/standalone/admin/calling.py
@@ -1,18 +1,18 @@
-"""An operator's call from the command line: one line, and all that is answered."""
+"""Client for the admin address: sends one command line and reads the whole answer."""
 
 from __future__ import annotations
 
 import socket
 
-# Answers are owed in 1 s.
-PATIENCE_S = 5.0
+# The server has to answer within 1 s.
+CALL_TIMEOUT_S = 5.0
 
 
 def call(address: tuple[str, int], line: str) -> str:
-    """OSError where nobody answers in time."""
-    with socket.create_connection(address, timeout=PATIENCE_S) as connection:
+    """Send a command and return the answer. Raises OSError if none arrives in time."""
+    with socket.create_connection(address, timeout=CALL_TIMEOUT_S) as connection:
         connection.sendall(line.encode() + b"\n")
-        parts = []
-        while part := connection.recv(65536):
-            parts.append(part)
-    return b"".join(parts).decode()
+        chunks = []
+        while chunk := connection.recv(65536):
+            chunks.append(chunk)
+    return b"".join(chunks).decode()
--- a/madderwind/standalone/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -1,17 +1,23 @@
-"""What answers operators' calls: reads the figures, and hands maintenance to the copy."""
+"""Answers admin commands: reads the metrics, and passes maintenance commands to the copy."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from madderwind.standalone.admin.commands import BadCall, Call, no, read_call, yes
-from madderwind.standalone.admin.figures import Areas, Fleet, figures
+from madderwind.standalone.admin.commands import (
+    Command,
+    InvalidCommandError,
+    acknowledge,
+    parse_command,
+    reject,
+)
+from madderwind.standalone.admin.figures import AreaMetrics, FleetMetrics, metrics_text
 from madderwind.standalone.routing.copy import Copy
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 
 
 class Desk:
-    """Answers one line with one answer, at once; nothing here waits."""
+    """Answers each command line at once, without blocking."""
 
     def __init__(
         self,
@@ -25,35 +31,37 @@
 
     def answer(self, line: bytes) -> bytes:
         try:
-            call = read_call(line)
-        except BadCall as error:
+            command = parse_command(line)
+        except InvalidCommandError as error:
             self._copy.log_sparingly("bad_call", reason=str(error), line=line[:80].decode("latin-1"))
-            return no(str(error))
-        match call.word:
+            return reject(str(error))
+        match command.word:
             case "STATUS":
-                return yes("ready") if self._is_ready() else no("not ready")
+                return acknowledge("ready") if self._is_ready() else reject("not ready")
             case "METRICS":
-                fleet = Fleet(self._copy.directory.listed_count(), self._copy.skipped())
+                fleet = FleetMetrics(self._copy.directory.listed_count(), self._copy.skipped())
                 peers = self._copy.peers
-                words = peers.counts() if isinstance(peers, GossipPeers) else None
-                return figures(self._copy.tally, fleet, words, self._areas())
+                gossip_counts = peers.counts() if isinstance(peers, GossipPeers) else None
+                return metrics_text(self._copy.tally, fleet, gossip_counts, self._area_metrics())
             case "LEAVE" | "RETURN":
-                return self._area(call)
-            case "SUSPEND" if self._suspend(call.name):
-                return yes(f"{call.name} gets nothing more")
-            case "RESTORE" if self._restore(call.name):
-                return yes(f"{call.name} is used again")
-        return no(f"{call.name} was never listed")
-
-    def _areas(self) -> Areas | None:
+                return self._evacuate_or_return(command)
+            case "SUSPEND" if self._suspend(command.name):
+                return acknowledge(f"{command.name} gets nothing more")
+            case "RESTORE" if self._restore(command.name):
+                return acknowledge(f"{command.name} is used again")
+        return reject(f"{command.name} was never listed")
+
+    def _area_metrics(self) -> AreaMetrics | None:
         withdrawal = self._copy.withdrawal
-        return None if withdrawal is None else Areas(withdrawal.left(), withdrawal.counts())
+        return None if withdrawal is None else AreaMetrics(withdrawal.left(), withdrawal.counts())
 
-    def _area(self, call: Call) -> bytes:
-        """A zone or region, for the whole fleet."""
-        withdrawal, back = self._copy.withdrawal, call.word == "RETURN"
+    def _evacuate_or_return(self, command: Command) -> bytes:
+        """Evacuate a zone or region fleet-wide, or return to it."""
+        withdrawal, back = self._copy.withdrawal, command.word == "RETURN"
         if withdrawal is None:
-            return no("this balancer's file has no fleet.leaving")
-        if why_not := withdrawal.by_hand(call.name, back):
-            return no(why_not)
-        return yes(f"{call.name} is returned to in steps" if back else f"{call.name} is left by all copies")
+            return reject("this balancer's file has no fleet.leaving")
+        if why_not := withdrawal.by_hand(command.name, back):
+            return reject(why_not)
+        return acknowledge(
+            f"{command.name} is returned to in steps" if back else f"{command.name} is left by all copies"
+        )
--- a/madderwind/standalone/admin/figures.py
+++ b/madderwind/standalone/admin/figures.py
@@ -1,4 +1,4 @@
-"""The figures as text, in the form and under the names that operators asked for. No input or output."""
+"""Formats the metrics as text, under the names that operators asked for. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,35 +8,40 @@
 
 from madderwind.standalone.routing.tally import Tally
 
-PREFIX, END = "svc_", "--"
-PEERS = "fellows_"
-AREAS = (
+PREFIX, END_LINE = "svc_", "--"
+MEMBER_PREFIX = "fellows_"
+AREA_COUNTERS = (
     "left", "returned", "relapsed", "not_left", "tries", "alone", "odd", "unfounded", "unknown_area",
 )  # fmt: skip
-PASSED_OVER = ("short", "long", "foreign", "version", "damaged", "repeated", "flood", "strangers")
+IGNORED_REASONS = ("short", "long", "foreign", "version", "damaged", "repeated", "flood", "strangers")
 
 
-class Fleet(msgspec.Struct, frozen=True):
-    """The upstreams as the balancer sees them now."""
+class FleetMetrics(msgspec.Struct, frozen=True):
+    """Numbers of upstreams as the balancer sees them now."""
 
     known: int
     skipped: int
 
 
-class Areas(msgspec.Struct, frozen=True):
-    """Zones and regions that are left, with their steps, and what was counted of it."""
+class AreaMetrics(msgspec.Struct, frozen=True):
+    """Evacuated zones and regions with their steps, and the counters of evacuation."""
 
     left: list[tuple[str, int]]
     counts: Mapping[str, int]
 
 
-def figures(
-    tally: Tally, fleet: Fleet, words: Mapping[str, int] | None = None, areas: Areas | None = None
+def metrics_text(
+    tally: Tally,
+    fleet: FleetMetrics,
+    gossip_counts: Mapping[str, int] | None = None,
+    areas: AreaMetrics | None = None,
 ) -> bytes:
-    """Every figure on a line of its own, then the line that ends them. `words`: of a fleet whose copies pass
-    news on; `areas`: of one that leaves zones together."""
+    """Each metric on its own line, then the end line.
+
+    `gossip_counts`: given if the copies of the fleet gossip. `areas`: given if the fleet evacuates zones.
+    """
     lines = [
-        f'handled_total{{category="{_label(category)}",outcome="{outcome}"}} {count}'
+        f'handled_total{{category="{_escape_label(category)}",outcome="{outcome}"}} {count}'
         for category, outcome, count in tally.handled()
     ]
     lines += [
@@ -49,18 +54,25 @@
     ]
     if tally.version is not None:
         lines.append(f"settings_version {tally.version}")
-    if words is not None:
-        lines += [f"{PEERS}{state} {words[f'{PEERS}{state}']}" for state in ("alive", "suspect", "dead")]
+    if gossip_counts is not None:
+        lines += [
+            f"{MEMBER_PREFIX}{state} {gossip_counts[f'{MEMBER_PREFIX}{state}']}"
+            for state in ("alive", "suspect", "dead")
+        ]
+        lines += [
+            f"words_{counter}_total {gossip_counts[counter]}"
+            for counter in ("sent", "sent_bytes", "heard", "held_back")
+        ]
         lines += [
-            f"words_{what}_total {words[what]}" for what in ("sent", "sent_bytes", "heard", "held_back")
+            f'words_passed_over_total{{reason="{reason}"}} {gossip_counts[reason]}'
+            for reason in IGNORED_REASONS
         ]
-        lines += [f'words_passed_over_total{{reason="{why}"}} {words[why]}' for why in PASSED_OVER]
     if areas is not None:
-        lines += [f'area_step{{area="{_label(area)}"}} {step}' for area, step in areas.left]
+        lines += [f'area_step{{area="{_escape_label(area)}"}} {step}' for area, step in areas.left]
         lines.append(f"withheld_upstreams {areas.counts.get('withheld', 0)}")
-        lines += [f"areas_{what}_total {areas.counts.get(what, 0)}" for what in AREAS]
-    return "".join(f"{PREFIX}{line}\n" for line in lines).encode() + f"{END}\n".encode()
+        lines += [f"areas_{counter}_total {areas.counts.get(counter, 0)}" for counter in AREA_COUNTERS]
+    return "".join(f"{PREFIX}{line}\n" for line in lines).encode() + f"{END_LINE}\n".encode()
 
 
-def _label(text: str) -> str:
+def _escape_label(text: str) -> str:
     return text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/tests/standalone/admin/test_commands.py
+++ b/tests/standalone/admin/test_commands.py
@@ -1,4 +1,4 @@
-"""Operators' calls, as bytes that anybody may send."""
+"""Admin commands, parsed from arbitrary bytes."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 from hypothesis import strategies as st
 
 from madderwind.standalone.admin.commands import (
-    ALONE,
-    LONGEST_CALL,
-    WITH_ID,
-    BadCall,
-    Call,
-    no,
-    read_call,
-    yes,
+    COMMANDS_WITH_NAME,
+    COMMANDS_WITHOUT_ARGUMENT,
+    MAX_COMMAND_BYTES,
+    Command,
+    InvalidCommandError,
+    acknowledge,
+    parse_command,
+    reject,
 )
 
 
 @pytest.mark.parametrize(
-    ("line", "call"),
+    ("line", "command"),
     [
-        (b"STATUS", Call("STATUS")),
-        (b"METRICS", Call("METRICS")),
-        (b"SUSPEND s-1", Call("SUSPEND", "s-1")),
-        ("RESTORE ñandú".encode(), Call("RESTORE", "ñandú")),
+        (b"STATUS", Command("STATUS")),
+        (b"METRICS", Command("METRICS")),
+        (b"SUSPEND s-1", Command("SUSPEND", "s-1")),
+        ("RESTORE ñandú".encode(), Command("RESTORE", "ñandú")),
     ],
 )
-def test_calls(line: bytes, call: Call) -> None:
-    assert read_call(line) == call
+def test_valid_commands(line: bytes, command: Command) -> None:
+    assert parse_command(line) == command
 
 
 @pytest.mark.parametrize(
@@ -45,22 +45,22 @@
         b"SUSPEND \x00",
         b"RESTORE \xff",
         b"GET / HTTP/1.1",
-        b"SUSPEND " + b"x" * LONGEST_CALL,
+        b"SUSPEND " + b"x" * MAX_COMMAND_BYTES,
     ],
 )
-def test_what_is_no_call(line: bytes) -> None:
-    with pytest.raises(BadCall):
-        read_call(line)
+def test_invalid_commands(line: bytes) -> None:
+    with pytest.raises(InvalidCommandError):
+        parse_command(line)
 
 
-@given(st.one_of(st.binary(max_size=2 * LONGEST_CALL), st.binary(max_size=40).map(b"SUSPEND ".__add__)))
-def test_any_bytes_are_a_call_or_a_bad_one(line: bytes) -> None:
+@given(st.one_of(st.binary(max_size=2 * MAX_COMMAND_BYTES), st.binary(max_size=40).map(b"SUSPEND ".__add__)))
+def test_any_bytes_are_either_valid_or_rejected(line: bytes) -> None:
     try:
-        call = read_call(line)
-    except BadCall as error:
-        assert no(str(error)).startswith(b"NAK ") and no(str(error)).count(b"\n") == 1
+        command = parse_command(line)
+    except InvalidCommandError as error:
+        assert reject(str(error)).startswith(b"NAK ") and reject(str(error)).count(b"\n") == 1
         return
-    assert (call.word in ALONE) == (call.name == "")
-    assert call.word in ALONE | WITH_ID
-    # an answer that names the id is still one line
-    assert yes(call.name).count(b"\n") == 1
+    assert (command.word in COMMANDS_WITHOUT_ARGUMENT) == (command.name == "")
+    assert command.word in COMMANDS_WITHOUT_ARGUMENT | COMMANDS_WITH_NAME
+    # an answer that contains the id is still a single line
+    assert acknowledge(command.name).count(b"\n") == 1
--- a/tests/standalone/admin/test_figures.py
+++ b/tests/standalone/admin/test_figures.py
@@ -1,21 +1,21 @@
-"""The figures' form, and the law that they keep."""
+"""The format of the metrics, and the invariant between the request counters."""
 
 from __future__ import annotations
 
 from hypothesis import given
 from hypothesis import strategies as st
 
-from madderwind.standalone.admin.figures import Fleet, figures
+from madderwind.standalone.admin.figures import FleetMetrics, metrics_text
 from madderwind.standalone.routing.tally import Tally
 
 
-def test_the_form_that_operators_asked_for() -> None:
+def test_format_requested_by_operators() -> None:
     tally = Tally(("lookup", 'odd "one"'))
     tally.taken = 5
     for status in (200, 200, 503, 504):
         tally.answered("lookup", status)
     tally.tried()
-    assert figures(tally, Fleet(9, 2)).decode().splitlines() == [
+    assert metrics_text(tally, FleetMetrics(9, 2)).decode().splitlines() == [
         'svc_handled_total{category="lookup",outcome="passed"} 2',
         'svc_handled_total{category="lookup",outcome="dropped"} 1',
         'svc_handled_total{category="lookup",outcome="bad_gateway"} 1',
@@ -33,21 +33,21 @@
 
 
 @given(st.lists(st.sampled_from([200, 429, 503, 502, 504, 500, 400, 0])))
-def test_every_request_ends_in_one_way(ends: list[int]) -> None:
-    """0 stands for a client that had gone."""
+def test_every_request_is_counted_once(statuses: list[int]) -> None:
+    """Status 0 stands for a client that disconnected."""
     tally = Tally(("a",))
-    for at, status in enumerate(ends):
+    for index, status in enumerate(statuses):
         tally.taken += 2
         if status:
             tally.answered("a", status)
         else:
             tally.client_gone += 1
-        assert tally.ended == at + 1
-        assert tally.in_progress == at + 1
-    assert sum(count for _, _, count in tally.handled()) + tally.client_gone == len(ends)
+        assert tally.ended == index + 1
+        assert tally.in_progress == index + 1
+    assert sum(count for _, _, count in tally.handled()) + tally.client_gone == len(statuses)
 
 
-def test_a_class_that_comes_again_keeps_its_counts() -> None:
+def test_a_class_added_again_keeps_its_counts() -> None:
     tally = Tally(("a",))
     tally.answered("a", 200)
     tally.know(("b", "a"))
