--- a/madderwind/standalone/__init__.py
+++ b/madderwind/standalone/__init__.py
@@ -1,1 +1,1 @@
-"""The standalone balancer, `python -m madderwind`: one program beside each client, with no control plane."""
+"""The standalone balancer, `python -m madderwind`: one process next to each client, with no control plane."""
--- a/madderwind/standalone/clock.py
+++ b/madderwind/standalone/clock.py
@@ -1,7 +1,7 @@
-"""The host's clock: Unix milliseconds at the program's start, carried on by the monotonic clock.
+"""The host's clock: Unix milliseconds at the program's start, advanced by the monotonic clock.
 
-Guards against a system clock that is set while the program runs. Unix times of the list of upstreams are on
-this clock as they are, since it is read from the system's clock once.
+Setting the system clock while the program runs does not affect it. Unix times in the list of upstreams need
+no conversion, since the offset is taken from the system clock once.
 """
 
 from __future__ import annotations
@@ -17,5 +17,5 @@
         return (time.monotonic() + self._offset_s) * 1000
 
     def loop_time_s(self, at_ms: float) -> float:
-        """A time of this clock on the event loop's clock, which is the monotonic one."""
+        """Convert a time of this clock to the event loop's clock, which is monotonic."""
         return at_ms / 1000 - self._offset_s
--- a/madderwind/standalone/settings.py
+++ b/madderwind/standalone/settings.py
@@ -1,7 +1,7 @@
-"""The START object into `Settings`, once for both hosts: as path=value lines and as nested JSON.
+"""Parses the START object into `Settings`, for both hosts: from path=value lines and from nested JSON.
 
-Wire names stop here. What a host needs beside the module's settings (the names that stand on the sockets, and
-for how long a connection may idle) is in `HostSettings`; the module never sees a name.
+No other module uses the names of the wire format. `HostSettings` holds what a host needs apart from the
+module's settings: the names used on the sockets and the idle time of connections. The module sees no names.
 """
 
 from __future__ import annotations
@@ -28,43 +28,43 @@
 
 
 class SettingsError(ValueError):
-    """A needed setting is missing or cannot be read."""
+    """A required setting is missing or cannot be parsed."""
 
 
-def _flag(text: str) -> bool:
+def _parse_bool(text: str) -> bool:
     return {"true": True, "false": False}[text]
 
 
-def _number(text: str) -> float:
+def _parse_number(text: str) -> float:
     value = float(text)
     if value != value or value in (float("inf"), float("-inf")):
         raise ValueError(text)
     return value
 
 
-def _count(text: str) -> int:
-    """A whole number of at least 1, also where it is written as 3.0."""
-    value = _number(text)
+def _parse_count(text: str) -> int:
+    """Parse a whole number of at least 1; 3.0 is accepted too."""
+    value = _parse_number(text)
     if value < 1 or value != int(value):
         raise ValueError(text)
     return int(value)
 
 
-def _words(text: str) -> tuple[str, ...]:
+def _parse_list(text: str) -> tuple[str, ...]:
     return tuple(text.split(",")) if text else ()
 
 
-# What has to be a number above 0 in each class, and what of the settings says where a balancer stands.
-ABOVE_ZERO = ("DeadlineMs", "GoalTimeMs")
-PLACE = ("tier", "tiers", "me", "zone", "zones")
-NO_WORDS: tuple[str, ...] = ()
-ONE_WORD: tuple[str, ...] = ("",)
-# Where the settings do not say for how long a connection may stand idle.
+# Settings of each class that must be numbers above 0, and settings that give a balancer's place.
+POSITIVE_CLASS_SETTINGS = ("DeadlineMs", "GoalTimeMs")
+PLACE_SETTINGS = ("tier", "tiers", "me", "zone", "zones")
+EMPTY_LIST: tuple[str, ...] = ()
+ONE_EMPTY_NAME: tuple[str, ...] = ("",)
+# Idle time of connections if the settings give none.
 DEFAULT_IDLE_MS = 10_000.0
 
 
 class HostSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What a host on sockets needs to turn names into the module's numbers, and limits it keeps itself."""
+    """The names that a host maps to the module's numbers, and the limits that the host applies itself."""
 
     settings: Settings
     class_names: tuple[str, ...]
@@ -73,13 +73,13 @@
     kind_names: tuple[str, ...]
     report_names: tuple[str, ...]
     idle_ms: float
-    # What an earlier configuration had and this one has not; their names keep their numbers.
+    # Classes and tenants of earlier configurations that this one lacks; their names keep their numbers.
     retired: frozenset[str] = frozenset()
     retired_tenants: frozenset[str] = frozenset()
 
 
 def values_of_lines(raw: bytes) -> dict[str, str]:
-    """The values by path, of path=value lines."""
+    """Parse path=value lines into values by path."""
     try:
         text = raw.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -98,7 +98,7 @@
 
 
 def values_of_object(tree: object) -> dict[str, str]:
-    """The same values by path, of the nested JSON object."""
+    """Flatten a nested JSON object into the same values by path."""
     if not isinstance(tree, dict):
         raise SettingsError("settings are not a JSON object")
     values: dict[str, str] = {}
@@ -106,9 +106,9 @@
     return values
 
 
-def _flatten(tree: dict[str, object], at: str, values: dict[str, str]) -> None:
+def _flatten(tree: dict[str, object], prefix: str, values: dict[str, str]) -> None:
     for name, value in tree.items():
-        path = f"{at}{name}"
+        path = f"{prefix}{name}"
         if isinstance(value, dict):
             _flatten(value, f"{path}.", values)
         elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
@@ -118,19 +118,19 @@
                     raise SettingsError(f"setting {path} mixes objects and plain values")
                 _flatten(item, f"{path}.{number}.", values)
         elif isinstance(value, list):
-            values[path] = ",".join(_plain(item).replace(",", "_") for item in value)
+            values[path] = ",".join(_scalar_text(item).replace(",", "_") for item in value)
         elif value is not None:
-            values[path] = _plain(value)
+            values[path] = _scalar_text(value)
 
 
-def _plain(value: object) -> str:
+def _scalar_text(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
 
 
-class _Values:
-    """The values by path, read with their type; an unknown path is left alone."""
+class _SettingValues:
+    """Typed access to values by path. Unknown paths are ignored."""
 
     def __init__(self, values: dict[str, str]) -> None:
         self._values = values
@@ -146,75 +146,75 @@
             raise SettingsError(f"START setting {path} cannot be read: {self._values[path][:60]!r}") from None
 
 
-def _request_class(values: _Values, at: str) -> RequestClass:
-    effect = values.get(f"{at}.Effect", EFFECTS.__getitem__)
+def _request_class(values: _SettingValues, prefix: str) -> RequestClass:
+    effect = values.get(f"{prefix}.Effect", EFFECTS.__getitem__)
     keyed = effect is Effect.KEYED
     return RequestClass(
         effect=effect,
-        group=values.get(f"{at}.Group", GROUPS.__getitem__, None if keyed else Group.ALL),
-        window_ms=values.get(f"{at}.WindowMs", _number, None if keyed else 0.0),
-        aim_ms=values.get(f"{at}.GoalTimeMs", _number),
-        deadline_ms=values.get(f"{at}.DeadlineMs", _number),
-        worth=values.get(f"{at}.Importance", _number, 1.0),
-        late_worth=values.get(f"{at}.LateValue", _number, 0.0),
-        streamed=values.get(f"{at}.Streamed", _flag, False),
+        group=values.get(f"{prefix}.Group", GROUPS.__getitem__, None if keyed else Group.ALL),
+        window_ms=values.get(f"{prefix}.WindowMs", _parse_number, None if keyed else 0.0),
+        aim_ms=values.get(f"{prefix}.GoalTimeMs", _parse_number),
+        deadline_ms=values.get(f"{prefix}.DeadlineMs", _parse_number),
+        worth=values.get(f"{prefix}.Importance", _parse_number, 1.0),
+        late_worth=values.get(f"{prefix}.LateValue", _parse_number, 0.0),
+        streamed=values.get(f"{prefix}.Streamed", _parse_bool, False),
     )
 
 
 def read_settings(raw: bytes) -> Settings:
-    """The settings of one copy, of path=value lines. SettingsError names the key that cannot be read."""
-    return _settings(_Values(values_of_lines(raw)))
+    """Parse the settings of one copy from path=value lines. SettingsError names the key at fault."""
+    return _build_settings(_SettingValues(values_of_lines(raw)))
 
 
 def read_host_settings(tree: object) -> HostSettings:
-    """The settings of one copy and its host's, of nested JSON. SettingsError names the key at fault."""
-    values = _Values(values_of_object(tree))
+    """Parse the settings of one copy and its host from nested JSON. SettingsError names the key at fault."""
+    values = _SettingValues(values_of_object(tree))
     _check_numbers(tree)
-    settings = _settings(values)
+    settings = _build_settings(values)
     class_names = tuple(values.get(f"Profiles.{n}.Name", str) for n in range(len(settings.classes)))
     if len(set(class_names)) < len(class_names):
-        raise SettingsError("two Profiles have one Name")
+        raise SettingsError("two Profiles have the same Name")
     return HostSettings(
         settings=settings,
         class_names=class_names,
         tenant_names=tuple(values.get(f"Customers.{n}.Name", str) for n in range(len(settings.tenants))),
-        zone_names=values.get("Zones", _words, NO_WORDS),
-        kind_names=values.get("Kinds", _words, NO_WORDS),
-        report_names=values.get("Reporting.Columns", _words, NO_WORDS),
-        idle_ms=values.get("Ceilings.ConnIdleMs", _number, DEFAULT_IDLE_MS),
+        zone_names=values.get("Zones", _parse_list, EMPTY_LIST),
+        kind_names=values.get("Kinds", _parse_list, EMPTY_LIST),
+        report_names=values.get("Reporting.Columns", _parse_list, EMPTY_LIST),
+        idle_ms=values.get("Ceilings.ConnIdleMs", _parse_number, DEFAULT_IDLE_MS),
     )
 
 
 def _check_numbers(tree: Any) -> None:
-    """Guards against text, booleans and the like where lines would read a number all the same."""
+    """Reject JSON text, booleans and the like, which would pass as numbers once flattened to text."""
     profiles = tree.get("Profiles")
     for number, profile in enumerate(profiles if isinstance(profiles, list) else ()):
-        for name in ABOVE_ZERO:
+        for name in POSITIVE_CLASS_SETTINGS:
             if isinstance(profile, dict) and name in profile:
-                _must_be_above_zero(f"Profiles.{number}.{name}", profile[name])
+                _require_positive_number(f"Profiles.{number}.{name}", profile[name])
     ceilings = tree.get("Ceilings")
     if isinstance(ceilings, dict) and "MaxAttempts" in ceilings:
-        _must_be_above_zero("Ceilings.MaxAttempts", ceilings["MaxAttempts"])
+        _require_positive_number("Ceilings.MaxAttempts", ceilings["MaxAttempts"])
 
 
-def _must_be_above_zero(path: str, value: object) -> None:
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not 0 < float(str(value)) < float("inf"):
-        raise SettingsError(f"setting {path} is no number above 0: {str(value)[:60]!r}")
+def _require_positive_number(path: str, value: object) -> None:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 < float(str(value)) < float("inf"):
+        raise SettingsError(f"setting {path} is not a number above 0: {str(value)[:60]!r}")
 
 
 def retuned(old: HostSettings, new: HostSettings) -> HostSettings:
-    """The new settings with the numbers that classes and tenants have in the old, and where it stands kept.
+    """Merge new settings into old: classes and tenants keep their numbers, and the balancer keeps its place.
 
-    What a class or tenant was stays under its number when it vanishes, for the requests that came with it.
+    A removed class or tenant keeps its number and settings, for requests that arrived with it.
     """
-    class_names, classes = _numbered(
+    class_names, classes = _keep_positions(
         (old.class_names, old.settings.classes), (new.class_names, new.settings.classes)
     )
-    tenant_names, tenants = _numbered(
+    tenant_names, tenants = _keep_positions(
         (old.tenant_names, old.settings.tenants), (new.tenant_names, new.settings.tenants)
     )
-    kept = {name: getattr(old.settings, name) for name in PLACE}
+    kept = {name: getattr(old.settings, name) for name in PLACE_SETTINGS}
     return msgspec.structs.replace(
         new,
         settings=msgspec.structs.replace(new.settings, classes=classes, tenants=tenants, **kept),
@@ -228,72 +228,74 @@
 
 
 def moved(old: HostSettings, new: HostSettings) -> list[str]:
-    """What of where a balancer stands differs: it needs a restart."""
-    places = [name for name in PLACE if getattr(old.settings, name) != getattr(new.settings, name)]
+    """The settings of the balancer's place that differ; a change of these needs a restart."""
+    places = [name for name in PLACE_SETTINGS if getattr(old.settings, name) != getattr(new.settings, name)]
     names = ("zone_names", "kind_names")
     return places + [name for name in names if getattr(old, name) != getattr(new, name)]
 
 
-def _numbered(
+def _keep_positions(
     old: tuple[tuple[str, ...], tuple[T, ...]], new: tuple[tuple[str, ...], tuple[T, ...]]
 ) -> tuple[tuple[str, ...], tuple[T, ...]]:
-    """Names and values, the old ones in their places, those that are new behind."""
+    """Merge names and values: old names keep their positions, and new ones are appended."""
     merged = {**dict(zip(*old, strict=True)), **dict(zip(*new, strict=True))}
     return tuple(merged), tuple(merged.values())
 
 
-def _settings(values: _Values) -> Settings:
+def _build_settings(values: _SettingValues) -> Settings:
     classes = tuple(_request_class(values, f"Profiles.{n}") for n in range(values.get("Profiles.count", int)))
     tenants = tuple(
         Tenant(
-            share=values.get(f"Customers.{n}.Fraction", _number),
-            quota_per_s=values.get(f"Customers.{n}.QuotaPerS", _number),
+            share=values.get(f"Customers.{n}.Fraction", _parse_number),
+            quota_per_s=values.get(f"Customers.{n}.QuotaPerS", _parse_number),
         )
         for n in range(values.get("Customers.count", int, 0))
     )
-    how = values.get(
+    reporting = values.get(
         "Reporting.How", {"inline": "inline", "on_probe": "on_probe", "off": "off"}.__getitem__, "off"
     )
-    weights = values.get("Weights", {w: w for w in ("off", "nominal", "rough", "live")}.__getitem__, "off")
+    weights = values.get(
+        "Weights", {choice: choice for choice in ("off", "nominal", "rough", "live")}.__getitem__, "off"
+    )
     return Settings(
         classes=classes,
         tenants=tenants,
         tier=values.get("Tier", int, 0),
-        tiers=len(values.get("Tiers", _words, ONE_WORD)),
+        tiers=len(values.get("Tiers", _parse_list, ONE_EMPTY_NAME)),
         me=values.get("Me", int, 0),
         copies=values.get("NInstances", int),
         zone=values.get("Zone", int, 0),
-        zones=len(values.get("Zones", _words, ONE_WORD)),
-        max_attempts=values.get("Ceilings.MaxAttempts", _count),
+        zones=len(values.get("Zones", _parse_list, ONE_EMPTY_NAME)),
+        max_attempts=values.get("Ceilings.MaxAttempts", _parse_count),
         max_open=values.get("Ceilings.MaxOpen", int, 0),
-        second_copies=values.get("Ceilings.SecondCopies", _flag),
-        may_cancel=values.get("Ceilings.Cancel", _flag),
-        may_probe=values.get("Ceilings.Probes", _flag),
-        may_tell=values.get("Ceilings.MayTell", _flag, False),
-        retry_after=values.get("Ceilings.RetryAfter", _flag),
-        max_retry_after_ms=values.get("Ceilings.MaxRetryAfterMs", _number, 0.0),
-        clients_mark_repeats=values.get("Clients.MarksRetry", _flag, False),
-        passes_deadline=values.get("FamilyInfo.PassesDeadline", _flag, True),
-        warm_keys=values.get("FamilyInfo.WarmKeys", _flag, False),
-        connect_timeout_ms=values.get("Ceilings.ConnectTimeoutMs", _number, 0.0),
-        tick_ms=values.get("GranularityMs", _number, 0.0),
-        answer_slack_ms=values.get("Obligations.AnswerSlackMs", _number),
-        drain_grace_ms=values.get("Obligations.DrainGraceMs", _number),
-        start_capacity=values.get("Obligations.StartCapacity", _number),
-        warm_after_ms=values.get("Obligations.WarmAfterMs", _number),
-        fall_multiple=values.get("Obligations.FallMultiple", _number),
-        fall_ms=values.get("Obligations.FallMs", _number),
+        second_copies=values.get("Ceilings.SecondCopies", _parse_bool),
+        may_cancel=values.get("Ceilings.Cancel", _parse_bool),
+        may_probe=values.get("Ceilings.Probes", _parse_bool),
+        may_tell=values.get("Ceilings.MayTell", _parse_bool, False),
+        retry_after=values.get("Ceilings.RetryAfter", _parse_bool),
+        max_retry_after_ms=values.get("Ceilings.MaxRetryAfterMs", _parse_number, 0.0),
+        clients_mark_repeats=values.get("Clients.MarksRetry", _parse_bool, False),
+        passes_deadline=values.get("FamilyInfo.PassesDeadline", _parse_bool, True),
+        warm_keys=values.get("FamilyInfo.WarmKeys", _parse_bool, False),
+        connect_timeout_ms=values.get("Ceilings.ConnectTimeoutMs", _parse_number, 0.0),
+        tick_ms=values.get("GranularityMs", _parse_number, 0.0),
+        answer_slack_ms=values.get("Obligations.AnswerSlackMs", _parse_number),
+        drain_grace_ms=values.get("Obligations.DrainGraceMs", _parse_number),
+        start_capacity=values.get("Obligations.StartCapacity", _parse_number),
+        warm_after_ms=values.get("Obligations.WarmAfterMs", _parse_number),
+        fall_multiple=values.get("Obligations.FallMultiple", _parse_number),
+        fall_ms=values.get("Obligations.FallMs", _parse_number),
         must_ask=values.get("Discovery", {"pushed": False, "on_request": True}.__getitem__),
-        ask_within_ms=values.get("Obligations.AskWithinMs", _number, 0.0),
+        ask_within_ms=values.get("Obligations.AskWithinMs", _parse_number, 0.0),
         report_columns=tuple(
-            COLUMNS.get(name, name) for name in values.get("Reporting.Columns", _words, NO_WORDS)
+            COLUMNS.get(name, name) for name in values.get("Reporting.Columns", _parse_list, EMPTY_LIST)
         ),
-        reports_on_answers=how == "inline",
+        reports_on_answers=reporting == "inline",
         ratings_tell_size=weights in ("nominal", "rough"),
         worth_by_work=values.get("WorthBy", {"work": True, "request": False}.__getitem__, False),
-        over_share_worth=values.get("OverShareWorth", _number, 1.0),
-        waste_price=values.get("Prices.Waste", _number, 0.0),
-        probe_price=values.get("Prices.Probe", _number, 0.0),
-        cross_zone_price=values.get("Prices.CrossZone", _number, 0.0),
-        late_price=values.get("Prices.LateFail", _number, 0.0),
+        over_share_worth=values.get("OverShareWorth", _parse_number, 1.0),
+        waste_price=values.get("Prices.Waste", _parse_number, 0.0),
+        probe_price=values.get("Prices.Probe", _parse_number, 0.0),
+        cross_zone_price=values.get("Prices.CrossZone", _parse_number, 0.0),
+        late_price=values.get("Prices.LateFail", _parse_number, 0.0),
     )
--- a/tests/standalone/test_settings.py
+++ b/tests/standalone/test_settings.py
@@ -1,4 +1,4 @@
-"""Lines and nested JSON of one START object give the same settings."""
+"""Lines and nested JSON of the same START object give equal settings."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
 """
 
 
-def test_both_forms_are_one() -> None:
+def test_lines_and_json_give_equal_settings() -> None:
     assert read_host_settings(examples.SETTINGS).settings == read_settings(LINES)
 
 
-def test_names_for_the_host() -> None:
+def test_host_settings_hold_the_names() -> None:
     host = read_host_settings(examples.SETTINGS)
     assert host.class_names == ("lookup", "charge", "checkout")
     assert host.tenant_names == ("acme", "rueda, andina")
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("tree", "why"),
+    ("tree", "message"),
     [
         ([], "not a JSON object"),
         ({}, "lack"),
@@ -73,6 +73,6 @@
         ({**examples.SETTINGS, "NInstances": None}, "NInstances"),
     ],
 )
-def test_settings_that_cannot_be_read_name_what_is_wrong(tree: Any, why: str) -> None:
-    with pytest.raises(SettingsError, match=why):
+def test_errors_name_the_setting_at_fault(tree: Any, message: str) -> None:
+    with pytest.raises(SettingsError, match=message):
         read_host_settings(tree)
