--- a/tests/standalone/program/test_crossing.py
+++ b/tests/standalone/program/test_crossing.py
@@ -1,4 +1,4 @@
-"""What crosses an end, forced to the very moment: stand-ins hold a byte, a close or a notice until then."""
+"""Races at the end of a request, window or connection, each forced to the exact moment by stand-ins."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 YES, NEVER_RAN = answer(200, b"yes"), answer(503, X_Never_Ran="1")
 
 
-def held_up(
+def run_before_first_byte(
     patch: pytest.MonkeyPatch, running: Running, number: int, cross: Callable[[], Awaitable[None]]
 ) -> None:
-    """What crosses happens when this attempt has its connection, before its first byte."""
+    """Run `cross` when the attempt with this number has its connection, before its first byte is written."""
     connector = running.service._upstreams._connector
     connect = connector.connect
     numbers = itertools.count()
 
     async def held(*args: Any, **more: Any) -> Any:
-        mine = next(numbers)  # as it begins: another may begin while this one's connection comes up
+        mine = next(numbers)  # taken before connecting, since another attempt may begin meanwhile
         connection = await connect(*args, **more)
         if mine == number:
             await cross()
@@ -44,10 +44,10 @@
 
 @pytest.mark.parametrize("leaves", ["closes", "closes behind unread bytes", "resets", "ends its sending"])
 @pytest.mark.parametrize("number", [0, 1])
-def test_nothing_is_begun_for_a_caller_who_has_left(
+def test_no_attempt_is_written_for_a_disconnected_caller(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int, leaves: str
 ) -> None:
-    """First attempts and further ones: the caller leaves as the connection comes up, before it is read."""
+    """For first attempts and retries: the caller disconnects while the upstream connection is established."""
 
     async def test() -> None:
         upstream = Upstream(says(NEVER_RAN))
@@ -69,7 +69,7 @@
                     caller.close()
                 crossed.set()
 
-            held_up(monkeypatch, running, number, leave)
+            run_before_first_byte(monkeypatch, running, number, leave)
             caller.sendall(lookup("X-Trace-Id: 1"))
             await within(crossed.wait())
             await within(running.settled())
@@ -81,19 +81,19 @@
     run(test())
 
 
-def test_no_second_copy_goes_out_for_a_caller_who_has_left(
+def test_no_second_copy_is_written_for_a_disconnected_caller(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its first attempt hangs; the caller leaves as the second copy's connection comes up."""
+    """The first attempt hangs; the caller disconnects while the second copy's connection is established."""
 
     async def test() -> None:
         upstreams = Upstream(says(YES)), Upstream(says(YES))
         async with Running(tmp_path, *upstreams) as running:
             usual = await Caller.connect(running.port)
-            for _ in range(12):  # the module learns what is usual
+            for _ in range(12):  # the module learns the usual response time
                 assert (await usual.ask()).status == 200
             for upstream in upstreams:
-                upstream.behave = quiet
+                upstream.behave = send_nothing
             before = sum(len(upstream.asked) for upstream in upstreams)
             caller, crossed = connected(running.port), asyncio.Event()
 
@@ -101,7 +101,7 @@
                 caller.close()
                 crossed.set()
 
-            held_up(monkeypatch, running, 1, leave)
+            run_before_first_byte(monkeypatch, running, 1, leave)
             caller.sendall(lookup("X-Trace-Id: 1"))
             await within(crossed.wait())
             await within(running.settled())
@@ -112,10 +112,10 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_repeat_is_not_written_past_its_window(
+def test_a_repeat_is_not_written_after_its_window(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, late: bool
 ) -> None:
-    """Decided on within the window, its connection comes up before the window's end, or just after it."""
+    """Decided on within the window, the repeat gets its connection before the window's end or just after."""
 
     async def test() -> None:
         async def lost(_: Message, writer: Writer) -> None:
@@ -137,7 +137,7 @@
                 else:
                     assert running.service.copy.clock.now_ms() < first_ms + 600
 
-            held_up(monkeypatch, running, 1, wait)
+            run_before_first_byte(monkeypatch, running, 1, wait)
             caller = await Caller.connect(running.port)
             got = await caller.ask("POST /checkout", b"1", Idempotency_Key=KEY, wait_ms=3000)
             assert got.status in (502, 503)
@@ -149,7 +149,7 @@
 
 
 def connected(port: int, receives: int | None = None) -> socket.socket:
-    """A caller's socket that blocks: what it does is done before anything here goes on."""
+    """A blocking socket of a caller: its operations complete before the test continues."""
     caller = socket.socket()
     if receives is not None:
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receives)
@@ -162,38 +162,41 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n"
 
 
-async def read_on(caller: socket.socket) -> bytes:
-    """All that comes until the other side's end; a reset is an error."""
-    loop, said = asyncio.get_running_loop(), b""
+async def read_to_end(caller: socket.socket) -> bytes:
+    """Read until the other side closes; a reset raises an error."""
+    loop, received = asyncio.get_running_loop(), b""
     caller.setblocking(False)
     while part := await within(loop.sock_recv(caller, 65536)):
-        said += part
-    return said
+        received += part
+    return received
 
 
-def test_a_close_over_unread_bytes_takes_nothing_of_the_last_answer_along(tmp_path: Path) -> None:
-    """The caller takes its answer slowly, so that most of it still lies with the system as the connection is
-    closed, and has sent more, which nobody has read."""
+def test_a_close_with_unread_input_does_not_truncate_the_last_answer(tmp_path: Path) -> None:
+    """A close with unread input would reset the connection and discard the rest of the answer.
+
+    The caller reads slowly, so that most of the answer is still in the kernel's buffers at the close, and it
+    has sent another request, which is unread.
+    """
 
     async def test() -> None:
         body = b"x" * 60_000
 
-        async def told(_: Message, writer: Writer) -> None:
+        async def answer_with_more_input(_: Message, writer: Writer) -> None:
             (connection,) = running.service._listener._web.connections
             assert connection.transport is not None
-            connection.transport.pause_reading()  # as for want of room
+            connection.transport.pause_reading()  # as if its buffers were full
             caller.sendall(lookup("X-Trace-Id: 2"))
             writer.write(answer(200, body))
 
-        upstream = Upstream(told)
+        upstream = Upstream(answer_with_more_input)
         async with Running(tmp_path, upstream) as running:
             caller = connected(running.port, receives=4096)
             caller.sendall(lookup("X-Trace-Id: 1", "Connection: close"))
             while not running.log.named("answered"):
                 await asyncio.sleep(0)
-            said = await read_on(caller)
-            assert said.endswith(b"\r\n\r\n" + body)
-            assert len(upstream.asked) == 1  # the second came behind the close
+            received = await read_to_end(caller)
+            assert received.endswith(b"\r\n\r\n" + body)
+            assert len(upstream.asked) == 1  # the second followed one with "Connection: close"
             caller.close()
             while running.service._listener._web.connections:
                 await asyncio.sleep(0)
@@ -202,10 +205,11 @@
 
 
 @pytest.mark.parametrize("sends", [lookup("X-Trace-Id: 2"), b"GET /loo"])
-def test_what_comes_as_a_resting_connection_is_closed_is_neither_reset_nor_sent_on(
+def test_input_during_the_close_of_an_idle_connection_is_neither_reset_nor_forwarded(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sends: bytes
 ) -> None:
-    """Between the look at the connection and its close; the caller reads an end, and asks elsewhere."""
+    """Bytes that arrive between the check for input and the close: the caller reads the end, and can retry
+    elsewhere."""
 
     async def test() -> None:
         upstream = Upstream(says(YES))
@@ -215,17 +219,17 @@
             while not running.log.named("answered"):
                 await asyncio.sleep(0)
 
-            def crossed(transport: asyncio.BaseTransport) -> bool:
+            def send_after_check(transport: asyncio.BaseTransport) -> bool:
                 found = has_unread(transport)
                 monkeypatch.setattr(listening, "has_unread", has_unread)
                 caller.sendall(sends)
                 return found
 
-            await asyncio.sleep(0)  # the answer's own task ends
-            monkeypatch.setattr(listening, "has_unread", crossed)
+            await asyncio.sleep(0)  # lets the answer's task end
+            monkeypatch.setattr(listening, "has_unread", send_after_check)
             running.service._listener.close_idle()
-            said = await read_on(caller)
-            assert said.count(b"HTTP/1.1 200") == 1
+            received = await read_to_end(caller)
+            assert received.count(b"HTTP/1.1 200") == 1
             assert len(upstream.asked) == 1
             caller.close()
             while running.service._listener._web.connections:
@@ -234,8 +238,10 @@
     run(test())
 
 
-def test_a_caller_that_never_ends_is_let_go_in_time(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """And at once where descriptors run short."""
+def test_a_caller_that_never_closes_is_dropped_in_time(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The connection is closed after the linger time, and at once when descriptors run out."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(YES))) as running:
@@ -244,7 +250,7 @@
                 monkeypatch.setattr(lingering_close, "LINGER_S", linger_s)
                 caller = connected(running.port)
                 caller.sendall(b"nonsense\r\n\r\n")
-                assert b" 400 " in await read_on(caller)
+                assert b" 400 " in await read_to_end(caller)
                 if short:
                     assert web.connections
                     web.make_room(1)
@@ -255,18 +261,21 @@
     run(test())
 
 
-def test_idle_callers_leave_the_watch_the_upstreams_and_first_requests_their_descriptors(
+def test_idle_callers_leave_descriptors_for_the_watch_upstreams_and_new_requests(
     tmp_path: Path,
 ) -> None:
-    """A process with few descriptors, which discovery does not answer, and callers that come again as soon as
-    they are closed, say nothing, and would hold far more than there are."""
+    """Idle callers must not use up the descriptors of a process that has few.
+
+    Discovery does not answer at first. The callers send nothing, reconnect as soon as they are closed, and
+    would hold far more descriptors than there are.
+    """
 
     async def test() -> None:
-        most = 160
-        silent: set[asyncio.Task[None]] = set()
+        max_descriptors = 160
+        idle_callers: set[asyncio.Task[None]] = set()
         closed: list[int] = []
 
-        async def idles(port: int) -> None:
+        async def reconnect_idly(port: int) -> None:
             while True:
                 caller = await Caller.connect(port)
                 await caller.at_end()
@@ -275,43 +284,47 @@
 
         agent, upstream = Agent(), Upstream(says(YES))
         async with agent, upstream:
-            told, agent.behave = agent.behave, quiet
+            normal, agent.behave = agent.behave, send_nothing
             async with Upstream(says(YES)) as free:
                 port = free.port
             path = tmp_path / "config.json"
             known = examples.listing(*(examples.member(f"s-{n}", upstream.port) for n in range(4)))
-            raw = examples.configuration(known, agent.port, sockets=most)
+            raw = examples.configuration(known, agent.port, sockets=max_descriptors)
             path.write_bytes(
                 raw.replace(f"{examples.HOST}:0".encode(), f"{examples.HOST}:{port}".encode(), 1)
             )
             process = await asyncio.create_subprocess_exec(
                 *(sys.executable, "-m", "madderwind", "serve", "--config", str(path)),
                 stdout=asyncio.subprocess.PIPE,
-                preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (most, most)),
+                preexec_fn=lambda: resource.setrlimit(
+                    resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors)
+                ),
             )
             assert process.stdout is not None
             lines: list[str] = []
 
-            async def reads() -> None:
+            async def read_log() -> None:
                 while line := await process.stdout.readline():  # type: ignore[union-attr]
                     lines.append(json.loads(line)["event"])
 
-            reading = asyncio.create_task(reads())
+            log_reader = asyncio.create_task(read_log())
             try:
                 while "ready" not in lines:
                     await asyncio.sleep(0.01)
-                silent |= {asyncio.create_task(idles(port)) for _ in range(2 * most)}
-                for turn in range(3):  # by then they hold all that they get
-                    while len(closed) < most * (turn + 1) // 2:
+                idle_callers |= {
+                    asyncio.create_task(reconnect_idly(port)) for _ in range(2 * max_descriptors)
+                }
+                for turn in range(3):  # by then they hold every descriptor that they can get
+                    while len(closed) < max_descriptors * (turn + 1) // 2:
                         await asyncio.sleep(0.01)
                     caller = await within(Caller.connect(port))
                     assert (await caller.ask(wait_ms=8000)).status == 200
                     caller.close()
-                agent.behave = told
+                agent.behave = normal
                 await within(agent.watches.get())
                 assert "no_descriptor_to_accept_with" not in lines
             finally:
-                for task in (*silent, reading):
+                for task in (*idle_callers, log_reader):
                     task.cancel()
                 process.kill()
                 await process.wait()
@@ -319,5 +332,5 @@
     run(test())
 
 
-async def quiet(_: Message, __: Writer) -> None:
-    """As discovery's agent while discovery is down."""
+async def send_nothing(_: Message, __: Writer) -> None:
+    """Send nothing, like discovery's agent while discovery is down."""
--- a/tests/standalone/program/test_end.py
+++ b/tests/standalone/program/test_end.py
@@ -1,4 +1,4 @@
-"""Start and end: readiness, SIGTERM, and the command line."""
+"""Startup and shutdown: readiness, SIGTERM, and the command line."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def test_sigterm_answers_all_that_is_taken_and_closes_connections(tmp_path: Path) -> None:
-    """Guards against requests lost at a planned restart, on connections old and new."""
+def test_sigterm_answers_accepted_requests_and_closes_connections(tmp_path: Path) -> None:
+    """A planned restart must not lose requests, on open or on new connections."""
 
     async def test() -> None:
         go = asyncio.Event()
@@ -40,7 +40,7 @@
             await within(upstream.arrivals.get())
             running.service.end()
             idle.writer.write(HEALTH)
-            assert (await idle.read()).status == 500  # no new callers, please
+            assert (await idle.read()).status == 500  # not ready, so that no new callers come
             new = await Caller.connect(running.port)
             new.write()
             await within(upstream.arrivals.get())
@@ -55,8 +55,8 @@
     run(test())
 
 
-def test_idle_connections_are_closed_at_the_end(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against the server's own close, which leaves an idle connection open with nobody to read it."""
+def test_idle_connections_are_closed_at_shutdown(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The HTTP server's own close would leave an idle connection open that is no longer read."""
     monkeypatch.setattr(service, "TAKE_ON_S", 0.0)
 
     async def test() -> None:
@@ -72,10 +72,10 @@
     run(test())
 
 
-def test_open_connections_serve_on_when_no_new_one_is_taken(
+def test_open_connections_are_served_after_the_listener_closes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against sending callers away in a rolling restart, when the balancer before is not back yet."""
+    """In a rolling restart the previous balancer may not be back yet, so callers must still be served."""
     monkeypatch.setattr(service, "TAKE_ON_S", 0.0)
     monkeypatch.setattr(service, "MOST_DEADLINE_S", 60.0)
 
@@ -92,14 +92,16 @@
                 got = await caller.ask()
                 assert (got.status, got.header("Connection")) == (200, None)
             caller.close()
-            await within(running.task)  # with no connection left there is nothing to wait for
+            await within(running.task)  # without connections it ends at once
 
     run(test())
 
 
-def test_callers_that_go_on_through_a_restart_lose_nothing(tmp_path: Path) -> None:
-    """Guards against requests lost between SIGTERM and the end: new connections come for 0.4 s more, and
-    callers use those that they have for as long as these stay open."""
+def test_callers_lose_no_request_through_a_restart(tmp_path: Path) -> None:
+    """No request is lost between SIGTERM and the end of the process.
+
+    Callers open new connections for 0.4 s after SIGTERM, and use their connections while these stay open.
+    """
 
     async def caller(port: int, loop: asyncio.AbstractEventLoop, signalled: asyncio.Event) -> int:
         served, last_s, connection, fresh = 0, float("inf"), await Caller.connect(port), True
@@ -109,7 +111,7 @@
             try:
                 got = await connection.ask("POST /charge", b"1")
             except (asyncio.IncompleteReadError, ConnectionError):
-                assert not fresh, "a request on a new connection was lost"  # else it crossed a close
+                assert not fresh, "a request on a new connection was lost"  # else it raced with a close
                 got = None
             if got is not None:
                 assert got.status == 200
@@ -139,10 +141,8 @@
     run(test())
 
 
-def test_what_outlasts_the_end_is_answered_before_the_kill(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Guards against requests lost to SIGKILL, which does not wait for deadlines over three seconds."""
+def test_long_requests_are_answered_before_sigkill(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Requests must be answered before SIGKILL, which does not wait for deadlines over three seconds."""
     for name, value in (
         ("TAKE_ON_S", 0.0),
         ("MOST_DEADLINE_S", 0.0),
@@ -166,17 +166,19 @@
     run(test())
 
 
-def program(*words: str, **more: str) -> subprocess.CompletedProcess[str]:
+def run_program(*arguments: str, **extra_env: str) -> subprocess.CompletedProcess[str]:
     env = {name: value for name, value in os.environ.items() if name != "PROXY_CONFIG"}
-    command = [sys.executable, "-m", "madderwind", *words]
-    return subprocess.run(command, capture_output=True, text=True, env={**env, **more}, timeout=60)
+    command = [sys.executable, "-m", "madderwind", *arguments]
+    return subprocess.run(command, capture_output=True, text=True, env={**env, **extra_env}, timeout=60)
 
 
-def test_sigterm_before_ready_twice_and_beside_sighup(
+def test_sigterm_before_ready_and_repeated_with_sighup(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Told to end before it listens, it serves what comes at its start and ends. Told again, and given a new
-    file while it ends, it answers what is open and ends once."""
+    """SIGTERM before the service listens: it serves the requests at its start, and ends.
+
+    A second SIGTERM and a SIGHUP during shutdown: it answers the open requests and ends once.
+    """
     monkeypatch.setattr(service, "TAKE_ON_S", 0.05)
 
     async def test() -> None:
@@ -211,22 +213,22 @@
     run(test())
 
 
-def test_the_version() -> None:
-    done = program("version")
+def test_the_version_command() -> None:
+    done = run_program("version")
     assert (done.returncode, done.stdout) == (0, f"{__version__}\n")
 
 
-def test_a_configuration_is_checked(tmp_path: Path) -> None:
+def test_check_config_accepts_a_valid_configuration(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(examples.configuration(examples.listing(examples.member("s-1", 5000)), 8500))
-    for words, env in ((["--config", str(path)], {}), ([], {"PROXY_CONFIG": str(path)})):
-        done = program("check-config", *words, **env)
+    for arguments, env in ((["--config", str(path)], {}), ([], {"PROXY_CONFIG": str(path)})):
+        done = run_program("check-config", *arguments, **env)
         assert (done.returncode, done.stderr) == (0, "")
         assert "1 upstreams known" in done.stdout
 
 
-def test_the_example_of_the_readme_is_sound() -> None:
-    done = program("check-config", "--config", str(examples.EXAMPLE))
+def test_the_readme_example_is_valid() -> None:
+    done = run_program("check-config", "--config", str(examples.EXAMPLE))
     assert (done.returncode, done.stderr) == (0, "")
     assert "2 upstreams known" in done.stdout
 
@@ -247,21 +249,21 @@
         examples.configuration(examples.listing(), 8500, MaxAttempts="many"),
     ],
 )
-def test_an_unreadable_configuration_is_one_plain_line(
+def test_an_invalid_configuration_is_reported_in_one_line(
     tmp_path: Path, command: str, raw: bytes | None
 ) -> None:
     path = tmp_path / "config.json"
     if raw is not None:
         path.write_bytes(raw)
-    done = program(command, "--config", str(path))
+    done = run_program(command, "--config", str(path))
     assert done.returncode == 1
     assert done.stdout == ""
     assert len(done.stderr.splitlines()) == 1
     assert done.stderr.startswith("madderwind: ")
 
 
-def test_no_configuration_at_all() -> None:
-    done = program("serve")
+def test_a_missing_configuration_is_reported_in_one_line() -> None:
+    done = run_program("serve")
     assert (done.returncode, len(done.stderr.splitlines())) == (1, 1)
 
 
@@ -271,7 +273,7 @@
         async with Agent() as agent, Upstream(says(answer(200, b"served"))) as upstream:
             with_port = Upstream(silent)
             async with with_port:
-                port = with_port.port  # free again once this stand-in is gone
+                port = with_port.port  # free again once this stand-in is closed
             raw = examples.configuration(examples.listing(examples.member("s-1", upstream.port)), agent.port)
             path = tmp_path / "config.json"
             path.write_bytes(
--- a/tests/standalone/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -1,4 +1,4 @@
-"""Long messages, slow peers and every form of HTTP/1.1, on a service among stand-ins."""
+"""Long messages, slow peers and the forms of HTTP/1.1, on a service with stand-ins for its peers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 async def upload(caller: Caller, body: bytes, size: int = 60_000, chunked: bool = False, **more: Any) -> None:
-    """A body a piece at a time, as fast as it is taken."""
+    """Send a body in chunks, as fast as it is read."""
     framing = {"Transfer_Encoding": "chunked"} if chunked else {"Content_Length": str(len(body))}
     caller.write("POST /charge", **{**framing, **more})
     for at in range(0, len(body), size):
@@ -33,7 +33,7 @@
         caller.writer.write(b"0\r\nX-Trailer: 1\r\n\r\n")
 
 
-async def echoes(message: Message, writer: Writer) -> None:
+async def answer_with_digest(message: Message, writer: Writer) -> None:
     writer.write(answer(200, hashlib.sha256(message.body).hexdigest().encode()))
 
 
@@ -41,7 +41,7 @@
     return hashlib.sha256(body).hexdigest().encode()
 
 
-def unspent(running: Running) -> bool:
+def budgets_are_full(running: Running) -> bool:
     budgets = running.service.copy.budgets
     return all(budget.left == budget.size for budget in (budgets.holding, budgets.passing))
 
@@ -50,27 +50,27 @@
 @pytest.mark.parametrize("size", [70_000, HELD_BODY, HELD_BODY + 200_000, 5_000_000])
 def test_long_bodies_arrive_whole(tmp_path: Path, chunked: bool, size: int) -> None:
     async def test() -> None:
-        upstream = Upstream(echoes)
+        upstream = Upstream(answer_with_digest)
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
-            for _ in range(2):  # the connections on both sides are of use after it
+            for _ in range(2):  # both connections can be reused afterwards
                 await upload(caller, LONG[:size], chunked=chunked)
                 got = await caller.read()
                 assert (got.status, got.body) == (200, digest(LONG[:size]))
             assert upstream.connections == 1
-            passed_on = chunked and size >= HELD_BODY  # what is held whole has a length by then
-            assert upstream.asked[0].header("Transfer-Encoding" if passed_on else "Content-Length")
+            streamed = chunked and size >= HELD_BODY  # a body that is held whole has a known length
+            assert upstream.asked[0].header("Transfer-Encoding" if streamed else "Content-Length")
             assert await running.figure("upstream_tries_total") == 2
             assert await running.figure('handled_total{category="charge",outcome="passed"}') == 2
             assert await running.figure("in_progress") == 0
-            assert unspent(running) and not running.broken
+            assert budgets_are_full(running) and not running.broken
 
     run(test())
 
 
 @pytest.mark.parametrize("form", ["length", "chunked", "to the end"])
 def test_long_answers_arrive_whole(tmp_path: Path, form: str) -> None:
-    async def gives(_: Message, writer: Writer) -> None:
+    async def send_long_answer(_: Message, writer: Writer) -> None:
         if form == "length":
             writer.write(answer(200, LONG, Content_Type="image/png"))
         elif form == "chunked":
@@ -84,20 +84,20 @@
             writer.close()
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(gives)) as running:
+        async with Running(tmp_path, Upstream(send_long_answer)) as running:
             caller = await Caller.connect(running.port)
             for _ in range(2):
                 got = await caller.ask()
                 assert got.status == 200 and got.body == LONG
                 assert (got.header("Content-Length") is not None) == (form == "length")
             await within(running.settled())
-            assert unspent(running) and not running.broken
+            assert budgets_are_full(running) and not running.broken
             assert await running.figure('handled_total{category="lookup",outcome="passed"}') == 2
 
     run(test())
 
 
-def test_an_old_caller_gets_a_long_answer_to_the_end_of_its_connection(tmp_path: Path) -> None:
+def test_an_http_1_0_caller_gets_a_long_answer_until_the_close(tmp_path: Path) -> None:
     async def test() -> None:
         said = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (
             len(LONG),
@@ -114,10 +114,10 @@
     run(test())
 
 
-def test_an_answer_that_breaks_off_ends_the_callers_connection(tmp_path: Path) -> None:
-    """The caller can tell, gets no second answer, and nothing is sent again."""
+def test_a_truncated_answer_closes_the_callers_connection(tmp_path: Path) -> None:
+    """The caller can detect it, gets no second answer, and the request is not retried."""
 
-    async def breaks(_: Message, writer: Writer) -> None:
+    async def break_off(_: Message, writer: Writer) -> None:
         writer.write(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s" % (len(LONG), LONG[:-9])
         )
@@ -125,7 +125,7 @@
         writer.close()
 
     async def test() -> None:
-        upstreams = Upstream(breaks), Upstream(breaks)
+        upstreams = Upstream(break_off), Upstream(break_off)
         async with Running(tmp_path, *upstreams) as running:
             caller = await Caller.connect(running.port)
             caller.write()
@@ -134,13 +134,13 @@
             await within(running.settled())
             assert sum(len(upstream.asked) for upstream in upstreams) == 1
             assert await running.figure('handled_total{category="lookup",outcome="bad_gateway"}') == 1
-            assert unspent(running) and not running.broken
+            assert budgets_are_full(running) and not running.broken
 
     run(test())
 
 
-def test_a_caller_that_leaves_ends_the_attempt(tmp_path: Path) -> None:
-    """In the middle of its answer, and in the middle of its body."""
+def test_a_caller_disconnect_ends_the_attempt(tmp_path: Path) -> None:
+    """The caller disconnects once during its answer, and once during its body."""
 
     async def endless(_: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n")
@@ -169,25 +169,25 @@
             await within(running.settled())
             assert len(upstream.asked) == 1
             assert await running.figure("in_progress") == 0
-            while not unspent(running):
+            while not budgets_are_full(running):
                 await asyncio.sleep(0.001)
             assert not running.broken
 
     run(test())
 
 
-def test_a_body_whose_upstream_breaks_before_the_last_byte_is_refused(tmp_path: Path) -> None:
-    """It never ran, and cannot be sent again: even an unsafe one may be tried again by its caller."""
+def test_a_request_is_refused_when_the_upstream_aborts_before_the_last_body_byte(tmp_path: Path) -> None:
+    """It never ran, but cannot be resent by the balancer: even an unsafe one may be retried by its caller."""
 
     async def test() -> None:
-        async def hangs_up(reader: asyncio.StreamReader, writer: Writer) -> None:
+        async def abort_mid_body(reader: asyncio.StreamReader, writer: Writer) -> None:
             await reader.readexactly(100_000)
             writer.transport.abort()
 
         upstream = Upstream(says(b""))
         async with Running(tmp_path, upstream) as running:
             upstream._server.close()
-            server = await asyncio.start_server(hangs_up, upstream.address[0], upstream.port)
+            server = await asyncio.start_server(abort_mid_body, upstream.address[0], upstream.port)
             async with server:
                 caller = await Caller.connect(running.port)
                 task = asyncio.create_task(upload(caller, LONG))
@@ -202,11 +202,11 @@
     run(test())
 
 
-def test_a_held_body_is_sent_again(tmp_path: Path) -> None:
-    """What is held whole can still be retried: by key, at another upstream."""
+def test_a_body_held_whole_is_retried(tmp_path: Path) -> None:
+    """A body that is held whole can be retried at another upstream, given an idempotency key."""
 
     async def test() -> None:
-        upstreams = Upstream(resets), Upstream(echoes)
+        upstreams = Upstream(resets), Upstream(answer_with_digest)
         async with Running(tmp_path, *upstreams) as running:
             for _ in range(6):
                 caller = await Caller.connect(running.port)
@@ -219,21 +219,21 @@
     run(test())
 
 
-def test_more_long_messages_than_the_budget_holds(tmp_path: Path) -> None:
-    """They wait in turn; short requests do not."""
+def test_long_messages_beyond_the_budget_wait(tmp_path: Path) -> None:
+    """Long messages wait for the budget in turn; short requests do not wait."""
 
     async def test() -> None:
-        upstream = Upstream(echoes)
+        upstream = Upstream(answer_with_digest)
         async with Running(tmp_path, upstream) as running:
             budgets = running.service.copy.budgets
             for budget in (budgets.holding, budgets.passing):
                 budget.resize(2 * PASSING)
-            least: list[int] = []
+            lowest_left: list[int] = []
 
             async def sends() -> int:
                 caller = await Caller.connect(running.port)
                 await upload(caller, LONG[:2_000_000], wait_ms=20_000)
-                least.append(budgets.passing.left)
+                lowest_left.append(budgets.passing.left)
                 return (await caller.read()).status
 
             crowd = [asyncio.create_task(sends()) for _ in range(8)]
@@ -241,37 +241,38 @@
             caller = await Caller.connect(running.port)
             assert (await caller.ask("POST /charge", b"short")).status == 200
             assert await within(asyncio.gather(*crowd)) == [200] * 8
-            assert min(least) >= 0 and unspent(running) and not running.broken
+            assert min(lowest_left) >= 0 and budgets_are_full(running) and not running.broken
 
     run(test())
 
 
-def test_long_bodies_with_long_answers_do_not_wait_for_each_other(tmp_path: Path) -> None:
-    """There is room for one message on its way: who passes a body on has it for the answer too."""
+def test_long_bodies_with_long_answers_do_not_deadlock(tmp_path: Path) -> None:
+    """The budget allows one streamed message: an attempt keeps the body's share for its answer, or both would
+    deadlock."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200, LONG)))) as running:
             running.service.copy.budgets.passing.resize(PASSING)
 
-            async def asks() -> bytes:
+            async def upload_and_read() -> bytes:
                 caller = await Caller.connect(running.port)
                 await upload(caller, LONG[:2_000_000], wait_ms=1500)
                 return (await caller.read()).body
 
-            bodies_back = await within(asyncio.gather(asks(), asks()))
+            bodies_back = await within(asyncio.gather(upload_and_read(), upload_and_read()))
             assert bodies_back == [LONG, LONG]
-            assert unspent(running) and not running.broken
+            assert budgets_are_full(running) and not running.broken
 
     run(test())
 
 
-def test_slow_callers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A body that keeps its pace is waited for, one that stands still is not."""
+def test_stalled_callers_time_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A body that keeps the minimum rate is waited for, a stalled one is not."""
     monkeypatch.setattr(routing, "READ_S", 0.2)
     monkeypatch.setattr(bodies, "SLOWEST_BYTES_PER_S", 1000)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(echoes)) as running:
+        async with Running(tmp_path, Upstream(answer_with_digest)) as running:
             caller = await Caller.connect(running.port)
             caller.write("POST /charge", Content_Length="1000")
             for _ in range(10):
@@ -285,29 +286,29 @@
     run(test())
 
 
-def test_pieces_of_one_byte(tmp_path: Path) -> None:
-    """Head, body and answer a byte at a time, chunked, with an interim answer before and trailers behind."""
+def test_messages_of_one_byte_chunks(tmp_path: Path) -> None:
+    """Head, body and answer arrive byte by byte, chunked, with an interim response and trailers."""
     said = (
         b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;q=1\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n"
     )
 
-    async def trickles(_: Message, writer: Writer) -> None:
+    async def send_byte_by_byte(_: Message, writer: Writer) -> None:
         for at in range(len(said)):
             writer.write(said[at : at + 1])
             await asyncio.sleep(0)
 
     async def test() -> None:
-        upstream = Upstream(trickles)
+        upstream = Upstream(send_byte_by_byte)
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
-            asks = (
+            request_bytes = (
                 b"POST http://app.svc/charge/7?a=b HTTP/1.1\r\nHost: app.svc\r\nX-Trace-Id: 77\r\n"
                 b"X-Customer: acme\r\nX-Expires-In-Ms: 9000\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n4\r\nwxyz\r\n0\r\n\r\n"
             )
-            for at in range(len(asks)):
-                caller.writer.write(asks[at : at + 1])
+            for at in range(len(request_bytes)):
+                caller.writer.write(request_bytes[at : at + 1])
                 await asyncio.sleep(0)
             got = await caller.read()
             assert (got.status, got.body) == (200, b"abcde")
@@ -318,11 +319,11 @@
     run(test())
 
 
-def test_a_few_requests_in_one_go(tmp_path: Path) -> None:
-    """Pipelined ones are answered in turn; hundreds at once get one error and a close."""
+def test_pipelined_requests(tmp_path: Path) -> None:
+    """Pipelined requests are answered in order; a hundred at once get one error and a close."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(echoes)) as running:
+        async with Running(tmp_path, Upstream(answer_with_digest)) as running:
             caller = await Caller.connect(running.port)
             for body in (b"a", b"b", b"c"):
                 caller.write("POST /charge", body)
@@ -336,7 +337,7 @@
     run(test())
 
 
-def test_sigterm_does_not_cut_off_a_long_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sigterm_does_not_truncate_a_long_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("madderwind.standalone.program.service.TAKE_ON_S", 0.0)
     monkeypatch.setattr("madderwind.standalone.program.service.MOST_DEADLINE_S", 0.0)
     monkeypatch.setattr("madderwind.standalone.program.service.LAST_WORD_S", 0.05)
--- a/tests/standalone/program/test_requests.py
+++ b/tests/standalone/program/test_requests.py
@@ -1,4 +1,4 @@
-"""One request's life on real sockets: what the caller gets and what the upstreams see."""
+"""Request handling on real sockets: the response to the caller and the requests at the upstreams."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 NEVER_RAN = answer(503, X_Never_Ran="1")
 
 
-def test_a_request_is_served_with_the_upstreams_bytes(tmp_path: Path) -> None:
+def test_request_and_response_bytes_are_forwarded_unchanged(tmp_path: Path) -> None:
     async def test() -> None:
         body = bytes(range(256))
         upstream = Upstream(says(answer(200, body, Content_Type="image/png")))
@@ -67,7 +67,7 @@
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(
     tmp_path: Path, behave: Behaviour, status: int
 ) -> None:
-    """Guards against a second effect, and against calling a 503 without its mark a refusal."""
+    """A retry could take effect twice, and a 503 without X-Never-Ran does not prove that nothing ran."""
 
     async def test() -> None:
         upstreams = [Upstream(behave), Upstream(behave)]
@@ -80,7 +80,7 @@
     run(test())
 
 
-def test_an_unsafe_request_that_never_ran_is_refused_at_once_or_served(tmp_path: Path) -> None:
+def test_an_unsafe_request_that_never_ran_is_refused_with_retry_after(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(says(NEVER_RAN))
         async with Running(tmp_path, upstream) as running:
@@ -111,8 +111,8 @@
     run(test())
 
 
-def test_no_upstream_listens(tmp_path: Path) -> None:
-    """Connections refused are proof that nothing ran: the unsafe request may be refused."""
+def test_an_unsafe_request_is_refused_when_no_upstream_listens(tmp_path: Path) -> None:
+    """A refused connection proves that nothing ran, so an unsafe request may be answered with a refusal."""
 
     async def test() -> None:
         upstream = Upstream(silent)
@@ -126,15 +126,15 @@
 
 
 @pytest.mark.parametrize("start", ["GET /lookup", "POST /charge"])
-def test_silence_is_answered_at_the_deadline(tmp_path: Path, start: str) -> None:
+def test_a_silent_upstream_is_answered_for_at_the_deadline(tmp_path: Path, start: str) -> None:
     async def test() -> None:
         upstream = Upstream(silent)
         async with Running(tmp_path, upstream) as running:
-            began = time.monotonic()
+            started_s = time.monotonic()
             got = await (await Caller.connect(running.port)).ask(start, wait_ms=150)
             assert got.status in (503, 504)
             assert (got.status == 504) == (start == "POST /charge")
-            assert time.monotonic() - began >= 0.14
+            assert time.monotonic() - started_s >= 0.14
             assert await within(upstream.ended.get()) == 1
             assert not running.broken
 
@@ -151,7 +151,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_ends_its_request(tmp_path: Path) -> None:
+def test_a_client_disconnect_ends_its_request(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(silent)
         async with Running(tmp_path, upstream) as running:
@@ -186,7 +186,7 @@
 def test_a_bad_request_gets_a_plain_4xx(
     tmp_path: Path, start: str, body: bytes, changes: dict[str, str | None], status: int
 ) -> None:
-    """Guards against answers that count as refusals or crashes where nothing was asked rightly."""
+    """An invalid request must not be answered like a refusal (503) or a failure (5xx)."""
 
     async def test() -> None:
         upstream = Upstream(says(answer(200)))
@@ -201,7 +201,7 @@
     run(test())
 
 
-def test_the_longest_body_goes_through(tmp_path: Path) -> None:
+def test_a_64_kib_body_is_forwarded(tmp_path: Path) -> None:
     async def test() -> None:
         body = b"x" * (64 * 1024)
         upstream = Upstream(says(answer(200, body)))
@@ -216,8 +216,10 @@
 @pytest.mark.parametrize(
     ("trace_id", "status"), [(b"t\xc3\xa9", 200), (b"t\xff", 400), (b"t", 200), (b"t\xed\xa0\x80", 400)]
 )
-def test_header_bytes_go_on_as_they_came_or_not_at_all(tmp_path: Path, trace_id: bytes, status: int) -> None:
-    """Guards against an id that goes on changed: the client leaves out what is no UTF-8."""
+def test_header_bytes_are_forwarded_unchanged_or_rejected(
+    tmp_path: Path, trace_id: bytes, status: int
+) -> None:
+    """An id must not be forwarded changed: the HTTP client would drop bytes that are not UTF-8."""
 
     async def test() -> None:
         upstream = Upstream(says(answer(200)))
@@ -234,8 +236,8 @@
     run(test())
 
 
-def test_more_callers_than_descriptors(tmp_path: Path) -> None:
-    """Guards against requests lost on connections that cannot be accepted: idle ones make way."""
+def test_idle_connections_are_closed_when_descriptors_run_out(tmp_path: Path) -> None:
+    """Idle connections are closed for new ones, so that no request is lost on an unaccepted connection."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200))), sockets=40) as running:
@@ -253,22 +255,22 @@
     run(test())
 
 
-def test_a_packed_body_goes_on_packed(tmp_path: Path) -> None:
-    """Guards against the server's own unpacking: what goes on unchanged stays the bytes that came."""
+def test_a_compressed_body_is_forwarded_compressed(tmp_path: Path) -> None:
+    """The HTTP server must not decompress a body, which is forwarded byte for byte."""
 
     async def test() -> None:
         upstream = Upstream(says(answer(200)))
         async with Running(tmp_path, upstream) as running:
-            packed = gzip.compress(b"x" * 1000)
+            compressed = gzip.compress(b"x" * 1000)
             caller = await Caller.connect(running.port)
-            assert (await caller.ask("POST /charge", packed, Content_Encoding="gzip")).status == 200
-            assert upstream.asked[0].body == packed
+            assert (await caller.ask("POST /charge", compressed, Content_Encoding="gzip")).status == 200
+            assert upstream.asked[0].body == compressed
             assert upstream.asked[0].header("Content-Encoding") == "gzip"
 
     run(test())
 
 
-def test_a_body_in_chunks_and_a_caller_that_asks_first(tmp_path: Path) -> None:
+def test_a_chunked_body_with_expect_100_continue(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = Upstream(says(answer(200, b"ok")))
         async with Running(tmp_path, upstream) as running:
@@ -287,7 +289,7 @@
     run(test())
 
 
-def test_a_body_that_never_comes_whole(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_body_times_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(routing, "READ_S", 0.05)
 
     async def test() -> None:
@@ -299,18 +301,18 @@
     run(test())
 
 
-def test_a_decision_that_breaks_is_logged_and_its_request_answered(
+def test_an_error_in_a_decision_is_logged_and_its_request_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a fault in one request's way taking the program, or an answer, with it."""
+    """An error in the decision for one request must not stop the program or leave a request unanswered."""
     handle = Balancer.handle
 
-    def breaks(self: Balancer, now: float, event: api.Event) -> list[api.Action]:
+    def fail_on_charge(self: Balancer, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived) and event.class_index == 1:
             raise RuntimeError("torn")
         return handle(self, now, event)
 
-    monkeypatch.setattr(Balancer, "handle", breaks)
+    monkeypatch.setattr(Balancer, "handle", fail_on_charge)
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200)))) as running:
@@ -323,10 +325,10 @@
     run(test())
 
 
-def test_a_module_that_says_nothing_is_answered_for_at_the_deadline(
+def test_the_host_answers_at_the_deadline_for_a_silent_module(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a request with no final answer; a release build counts it, a debug build fails it."""
+    """Every request gets a final answer; a release build counts the violation, a debug build fails."""
     monkeypatch.setattr(Balancer, "handle", lambda *_: [])
 
     async def test() -> None:
@@ -338,7 +340,7 @@
     run(test())
 
 
-def test_odd_reports_and_props_are_passed_over(tmp_path: Path) -> None:
+def test_unreadable_reports_and_props_are_ignored(tmp_path: Path) -> None:
     async def test() -> None:
         replies = says(
             answer(200, Endpoint_Load_Metrics="JSON {}"),
@@ -354,15 +356,15 @@
     run(test())
 
 
-def test_a_second_copy_goes_out_and_only_one_answer_comes_back(tmp_path: Path) -> None:
-    """With two attempts out, the first whole answer is the caller's; the other only teaches."""
+def test_a_second_copy_is_sent_and_one_answer_returned(tmp_path: Path) -> None:
+    """Of two attempts, the caller gets the first whole answer; the other only updates estimates."""
 
     async def test() -> None:
         fast = answer(200, b"fast")
         upstreams = [Upstream(says(fast)) for _ in range(4)]
         async with Running(tmp_path, *upstreams) as running:
             caller = await Caller.connect(running.port)
-            for _ in range(12):  # the module learns what is usual
+            for _ in range(12):  # the module learns the usual response time
                 assert (await caller.ask()).body == b"fast"
 
             async def hangs(message: Message, _: Writer) -> None:
@@ -373,7 +375,8 @@
             for upstream in upstreams:
                 upstream.behave = hangs
             before = sum(len(u.asked) for u in upstreams)
-            got = await caller.ask(wait_ms=30_000)  # long, for a machine so busy that usual answers are slow
+            # A long time limit, in case the machine is busy and normal answers are slow.
+            got = await caller.ask(wait_ms=30_000)
             assert got.body == b"fast"
             assert sum(len(u.asked) for u in upstreams) == before + 2
             assert not running.broken
@@ -398,8 +401,8 @@
         "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked",
     ],
 )
-def test_lengths_that_are_wrong_are_refused_on_the_header(tmp_path: Path, lengths: str) -> None:
-    """Guards against a request that hides in another's body, and against reading 60 MB to refuse them."""
+def test_invalid_body_lengths_are_rejected_by_the_header(tmp_path: Path, lengths: str) -> None:
+    """Guards against request smuggling, and against reading a body of 60 MB only to refuse it."""
 
     async def test() -> None:
         upstream = Upstream(says(answer(200)))
@@ -410,14 +413,14 @@
             hidden = b"0\r\n\r\nGET /lookup HTTP/1.1\r\nHost: x\r\nX-Trace-Id: a2\r\nX-Customer: acme\r\n\r\n"
             caller.writer.write(f"{head}\r\n{lengths}\r\n\r\n".encode() + hidden)
             assert 400 <= (await caller.read()).status < 500
-            await caller.reader.read()  # what else is said of it, up to the end
+            await caller.reader.read()  # the rest of the response, up to the close
             assert not upstream.asked
 
     run(test())
 
 
-def test_the_id_of_an_open_request_is_turned_away(tmp_path: Path) -> None:
-    """Guards against another client's request under the id of one that is out: a second copy of it."""
+def test_the_id_of_an_open_request_is_rejected(tmp_path: Path) -> None:
+    """Another client's request with the id of an open one would be treated as a duplicate of it."""
 
     async def test() -> None:
         upstream = Upstream(silent)
@@ -437,8 +440,8 @@
     run(test())
 
 
-def test_a_request_that_an_upstream_cannot_use_is_tried_once_and_blames_nobody(tmp_path: Path) -> None:
-    """Guards against a caller whose bad requests set every upstream aside and spend the retry quota."""
+def test_a_400_from_an_upstream_is_not_retried_and_counts_no_failure(tmp_path: Path) -> None:
+    """A caller's invalid requests must not eject every upstream or spend the retry quota."""
 
     async def test() -> None:
         upstreams = [Upstream(says(answer(400))) for _ in range(2)]
