--- a/madderwind/standalone/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -60,7 +60,7 @@
         withdrawal, back = self._copy.withdrawal, command.word == "RETURN"
         if withdrawal is None:
             return reject("this balancer's file has no fleet.leaving")
-        if why_not := withdrawal.by_hand(command.name, back):
+        if why_not := withdrawal.evacuate_or_return(command.name, back):
             return reject(why_not)
         return acknowledge(
             f"{command.name} is returned to in steps" if back else f"{command.name} is left by all copies"
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -176,7 +176,7 @@
             name: self._tenants_until_ms.get(name, now_ms + longest_ms) for name in host.retired_tenants
         }
         self.reader = RequestReader(host, self._served_until_ms, self._tenants_until_ms)
-        self.tally.know(host.class_names)
+        self.tally.add_classes(host.class_names)
         self.upstreams.retune(host.settings.connect_timeout_ms, host.idle_ms)
         self.happened(api.Retuned(host.settings))
 
@@ -196,7 +196,7 @@
         `same`: the previous process ran in a deployment of the same shape. Otherwise what it learned as
         ratios to the usual values there is reset: the room, and the slowness of each upstream. Facts about an
         upstream are kept: when it started, that connects fail, that it is ejected. The quota is kept too, so
-        that both processes together spend no more than one.
+        that both processes together spend no more than one process may.
         """
         if not same:
             room = 0.0
--- a/madderwind/standalone/routing/directory.py
+++ b/madderwind/standalone/routing/directory.py
@@ -75,11 +75,11 @@
             self._addresses[entry.upstream], self._members[entry.upstream] = member.address, member
             self._told[entry.upstream] = entry
         reported_gone = {entry.upstream for entry in entries if entry.state is UpstreamState.GONE}
-        left_out = listed_before_ids - set(self._told)
-        for number in left_out:  # start time unknown: only a revision at least as late brings it back
+        missing_numbers = listed_before_ids - set(self._told)
+        for number in missing_numbers:  # start time unknown: only a revision at least as late brings it back
             self._remember_end(self._ids[number], End(listing.revision, UpstreamState.GONE, float("inf")))
-        in_force = tuple(self._effective(entry) for entry in entries)
-        for number in left_out | reported_gone:
+        in_force = tuple(self._effective_entry(entry) for entry in entries)
+        for number in missing_numbers | reported_gone:
             self._told.pop(number, None)
             self._forget(number)
         self.revision = listing.revision
@@ -116,7 +116,7 @@
         if name not in self._ever_listed:
             return None
         self.suspended.add(name)
-        return self._manual_change(name)
+        return self._manual_change_event(name)
 
     def restore(self, name: str, now_ms: float) -> FleetListed | None:
         """End a suspension, however often it was requested. Returns None if the upstream was never listed.
@@ -129,20 +129,20 @@
         if name in self.suspended:
             self.suspended.discard(name)
             _keep_latest(self._restored_ms, name, now_ms, RESTORES_KEPT)
-        return self._manual_change(name)
+        return self._manual_change_event(name)
 
     def leave(self, upstreams: Iterable[int]) -> FleetListed:
         """Send nothing new to these upstreams, whose zone the fleet evacuates, until they are reopened."""
         numbers = [number for number in upstreams if number in self._told]
         self.left.update(numbers)
-        return self._relisted(numbers)
+        return self._change_event(numbers)
 
     def reopen(self, upstreams: Iterable[int], started_ms: float) -> FleetListed:
         """Use these upstreams again. They count as started at `started_ms`, whatever a late list says."""
         numbers = [number for number in upstreams if number in self._told]
         self.left.difference_update(upstreams)
         self._reopened_ms.update(dict.fromkeys(numbers, started_ms))
-        return self._relisted(numbers)
+        return self._change_event(numbers)
 
     def places(self) -> dict[int, Place]:
         """The upstreams that are ready and not suspended, including those in evacuated zones."""
@@ -152,16 +152,16 @@
             if entry.state is UpstreamState.READY and self._ids[number] not in self.suspended
         }
 
-    def _relisted(self, numbers: list[int]) -> FleetListed:
-        entries = tuple(self._effective(self._told[number]) for number in numbers)
+    def _change_event(self, numbers: list[int]) -> FleetListed:
+        entries = tuple(self._effective_entry(self._told[number]) for number in numbers)
         return FleetListed(ListKind.CHANGES, self.revision, entries)
 
-    def _manual_change(self, name: str) -> FleetListed:
+    def _manual_change_event(self, name: str) -> FleetListed:
         """The event of a manual change; it has no entries if discovery does not list the upstream now."""
         number = self._numbers.get(name)
-        return self._relisted([number] if number in self._told else [])
+        return self._change_event([number] if number in self._told else [])
 
-    def _effective(self, entry: UpstreamEntry) -> UpstreamEntry:
+    def _effective_entry(self, entry: UpstreamEntry) -> UpstreamEntry:
         """The effective entry of an upstream: discovery's report, the operator's changes and the fleet's.
 
         This is the only place that combines the three.
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -38,7 +38,7 @@
 MAX_UPLOAD_MS, MAX_READER_STALL_S = 120_000.0, 30.0
 
 
-class Final(msgspec.Struct, frozen=True):
+class FinalResponse(msgspec.Struct, frozen=True):
     """The final response to the caller."""
 
     status: int
@@ -46,7 +46,7 @@
     headers: Mapping[str, str] = {}
 
 
-class CallerGone(Exception):
+class CallerDisconnectedError(Exception):
     """The caller of a long response has disconnected, or no longer reads."""
 
 
@@ -76,8 +76,8 @@
         self.attempt_outcomes: list[tuple[str, str, float]] = []
         self.answers: dict[int, Answer] = {}
         # Responses of attempts that found the request itself invalid.
-        self.invalid_request_answers: dict[int, Final] = {}
-        self.final: Final | None = None
+        self.invalid_request_answers: dict[int, FinalResponse] = {}
+        self.final: FinalResponse | None = None
         self.caller_left = False
         self.taken_ms: float | None = None  # when the last byte of the request was received
         self.body_released = False  # whether the start of the body was dropped, so that it cannot be resent
@@ -123,16 +123,16 @@
             case api.Send():
                 self._send(action)
             case api.Refuse(_, retry_after_ms):
-                self.settle(Final(REFUSED, b"refused\n", refusal_headers(retry_after_ms)))
+                self.settle(FinalResponse(REFUSED, b"refused\n", refusal_headers(retry_after_ms)))
             case api.Fail():
                 timed_out = (
                     bool(self.attempt_outcomes) and self.attempt_outcomes[-1][1] == Outcome.TIMEOUT.value
                 )
-                self.settle(Final(TIMED_OUT if timed_out else FAILED, b"failed\n"))
+                self.settle(FinalResponse(TIMED_OUT if timed_out else FAILED, b"failed\n"))
             case api.Cancel(_, attempt) if attempt < len(self.attempts):
                 self.cancel_attempt(attempt)
 
-    def settle(self, final: Final) -> None:
+    def settle(self, final: FinalResponse) -> None:
         if self.copy.invariants.must(not self.over, "one_final_answer", trace_id=self.asked.trace_id):
             self.final = final
 
@@ -183,7 +183,7 @@
         try:
             known_outcome, report = await self._ask(number, upstream, until_ms, sent_ms)
             outcome = known_outcome
-        except (asyncio.CancelledError, CallerGone) as error:
+        except (asyncio.CancelledError, CallerDisconnectedError) as error:
             outcome = Outcome.CANCELLED
             if isinstance(error, asyncio.CancelledError) and number not in self.cancelled_attempts:
                 raise
@@ -246,13 +246,15 @@
         finally:
             answer_stream.end()
         if body.broken is not None:
-            self.invalid_request_answers[number] = Final(body.broken.status, f"{body.broken}\n".encode())
+            self.invalid_request_answers[number] = FinalResponse(
+                body.broken.status, f"{body.broken}\n".encode()
+            )
             return Outcome.NOT_SENT, ()
         if isinstance(answer, Outcome):
             return answer, ()
         if answer.status == BAD:
             # The request is invalid at every upstream: no other attempt, and no failure counted for this one.
-            self.invalid_request_answers[number] = Final(BAD, b"an upstream cannot use it\n")
+            self.invalid_request_answers[number] = FinalResponse(BAD, b"an upstream cannot use it\n")
             return Outcome.CANCELLED, ()
         outcome = outcome_of(answer.status, answer.headers)
         if outcome is Outcome.OK:
@@ -307,7 +309,7 @@
 
     def _attempt_written(self, number: int, encoded: EncodedRequest) -> None:
         """Record that the last byte of the attempt was written."""
-        self.copy.tally.tried()
+        self.copy.tally.count_attempt()
         self.written_ms[number] = self.copy.clock.now_ms()
         if encoded.upload is None or self.final is not None or self.caller_left:
             return
@@ -368,7 +370,7 @@
             async with asyncio.timeout(MAX_READER_STALL_S):
                 await writing
         except (ConnectionError, TimeoutError):
-            raise CallerGone from None
+            raise CallerDisconnectedError from None
 
     def end(self) -> None:
         if self._has_budget:
@@ -425,17 +427,17 @@
                     continue
                 in_time = event is not LastWord.DEADLINE or exchange.taken_ms is None
                 copy.invariants.must(in_time, "answered_in_time", trace_id=asked.trace_id)
-                exchange.settle(Final(TIMED_OUT, b"failed\n"))
+                exchange.settle(FinalResponse(TIMED_OUT, b"failed\n"))
                 copy.decide(api.ClientLeft(exchange.number))
                 break
             if isinstance(event, api.AttemptEnded):
                 if event.attempt == exchange.streaming_attempt:
                     served = event.outcome is Outcome.OK
-                    exchange.final = Final(200 if served else FAILED)
+                    exchange.final = FinalResponse(200 if served else FAILED)
                 elif event.outcome is Outcome.OK:
                     # The first complete response goes to the caller at once; the module is told so.
                     answer = exchange.answers[event.attempt]
-                    exchange.settle(Final(200, answer.body, _forwarded_headers(answer.headers)))
+                    exchange.settle(FinalResponse(200, answer.body, _forwarded_headers(answer.headers)))
                 elif event.attempt in exchange.invalid_request_answers:
                     exchange.settle(exchange.invalid_request_answers[event.attempt])
             copy.decide(event, exchange)
@@ -450,14 +452,14 @@
     except Exception as error:
         copy.log("request_broke", trace_id=asked.trace_id, error=repr(error))
         if exchange.final is None:
-            exchange.final = Final(BROKEN, b"failed\n")
+            exchange.final = FinalResponse(BROKEN, b"failed\n")
             copy.happened(api.ClientLeft(exchange.number))
     finally:
         if exchange.caller_left or body.broken is not None:
             copy.tally.client_gone += exchange.taken_ms is not None
         elif exchange.final is not None:
             copy.tally.taken += exchange.taken_ms is None  # refused before its last byte arrived
-            copy.tally.answered(exchange.category, exchange.final.status)
+            copy.tally.count_answer(exchange.category, exchange.final.status)
         exchange.cancel_deadline_timer()
         if exchange.body_released or exchange.streaming_attempt is not None:
             exchange.cancel_all_attempts()  # a partial message is useless
--- a/madderwind/standalone/routing/gossip_peers.py
+++ b/madderwind/standalone/routing/gossip_peers.py
@@ -46,14 +46,14 @@
         self,
         addresses: tuple[Address, ...],
         me: int,
-        heard: Callable[[int, bytes], None],
+        on_message: Callable[[int, bytes], None],
         log: EventLog,
         log_sparingly: Sparing,
         clock: Clock,
         fleet: FleetSettings,
         seed: int,
     ) -> None:
-        self._addresses, self._me, self._heard = addresses, me, heard
+        self._addresses, self._me, self._on_message = addresses, me, on_message
         self._numbers = {address: number for number, address in enumerate(addresses)}
         self._log, self._log_sparingly, self._clock = log, log_sparingly, clock
         self._dead: set[int] = set()
@@ -119,7 +119,7 @@
         """The copies that are not considered dead, including this one."""
         return [self._me, *self._membership.members.living()]
 
-    def able(self) -> list[int]:
+    def carrying_traffic(self) -> list[int]:
         """The living copies except those that report almost no traffic; all of them if each reports that."""
         living = self.living()
         return [n for n in living if self._rate(n) >= MIN_ACTIVE_PER_S] or living
@@ -148,7 +148,7 @@
             self._repeat_at_ms = now_ms + REPEAT_INTERVAL_MS
             for number, item in list(self._membership.states.items()):
                 if number != self._me and self._membership.members.all[number].state is not State.DEAD:
-                    self._heard(number, item.payload)
+                    self._on_message(number, item.payload)
         self._carry_out(self._membership.tick(now_ms))
 
     def _carry_out(self, actions: list[Action]) -> None:
@@ -163,7 +163,7 @@
                     if self.listener is not None:
                         self.listener.heard_shared(order, payload)
                 case Heard(origin, payload):
-                    self._heard(origin, payload)
+                    self._on_message(origin, payload)
                 case Changed():
                     self._changed(action)
         if self._transport is not None:
--- a/madderwind/standalone/routing/peers.py
+++ b/madderwind/standalone/routing/peers.py
@@ -25,9 +25,9 @@
     """
 
     def __init__(
-        self, addresses: tuple[Address, ...], me: int, heard: Callable[[int, bytes], None], log: Sparing
+        self, addresses: tuple[Address, ...], me: int, on_message: Callable[[int, bytes], None], log: Sparing
     ) -> None:
-        self._addresses, self._me, self._heard, self._log = addresses, me, heard, log
+        self._addresses, self._me, self._on_message, self._log = addresses, me, on_message, log
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, shared: bool = False) -> None:
@@ -44,7 +44,7 @@
         message = data[HEAD.size :]
         is_peer_message = mark == MARK and peer != self._me and peer < len(self._addresses)
         if is_peer_message and self._addresses[peer] == tuple(addr[:2]) and len(message) <= MAX_MESSAGE_BYTES:
-            self._heard(peer, message)
+            self._on_message(peer, message)
         else:
             self._log("odd_words", sender=list(addr[:2]), size=len(data))
 
--- a/madderwind/standalone/routing/tally.py
+++ b/madderwind/standalone/routing/tally.py
@@ -20,9 +20,9 @@
         self.tries = 0  # attempts whose last byte was written to an upstream
         self.loads, self.load_errors = 0, 0
         self.version: int | None = None  # of the settings in force, if their file gives one
-        self.know(categories)
+        self.add_classes(categories)
 
-    def know(self, categories: Iterable[str]) -> None:
+    def add_classes(self, categories: Iterable[str]) -> None:
         """Add classes that are in use from now on. Earlier classes keep their counts."""
         for category in categories:
             self._handled.setdefault(category, Counter())
@@ -35,10 +35,10 @@
     def in_progress(self) -> int:
         return self.taken - self.ended
 
-    def tried(self) -> None:
+    def count_attempt(self) -> None:
         self.tries += 1
 
-    def answered(self, category: str, status: int) -> None:
+    def count_answer(self, category: str, status: int) -> None:
         outcome = PASSED if status == 200 else DROPPED if status in (429, REFUSED) else BAD_GATEWAY
         self._handled[category][outcome] += 1
 
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -64,7 +64,7 @@
             settings.warm_after_ms,
             settings.may_probe,
             peers.carried_per_s,
-            peers.able,
+            peers.carrying_traffic,
         )
         self._timer: asyncio.TimerHandle | None = None
         peers.listener = self
@@ -97,7 +97,7 @@
     def heard_shared(self, order: tuple[int, int], payload: bytes) -> None:
         self._carry_out(self._evacuation.heard_evacuation(self._clock.now_ms(), order, payload))
 
-    def by_hand(self, name: str, back: bool) -> str:
+    def evacuate_or_return(self, name: str, back: bool) -> str:
         """Evacuate a zone or region fleet-wide, or return to it. Returns "" or the reason for a refusal."""
         call = self._evacuation.return_to if back else self._evacuation.evacuate
         actions, why_not = call(self._clock.now_ms(), name)
--- a/tests/standalone/admin/test_figures.py
+++ b/tests/standalone/admin/test_figures.py
@@ -13,8 +13,8 @@
     tally = Tally(("lookup", 'odd "one"'))
     tally.taken = 5
     for status in (200, 200, 503, 504):
-        tally.answered("lookup", status)
-    tally.tried()
+        tally.count_answer("lookup", status)
+    tally.count_attempt()
     assert metrics_text(tally, FleetMetrics(9, 2)).decode().splitlines() == [
         'svc_handled_total{category="lookup",outcome="passed"} 2',
         'svc_handled_total{category="lookup",outcome="dropped"} 1',
@@ -39,7 +39,7 @@
     for index, status in enumerate(statuses):
         tally.taken += 2
         if status:
-            tally.answered("a", status)
+            tally.count_answer("a", status)
         else:
             tally.client_gone += 1
         assert tally.ended == index + 1
@@ -49,7 +49,7 @@
 
 def test_a_class_added_again_keeps_its_counts() -> None:
     tally = Tally(("a",))
-    tally.answered("a", 200)
-    tally.know(("b", "a"))
+    tally.count_answer("a", 200)
+    tally.add_classes(("b", "a"))
     assert ("a", "passed", 1) in set(tally.handled())
     assert ("b", "passed", 0) in set(tally.handled())
