--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -93,10 +93,10 @@
         """Whether a long answer is being streamed to a caller."""
         return any(exchange.streaming_attempt is not None for exchange in self.open.values())
 
-    def end_all(self, word: LastWord) -> None:
+    def end_all(self, reason: LastWord) -> None:
         """Tell every open request that the host ends it, and why."""
         for exchange in self.open.values():
-            exchange.inbox.put_nowait(word)
+            exchange.inbox.put_nowait(reason)
 
     def listed(self, listing: Listing, cached: bool = False) -> None:
         """Apply a listing from discovery, to the module and to pending sends at the same moment."""
--- a/madderwind/standalone/routing/directory.py
+++ b/madderwind/standalone/routing/directory.py
@@ -14,9 +14,9 @@
 from madderwind.standalone.protocol.listing import STATES, Listing, Member
 
 # The latest ends (drains and removals) to remember: a delayed list is not older than that.
-ENDS_KEPT = 1024
+MAX_ENDS = 1024
 # The latest ids that were ever listed to remember, and the latest times of restoring an upstream.
-NAMES_KEPT, RESTORES_KEPT = 16384, 1024
+MAX_EVER_LISTED, MAX_RESTORES = 16384, 1024
 
 T = TypeVar("T")
 
@@ -99,10 +99,10 @@
     def recall(self, memory: Memory) -> None:
         """Restore the state of the previous process, before the list that it followed is applied."""
         for name in (*memory.listed_before, *memory.suspended):
-            _keep_latest(self._ever_listed, name, None, NAMES_KEPT, protected=self.suspended)
+            _keep_latest(self._ever_listed, name, None, MAX_EVER_LISTED, protected=self.suspended)
         self.suspended |= set(memory.suspended)
         for name, at_ms in memory.restored_ms.items():
-            _keep_latest(self._restored_ms, name, at_ms, RESTORES_KEPT)
+            _keep_latest(self._restored_ms, name, at_ms, MAX_RESTORES)
         for name, end in memory.ends.items():
             self._remember_end(name, end)
 
@@ -112,7 +112,7 @@
         Returns None if it was never listed. `heard`: the suspension came from a process that knows it.
         """
         if heard:
-            _keep_latest(self._ever_listed, name, None, NAMES_KEPT, protected=self.suspended)
+            _keep_latest(self._ever_listed, name, None, MAX_EVER_LISTED, protected=self.suspended)
         if name not in self._ever_listed:
             return None
         self.suspended.add(name)
@@ -128,7 +128,7 @@
             return None
         if name in self.suspended:
             self.suspended.discard(name)
-            _keep_latest(self._restored_ms, name, now_ms, RESTORES_KEPT)
+            _keep_latest(self._restored_ms, name, now_ms, MAX_RESTORES)
         return self._manual_change_event(name)
 
     def leave(self, upstreams: Iterable[int]) -> FleetListed:
@@ -180,7 +180,7 @@
         """Remember an end; if one is known, keep the later revision and the later start."""
         known = self._ends.pop(name, end)
         latest = End(max(known.revision, end.revision), end.state, max(known.up_since_ms, end.up_since_ms))
-        _keep_latest(self._ends, name, latest, ENDS_KEPT)
+        _keep_latest(self._ends, name, latest, MAX_ENDS)
 
     def _state(self, member: Member, revision: int) -> UpstreamState:
         """The reported state, or the remembered one if that is newer."""
@@ -198,7 +198,7 @@
         if number == self._next_number:
             self._next_number += 1
             self._ids[number] = member.id
-        _keep_latest(self._ever_listed, member.id, None, NAMES_KEPT, protected=self.suspended)
+        _keep_latest(self._ever_listed, member.id, None, MAX_EVER_LISTED, protected=self.suspended)
         return UpstreamEntry(
             number,
             self._zones.setdefault(member.locality, len(self._zones)),
--- a/madderwind/standalone/routing/gossip_peers.py
+++ b/madderwind/standalone/routing/gossip_peers.py
@@ -28,11 +28,11 @@
 class Listener(Protocol):
     """Receives the zone views and the shared evacuation state of other copies."""
 
-    def heard_message(self) -> None: ...
+    def on_gossip_received(self) -> None: ...
 
-    def heard_view(self, origin: int, payload: bytes) -> None: ...
+    def on_view_received(self, origin: int, payload: bytes) -> None: ...
 
-    def heard_shared(self, order: tuple[int, int], payload: bytes) -> None: ...
+    def on_shared_received(self, order: tuple[int, int], payload: bytes) -> None: ...
 
 
 class GossipPeers(asyncio.DatagramProtocol):
@@ -85,7 +85,7 @@
         received_before = self._membership.counts["heard"]
         actions = self._membership.receive(self._clock.now_ms(), peer, data)
         if self.listener is not None and self._membership.counts["heard"] > received_before:
-            self.listener.heard_message()
+            self.listener.on_gossip_received()
         if self._membership.synced:
             self.synced.set()
         self._carry_out(actions)
@@ -158,14 +158,14 @@
                     self._transport.sendto(data, self._addresses[peer])
                 case Heard(origin, payload, Kind.VIEW):
                     if self.listener is not None:
-                        self.listener.heard_view(origin, payload)
+                        self.listener.on_view_received(origin, payload)
                 case Heard(_, payload, Kind.SHARED, order):
                     if self.listener is not None:
-                        self.listener.heard_shared(order, payload)
+                        self.listener.on_shared_received(order, payload)
                 case Heard(origin, payload):
                     self._on_message(origin, payload)
                 case Changed():
-                    self._changed(action)
+                    self._log_state_change(action)
         if self._transport is not None:
             if self._timer is not None:
                 self._timer.cancel()
@@ -173,7 +173,7 @@
             loop = asyncio.get_running_loop()
             self._timer = loop.call_at(self._clock.loop_time_s(due_ms), self._tick)
 
-    def _changed(self, changed: Changed) -> None:
+    def _log_state_change(self, changed: Changed) -> None:
         """Log each death and return. Suspicions are rate-limited: lost datagrams make them frequent."""
         member = changed.member
         if changed.state is State.DEAD:
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -88,13 +88,13 @@
     def probed(self, upstream: int, good: bool, sent_ms: float) -> None:
         self._evacuation.observations.saw(self._clock.now_ms(), upstream, good, sent_ms)
 
-    def heard_message(self) -> None:
+    def on_gossip_received(self) -> None:
         self._evacuation.heard_message(self._clock.now_ms())
 
-    def heard_view(self, origin: int, payload: bytes) -> None:
+    def on_view_received(self, origin: int, payload: bytes) -> None:
         self._evacuation.heard_view(self._clock.now_ms(), origin, payload)
 
-    def heard_shared(self, order: tuple[int, int], payload: bytes) -> None:
+    def on_shared_received(self, order: tuple[int, int], payload: bytes) -> None:
         self._carry_out(self._evacuation.heard_evacuation(self._clock.now_ms(), order, payload))
 
     def evacuate_or_return(self, name: str, back: bool) -> str:
--- a/tests/standalone/program/test_crossing.py
+++ b/tests/standalone/program/test_crossing.py
@@ -32,14 +32,14 @@
     connect = connector.connect
     numbers = itertools.count()
 
-    async def held(*args: Any, **more: Any) -> Any:
+    async def connect_then_cross(*args: Any, **more: Any) -> Any:
         mine = next(numbers)  # taken before connecting, since another attempt may begin meanwhile
         connection = await connect(*args, **more)
         if mine == number:
             await cross()
         return connection
 
-    patch.setattr(connector, "connect", held)
+    patch.setattr(connector, "connect", connect_then_cross)
 
 
 @pytest.mark.parametrize("leaves", ["closes", "closes behind unread bytes", "resets", "ends its sending"])
--- a/tests/standalone/routing/test_directory.py
+++ b/tests/standalone/routing/test_directory.py
@@ -8,7 +8,7 @@
 
 from madderwind.standalone.policy.api import UpstreamState
 from madderwind.standalone.protocol.listing import read_listing
-from madderwind.standalone.routing.directory import ENDS_KEPT, NAMES_KEPT, Directory
+from madderwind.standalone.routing.directory import MAX_ENDS, MAX_EVER_LISTED, Directory
 from tests import examples
 
 
@@ -101,9 +101,9 @@
 
 def test_remembered_ends_are_bounded() -> None:
     directory = Directory((), ())
-    for n in range(ENDS_KEPT + 50):
+    for n in range(MAX_ENDS + 50):
         take_listing(directory, examples.member(f"s-{n}", 5000, phase="Gone"))
-    assert len(directory._ends) == ENDS_KEPT
+    assert len(directory._ends) == MAX_ENDS
 
 
 def test_a_suspension_applies_to_the_id_and_one_restore_ends_it() -> None:
@@ -149,8 +149,8 @@
     directory = Directory((), ())
     take_listing(directory, examples.member("s-banned", 5000))
     directory.suspend("s-banned")
-    for n in range(NAMES_KEPT + 50):
+    for n in range(MAX_EVER_LISTED + 50):
         take_listing(directory, examples.member(f"s-{n}", 5000, phase="Gone"))
-    assert len(directory._ever_listed) == NAMES_KEPT
+    assert len(directory._ever_listed) == MAX_EVER_LISTED
     assert directory.restore("s-0", 1.0) is None
     assert directory.restore("s-banned", 1.0) is not None
--- a/tests/standalone/routing/test_peers.py
+++ b/tests/standalone/routing/test_peers.py
@@ -13,7 +13,7 @@
 from tests.standalone.program.harness import KeptLog
 from tests.standins import run, within
 
-Heard = asyncio.Queue[tuple[int, bytes]]
+MessageQueue = asyncio.Queue[tuple[int, bytes]]
 
 
 def free_ports(count: int) -> list[int]:
@@ -26,29 +26,29 @@
     return ports
 
 
-async def start_three_copies(log: KeptLog) -> tuple[list[Peers], list[Heard], list[tuple[str, int]]]:
+async def start_three_copies(log: KeptLog) -> tuple[list[Peers], list[MessageQueue], list[tuple[str, int]]]:
     addresses = [(HOST, port) for port in free_ports(3)]
-    heard: list[Heard] = [asyncio.Queue() for _ in addresses]
+    received: list[MessageQueue] = [asyncio.Queue() for _ in addresses]
     copies = []
-    for me, queue in enumerate(heard):
+    for me, queue in enumerate(received):
         log_sparingly = Sparing(log, lambda: 0.0)
         peers = Peers(tuple(addresses), me, lambda n, w, queue=queue: queue.put_nowait((n, w)), log_sparingly)  # type: ignore[misc]
         await peers.start()
         copies.append(peers)
-    return copies, heard, addresses
+    return copies, received, addresses
 
 
 def test_a_message_reaches_every_other_copy_or_one() -> None:
     async def test() -> None:
-        copies, heard, _ = await start_three_copies(KeptLog())
+        copies, received, _ = await start_three_copies(KeptLog())
         copies[0].tell(None, b"all")
         copies[0].tell(2, b"one")
-        assert await within(heard[1].get()) == (0, b"all")
-        assert [await within(heard[2].get()) for _ in range(2)] == [(0, b"all"), (0, b"one")]
-        assert heard[0].empty() and heard[1].empty()
+        assert await within(received[1].get()) == (0, b"all")
+        assert [await within(received[2].get()) for _ in range(2)] == [(0, b"all"), (0, b"one")]
+        assert received[0].empty() and received[1].empty()
         copies[2].close()
         copies[0].tell(None, b"one is down")  # the returned socket error has no effect
-        assert await within(heard[1].get()) == (0, b"one is down")
+        assert await within(received[1].get()) == (0, b"one is down")
         for peers in copies:
             peers.close()
 
@@ -71,12 +71,12 @@
 
     async def test() -> None:
         log = KeptLog()
-        copies, heard, addresses = await start_three_copies(log)
+        copies, received, addresses = await start_three_copies(log)
         assert copies[0]._transport is not None
         copies[0]._transport.sendto(data, addresses[1])
         copies[0].tell(1, b"good")
-        assert await within(heard[1].get()) == (0, b"good")
-        assert heard[1].empty() and len(log.named("odd_words")) == 1
+        assert await within(received[1].get()) == (0, b"good")
+        assert received[1].empty() and len(log.named("odd_words")) == 1
         for peers in copies:
             peers.close()
 
@@ -86,11 +86,11 @@
 def test_messages_from_an_unknown_address_are_ignored() -> None:
     async def test() -> None:
         log = KeptLog()
-        copies, heard, addresses = await start_three_copies(log)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-            stranger.sendto(HEAD.pack(MARK, 0) + b"123", addresses[1])
+        copies, received, addresses = await start_three_copies(log)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_socket:
+            unknown_socket.sendto(HEAD.pack(MARK, 0) + b"123", addresses[1])
         copies[0].tell(1, b"good")
-        assert await within(heard[1].get()) == (0, b"good")
+        assert await within(received[1].get()) == (0, b"good")
         assert log.named("odd_words")
         for peers in copies:
             peers.close()
