--- a/madderwind/standalone/evacuation/__init__.py
+++ b/madderwind/standalone/evacuation/__init__.py
@@ -1,1 +1,1 @@
-"""Leaving a zone or region that fails, as a fleet, and returning in steps. Free of I/O."""
+"""Fleet-wide evacuation of a failing zone or region and its stepwise return to service. Does no I/O."""
--- a/madderwind/standalone/evacuation/actions.py
+++ b/madderwind/standalone/evacuation/actions.py
@@ -1,4 +1,4 @@
-"""What the host is to do for a zone that is left or returned to."""
+"""Actions that the host carries out while a zone is evacuated or returned to service."""
 
 from __future__ import annotations
 
@@ -10,13 +10,16 @@
 
 
 class Withhold(msgspec.Struct, frozen=True):
-    """Nothing new to these upstreams."""
+    """Send no new requests to these upstreams."""
 
     upstreams: frozenset[int]
 
 
 class Reopen(msgspec.Struct, frozen=True):
-    """They take new work again, as started then. `owed`: the next attempt is to go to it."""
+    """Send new requests to these upstreams again and treat them as started at `started_ms`.
+
+    `owed`: the next attempt has to go to the upstream.
+    """
 
     upstreams: frozenset[int]
     started_ms: float
@@ -24,32 +27,32 @@
 
 
 class TakeBack(msgspec.Struct, frozen=True):
-    """An attempt that hangs in what was left: to be given up where its request can be sent again."""
+    """Cancel an attempt that hangs in an evacuated zone if its request can be retried."""
 
     key: Key
 
 
 class Probe(msgspec.Struct, frozen=True):
-    """A probe of an upstream."""
+    """Probe an upstream."""
 
     upstream: int
 
 
 class TellView(msgspec.Struct, frozen=True):
-    """To all balancers: what this one has seen."""
+    """Broadcast this balancer's view of the zones to all balancers."""
 
     payload: bytes
 
 
 class TellEvacuation(msgspec.Struct, frozen=True):
-    """To all balancers: what holds of an area, of which the latest by order counts."""
+    """Broadcast the state of an area's evacuation to all balancers; the highest order wins."""
 
     order: tuple[int, int]
     payload: bytes
 
 
 class LogEvent(msgspec.Struct, frozen=True):
-    """A log event."""
+    """Write a log event."""
 
     event: str
     fields: dict[str, Any]
--- a/madderwind/standalone/evacuation/areas.py
+++ b/madderwind/standalone/evacuation/areas.py
@@ -1,4 +1,4 @@
-"""Zones and regions: what is left and returned to by one decision."""
+"""Zones and regions, the areas that one decision evacuates or returns to service."""
 
 from __future__ import annotations
 
@@ -7,26 +7,30 @@
 
 import msgspec
 
-Part = Annotated[float, msgspec.Meta(gt=0, le=1)]
+Fraction = Annotated[float, msgspec.Meta(gt=0, le=1)]
 
 
 class EvacuationSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`fleet.leaving` of a configuration; without it no zone is left.
+    """`fleet.leaving` of a configuration; without it no zone is evacuated.
 
-    `regions` are named groups of zones. No more than `most_withheld` of the upstreams, by size, is ever
-    withheld. `alone_after_s` without a message from any copy, a copy does as it does alone. `upstream_per_s`:
-    what one upstream of size 1 can do, so that an area that still serves is left only as far as the rest can
-    carry what comes; 0: not known, nothing is kept back for that.
+    `regions` are named groups of zones. At most the fraction `most_withheld` of the upstreams, by size, is
+    withheld at any time. A balancer that has received no message from any other for `alone_after_s` acts as
+    if it were the only one. `upstream_per_s` is the request rate that an upstream of size 1 can serve: an
+    area that still responds is evacuated only as far as the other areas can absorb its load; 0 means unknown
+    and sets no such limit.
     """
 
     regions: dict[str, tuple[str, ...]] = {}
-    most_withheld: Part = 0.7
+    most_withheld: Fraction = 0.7
     alone_after_s: Annotated[float, msgspec.Meta(ge=2, le=600)] = 10.0
     upstream_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0.0
 
 
 class Area(msgspec.Struct, frozen=True):
-    """A zone, or a region of several. `mark` is alike at all copies that mean the same by it."""
+    """A zone, or a region of several zones.
+
+    `mark` is a hash that is the same at all balancers that define the area in the same way.
+    """
 
     name: str
     zones: tuple[str, ...]
@@ -35,16 +39,16 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Where an upstream stands. `mark` is alike at every copy."""
+    """The location of an upstream. `mark` is a hash that is the same at every balancer."""
 
     mark: int
     zone: str
     size: float
-    started_ms: float  # 0 where that was long ago
+    started_ms: float  # 0 if the upstream started long ago
 
 
 class AreaError(ValueError):
-    """Regions that cannot be; the text is one plain line."""
+    """The configured regions are invalid; the message is a single line."""
 
 
 def mark_of(text: str) -> int:
@@ -60,35 +64,39 @@
 
 
 def regions_of(settings: EvacuationSettings) -> tuple[Area, ...]:
-    """Guards against two copies that mean other zones by one name: they have other marks for it."""
-    found = []
+    """The configured regions.
+
+    The mark covers the zones too, so that two balancers that use one name for different zones have different
+    marks for it.
+    """
+    regions = []
     for name, zones in settings.regions.items():
         inside = tuple(sorted(set(zones)))
-        found.append(Area(name, inside, True, mark_of(f"region {name} {' '.join(inside)}")))
-    return tuple(found)
+        regions.append(Area(name, inside, True, mark_of(f"region {name} {' '.join(inside)}")))
+    return tuple(regions)
 
 
 def check_regions(settings: EvacuationSettings, zones: tuple[str, ...]) -> None:
-    """AreaError: a region without a name or zones, named as a zone is, of a zone that is not known, or of all
-    there are."""
+    """Raise AreaError for a region that has no valid name or too few zones, has the name of a zone, contains
+    an unknown zone, or contains all zones."""
     for name, inside in settings.regions.items():
         if not name or not name.isprintable() or " " in name:
-            raise AreaError(f"fleet.leaving.regions: {name!r} is no name")
+            raise AreaError(f"fleet.leaving.regions: {name!r} is not a valid name")
         if name in zones:
-            raise AreaError(f"fleet.leaving.regions: {name!r} is a zone's name")
+            raise AreaError(f"fleet.leaving.regions: {name!r} is already the name of a zone")
         if len(inside) < 2 or len(set(inside)) < len(inside):
-            raise AreaError(f"fleet.leaving.regions.{name}: two or more zones, each once")
+            raise AreaError(f"fleet.leaving.regions.{name}: needs two or more zones, each listed once")
         if unknown := sorted(set(inside) - set(zones)):
             raise AreaError(f"fleet.leaving.regions.{name}: {unknown[0]!r} is not among settings.Zones")
         if set(inside) == set(zones):
-            raise AreaError(f"fleet.leaving.regions.{name}: all zones, so nothing would be left")
+            raise AreaError(f"fleet.leaving.regions.{name}: must not contain all zones")
 
 
 def fraction(*numbers: int) -> float:
-    """A number from 0 to 1 that all copies draw alike from these (a hash of them)."""
-    spread = 0x9E3779B97F4A7C15
+    """Hash these numbers to a number from 0 to 1, the same at all balancers."""
+    multiplier = 0x9E3779B97F4A7C15
     mixed = 0
     for number in numbers:
-        mixed = (mixed ^ number) * spread % 2**64
+        mixed = (mixed ^ number) * multiplier % 2**64
         mixed ^= mixed >> 29
-    return (mixed * spread % 2**64) / 2**64
+    return (mixed * multiplier % 2**64) / 2**64
--- a/madderwind/standalone/evacuation/messages.py
+++ b/madderwind/standalone/evacuation/messages.py
@@ -1,4 +1,4 @@
-"""What a copy says of zones, and what the fleet holds of an area, as bytes in the house's datagrams."""
+"""Binary encoding of a balancer's view of the zones and of an evacuation, as sent in datagrams."""
 
 from __future__ import annotations
 
@@ -11,142 +11,169 @@
 from madderwind.standalone.evacuation.areas import zone_mark
 from madderwind.standalone.evacuation.observations import ZoneObservation
 
-STEPS = (0.0, 0.25, 0.5, 1.0)  # parts of an area's usual load
-FULL = len(STEPS) - 1
-MOST_LEVEL = 6
-MOST_ZONES, MOST_MARKS, MOST_WITNESSES = 5, 6, 8
-_HEAD = struct.Struct("<IH")  # where the copy stands, its attempts a second in tenths
-_ZONE = struct.Struct("<IBBBBB")  # mark, flags, how many bad, how many good, and two ages
-AGE_MS, NEVER = 16.0, 255  # an age's unit; the latest that can be said is that of one less
-_SHORT = struct.Struct("<H")
-_EVACUATION = struct.Struct("<IIBBBBB")  # area, scope, step, level, flags, part in percent, witnesses
-KEY_BYTES = 8  # of an evacuation: area and scope
-SCOUTS, BY_HAND = 1, 1  # flags, of a zone and of an evacuation
-EVERYWHERE = 0  # the scope of all copies; any other is the mark of the zone in which they stand
-SEQUENCE_STEP = 8  # the order's low part: the number, and in its last bits the step, so that the smaller wins
+STEPS = (0.0, 0.25, 0.5, 1.0)  # fractions of an area's usual load
+FULL_STEP = len(STEPS) - 1
+MAX_LEVEL = 6
+MAX_ZONES, MAX_MARKS, MAX_WITNESSES = 5, 6, 8
+_VIEW_HEADER = struct.Struct("<IH")  # the balancer's zone, its attempts a second in tenths
+_ZONE_HEADER = struct.Struct("<IBBBBB")  # mark, flags, numbers of failing and responding upstreams, two ages
+AGE_UNIT_MS, NEVER_AGE = 16.0, 255  # unit of an age; the oldest that can be sent is NEVER_AGE - 1 units
+_UINT16 = struct.Struct("<H")
+# Area, scope, step, level, flags, part in percent, number of witnesses.
+_EVACUATION_HEADER = struct.Struct("<IIBBBBB")
+KEY_BYTES = 8  # key of an evacuation: area and scope
+COORDINATOR_FLAG, BY_HAND_FLAG = 1, 1  # flags of a zone and of an evacuation
+FLEET_SCOPE = 0  # scope of all balancers; any other is the mark of the zone in which the balancers run
+# The low part of the order is the number, with the inverted step in its last bits: the smaller step wins.
+SEQUENCE_STEP = 8
 
 
 class MalformedMessage(ValueError):
-    """Words of areas that cannot be read."""
+    """A view or an evacuation that cannot be decoded."""
 
 
-def short(mark: int) -> int:
+def short_mark(mark: int) -> int:
     return mark & 0xFFFF
 
 
 class ZoneReport(msgspec.Struct, frozen=True):
-    """Of one zone; upstreams by the low halves of their marks. How long ago, when this was said, the latest
-    attempt went out that came to nothing, and anything last answered."""
+    """A balancer's report on one zone, with upstreams identified by the low halves of their marks.
 
-    bads: frozenset[int]
-    goods: frozenset[int]
-    scouts: bool = False
+    The ages, at the time of sending, are those of the latest attempt that failed, from when it was sent, and
+    of the latest answer.
+    """
+
+    failing: frozenset[int]
+    responding: frozenset[int]
+    is_coordinator: bool = False
     bad_sent_age_ms: float = math.inf
     heard_age_ms: float = math.inf
 
 
 class View(msgspec.Struct, frozen=True):
-    """What one copy has seen, by marks of zones."""
+    """One balancer's observations, by the marks of the zones. `per_s`: its attempts a second."""
 
-    standing: int
+    home_zone: int
     per_s: float
     zones: dict[int, ZoneReport]
 
 
 def _age(now: float, at_ms: float) -> int:
     age_ms = max(0.0, now - at_ms)
-    return NEVER if math.isinf(age_ms) else min(NEVER - 1, round(age_ms / AGE_MS))
+    return NEVER_AGE if math.isinf(age_ms) else min(NEVER_AGE - 1, round(age_ms / AGE_UNIT_MS))
 
 
 def _read_age(units: int) -> float:
-    return math.inf if units == NEVER else units * AGE_MS
+    return math.inf if units == NEVER_AGE else units * AGE_UNIT_MS
 
 
 def write_view(
     now: float,
-    standing: str,
+    home_zone: str,
     per_s: float,
     observations: Mapping[str, ZoneObservation],
-    scouts: frozenset[str],
+    coordinated: frozenset[str],
 ) -> bytes:
-    """The zones of which most is bad come first; what does not fit is left out."""
-    out = [_HEAD.pack(zone_mark(standing), min(0xFFFF, round(per_s * 10)))]
-    for zone, observation in sorted(observations.items(), key=lambda item: -item[1].share)[:MOST_ZONES]:
-        bads = sorted({short(mark) for mark in observation.bads})[:MOST_MARKS]
-        goods = sorted({short(mark) for mark in observation.goods})[:MOST_MARKS]
+    """Encode a view, zones with the largest failing fraction first; omits what exceeds the limits."""
+    parts = [_VIEW_HEADER.pack(zone_mark(home_zone), min(0xFFFF, round(per_s * 10)))]
+    for zone, observation in sorted(observations.items(), key=lambda item: -item[1].share)[:MAX_ZONES]:
+        failing = sorted({short_mark(mark) for mark in observation.failing})[:MAX_MARKS]
+        responding = sorted({short_mark(mark) for mark in observation.responding})[:MAX_MARKS]
         ages = _age(now, observation.bad_sent_ms), _age(now, observation.heard_ms)
-        out.append(_ZONE.pack(zone_mark(zone), SCOUTS * (zone in scouts), len(bads), len(goods), *ages))
-        out += [_SHORT.pack(mark) for mark in (*bads, *goods)]
-    return b"".join(out)
+        parts.append(
+            _ZONE_HEADER.pack(
+                zone_mark(zone),
+                COORDINATOR_FLAG * (zone in coordinated),
+                len(failing),
+                len(responding),
+                *ages,
+            )
+        )
+        parts += [_UINT16.pack(mark) for mark in (*failing, *responding)]
+    return b"".join(parts)
 
 
 def read_view(data: bytes) -> View:
-    """MalformedMessage: cut short, or more than may be said."""
+    """Decode a view; raises MalformedMessage if it is truncated or exceeds the limits."""
     try:
-        standing, tenths = _HEAD.unpack_from(data)
-        at, zones = _HEAD.size, dict[int, ZoneReport]()
-        while at < len(data):
-            mark, flags, bad, good, sent, heard = _ZONE.unpack_from(data, at)
-            at += _ZONE.size
-            if bad > MOST_MARKS or good > MOST_MARKS or len(zones) >= MOST_ZONES:
-                raise MalformedMessage("more than may be said")
-            marks = [_SHORT.unpack_from(data, at + _SHORT.size * n)[0] for n in range(bad + good)]
-            at += _SHORT.size * len(marks)
+        home_zone, rate_tenths = _VIEW_HEADER.unpack_from(data)
+        offset, zones = _VIEW_HEADER.size, dict[int, ZoneReport]()
+        while offset < len(data):
+            mark, flags, failing_count, responding_count, bad_sent_age, heard_age = _ZONE_HEADER.unpack_from(
+                data, offset
+            )
+            offset += _ZONE_HEADER.size
+            if failing_count > MAX_MARKS or responding_count > MAX_MARKS or len(zones) >= MAX_ZONES:
+                raise MalformedMessage("too many zones or upstreams")
+            marks = [
+                _UINT16.unpack_from(data, offset + _UINT16.size * n)[0]
+                for n in range(failing_count + responding_count)
+            ]
+            offset += _UINT16.size * len(marks)
             zones[mark] = ZoneReport(
-                frozenset(marks[:bad]),
-                frozenset(marks[bad:]),
-                bool(flags & SCOUTS),
-                _read_age(sent),
-                _read_age(heard),
+                frozenset(marks[:failing_count]),
+                frozenset(marks[failing_count:]),
+                bool(flags & COORDINATOR_FLAG),
+                _read_age(bad_sent_age),
+                _read_age(heard_age),
             )
     except struct.error:
-        raise MalformedMessage("cut short") from None
-    return View(standing, tenths / 10, zones)
+        raise MalformedMessage("truncated message") from None
+    return View(home_zone, rate_tenths / 10, zones)
 
 
 class Evacuation(msgspec.Struct, frozen=True):
-    """What the fleet, or its copies that stand in one zone, holds of an area: a register of which the latest
-    counts. Each leave is an episode; within it the number grows with each change and renewal, and of two of
-    one number the smaller step counts: what is lost can only make the sum that is sent smaller."""
+    """The state of an area's evacuation in the whole fleet or among the balancers of one zone.
+
+    It is a last-writer-wins register. Each new evacuation is an episode; within it the number grows with each
+    change and renewal. Of two states with the same number the one with the smaller step wins, so that a lost
+    message can only reduce the load that is sent to the area.
+    """
 
     area: int
     scope: int
     episode: int
     number: int
     step: int
-    level: int = 0  # how often it was left again of late: each makes the return twice as slow
+    level: int = 0  # number of recent repeats; each one doubles the dwell time of the return steps
     by_hand: bool = False
-    part: int = 100  # of its upstreams, in percent
+    part: int = 100  # percentage of its upstreams that is withheld
     witnesses: tuple[int, ...] = ()
 
     @property
     def order(self) -> tuple[int, int]:
-        return self.episode, self.number * SEQUENCE_STEP + FULL - self.step
+        return self.episode, self.number * SEQUENCE_STEP + FULL_STEP - self.step
 
 
 def write_evacuation(evacuation: Evacuation) -> bytes:
-    head = _EVACUATION.pack(
+    header = _EVACUATION_HEADER.pack(
         evacuation.area,
         evacuation.scope,
         evacuation.step,
         evacuation.level,
-        BY_HAND * evacuation.by_hand,
+        BY_HAND_FLAG * evacuation.by_hand,
         evacuation.part,
         len(evacuation.witnesses),
     )
-    return head + b"".join(_SHORT.pack(copy) for copy in evacuation.witnesses)
+    return header + b"".join(_UINT16.pack(balancer) for balancer in evacuation.witnesses)
 
 
 def read_evacuation(order: tuple[int, int], data: bytes) -> Evacuation:
-    """MalformedMessage: cut short, or a step, level or part that there is not."""
+    """Decode an evacuation; raises MalformedMessage if it is truncated or a value is out of range."""
     try:
-        area, scope, step, level, flags, part, count = _EVACUATION.unpack_from(data)
+        area, scope, step, level, flags, part, count = _EVACUATION_HEADER.unpack_from(data)
         witnesses = tuple(
-            _SHORT.unpack_from(data, _EVACUATION.size + _SHORT.size * n)[0] for n in range(count)
+            _UINT16.unpack_from(data, _EVACUATION_HEADER.size + _UINT16.size * n)[0] for n in range(count)
         )
     except struct.error:
-        raise MalformedMessage("cut short") from None
-    number, behind = divmod(order[1], SEQUENCE_STEP)
-    if step > FULL or behind != FULL - step or level > MOST_LEVEL or part > 100 or count > MOST_WITNESSES:
-        raise MalformedMessage("no such evacuation")
-    return Evacuation(area, scope, order[0], number, step, level, bool(flags & BY_HAND), part, witnesses)
+        raise MalformedMessage("truncated message") from None
+    number, step_offset = divmod(order[1], SEQUENCE_STEP)
+    if (
+        step > FULL_STEP
+        or step_offset != FULL_STEP - step
+        or level > MAX_LEVEL
+        or part > 100
+        or count > MAX_WITNESSES
+    ):
+        raise MalformedMessage("value out of range")
+    return Evacuation(area, scope, order[0], number, step, level, bool(flags & BY_HAND_FLAG), part, witnesses)
--- a/madderwind/standalone/evacuation/observations.py
+++ b/madderwind/standalone/evacuation/observations.py
@@ -1,4 +1,4 @@
-"""What this copy has seen of each upstream lately: answers, failures, and silence with work out."""
+"""Recent observations of each upstream by this balancer: answers, failures and attempts without an answer."""
 
 from __future__ import annotations
 
@@ -10,23 +10,26 @@
 from madderwind.standalone.evacuation.areas import Area, Place
 from madderwind.standalone.policy.api import Outcome
 
-WINDOW_MS = 1500.0  # what was seen longer ago says nothing of now
-# A good answer is told of while it is so fresh, and for as long as others accuse its zone.
-FRESH_MS = 300.0
-LIVES_MS = 5000.0  # a good answer from elsewhere says for so long that it is not this copy that is cut off
-# Silence, and an answer, are bad from so many usual answer times on, and never before the least.
-SLOW_FACTOR, SLOW_LEAST_MS = 4.0, 400.0
-# Times as long for one that has just started, falling to once as it warms; and for trials in the dark.
-COLD_PATIENCE, DARK_PATIENCE = 6.0, 2.0
-GAIN, LONG_GAIN = 1 / 8, 1 / 64
-RATE_OVER_MS = 4000.0
+WINDOW_MS = 1500.0  # older observations are ignored
+# A good answer is reported while it is this recent, and for as long as other balancers accuse its zone.
+FRESH_ANSWER_MS = 300.0
+# A good answer from another zone shows for this long that this balancer is not isolated.
+CONNECTED_MS = 5000.0
+# An answer, or the lack of one, is bad after this multiple of the usual answer time, and never before the
+# minimum.
+SLOW_FACTOR, SLOW_MIN_MS = 4.0, 400.0
+# Factors on that threshold: for an upstream that has just started, falling to 1 as it warms up; and for
+# trials of evacuated upstreams.
+WARMING_PATIENCE, TRIAL_PATIENCE = 6.0, 2.0
+RECENT_GAIN, LONG_TERM_GAIN = 1 / 8, 1 / 64
+RATE_DECAY_MS = 4000.0
 FAILED = frozenset((Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT))
-Key = tuple[int, int]  # a request and its attempt
+Key = tuple[int, int]  # request and attempt
 
 
-class _Seen:
-    """Of one upstream: when the last good and bad observations were, when that bad attempt was sent, and when
-    any answer came, late ones too."""
+class _UpstreamHistory:
+    """Times of one upstream's last good and bad observation, of sending the bad attempt, and of its last
+    answer, late ones included."""
 
     __slots__ = ("bad_ms", "bad_sent_ms", "good_ms", "heard_ms")
 
@@ -34,185 +37,205 @@
         self.good_ms = self.bad_ms = self.bad_sent_ms = self.heard_ms = -math.inf
 
 
-NEVER = _Seen()
+NEVER = _UpstreamHistory()
 
 
-class _Usual:
-    """Answer times of a zone, over the last few answers and over many."""
+class _AnswerTimes:
+    """Moving averages of a zone's answer times, over the last few answers and over many."""
 
-    __slots__ = ("lately_ms", "long_ms", "seen")
+    __slots__ = ("count", "lately_ms", "long_ms")
 
     def __init__(self) -> None:
-        self.lately_ms, self.long_ms, self.seen = 0.0, 0.0, 0
+        self.lately_ms, self.long_ms, self.count = 0.0, 0.0, 0
 
     def add(self, elapsed_ms: float) -> None:
-        self.seen += 1
-        self.lately_ms += max(GAIN, 1 / self.seen) * (elapsed_ms - self.lately_ms)
-        self.long_ms += max(LONG_GAIN, 1 / self.seen) * (elapsed_ms - self.long_ms)
+        self.count += 1
+        self.lately_ms += max(RECENT_GAIN, 1 / self.count) * (elapsed_ms - self.lately_ms)
+        self.long_ms += max(LONG_TERM_GAIN, 1 / self.count) * (elapsed_ms - self.long_ms)
 
 
 class ZoneObservation(msgspec.Struct, frozen=True):
-    """Marks of a zone's upstreams whose latest observation was bad, or good since the bad ones began; when
-    the latest attempt went out that came to nothing; and when anything last answered there."""
+    """Marks of a zone's failing and responding upstreams, and when the latest failed attempt was sent and the
+    latest answer came.
 
-    bads: frozenset[int] = frozenset()
-    goods: frozenset[int] = frozenset()
+    The latest observation of a failing upstream was bad; that of a responding one was good and made since the
+    bad ones began.
+    """
+
+    failing: frozenset[int] = frozenset()
+    responding: frozenset[int] = frozenset()
     bad_sent_ms: float = -math.inf
     heard_ms: float = -math.inf
 
     @property
     def share(self) -> float:
-        """Of what was seen, the bad part; 0 where nothing was."""
-        return len(self.bads) / max(1, len(self.bads) + len(self.goods))
+        """The fraction of the observed upstreams that is failing; 0 if none was observed."""
+        return len(self.failing) / max(1, len(self.failing) + len(self.responding))
 
 
 NOTHING = ZoneObservation()
 
 
 class Observations:
-    """Time from the calls. Bounded by the upstreams listed and the attempts open."""
+    """Observations of all upstreams. Time is passed to each call.
+
+    Memory is bounded by the number of listed upstreams and open attempts.
+    """
 
     def __init__(self, warm_after_ms: float = 0.0) -> None:
         self._warm_after_ms = warm_after_ms
         self._places: Mapping[int, Place] = {}
-        self._seen: dict[int, _Seen] = {}
+        self._history: dict[int, _UpstreamHistory] = {}
         self._open: dict[Key, tuple[int, float]] = {}
-        self._usual: dict[str, _Usual] = {}
+        self._answer_times: dict[str, _AnswerTimes] = {}
         self._per_s, self._rate_ms = 0.0, -math.inf
         self._reopened_ms: dict[int, float] = {}
-        self.dark = frozenset[int]()  # upstreams of what this copy has left, no step yet taken back
+        # Upstreams of areas that this balancer has evacuated, at step 0.
+        self.evacuated_upstreams = frozenset[int]()
         self.accused_ms = dict[str, float]()  # zones that others accuse, and since when
 
     def listed(self, places: Mapping[int, Place]) -> None:
         self._places = places
-        self._seen = {number: seen for number, seen in self._seen.items() if number in places}
+        self._history = {number: history for number, history in self._history.items() if number in places}
         self._reopened_ms = {n: at_ms for n, at_ms in self._reopened_ms.items() if n in places}
 
-    def accused(self, now: float, zones: set[str]) -> None:
-        """Zones that others accuse now: good answers since then speak against it."""
+    def set_accused(self, now: float, zones: set[str]) -> None:
+        """Set the zones that others accuse now. Good answers since an accusation began contradict it."""
         self.accused_ms = {zone: self.accused_ms.get(zone, now) for zone in zones}
 
-    def reopened(self, upstreams: frozenset[int], started_ms: float) -> None:
-        """They count as started then, whatever discovery says."""
+    def record_reopened(self, upstreams: frozenset[int], started_ms: float) -> None:
+        """Treat these upstreams as started at that time, whatever discovery reports."""
         self._reopened_ms.update(dict.fromkeys(upstreams, started_ms))
 
-    def rate(self, now: float) -> float:
-        """Attempts a second of this copy, smoothed."""
-        return self._per_s * math.exp(-max(0.0, now - self._rate_ms) / RATE_OVER_MS)
+    def attempt_rate(self, now: float) -> float:
+        """Attempts a second of this balancer, smoothed."""
+        return self._per_s * math.exp(-max(0.0, now - self._rate_ms) / RATE_DECAY_MS)
 
     def began(self, now: float, upstream: int, key: Key) -> None:
         self._open[key] = upstream, now
-        self._per_s, self._rate_ms = self.rate(now) + 1000 / RATE_OVER_MS, now
+        self._per_s, self._rate_ms = self.attempt_rate(now) + 1000 / RATE_DECAY_MS, now
 
     def ended(self, now: float, key: Key, outcome: Outcome | None, elapsed_ms: float) -> None:
-        """`outcome` None: nobody knows."""
+        """Record the end of an attempt. `outcome` None: the outcome is unknown."""
         upstream, sent_ms = self._open.pop(key, (-1, 0.0))
         if upstream not in self._places:
             return
         if outcome is Outcome.OK:
-            slow = elapsed_ms > self.slow_ms(now, upstream)
-            self._usual.setdefault(self._places[upstream].zone, _Usual()).add(elapsed_ms)
+            slow = elapsed_ms > self.slow_threshold_ms(now, upstream)
+            self._answer_times.setdefault(self._places[upstream].zone, _AnswerTimes()).add(elapsed_ms)
             self.saw(now, upstream, not slow, sent_ms)
-            self._seen[upstream].heard_ms = now
+            self._history[upstream].heard_ms = now
         elif outcome is Outcome.FULL:
-            self.saw(now, upstream, True, sent_ms)  # it lives: it says so itself
+            self.saw(now, upstream, True, sent_ms)  # a refusal is an answer too: the upstream is alive
         elif outcome in FAILED:
             self.saw(now, upstream, False, sent_ms)
 
     def saw(self, now: float, upstream: int, good: bool, sent_ms: float) -> None:
-        seen = self._seen.setdefault(upstream, _Seen())
+        history = self._history.setdefault(upstream, _UpstreamHistory())
         if good:
-            seen.good_ms = seen.heard_ms = now
+            history.good_ms = history.heard_ms = now
         else:
-            seen.bad_ms, seen.bad_sent_ms = now, sent_ms
+            history.bad_ms, history.bad_sent_ms = now, sent_ms
 
-    def slow_ms(self, now: float, upstream: int) -> float:
-        """From when on an answer is late enough to be a bad observation: over what is usual in its zone, and
-        elsewhere now, so that what slows everything down is state against no zone. Not elsewhere where the
-        zone is left, or returns: the others may be slow because they carry its load."""
+    def slow_threshold_ms(self, now: float, upstream: int) -> float:
+        """The answer time from which an observation is bad.
+
+        It follows the usual answer time of the zone and the recent ones of the other zones, so that a general
+        slowdown counts against no zone. The other zones are left out for an upstream that is evacuated or
+        returning: they may be slow because they carry its load.
+        """
         place = self._places[upstream]
-        own = self._usual.get(place.zone)
-        usual_ms = [own.long_ms] if own is not None else []
-        if upstream not in self.dark and upstream not in self._reopened_ms:
-            usual_ms += [usual.lately_ms for name, usual in self._usual.items() if name != place.zone]
+        own_times = self._answer_times.get(place.zone)
+        usual_ms = [own_times.long_ms] if own_times is not None else []
+        if upstream not in self.evacuated_upstreams and upstream not in self._reopened_ms:
+            usual_ms += [usual.lately_ms for name, usual in self._answer_times.items() if name != place.zone]
         started_ms = max(place.started_ms, self._reopened_ms.get(upstream, 0.0))
-        cold = 1 - (now - started_ms) / self._warm_after_ms if started_ms > 0 < self._warm_after_ms else 0.0
-        patience = 1 + (COLD_PATIENCE - 1) * max(0.0, min(1.0, cold))
-        if upstream in self.dark:
-            patience = min(DARK_PATIENCE, patience)
-        return patience * max(SLOW_LEAST_MS, SLOW_FACTOR * max(usual_ms, default=0.0))
-
-    def look(self, now: float) -> None:
-        """Silence with work out is a bad observation, for as long as it lasts."""
+        warming = (
+            1 - (now - started_ms) / self._warm_after_ms if started_ms > 0 < self._warm_after_ms else 0.0
+        )
+        patience = 1 + (WARMING_PATIENCE - 1) * max(0.0, min(1.0, warming))
+        if upstream in self.evacuated_upstreams:
+            patience = min(TRIAL_PATIENCE, patience)
+        return patience * max(SLOW_MIN_MS, SLOW_FACTOR * max(usual_ms, default=0.0))
+
+    def record_silence(self, now: float) -> None:
+        """Record a bad observation for each upstream with an overdue attempt, while it stays unanswered."""
         for upstream, sent_ms in self._open.values():
-            if upstream in self._places and now - sent_ms > self.slow_ms(now, upstream):
-                seen = self._seen.setdefault(upstream, _Seen())
-                if seen.good_ms < sent_ms:
-                    seen.bad_ms, seen.bad_sent_ms = now, max(sent_ms, seen.bad_sent_ms)
+            if upstream in self._places and now - sent_ms > self.slow_threshold_ms(now, upstream):
+                history = self._history.setdefault(upstream, _UpstreamHistory())
+                if history.good_ms < sent_ms:
+                    history.bad_ms, history.bad_sent_ms = now, max(sent_ms, history.bad_sent_ms)
 
-    def silent(self, now: float) -> list[Key]:
-        """Attempts in the dark that have been silent for long."""
+    def silent_attempts(self, now: float) -> list[Key]:
+        """Overdue attempts at evacuated upstreams."""
         return [
             key
             for key, (upstream, sent_ms) in self._open.items()
-            if upstream in self.dark and upstream in self._places
-            if now - sent_ms > self.slow_ms(now, upstream)
+            if upstream in self.evacuated_upstreams and upstream in self._places
+            if now - sent_ms > self.slow_threshold_ms(now, upstream)
         ]
 
-    def is_out(self, upstream: int, since_ms: float) -> bool:
-        """Whether an attempt sent since then is under way there."""
+    def is_in_flight(self, upstream: int, since_ms: float) -> bool:
+        """Whether an attempt sent to the upstream since then is in flight."""
         return any(number == upstream and at_ms >= since_ms for number, at_ms in self._open.values())
 
-    def since(self, upstream: int, at_ms: float) -> bool | None:
-        """Whether the latest observation of an attempt since then was good; None: there was none."""
-        seen = self._seen.get(upstream, NEVER)
-        if seen.good_ms > at_ms and seen.good_ms > seen.bad_ms:
+    def result_since(self, upstream: int, at_ms: float) -> bool | None:
+        """Whether the latest observation of an attempt since then was good; None if there was none."""
+        history = self._history.get(upstream, NEVER)
+        if history.good_ms > at_ms and history.good_ms > history.bad_ms:
             return True
-        return False if seen.bad_sent_ms >= at_ms else None
+        return False if history.bad_sent_ms >= at_ms else None
+
+    def reset_after_stall(self, now: float) -> None:
+        """Discard bad observations after this process was suspended.
 
-    def was_away(self, now: float) -> None:
-        """Guards against accusations by a process that was stopped: what it did not hear says nothing."""
+        Guards against accusations that rest on answers which it could not receive in that time.
+        """
         self._open = {key: (upstream, now) for key, (upstream, _) in self._open.items()}
-        for seen in self._seen.values():
-            seen.bad_ms = -math.inf
-
-    def of_zones(self, now: float) -> dict[str, ZoneObservation]:
-        """What was seen in the window, by zone; nothing of a zone of which nothing was."""
-        bads, goods = dict[str, set[int]](), dict[str, set[int]]()
-        first_ms, last_ms, heard_ms = dict[str, float](), dict[str, float](), dict[str, float]()
-        for number, seen in self._seen.items():
+        for history in self._history.values():
+            history.bad_ms = -math.inf
+
+    def by_zone(self, now: float) -> dict[str, ZoneObservation]:
+        """Observations within the window by zone, without zones that have none."""
+        failing, responding = dict[str, set[int]](), dict[str, set[int]]()
+        first_bad_ms, last_bad_ms, heard_ms = dict[str, float](), dict[str, float](), dict[str, float]()
+        for number, history in self._history.items():
             place = self._places[number]
-            heard_ms[place.zone] = max(heard_ms.get(place.zone, -math.inf), seen.heard_ms)
-            if seen.bad_ms >= seen.good_ms and now - seen.bad_ms <= WINDOW_MS:
-                bads.setdefault(place.zone, set()).add(place.mark)
-                first_ms[place.zone] = min(first_ms.get(place.zone, math.inf), seen.bad_sent_ms)
-                last_ms[place.zone] = max(last_ms.get(place.zone, -math.inf), seen.bad_sent_ms)
-        for number, seen in self._seen.items():
+            heard_ms[place.zone] = max(heard_ms.get(place.zone, -math.inf), history.heard_ms)
+            if history.bad_ms >= history.good_ms and now - history.bad_ms <= WINDOW_MS:
+                failing.setdefault(place.zone, set()).add(place.mark)
+                first_bad_ms[place.zone] = min(first_bad_ms.get(place.zone, math.inf), history.bad_sent_ms)
+                last_bad_ms[place.zone] = max(last_bad_ms.get(place.zone, -math.inf), history.bad_sent_ms)
+        for number, history in self._history.items():
             place = self._places[number]
-            since_ms = min(first_ms.get(place.zone, now), self.accused_ms.get(place.zone, now) - FRESH_MS)
-            since_ms = max(min(since_ms, now - FRESH_MS), now - WINDOW_MS)
-            if seen.good_ms > seen.bad_ms and seen.good_ms >= since_ms:
-                goods.setdefault(place.zone, set()).add(place.mark)
+            since_ms = min(
+                first_bad_ms.get(place.zone, now), self.accused_ms.get(place.zone, now) - FRESH_ANSWER_MS
+            )
+            since_ms = max(min(since_ms, now - FRESH_ANSWER_MS), now - WINDOW_MS)
+            if history.good_ms > history.bad_ms and history.good_ms >= since_ms:
+                responding.setdefault(place.zone, set()).add(place.mark)
         return {
             zone: ZoneObservation(
-                frozenset(bads.get(zone, ())),
-                frozenset(goods.get(zone, ())),
-                last_ms.get(zone, -math.inf),
+                frozenset(failing.get(zone, ())),
+                frozenset(responding.get(zone, ())),
+                last_bad_ms.get(zone, -math.inf),
                 heard_ms[zone],
             )
-            for zone in bads.keys() | goods.keys()
+            for zone in failing.keys() | responding.keys()
         }
 
     def reaches(self, now: float, area: Area) -> bool:
-        """Whether this copy has good answers from the area, and no zone of it is mostly bad."""
-        observations = self.of_zones(now)
-        seen = [observations[zone] for zone in area.zones if zone in observations]
-        return any(observation.goods for observation in seen) and all(
-            observation.share < 0.5 for observation in seen
+        """Whether this balancer has good answers from the area and none of its zones is mostly failing."""
+        observations = self.by_zone(now)
+        area_observations = [observations[zone] for zone in area.zones if zone in observations]
+        return any(observation.responding for observation in area_observations) and all(
+            observation.share < 0.5 for observation in area_observations
         )
 
-    def good_zones(self, now: float) -> frozenset[str]:
-        """Zones that gave a good answer not long ago."""
+    def responding_zones(self, now: float) -> frozenset[str]:
+        """Zones with a recent good answer."""
         return frozenset(
-            self._places[number].zone for number, seen in self._seen.items() if now - seen.good_ms <= LIVES_MS
+            self._places[number].zone
+            for number, history in self._history.items()
+            if now - history.good_ms <= CONNECTED_MS
         )
--- a/madderwind/standalone/evacuation/reporting.py
+++ b/madderwind/standalone/evacuation/reporting.py
@@ -1,5 +1,8 @@
-"""What a balancer says of zones, and when: what it accuses, what others accuse and it reaches, and how it
-goes where an area is left."""
+"""Decides what a balancer reports about zones, and when.
+
+It reports zones that fail, zones that it reaches although others accuse them, and the state of evacuated
+areas.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,16 @@
 from madderwind.standalone.evacuation.register import Register
 from madderwind.standalone.evacuation.roles import Roles
 from madderwind.standalone.evacuation.roster import Roster
-from madderwind.standalone.evacuation.state import SELF, TRY_MS
+from madderwind.standalone.evacuation.state import LOCAL_SCOPE, TRIAL_TIMEOUT_MS
 from madderwind.standalone.evacuation.topology import Topology
 from madderwind.standalone.evacuation.views import Views
 
-BAD_EACH_MS, GOOD_EACH_MS, AGAIN_MS = 150.0, 400.0, 700.0  # views are told no sooner, and so often
+# Minimum time between changed views, with and without a new failure, and between repeats of the same view.
+BAD_VIEW_INTERVAL_MS, GOOD_VIEW_INTERVAL_MS, REPEAT_VIEW_INTERVAL_MS = 150.0, 400.0, 700.0
 
 
 class Reporting:
-    """This balancer's view, as it was told last."""
+    """Publishes this balancer's view; keeps the last published one."""
 
     def __init__(
         self,
@@ -35,71 +39,92 @@
     ) -> None:
         self._roster, self._topology, self._observations = roster, topology, observations
         self._views, self._register, self._roles, self._out = views, register, roles, out
-        self._told = dict[str, tuple[frozenset[int], frozenset[int], bool]]()
-        self._told_ms = -math.inf
-        self._told_bad = False
+        self._published = dict[str, tuple[frozenset[int], frozenset[int], bool]]()
+        self._published_ms = -math.inf
+        self._published_failing = False
 
     def own(self, now: float) -> dict[str, ZoneObservation]:
-        """What this balancer may say. Guards against one that is itself cut off: where nothing answers it, or
-        all zones look bad, it accuses none."""
-        observations, good = self._observations.of_zones(now), self._observations.good_zones(now)
+        """Observations that this balancer may report.
+
+        Guards against accusations by a balancer that is itself isolated: if no other zone answers it or all
+        zones look bad, it accuses none.
+        """
+        observations, good = self._observations.by_zone(now), self._observations.responding_zones(now)
         bad = [zone for zone, observation in observations.items() if observation.share > 0.5]
         all_bad = len(bad) >= len(self._topology.ready)
         return {
             zone: observation
             for zone, observation in observations.items()
-            if not observation.bads or (not all_bad and good - {zone} - set(bad))
+            if not observation.failing or (not all_bad and good - {zone} - set(bad))
         }
 
-    def view_of(self, now: float, own: Mapping[str, ZoneObservation]) -> View:
-        """As others would hear it: this balancer counts for itself with no more than they count it for."""
-        rate = self._observations.rate(now)
-        return messages.read_view(messages.write_view(now, self._roster.standing, rate, own, frozenset()))
+    def loopback_view(self, now: float, own: Mapping[str, ZoneObservation]) -> View:
+        """This balancer's view as others would receive it, so that its own view has the same weight here."""
+        rate = self._observations.attempt_rate(now)
+        return messages.read_view(messages.write_view(now, self._roster.home_zone, rate, own, frozenset()))
 
-    def tell(self, now: float, own: Mapping[str, ZoneObservation], doubted: set[str]) -> None:
-        """This balancer's view, where it matters to others and is due. `doubted`: zones that may be slow, not
-        gone."""
-        watched, scouted, known = self._watched(now)
-        said = self._worth_saying(own, watched, known, doubted)
-        said |= dict.fromkeys(scouted - said.keys(), NOTHING)
-        # Without the ages, which change each time.
-        what = {
-            zone: (observation.bads, observation.goods, zone in scouted) for zone, observation in said.items()
+    def publish(
+        self, now: float, own: Mapping[str, ZoneObservation], partly_responding_zones: set[str]
+    ) -> None:
+        """Publish this balancer's view if it is due and can change another balancer's decision.
+
+        `partly_responding_zones`: zones that may be slow rather than unreachable.
+        """
+        watched, coordinated, known_failing = self._zones_to_report(now)
+        reported = self._worth_reporting(own, watched, known_failing, partly_responding_zones)
+        reported |= dict.fromkeys(coordinated - reported.keys(), NOTHING)
+        # Without the ages, which differ at each tick.
+        content = {
+            zone: (observation.failing, observation.responding, zone in coordinated)
+            for zone, observation in reported.items()
         }
-        bad = any(observation.bads for observation in said.values())
-        each_ms = BAD_EACH_MS if bad and not self._told_bad else GOOD_EACH_MS
-        again_ms = GOOD_EACH_MS if scouted else AGAIN_MS
-        changed = what != self._told
-        if now - self._told_ms >= (each_ms if changed else again_ms) and (changed or said):
-            self._told, self._told_ms, self._told_bad = what, now, bad
-            per_s = self._observations.rate(now) if said else 0.0
-            view = messages.write_view(now, self._roster.standing, per_s, said, frozenset(scouted))
+        bad = any(observation.failing for observation in reported.values())
+        change_interval_ms = (
+            BAD_VIEW_INTERVAL_MS if bad and not self._published_failing else GOOD_VIEW_INTERVAL_MS
+        )
+        repeat_interval_ms = GOOD_VIEW_INTERVAL_MS if coordinated else REPEAT_VIEW_INTERVAL_MS
+        changed = content != self._published
+        if now - self._published_ms >= (change_interval_ms if changed else repeat_interval_ms) and (
+            changed or reported
+        ):
+            self._published, self._published_ms, self._published_failing = content, now, bad
+            per_s = self._observations.attempt_rate(now) if reported else 0.0
+            view = messages.write_view(now, self._roster.home_zone, per_s, reported, frozenset(coordinated))
             self._out.append(TellView(view))
 
-    def _watched(self, now: float) -> tuple[set[str], set[str], set[str]]:
-        """Zones of which this balancer tells how it goes; that it scouts; and that all know to fail."""
-        watched, scouted, known = set[str](), set[str](), set[str]()
+    def _zones_to_report(self, now: float) -> tuple[set[str], set[str], set[str]]:
+        """Evacuated zones: those that this balancer reports on, coordinates, and that are known to fail."""
+        watched, coordinated, known_failing = set[str](), set[str](), set[str]()
         for (mark, scope), state in self._register.evacuations.items():
             area = self._topology.areas.get(mark)
-            if area is None or not state.is_left or scope == SELF:
+            if area is None or not state.is_evacuated or scope == LOCAL_SCOPE:
                 continue
-            scouts = self._roles.scouts(now, area, state)
-            scouted |= set(area.zones) if scouts else set()
-            known |= set(area.zones) if state.evacuation.step == 0 else set()
-            tried = now - state.tried_ms <= TRY_MS
-            if scouts or state.stays or tried or self._roles.reports(area, state):
+            is_coordinator = self._roles.is_coordinator(now, area, state)
+            coordinated |= set(area.zones) if is_coordinator else set()
+            known_failing |= set(area.zones) if state.evacuation.step == 0 else set()
+            tried_recently = now - state.last_trial_ms <= TRIAL_TIMEOUT_MS
+            if is_coordinator or state.keeps_using or tried_recently or self._roles.is_reporter(area, state):
                 watched |= set(area.zones)
-        return watched, scouted, known
+        return watched, coordinated, known_failing
 
-    def _worth_saying(
-        self, own: Mapping[str, ZoneObservation], watched: set[str], known: set[str], doubted: set[str]
+    def _worth_reporting(
+        self,
+        own: Mapping[str, ZoneObservation],
+        watched: set[str],
+        known_failing: set[str],
+        partly_responding_zones: set[str],
     ) -> dict[str, ZoneObservation]:
-        """What is watched, and what can still change what others do."""
-        living, others = len(self._roster.living()), self._views.of_others()
+        """Observations of watched zones, and those that can still change a decision."""
+        living, peer_views = len(self._roster.living()), self._views.from_peers()
         return {
             zone: observation
             for zone, observation in own.items()
             if zone in watched
-            or (zone not in known and (observation.bads or zone in self._observations.accused_ms))
-            and (zone in self._told or decision.needed(zone, observation, others, living, zone in doubted))
+            or (zone not in known_failing and (observation.failing or zone in self._observations.accused_ms))
+            and (
+                zone in self._published
+                or decision.report_is_needed(
+                    zone, observation, peer_views, living, zone in partly_responding_zones
+                )
+            )
         }
--- a/madderwind/standalone/evacuation/roles.py
+++ b/madderwind/standalone/evacuation/roles.py
@@ -1,76 +1,90 @@
-"""Which balancers tell what holds, report, and try what is dark: drawn alike by all, so that none asks."""
+"""Which balancers coordinate an evacuation, report on it, and send trials.
+
+Every balancer derives the roles from the same hashes, so that no election is needed.
+"""
 
 from __future__ import annotations
 
 from madderwind.standalone.evacuation.areas import Area, fraction, zone_mark
 from madderwind.standalone.evacuation.roster import Roster
-from madderwind.standalone.evacuation.state import SELF, EvacuationState
+from madderwind.standalone.evacuation.state import LOCAL_SCOPE, EvacuationState
 from madderwind.standalone.evacuation.views import Views
 
-SCOUTS, REPORTERS = 2, 8  # balancers that tell what holds; and that try what is left, once one answered
-SCOUT_SILENT_MS, SCOUT_RANK_MS = 1200.0, 60.0  # then the next in rank steps in, and so much later each other
-CUT_OFF_MS = 1500.0  # a balancer that hears nothing for so long speaks for no one
-TURN_OPEN_MS = (
-    700.0  # a turn in the dark goes with each renewal of the evacuation, and is over before the next
-)
+# Balancers per evacuation that coordinate it; and that report on it and, once an upstream has answered, send
+# trials.
+COORDINATORS, REPORTERS = 2, 8
+# After this silence the next in rank steps in, each further one later by the rank delay.
+COORDINATOR_TIMEOUT_MS, COORDINATOR_RANK_DELAY_MS = 1200.0, 60.0
+ISOLATED_MS = 1500.0  # a balancer without messages for this long does not coordinate
+TRIAL_TURN_MS = 700.0  # each renewal of an evacuation begins a trial turn, which ends before the next renewal
 
 
 class Roles:
-    """This balancer's, of the fleet that it knows."""
+    """This balancer's roles among the balancers that it knows."""
 
     def __init__(self, roster: Roster, views: Views) -> None:
         self._roster, self._views = roster, views
         self._ranks: dict[tuple[int, int], int] = {}  # by area and episode, for one tick
 
     def new_tick(self) -> None:
-        """Ranks are drawn anew, as others may have died."""
+        """Discard the cached ranks, as balancers may have died."""
         self._ranks.clear()
 
     def rank(self, area: Area, episode: int) -> int:
-        """This balancer's place among the living (rendezvous hashing)."""
-        if (known := self._ranks.get((area.mark, episode))) is not None:
-            return known
-        mine = fraction(area.mark, episode, self._roster.me + 1)
-        rank = sum(fraction(area.mark, episode, copy + 1) < mine for copy in self._roster.living())
+        """This balancer's rank among the live ones, by rendezvous hashing."""
+        if (cached_rank := self._ranks.get((area.mark, episode))) is not None:
+            return cached_rank
+        own_draw = fraction(area.mark, episode, self._roster.me + 1)
+        rank = sum(
+            fraction(area.mark, episode, balancer + 1) < own_draw for balancer in self._roster.living()
+        )
         self._ranks[area.mark, episode] = rank
         return rank
 
-    def reports(self, area: Area, state: EvacuationState, at_most: int = REPORTERS) -> bool:
-        """Whether this balancer is among those that tell how it goes with what is left."""
-        return self.rank(area, state.evacuation.episode) < min(REPORTERS, at_most)
+    def is_reporter(self, area: Area, state: EvacuationState, max_reporters: int = REPORTERS) -> bool:
+        """Whether this balancer is one of those that report on the evacuated area."""
+        return self.rank(area, state.evacuation.episode) < min(REPORTERS, max_reporters)
+
+    def is_coordinator(self, now: float, area: Area, state: EvacuationState) -> bool:
+        """Whether this balancer coordinates the evacuation: the first in rank do, or the next after silence.
 
-    def scouts(self, now: float, area: Area, state: EvacuationState) -> bool:
-        """Whether this balancer tells what holds: the first in rank do; whoever is next once they are silent.
-        Guards against one that is cut off and renews for itself what the others have given up."""
-        if state.evacuation.scope == SELF:
+        Guards against an isolated balancer that renews for itself an evacuation which the others have ended.
+        """
+        if state.evacuation.scope == LOCAL_SCOPE:
             return True
-        if now - self._views.heard_ms > CUT_OFF_MS:
+        if now - self._views.last_message_ms > ISOLATED_MS:
             return False
-        state.before = self._scouts_before(now, area, state.evacuation.episode)
-        if state.before >= SCOUTS:
-            state.enough_ms = now
+        state.coordinators_before = self._coordinators_before(now, area, state.evacuation.episode)
+        if state.coordinators_before >= COORDINATORS:
+            state.enough_coordinators_ms = now
             return False
         rank = self.rank(area, state.evacuation.episode)
-        return rank < SCOUTS or now - state.enough_ms >= SCOUT_SILENT_MS + SCOUT_RANK_MS * rank
+        return (
+            rank < COORDINATORS
+            or now - state.enough_coordinators_ms >= COORDINATOR_TIMEOUT_MS + COORDINATOR_RANK_DELAY_MS * rank
+        )
 
-    def _scouts_before(self, now: float, area: Area, episode: int) -> int:
-        """How many of lower rank scout the area by their views."""
-        mine = fraction(area.mark, episode, self._roster.me + 1)
+    def _coordinators_before(self, now: float, area: Area, episode: int) -> int:
+        """How many balancers of lower rank coordinate the area, by their views."""
+        own_draw = fraction(area.mark, episode, self._roster.me + 1)
         marks = {zone_mark(zone) for zone in area.zones}
         return sum(
-            now - said.at_ms <= SCOUT_SILENT_MS
-            and fraction(area.mark, episode, said.copy + 1) < mine
-            and any(report.scouts for mark, report in said.view.zones.items() if mark in marks)
-            for said in self._views.of_others()
+            now - received.at_ms <= COORDINATOR_TIMEOUT_MS
+            and fraction(area.mark, episode, received.balancer + 1) < own_draw
+            and any(report.is_coordinator for mark, report in received.view.zones.items() if mark in marks)
+            for received in self._views.from_peers()
         )
 
     def has_turn(self, now: float, area: Area, state: EvacuationState) -> bool:
-        """Whether this balancer is the one of all that may try what is dark now: each turn goes to another,
-        so that no death matters. Guards against trials that add up over the fleet, whoever hears late."""
-        if now - state.turn_ms > TURN_OPEN_MS:
+        """Whether it is this balancer's turn to send a trial to the evacuated area.
+
+        Each turn goes to another balancer, so that a dead one delays only its own turn. Guards against trials
+        that add up over the fleet, even if some balancers receive renewals late.
+        """
+        if now - state.turn_ms > TRIAL_TURN_MS:
             return False
-        drawn = min(
-            (fraction(area.mark, state.evacuation.episode, state.evacuation.number, copy + 1), copy)
-            for copy in self._roster.able()
+        chosen = min(
+            (fraction(area.mark, state.evacuation.episode, state.evacuation.number, balancer + 1), balancer)
+            for balancer in self._roster.able()
         )
-        return drawn[1] == self._roster.me
+        return chosen[1] == self._roster.me
--- a/madderwind/standalone/evacuation/roster.py
+++ b/madderwind/standalone/evacuation/roster.py
@@ -1,4 +1,4 @@
-"""The balancers of a fleet as one of them knows them."""
+"""The balancers of a fleet as known to one of them."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 
 import msgspec
 
-from madderwind.standalone.evacuation.messages import EVERYWHERE
+from madderwind.standalone.evacuation.messages import FLEET_SCOPE
 
 
 class Roster(msgspec.Struct, frozen=True):
-    """`living` tells the balancers not held dead, this one among them; `able` those of them that requests
-    come to; `carried_per_s` the requests a second that all together carry, as far as that is known."""
+    """The balancers of the fleet.
+
+    `living` returns the balancers not considered dead, including this one; `able` those of them that receive
+    requests; `carried_per_s` the requests a second of all of them together, as far as known.
+    """
 
     me: int
-    standing: str  # the zone in which this balancer stands
+    home_zone: str  # the zone in which this balancer runs
     living: Callable[[], list[int]]
     able: Callable[[], list[int]]
     carried_per_s: Callable[[], float]
 
     def in_scope(self, scope: int, zones: int) -> int:
-        """How many live there, of a fleet over so many zones; those of one are taken to be as many as of any
-        other."""
+        """Number of live balancers in a scope, assumed to be spread evenly over this number of zones."""
         living = len(self.living())
-        return living if scope == EVERYWHERE else math.ceil(living / max(1, zones))
+        return living if scope == FLEET_SCOPE else math.ceil(living / max(1, zones))
--- a/madderwind/standalone/evacuation/topology.py
+++ b/madderwind/standalone/evacuation/topology.py
@@ -1,4 +1,4 @@
-"""The upstreams by zone and region, their sizes, and how much of an area may be withheld."""
+"""Upstreams by zone and region, their sizes, and how much of an area may be withheld."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 
 
 class Topology:
-    """`places` are the upstreams that discovery calls ready and nobody suspended, `ready` how many each zone
-    has, `areas` the zones and regions by their marks."""
+    """Upstreams, zones and regions.
+
+    `places` are the upstreams that are ready by discovery and not suspended, `ready` their number in each
+    zone, `areas` the zones and regions by their marks.
+    """
 
     def __init__(self, settings: EvacuationSettings) -> None:
         self._settings = settings
@@ -19,39 +22,41 @@
         self.ready: dict[str, int] = {}
         self.areas: dict[int, Area] = {area.mark: area for area in regions_of(settings)}
 
-    def listed(self, places: Mapping[int, Place], kept: Container[int]) -> None:
-        """The list changed. Areas with marks in `kept` stay, also without upstreams."""
+    def listed(self, places: Mapping[int, Place], retained: Container[int]) -> None:
+        """Apply a changed list. Areas with marks in `retained` stay even without upstreams."""
         self.places = places
         self.ready = dict(Counter(place.zone for place in places.values()))
         known = {area.mark: area for area in map(area_of_zone, self.ready)}
-        zones = {mark: area for mark, area in self.areas.items() if area.region or mark in kept}
+        zones = {mark: area for mark, area in self.areas.items() if area.region or mark in retained}
         self.areas = {**zones, **known}
 
-    def named(self, name: str) -> Area | None:
+    def find(self, name: str) -> Area | None:
         """The zone or region of that name."""
         return next((area for area in self.areas.values() if area.name == name), None)
 
-    def inside(self, area: Area) -> int:
-        """How many of its upstreams are ready."""
+    def ready_count(self, area: Area) -> int:
+        """Number of ready upstreams in the area."""
         return sum(self.ready.get(zone, 0) for zone in area.zones)
 
     def size(self, zones: Container[str] | None = None) -> float:
-        """Of all upstreams, or those of these zones."""
+        """Total size of all upstreams, or of those in these zones."""
         return sum(p.size for p in self.places.values() if zones is None or p.zone in zones)
 
-    def most_part(self, area: Area, withheld: frozenset[int]) -> int:
-        """How much of it may be withheld, in percent, so that no more than the stated part of all is."""
+    def max_withheld_percent(self, area: Area, withheld: frozenset[int]) -> int:
+        """The percentage of the area that may be withheld within `most_withheld` of all upstreams."""
         total, size = self.size(), self.size(area.zones)
         places = (self.places[number] for number in withheld)
-        room = self._settings.most_withheld * total - sum(p.size for p in places if p.zone not in area.zones)
+        allowance = self._settings.most_withheld * total - sum(
+            p.size for p in places if p.zone not in area.zones
+        )
         if not size or size >= total:
-            return 0  # what is not there cannot be left, and the last is kept
-        return max(0, min(100, math.floor(100 * room / size)))
+            return 0  # an empty area cannot be evacuated, and the last one is kept in use
+        return max(0, min(100, math.floor(100 * allowance / size)))
 
-    def bearable_part(self, area: Area, load_per_s: float) -> int:
-        """How much of it the others could carry besides their own, in percent; 100 where that is unknown."""
+    def absorbable_percent(self, area: Area, load_per_s: float) -> int:
+        """The percentage of the area whose load the others could absorb; 100 if unknown."""
         per_s = self._settings.upstream_per_s
         if not per_s or not load_per_s:
             return 100
-        spare = self.size() - load_per_s / per_s
-        return max(0, math.floor(100 * spare / self.size(area.zones)))
+        spare_size = self.size() - load_per_s / per_s
+        return max(0, math.floor(100 * spare_size / self.size(area.zones)))
