--- a/madderwind/standalone/agreement/__init__.py
+++ b/madderwind/standalone/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Settings with versions: what contradicts, what two versions both allow, and which file may follow which."""
+"""Versioned settings: contradictions, what two versions both allow, and which version may follow which."""
--- a/madderwind/standalone/agreement/versions.py
+++ b/madderwind/standalone/agreement/versions.py
@@ -1,4 +1,4 @@
-"""Which file may follow which: a whole number, and a digest of all that copies have to have alike."""
+"""Which version of a file may follow which, by its number and a digest of the shared settings."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 import msgspec
 import orjson
 
-# What differs from copy to copy, and is therefore in no digest.
-OWN = frozenset(("name", "listen", "discovery", "admin_addr", "seed", "limits", "known", "peers", "version"))
-OWN_SETTINGS = frozenset(("Me", "Zone"))
+# Fields that differ between balancers and are therefore excluded from the digest.
+BALANCER_FIELDS = frozenset(
+    ("name", "listen", "discovery", "admin_addr", "seed", "limits", "known", "peers", "version")
+)
+BALANCER_SETTINGS = frozenset(("Me", "Zone"))
 DIGEST_BYTES = 8
 
 
 class Stamp(msgspec.Struct, frozen=True):
-    """A version: its number, from 1 on, and the digest of its content."""
+    """A version: its number, starting at 1, and the digest of its content."""
 
     number: int
     digest: str
@@ -26,26 +28,28 @@
 
 
 def digest_of(file: Mapping[str, Any]) -> str:
-    """Alike for two files that tell their copies the same, however they are written."""
-    shared = {name: value for name, value in file.items() if name not in OWN}
+    """A digest that is equal for two files with the same shared settings, however they are formatted."""
+    shared = {name: value for name, value in file.items() if name not in BALANCER_FIELDS}
     settings = shared.get("settings")
     if isinstance(settings, dict):
-        shared["settings"] = {name: value for name, value in settings.items() if name not in OWN_SETTINGS}
-    plain = orjson.dumps(_alike(shared), option=orjson.OPT_SORT_KEYS)
-    return hashlib.blake2b(plain, digest_size=DIGEST_BYTES).hexdigest()
+        shared["settings"] = {
+            name: value for name, value in settings.items() if name not in BALANCER_SETTINGS
+        }
+    canonical = orjson.dumps(_normalized(shared), option=orjson.OPT_SORT_KEYS)
+    return hashlib.blake2b(canonical, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _alike(value: Any) -> Any:
-    """3 and 3.0 are one number."""
+def _normalized(value: Any) -> Any:
+    """Convert integers to floats, as 3 and 3.0 are the same number."""
     if isinstance(value, dict):
-        return {name: _alike(inner) for name, inner in value.items()}
+        return {name: _normalized(inner) for name, inner in value.items()}
     if isinstance(value, list):
-        return [_alike(inner) for inner in value]
+        return [_normalized(inner) for inner in value]
     return float(value) if isinstance(value, int) and not isinstance(value, bool) else value
 
 
 def why_not(in_force: Stamp | None, offered: Stamp | None) -> str:
-    """Why the offered version may not follow the one in force; "" where it may."""
+    """Why the offered version may not follow the one in force; "" if it may."""
     if offered is None or in_force is None or offered == in_force:
         return ""
     if offered.number == in_force.number:
--- a/madderwind/standalone/evacuation/decision.py
+++ b/madderwind/standalone/evacuation/decision.py
@@ -112,7 +112,7 @@
     accusers, failing = list[int](), {zone: frozenset[int]() for zone in area.zones}
     bad_weight = good_weight = alive_weight = 0.0
     for received, reports in _reports(area, scope, views):
-        alive = any(received.at_ms - report.heard_age_ms >= since_ms for report in reports.values())
+        alive = any(received.at_ms - report.last_answer_age_ms >= since_ms for report in reports.values())
         bad = sum(len(report.failing) for report in reports.values())
         good = sum(len(report.responding) for report in reports.values()) * alive
         if not bad + good:
--- a/madderwind/standalone/evacuation/evacuation.py
+++ b/madderwind/standalone/evacuation/evacuation.py
@@ -81,7 +81,7 @@
             self._initiation.decide(now, own, self.withheld)
         self._recovery.advance(now, own, self.withheld)
         self._withholding.update(now)
-        self._withholding.cancel_silent_attempts(now)
+        self._withholding.cancel_overdue_attempts(now)
         return self._drain_actions()
 
     def heard_message(self, now: float) -> None:
@@ -178,7 +178,7 @@
     def _observe(self, now: float) -> dict[str, ZoneObservation]:
         """Update and return this balancer's own observations; they also enter its set of views."""
         self.observations.evacuated_upstreams = self._withholding.evacuated_upstreams()
-        self.observations.record_silence(now)
+        self.observations.record_overdue_attempts(now)
         self._views.expire(now)
         self.observations.set_accused(now, self._views.accused(self._topology.ready))
         own = self._reporting.own(now)
--- a/madderwind/standalone/evacuation/initiation.py
+++ b/madderwind/standalone/evacuation/initiation.py
@@ -59,9 +59,9 @@
             self._pending.pop(slot, None)
             return
         living = self._roster.in_scope(scope, len(self._topology.ready))
-        left = self._register.evacuated_zones()
+        evacuated_zones = self._register.evacuated_zones()
         evidence, why_not = decision.check_failure(
-            area, scope, self._views.all(), living, self._topology.ready, left
+            area, scope, self._views.all(), living, self._topology.ready, evacuated_zones
         )
         if scope == FLEET_SCOPE:
             self._fleet_reasons[area.mark] = why_not
@@ -76,11 +76,13 @@
                 self._record_not_evacuated(slot, area, why_not)
         elif now - self._pending.get(slot, now) >= self._wait_ms(scope, evidence):
             self._pending.pop(slot, None)
-            self._leave(now, area, scope, evidence, withheld)
+            self._start_evacuation(now, area, scope, evidence, withheld)
 
     def _needs_no_check(self, area: Area, scope: int) -> bool:
-        """Whether the area is evacuated already, no upstream is reported as failing, or, for a narrower scope,
-        the fleet may still evacuate it."""
+        """Whether the area is evacuated already or no upstream is reported as failing.
+
+        For a narrower scope also whether the whole fleet may still evacuate the area.
+        """
         evacuations = self._register.evacuations.items()
         if any(
             other.is_evacuated and self._register.covers(slot, area, scope) for slot, other in evacuations
@@ -94,7 +96,7 @@
         wait_ms = OBJECTION_MS if scope == FLEET_SCOPE else NARROW_SCOPE_WAIT_MS
         return max(wait_ms, PARTIAL_RESPONSE_WAIT_MS) if evidence.responds_partly else wait_ms
 
-    def _leave(
+    def _start_evacuation(
         self, now: float, area: Area, scope: int, evidence: decision.Evidence, withheld: frozenset[int]
     ) -> None:
         slot = area.mark, scope
--- a/madderwind/standalone/evacuation/messages.py
+++ b/madderwind/standalone/evacuation/messages.py
@@ -47,7 +47,7 @@
     responding: frozenset[int]
     is_coordinator: bool = False
     bad_sent_age_ms: float = math.inf
-    heard_age_ms: float = math.inf
+    last_answer_age_ms: float = math.inf
 
 
 class View(msgspec.Struct, frozen=True):
@@ -79,7 +79,7 @@
     for zone, observation in sorted(observations.items(), key=lambda item: -item[1].share)[:MAX_ZONES]:
         failing = sorted({short_mark(mark) for mark in observation.failing})[:MAX_MARKS]
         responding = sorted({short_mark(mark) for mark in observation.responding})[:MAX_MARKS]
-        ages = _age(now, observation.bad_sent_ms), _age(now, observation.heard_ms)
+        ages = _age(now, observation.bad_sent_ms), _age(now, observation.last_answer_ms)
         parts.append(
             _ZONE_HEADER.pack(
                 zone_mark(zone),
@@ -99,8 +99,8 @@
         home_zone, rate_tenths = _VIEW_HEADER.unpack_from(data)
         offset, zones = _VIEW_HEADER.size, dict[int, ZoneReport]()
         while offset < len(data):
-            mark, flags, failing_count, responding_count, bad_sent_age, heard_age = _ZONE_HEADER.unpack_from(
-                data, offset
+            mark, flags, failing_count, responding_count, bad_sent_age, last_answer_age = (
+                _ZONE_HEADER.unpack_from(data, offset)
             )
             offset += _ZONE_HEADER.size
             if failing_count > MAX_MARKS or responding_count > MAX_MARKS or len(zones) >= MAX_ZONES:
@@ -115,7 +115,7 @@
                 frozenset(marks[failing_count:]),
                 bool(flags & COORDINATOR_FLAG),
                 _read_age(bad_sent_age),
-                _read_age(heard_age),
+                _read_age(last_answer_age),
             )
     except struct.error:
         raise MalformedMessage("truncated message") from None
--- a/madderwind/standalone/evacuation/observations.py
+++ b/madderwind/standalone/evacuation/observations.py
@@ -31,10 +31,10 @@
     """Times of one upstream's last good and bad observation, of sending the bad attempt, and of its last
     answer, late ones included."""
 
-    __slots__ = ("bad_ms", "bad_sent_ms", "good_ms", "heard_ms")
+    __slots__ = ("bad_ms", "bad_sent_ms", "good_ms", "last_answer_ms")
 
     def __init__(self) -> None:
-        self.good_ms = self.bad_ms = self.bad_sent_ms = self.heard_ms = -math.inf
+        self.good_ms = self.bad_ms = self.bad_sent_ms = self.last_answer_ms = -math.inf
 
 
 NEVER = _UpstreamHistory()
@@ -65,7 +65,7 @@
     failing: frozenset[int] = frozenset()
     responding: frozenset[int] = frozenset()
     bad_sent_ms: float = -math.inf
-    heard_ms: float = -math.inf
+    last_answer_ms: float = -math.inf
 
     @property
     def share(self) -> float:
@@ -124,7 +124,7 @@
             slow = elapsed_ms > self.slow_threshold_ms(now, upstream)
             self._answer_times.setdefault(self._places[upstream].zone, _AnswerTimes()).add(elapsed_ms)
             self.saw(now, upstream, not slow, sent_ms)
-            self._history[upstream].heard_ms = now
+            self._history[upstream].last_answer_ms = now
         elif outcome is Outcome.FULL:
             self.saw(now, upstream, True, sent_ms)  # a refusal is an answer too: the upstream is alive
         elif outcome in FAILED:
@@ -133,7 +133,7 @@
     def saw(self, now: float, upstream: int, good: bool, sent_ms: float) -> None:
         history = self._history.setdefault(upstream, _UpstreamHistory())
         if good:
-            history.good_ms = history.heard_ms = now
+            history.good_ms = history.last_answer_ms = now
         else:
             history.bad_ms, history.bad_sent_ms = now, sent_ms
 
@@ -158,7 +158,7 @@
             patience = min(TRIAL_PATIENCE, patience)
         return patience * max(SLOW_MIN_MS, SLOW_FACTOR * max(usual_ms, default=0.0))
 
-    def record_silence(self, now: float) -> None:
+    def record_overdue_attempts(self, now: float) -> None:
         """Record a bad observation for each upstream with an overdue attempt, while it stays unanswered."""
         for upstream, sent_ms in self._open.values():
             if upstream in self._places and now - sent_ms > self.slow_threshold_ms(now, upstream):
@@ -166,7 +166,7 @@
                 if history.good_ms < sent_ms:
                     history.bad_ms, history.bad_sent_ms = now, max(sent_ms, history.bad_sent_ms)
 
-    def silent_attempts(self, now: float) -> list[Key]:
+    def overdue_attempts(self, now: float) -> list[Key]:
         """Overdue attempts at evacuated upstreams."""
         return [
             key
@@ -187,7 +187,7 @@
         return False if history.bad_sent_ms >= at_ms else None
 
     def reset_after_stall(self, now: float) -> None:
-        """Discard bad observations after this process was suspended.
+        """Discard bad observations and restart the timing of open attempts after this process was suspended.
 
         Guards against accusations that rest on answers which it could not receive in that time.
         """
@@ -198,10 +198,12 @@
     def by_zone(self, now: float) -> dict[str, ZoneObservation]:
         """Observations within the window by zone, without zones that have none."""
         failing, responding = dict[str, set[int]](), dict[str, set[int]]()
-        first_bad_ms, last_bad_ms, heard_ms = dict[str, float](), dict[str, float](), dict[str, float]()
+        first_bad_ms, last_bad_ms, last_answer_ms = dict[str, float](), dict[str, float](), dict[str, float]()
         for number, history in self._history.items():
             place = self._places[number]
-            heard_ms[place.zone] = max(heard_ms.get(place.zone, -math.inf), history.heard_ms)
+            last_answer_ms[place.zone] = max(
+                last_answer_ms.get(place.zone, -math.inf), history.last_answer_ms
+            )
             if history.bad_ms >= history.good_ms and now - history.bad_ms <= WINDOW_MS:
                 failing.setdefault(place.zone, set()).add(place.mark)
                 first_bad_ms[place.zone] = min(first_bad_ms.get(place.zone, math.inf), history.bad_sent_ms)
@@ -219,7 +221,7 @@
                 frozenset(failing.get(zone, ())),
                 frozenset(responding.get(zone, ())),
                 last_bad_ms.get(zone, -math.inf),
-                heard_ms[zone],
+                last_answer_ms[zone],
             )
             for zone in failing.keys() | responding.keys()
         }
--- a/madderwind/standalone/evacuation/recovery.py
+++ b/madderwind/standalone/evacuation/recovery.py
@@ -81,7 +81,7 @@
         elif (
             coordinates
             and now - state.since_ms >= STEP_DWELL_MS * 2**state.evacuation.level + stagger_ms
-            and self._may_take_next_step(now, area, state)
+            and self._may_advance_step(now, area, state)
         ):
             self._register.publish(now, area, slot[1], step=state.evacuation.step + 1)
         elif state.evacuation.scope == LOCAL_SCOPE:
@@ -100,7 +100,7 @@
         witnesses = decision.select_witnesses({*state.evacuation.witnesses, *state.accusers})
         self._register.publish(now, area, slot[1], step=0, level=level, witnesses=witnesses)
 
-    def _may_take_next_step(self, now: float, area: Area, state: EvacuationState) -> bool:
+    def _may_advance_step(self, now: float, area: Area, state: EvacuationState) -> bool:
         """Whether enough upstreams answer for the next step."""
         (responding, failing), ready_upstreams = state.upstream_counts(), self._topology.ready_count(area)
         if state.evacuation.step == 0:
--- a/madderwind/standalone/evacuation/reporting.py
+++ b/madderwind/standalone/evacuation/reporting.py
@@ -71,7 +71,7 @@
         `partly_responding_zones`: zones that may be slow rather than unreachable.
         """
         watched, coordinated, known_failing = self._zones_to_report(now)
-        reported = self._worth_reporting(own, watched, known_failing, partly_responding_zones)
+        reported = self._relevant_observations(own, watched, known_failing, partly_responding_zones)
         reported |= dict.fromkeys(coordinated - reported.keys(), NOTHING)
         # Without the ages, which differ at each tick.
         content = {
@@ -107,7 +107,7 @@
                 watched |= set(area.zones)
         return watched, coordinated, known_failing
 
-    def _worth_reporting(
+    def _relevant_observations(
         self,
         own: Mapping[str, ZoneObservation],
         watched: set[str],
--- a/madderwind/standalone/evacuation/views.py
+++ b/madderwind/standalone/evacuation/views.py
@@ -37,7 +37,9 @@
 
     def expire(self, now: float) -> None:
         """Discard views older than the time to live."""
-        self._latest = {c: v for c, v in self._latest.items() if now - v[0] <= VIEW_TTL_MS}
+        self._latest = {
+            balancer: latest for balancer, latest in self._latest.items() if now - latest[0] <= VIEW_TTL_MS
+        }
 
     def all(self) -> list[ReceivedView]:
         """Every view, ordered by the balancers' numbers."""
@@ -47,7 +49,11 @@
 
     def from_peers(self) -> list[ReceivedView]:
         """The views of all but this balancer."""
-        return [ReceivedView(c, view, at_ms) for c, (at_ms, view) in self._latest.items() if c != self._me]
+        return [
+            ReceivedView(balancer, view, at_ms)
+            for balancer, (at_ms, view) in self._latest.items()
+            if balancer != self._me
+        ]
 
     def has_accusation(self) -> bool:
         """Whether any view reports a failing upstream."""
--- a/madderwind/standalone/evacuation/withholding.py
+++ b/madderwind/standalone/evacuation/withholding.py
@@ -12,7 +12,8 @@
 from madderwind.standalone.evacuation.state import EvacuationState
 from madderwind.standalone.evacuation.topology import Topology
 
-RETURNED_AGE_MS = 4500.0  # age of an upstream reopened for a trial; at this age it is owed an attempt at once
+# An upstream reopened for a trial counts as started this long ago: at this age it is owed an attempt at once.
+TRIAL_UPSTREAM_AGE_MS = 4500.0
 
 
 class Withholding:
@@ -102,7 +103,7 @@
         if added := withheld - self.withheld:
             self._out.append(Withhold(added))
         for upstream in sorted(no_longer_withheld & trials):
-            self._reopen(frozenset((upstream,)), now - RETURNED_AGE_MS, owed=True)
+            self._reopen(frozenset((upstream,)), now - TRIAL_UPSTREAM_AGE_MS, owed=True)
         remaining = no_longer_withheld - trials
         for started_ms, upstreams in sorted(returned_by_start.items(), reverse=True):
             if returned := frozenset(upstreams) & remaining:
@@ -116,10 +117,10 @@
         self._observations.record_reopened(upstreams, started_ms)
         self._out.append(Reopen(upstreams, started_ms, owed))
 
-    def cancel_silent_attempts(self, now: float) -> None:
+    def cancel_overdue_attempts(self, now: float) -> None:
         """Cancel attempts that hang at evacuated upstreams, so that they can be retried elsewhere in time."""
         if self._observations.evacuated_upstreams:
-            self._out += [TakeBack(key) for key in self._observations.silent_attempts(now)]
+            self._out += [TakeBack(key) for key in self._observations.overdue_attempts(now)]
 
     def evacuated_upstreams(self) -> frozenset[int]:
         """Upstreams of areas that this balancer has evacuated, at step 0."""
--- a/madderwind/standalone/handover/__init__.py
+++ b/madderwind/standalone/handover/__init__.py
@@ -1,1 +1,1 @@
-"""A new version under load: the listening socket and what is known pass from one process to the next."""
+"""Upgrade without downtime: a process hands its listening socket and its state over to its successor."""
--- a/madderwind/standalone/handover/bans.py
+++ b/madderwind/standalone/handover/bans.py
@@ -1,4 +1,4 @@
-"""Bans in a small file, for a successor of a process that died."""
+"""Persists an operator's bans in a small file, for the process that follows one that died."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 VERSION = 1
-LONGEST_FILE = 1024 * 1024
+MAX_FILE_BYTES = 1024 * 1024
 
 
 class Bans(msgspec.Struct, frozen=True):
@@ -19,10 +19,10 @@
 
 
 def read_bans(path: Path) -> tuple[Bans, str]:
-    """The bans, and what is wrong with the file, if anything; none where there is no file."""
+    """Read the bans; returns them and an error message, "" if there is none. A missing file means no bans."""
     try:
         with path.open("rb") as file:
-            bans = msgspec.json.decode(file.read(LONGEST_FILE), type=Bans)
+            bans = msgspec.json.decode(file.read(MAX_FILE_BYTES), type=Bans)
     except FileNotFoundError:
         return Bans(), ""
     except (OSError, msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -33,13 +33,13 @@
 
 
 def write_bans(path: Path, bans: Bans) -> str:
-    """Write it in one step, so that whoever reads finds the old or the new; what went wrong, if anything."""
-    beside = path.with_suffix(f".{os.getpid()}")
+    """Replace the file atomically: a reader finds the old or the new one. Returns an error message or ""."""
+    temporary_path = path.with_suffix(f".{os.getpid()}")
     try:
-        beside.write_bytes(msgspec.json.encode(bans))
-        beside.replace(path)
+        temporary_path.write_bytes(msgspec.json.encode(bans))
+        temporary_path.replace(path)
     except OSError as error:
         with contextlib.suppress(OSError):
-            beside.unlink()
+            temporary_path.unlink()
         return str(error)
     return ""
--- a/madderwind/standalone/handover/handover.py
+++ b/madderwind/standalone/handover/handover.py
@@ -1,4 +1,4 @@
-"""One process's part in an upgrade: first as a successor, later as the one that has a successor."""
+"""One process's part in an upgrade: first as the successor, later as the predecessor of another process."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from madderwind.standalone.handover.message import (
     Message,
     MessageError,
+    deployment_shape,
     read_message,
-    shape_of,
     write_message,
 )
 from madderwind.standalone.routing.copy import Copy
@@ -22,9 +22,9 @@
 
 
 class Handover:
-    """Ties the link, the message and the file of bans to one copy.
+    """Connects the link to the other process, the handover message and the bans file with one balancer.
 
-    `on_change` is called when another process comes or goes, begins to serve, or gives up.
+    `on_change` is called when another process connects, ends, starts to serve or aborts.
     """
 
     def __init__(
@@ -39,54 +39,50 @@
         self._bans_path = folder / f"madderwind-{name}-bans.json"
         self._path = folder / f"madderwind-{name}.sock"
         self._copy, self._listening, self._on_change, self._log = copy, listening, on_change, log
-        self._offer = Offer(self._path, self._handed, self._linked)
+        self._offer = Offer(self._path, self._prepare_handover, self._on_link)
         self._predecessor: Link | None = None
         self._successor: Link | None = None
-        self._offered = False  # a successor has the socket, or is getting it
+        self._offered = False  # a successor has received the socket or is receiving it
         self.successor_serves = False
-        self._ending = False
-        self._following: set[asyncio.Task[None]] = set()
+        self._is_ending = False
+        self._follow_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def alone(self) -> bool:
         """Whether no other process of this balancer is known to run."""
         return self._predecessor is None and not self._offered
 
-    # --- as a successor ---
-
     async def take_over(self) -> socket.socket | None:
-        """The listening socket of the process that serves now; the copy has learned what that one knows."""
-        bans, wrong = read_bans(self._bans_path)
-        if wrong:
-            self._log("bans_unreadable", error=wrong)
+        """Take the listening socket over from the serving process and restore that process's state."""
+        bans, read_error = read_bans(self._bans_path)
+        if read_error:
+            self._log("bans_unreadable", error=read_error)
         self._copy.directory.recall(Memory({}, [], bans.suspended, bans.restored_ms))
-        taken = await take_over(self._path, self._received)
-        if taken is None:
+        received = await take_over(self._path, self._on_message)
+        if received is None:
             return None
-        self._predecessor = taken.link
-        self._follow(taken.link)
+        self._predecessor = received.link
+        self._follow(received.link)
         try:
-            message = read_message(taken.raw)
+            message = read_message(received.raw)
         except MessageError as error:
             self._log("handover_unreadable", error=str(error))
         else:
             self._copy.directory.recall(message.directory)
             self._copy.listed(message.listing, cached=True)
-            same = message.shape == shape_of(self._copy.settings)
-            self._copy.recall(message.quota, message.room, message.upstreams, same)
-            self._log("taken_over", upstreams=len(message.listing.members), same_shape=same)
+            same_shape = message.shape == deployment_shape(self._copy.settings)
+            self._copy.recall(message.quota, message.room, message.upstreams, same_shape)
+            self._log("taken_over", upstreams=len(message.listing.members), same_shape=same_shape)
         self._on_change()
-        return taken.listening
+        return received.listening
 
     def serving(self) -> None:
-        """This process serves: the one before it may stop, and the next may come."""
+        """Tell the predecessor that this process serves, and accept a successor."""
         if self._predecessor is not None:
-            self._predecessor.tell(LinkMessage(serving=True))
-        self._wait_for_successor()
-
-    # --- as the one that has a successor ---
+            self._predecessor.send(LinkMessage(serving=True))
+        self._accept_successor()
 
-    def _handed(self) -> tuple[socket.socket, bytes] | None:
+    def _prepare_handover(self) -> tuple[socket.socket, bytes] | None:
         listening = self._listening()
         if listening is None or self._offered:
             return None
@@ -96,52 +92,50 @@
             self._copy.directory.listing(),
             self._copy.directory.memory(),
             *self._copy.hand_over(),
-            shape_of(self._copy.settings),
+            deployment_shape(self._copy.settings),
         )
         return listening, write_message(message)
 
-    def _linked(self, connected: socket.socket | None) -> None:
-        if connected is None:
-            self._lost()
+    def _on_link(self, connection: socket.socket | None) -> None:
+        if connection is None:
+            self._on_successor_lost()
             return
-        self._successor = Link(connected, self._received)
+        self._successor = Link(connection, self._on_message)
         self._follow(self._successor)
 
-    def _lost(self) -> None:
-        """Guards against a successor that dies, before it serves or after: this process goes on as it was."""
+    def _on_successor_lost(self) -> None:
+        """Keep serving without the successor. Guards against one that dies before or after it serves."""
         self._log("successor_lost", served=self.successor_serves)
         self._successor, self._offered, self.successor_serves = None, False, False
-        self._wait_for_successor()
+        self._accept_successor()
         self._on_change()
 
     def end(self) -> None:
-        """This process ends: no successor is waited for any more."""
-        self._ending = True
+        """Accept no successor any more, as this process ends."""
+        self._is_ending = True
         self._offer.close()
 
-    # --- both ---
-
-    def _wait_for_successor(self) -> None:
+    def _accept_successor(self) -> None:
         self._offer.close()
-        if not self._ending and (error := self._offer.open()):
+        if not self._is_ending and (error := self._offer.open()):
             self._log("no_handover", error=error)
 
     def _follow(self, link: Link) -> None:
-        task = asyncio.get_running_loop().create_task(self._until_end(link))
-        self._following.add(task)
-        task.add_done_callback(self._following.discard)
+        task = asyncio.get_running_loop().create_task(self._follow_until_closed(link))
+        self._follow_tasks.add(task)
+        task.add_done_callback(self._follow_tasks.discard)
 
-    async def _until_end(self, link: Link) -> None:
+    async def _follow_until_closed(self, link: Link) -> None:
         await link.follow()
         if link is self._successor:
-            self._lost()
+            self._on_successor_lost()
         elif link is self._predecessor:
             self._predecessor = None
             self._log("predecessor_ended")
             self._on_change()
 
-    def _received(self, message: LinkMessage) -> None:
-        """What the other process says: that it serves, or what an operator told it."""
+    def _on_message(self, message: LinkMessage) -> None:
+        """Handle a message from the other process: that it serves, or an operator's command."""
         if message.serving:
             self.successor_serves = True
             self._offer.close()
@@ -153,25 +147,25 @@
             self._copy.restore(message.restore)
 
     def suspend(self, name: str) -> bool:
-        """An operator's ban, in force in both processes and in the file."""
-        return self._by_hand(self._copy.suspend(name), LinkMessage(suspend=name))
+        """Suspend an upstream at an operator's request, in both processes and in the bans file."""
+        return self._apply_operator_command(self._copy.suspend(name), LinkMessage(suspend=name))
 
     def restore(self, name: str) -> bool:
-        return self._by_hand(self._copy.restore(name), LinkMessage(restore=name))
+        return self._apply_operator_command(self._copy.restore(name), LinkMessage(restore=name))
 
-    def _by_hand(self, known: bool, message: LinkMessage) -> bool:
-        if known:
+    def _apply_operator_command(self, is_known: bool, message: LinkMessage) -> bool:
+        if is_known:
             memory = self._copy.directory.memory()
             if error := write_bans(self._bans_path, Bans(memory.suspended, memory.restored_ms)):
                 self._log("bans_not_written", error=error)
             for link in (self._predecessor, self._successor):
                 if link is not None:
-                    link.tell(message)
-        return known
+                    link.send(message)
+        return is_known
 
     def close(self) -> None:
         self.end()
-        for task in list(self._following):
+        for task in list(self._follow_tasks):
             task.cancel()
         for link in (self._predecessor, self._successor):
             if link is not None:
--- a/madderwind/standalone/handover/link.py
+++ b/madderwind/standalone/handover/link.py
@@ -1,8 +1,8 @@
 """The Unix socket between two processes of one balancer.
 
-The successor connects and gets, with a descriptor of the listening socket, a length and a message. From then
-on either side writes lines of JSON: `{"serving":true}` from the successor, once, and bans and calls back as
-they come. The end of the connection is the end of the other process.
+The successor connects and receives a length and a message, together with a descriptor of the listening
+socket. From then on either side writes lines of JSON: the successor once writes `{"serving":true}`, and both
+forward an operator's bans and their removal. The end of the connection means the end of the other process.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 
 import msgspec
 
-from madderwind.standalone.handover.message import LONGEST_MESSAGE
+from madderwind.standalone.handover.message import MAX_MESSAGE_BYTES
 
 HEAD = struct.Struct("!I")
-# A process that is alive answers at once. Whoever waits longer starts by itself.
+# Time limit of a handover. A live process answers at once; after this time the successor starts on its own.
 ANSWER_S = 1.0
-LONGEST_LINE = 4096
+MAX_LINE_BYTES = 4096
 
 
 class LinkMessage(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One line from the other process."""
+    """One line on the link: the sender serves, or an upstream's name to suspend or restore."""
 
     serving: bool = False
     suspend: str = ""
     restore: str = ""
 
 
-class Taken(NamedTuple):
-    """What the successor got: the listening socket, the message's bytes, and the link that stays."""
+class ReceivedHandover(NamedTuple):
+    """The result of a handover: the listening socket, the encoded message and the link, which stays open."""
 
     listening: socket.socket
     raw: bytes
@@ -42,16 +42,16 @@
 
 
 class Link:
-    """A connection to the other process, for the overlap."""
+    """The connection to the other process while both run."""
 
-    def __init__(self, connected: socket.socket, on_message: Callable[[LinkMessage], None]) -> None:
-        self._socket, self._on_message = connected, on_message
+    def __init__(self, connection: socket.socket, on_message: Callable[[LinkMessage], None]) -> None:
+        self._socket, self._on_message = connection, on_message
         self._unsent: list[bytes] = []
         self._stream: asyncio.StreamWriter | None = None
 
     async def follow(self) -> None:
-        """Hear the other process until it ends, or says what cannot be read: no version of ours does."""
-        reader, self._stream = await asyncio.open_unix_connection(sock=self._socket, limit=LONGEST_LINE)
+        """Handle messages until the other process ends or sends a malformed line, which no version does."""
+        reader, self._stream = await asyncio.open_unix_connection(sock=self._socket, limit=MAX_LINE_BYTES)
         for raw in self._unsent:
             self._stream.write(raw)
         self._unsent.clear()
@@ -63,7 +63,7 @@
         finally:
             self._stream.close()
 
-    def tell(self, message: LinkMessage) -> None:
+    def send(self, message: LinkMessage) -> None:
         raw = msgspec.json.encode(message) + b"\n"
         if self._stream is None:
             self._unsent.append(raw)
@@ -78,20 +78,20 @@
 
 
 class Offer:
-    """The serving process's side: waits for one successor at a time."""
+    """The serving process's side: accepts one successor at a time."""
 
     def __init__(
         self,
         path: Path,
-        handed: Callable[[], tuple[socket.socket, bytes] | None],
+        prepare_handover: Callable[[], tuple[socket.socket, bytes] | None],
         on_link: Callable[[socket.socket | None], None],
     ) -> None:
-        self._path, self._handed, self._on_link = path, handed, on_link
+        self._path, self._prepare_handover, self._on_link = path, prepare_handover, on_link
         self._listening: socket.socket | None = None
-        self._giving: set[asyncio.Task[None]] = set()
+        self._send_tasks: set[asyncio.Task[None]] = set()
 
     def open(self) -> str:
-        """Wait at the path, in the place of whoever waited there before; what went wrong, if anything."""
+        """Listen at the path in place of any earlier listener; returns an error message or ""."""
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             listening.setblocking(False)
@@ -106,7 +106,7 @@
         return ""
 
     def close(self) -> None:
-        """Wait no longer. The path is left: a successor may wait there by now."""
+        """Stop listening. The path stays, as a successor may already listen there."""
         if self._listening is not None:
             asyncio.get_running_loop().remove_reader(self._listening)
             self._listening.close()
@@ -115,69 +115,71 @@
     def _accept(self) -> None:
         assert self._listening is not None
         try:
-            connected, _ = self._listening.accept()
+            connection, _ = self._listening.accept()
         except OSError:
-            return  # it left, or there is no descriptor: it starts by itself
-        connected.setblocking(False)
-        handed = self._handed()
-        if handed is None:  # another successor is there already
-            connected.close()
+            return  # the successor is gone or no descriptor is left; it starts on its own
+        connection.setblocking(False)
+        handover = self._prepare_handover()
+        if handover is None:  # another successor is already connected
+            connection.close()
             return
-        task = asyncio.get_running_loop().create_task(self._give(connected, *handed))
-        self._giving.add(task)
-        task.add_done_callback(self._giving.discard)
+        task = asyncio.get_running_loop().create_task(self._send_handover(connection, *handover))
+        self._send_tasks.add(task)
+        task.add_done_callback(self._send_tasks.discard)
 
-    async def _give(self, connected: socket.socket, listening: socket.socket, raw: bytes) -> None:
+    async def _send_handover(self, connection: socket.socket, listening: socket.socket, raw: bytes) -> None:
         try:
             async with asyncio.timeout(ANSWER_S):
-                socket.send_fds(connected, [HEAD.pack(len(raw))], [listening.fileno()])
-                await asyncio.get_running_loop().sock_sendall(connected, raw)
-        except (OSError, TimeoutError):  # it ended, or takes nothing
-            connected.close()
+                socket.send_fds(connection, [HEAD.pack(len(raw))], [listening.fileno()])
+                await asyncio.get_running_loop().sock_sendall(connection, raw)
+        except (OSError, TimeoutError):  # the successor ended or does not read
+            connection.close()
             self._on_link(None)
         else:
-            self._on_link(connected)
+            self._on_link(connection)
 
 
-async def take_over(path: Path, on_message: Callable[[LinkMessage], None]) -> Taken | None:
-    """What the serving process at this path hands over; None where there is none, or it says nothing."""
+async def take_over(path: Path, on_message: Callable[[LinkMessage], None]) -> ReceivedHandover | None:
+    """Receive the handover from the serving process at this path; None if no process answers or it fails."""
     loop = asyncio.get_running_loop()
-    connected = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    connected.setblocking(False)
+    connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    connection.setblocking(False)
     listening: socket.socket | None = None
     try:
         async with asyncio.timeout(ANSWER_S):
-            await loop.sock_connect(connected, str(path))
-            head, descriptors = await _head(loop, connected)
+            await loop.sock_connect(connection, str(path))
+            header, descriptors = await _receive_header(loop, connection)
             if descriptors:
                 listening = socket.socket(fileno=descriptors[0])
                 listening.setblocking(False)
-            (size,) = HEAD.unpack(head)
-            if listening is None or size > LONGEST_MESSAGE:
-                raise ValueError("no descriptor, or too long")
+            (size,) = HEAD.unpack(header)
+            if listening is None or size > MAX_MESSAGE_BYTES:
+                raise ValueError("no descriptor, or message too long")
             raw = b""
             while len(raw) < size:
-                part = await loop.sock_recv(connected, min(size - len(raw), 65536))
-                if not part:
-                    raise ValueError("cut short")
-                raw += part
-        return Taken(listening, raw, Link(connected, on_message))
+                chunk = await loop.sock_recv(connection, min(size - len(raw), 65536))
+                if not chunk:
+                    raise ValueError("truncated message")
+                raw += chunk
+        return ReceivedHandover(listening, raw, Link(connection, on_message))
     except (OSError, ValueError, struct.error, TimeoutError):
-        connected.close()
+        connection.close()
         if listening is not None:
             listening.close()
         return None
 
 
-async def _head(loop: asyncio.AbstractEventLoop, connected: socket.socket) -> tuple[bytes, list[int]]:
-    """The first bytes, and the descriptors that come with them."""
+async def _receive_header(
+    loop: asyncio.AbstractEventLoop, connection: socket.socket
+) -> tuple[bytes, list[int]]:
+    """Receive the length header and the descriptors sent with it."""
     readable = asyncio.Event()
-    loop.add_reader(connected, readable.set)
+    loop.add_reader(connection, readable.set)
     try:
         await readable.wait()
     finally:
-        loop.remove_reader(connected)
-    head, descriptors, _, _ = socket.recv_fds(connected, HEAD.size, 1)
+        loop.remove_reader(connection)
+    header, descriptors, _, _ = socket.recv_fds(connection, HEAD.size, 1)
     for descriptor in descriptors:
         os.set_inheritable(descriptor, False)
-    return head, descriptors
+    return header, descriptors
--- a/madderwind/standalone/handover/message.py
+++ b/madderwind/standalone/handover/message.py
@@ -1,4 +1,4 @@
-"""What one process tells its successor, as bytes. No input or output."""
+"""Encoding of the state that a process hands over to its successor. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 VERSION = 1
 # A list of five thousand upstreams takes about a megabyte.
-LONGEST_MESSAGE = 8 * 1024 * 1024
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 
 
-def shape_of(settings: Settings) -> str:
-    """What the meaning of learned ratios rests on: the classes, the tier, how many copies and places."""
-    parts = (settings.classes, settings.tier, settings.tiers, settings.copies, settings.zones)
-    return msgspec.json.encode(parts).decode()
+def deployment_shape(settings: Settings) -> str:
+    """The settings that learned ratios depend on: classes, tier, numbers of balancers and zones."""
+    relevant = (settings.classes, settings.tier, settings.tiers, settings.copies, settings.zones)
+    return msgspec.json.encode(relevant).decode()
 
 
 class Message(msgspec.Struct, frozen=True):
-    """Upstreams go by discovery's ids, since each process numbers them itself."""
+    """The handed-over state, with upstreams by their discovery ids, as each process numbers them itself."""
 
     listing: Listing
     directory: Memory
     quota: float
     room: float
     upstreams: dict[str, Known]
-    shape: str = ""  # of the deployment in which this was learned; unknown of an older program
+    shape: str = ""  # of the deployment in which the state was learned; "" from an older program
     version: int = VERSION
 
 
@@ -44,7 +44,7 @@
 
 
 def read_message(raw: bytes) -> Message:
-    """The message; of another version not even the rest is looked at."""
+    """Decode a message; raises MessageError. The content of another version is not decoded at all."""
     try:
         version = msgspec.msgpack.decode(raw, type=_Version).version
         if version != VERSION:
--- a/tests/standalone/agreement/test_table.py
+++ b/tests/standalone/agreement/test_table.py
@@ -1,4 +1,4 @@
-"""The table of what contradicts, and the meet that is derived from it; and which file may follow which."""
+"""The table of contradictions, the meet that is derived from it, and the order of versions."""
 
 from __future__ import annotations
 
@@ -13,23 +13,31 @@
 from madderwind.standalone.policy.api import Effect, Group, RequestClass, Settings, Tenant
 from madderwind.standalone.settings import HostSettings
 
-FEW = st.sampled_from([0.0, 1.0, 2.5, 900.0])
+NUMBERS = st.sampled_from([0.0, 1.0, 2.5, 900.0])
 CLASSES = st.builds(
-    RequestClass, st.sampled_from(Effect), st.sampled_from(Group), FEW, FEW, FEW, FEW, FEW, st.booleans()
+    RequestClass,
+    st.sampled_from(Effect),
+    st.sampled_from(Group),
+    NUMBERS,
+    NUMBERS,
+    NUMBERS,
+    NUMBERS,
+    NUMBERS,
+    st.booleans(),
 )
-BY_TYPE = {"int": st.integers(0, 3), "float": FEW, "bool": st.booleans(), "tuple[str, ...]": st.just(())}
+BY_TYPE = {"int": st.integers(0, 3), "float": NUMBERS, "bool": st.booleans(), "tuple[str, ...]": st.just(())}
 
 
 @st.composite
-def versions_of(draw: st.DrawFn) -> HostSettings:
-    """Any settings; classes and tenants by few names, so that two versions share some."""
+def host_settings(draw: st.DrawFn) -> HostSettings:
+    """Arbitrary settings, with few names of classes and tenants so that two versions share some."""
     plain: dict[str, Any] = {
         name: draw(BY_TYPE[str(kind)])
         for name, kind in Settings.__annotations__.items()
-        if name not in table.IN_PARTS
+        if name not in table.COMPARED_BY_NAME
     }
     classes = draw(st.dictionaries(st.sampled_from("abc"), CLASSES, max_size=3))
-    tenants = draw(st.dictionaries(st.sampled_from("xy"), st.builds(Tenant, FEW, FEW), max_size=2))
+    tenants = draw(st.dictionaries(st.sampled_from("xy"), st.builds(Tenant, NUMBERS, NUMBERS), max_size=2))
     return HostSettings(
         settings=Settings(classes=tuple(classes.values()), tenants=tuple(tenants.values()), **plain),
         class_names=tuple(classes),
@@ -41,40 +49,41 @@
     )
 
 
-VERSIONS = versions_of()
+HOST_SETTINGS = host_settings()
 
 
 def test_every_setting_is_in_the_table() -> None:
-    assert set(table.SETTINGS) | table.IN_PARTS == set(Settings.__struct_fields__)
+    assert set(table.SETTINGS) | table.COMPARED_BY_NAME == set(Settings.__struct_fields__)
     assert set(table.CLASS) == set(RequestClass.__struct_fields__)
     assert set(table.TENANT) == set(Tenant.__struct_fields__)
 
 
-@given(VERSIONS, VERSIONS, VERSIONS)
-def test_the_meet_is_what_both_allow(a: HostSettings, b: HostSettings, c: HostSettings) -> None:
-    met = meet(a, b)
-    assert rules_of(met) == rules_of(meet(b, a))
-    assert rules_of(meet(met, c)) == rules_of(meet(a, meet(b, c)))
+@given(HOST_SETTINGS, HOST_SETTINGS, HOST_SETTINGS)
+def test_the_meet_is_what_both_versions_allow(a: HostSettings, b: HostSettings, c: HostSettings) -> None:
+    common = meet(a, b)
+    assert rules_of(common) == rules_of(meet(b, a))
+    assert rules_of(meet(common, c)) == rules_of(meet(a, meet(b, c)))
     assert not contradict(meet(a, a), a)
-    assert not looser(met, a) and not looser(met, b)
+    assert not looser(common, a) and not looser(common, b)
     assert contradict(a, b) == (looser(a, b) or looser(b, a))
-    # What a file says of a change: nothing looser where it is not looser, and the other way round.
-    said = table.changes(a, b)
-    assert looser(b, a) == any(change.tighter is False for change in said)
-    assert looser(a, b) >= any(change.tighter for change in said)
+    # The list of changes contains a looser one exactly if the new version is looser, and a tighter one only
+    # if the old version is looser.
+    reported = table.changes(a, b)
+    assert looser(b, a) == any(change.tighter is False for change in reported)
+    assert looser(a, b) >= any(change.tighter for change in reported)
 
 
 STAMPS = st.builds(versions.Stamp, st.integers(1, 4), st.sampled_from("pq"))
 
 
 @given(STAMPS, STAMPS)
-def test_only_the_next_number_follows(in_force: versions.Stamp, offered: versions.Stamp) -> None:
+def test_only_the_next_version_number_may_follow(in_force: versions.Stamp, offered: versions.Stamp) -> None:
     follows = offered == in_force or offered.number == in_force.number + 1
     assert (versions.why_not(in_force, offered) == "") is follows
     assert versions.why_not(None, offered) == versions.why_not(in_force, None) == ""
 
 
-def test_the_digest_is_of_what_copies_have_alike() -> None:
+def test_the_digest_covers_the_settings_that_balancers_share() -> None:
     file = {"name": "app-0", "version": 1, "settings": {"Me": 0, "Zone": 1, "Ceilings": {"MaxAttempts": 3}}}
     same = {"settings": {"Ceilings": {"MaxAttempts": 3.0}, "Me": 4}, "name": "app-4", "version": 2}
     assert versions.digest_of(file) == versions.digest_of(same)
--- a/tests/standalone/evacuation/test_evacuation.py
+++ b/tests/standalone/evacuation/test_evacuation.py
@@ -87,24 +87,24 @@
     assert decision.check_failure(area_of_zone("b"), 0, received_views(views), 8, READY)[1] == why_not
 
 
-def view_of_zone_b(bad: bool, sent_ms: float, heard_ms: float) -> messages.View:
+def view_of_zone_b(bad: bool, sent_ms: float, last_answer_ms: float) -> messages.View:
     """The view of zone b by one balancer at 0 ms."""
     marks = frozenset({2, 4, 6})
     observation = ZoneObservation(
-        marks if bad else frozenset(), frozenset() if bad else marks, sent_ms, heard_ms
+        marks if bad else frozenset(), frozenset() if bad else marks, sent_ms, last_answer_ms
     )
     return messages.read_view(messages.write_view(0.0, "a", 1.0, {"b": observation}, frozenset()))
 
 
 @pytest.mark.parametrize(
-    ("heard_ms", "left", "why_not"),
+    ("last_answer_ms", "left", "why_not"),
     [(-600.0, (), ""), (-100.0, (), "others reach it"), (-600.0, ("a",), "nothing else there")],
 )
 def test_answers_from_before_the_failure_are_ignored_and_the_last_zone_in_use_is_kept(
-    heard_ms: float, left: tuple[str, ...], why_not: str
+    last_answer_ms: float, left: tuple[str, ...], why_not: str
 ) -> None:
     accusers = [view_of_zone_b(True, -500.0 - 10 * n, -700.0) for n in range(4)]
-    received = received_views([*accusers, *[view_of_zone_b(False, -math.inf, heard_ms)] * 4])
+    received = received_views([*accusers, *[view_of_zone_b(False, -math.inf, last_answer_ms)] * 4])
     assert decision.check_failure(area_of_zone("b"), 0, received, 8, READY, left)[1] == why_not
 
 
--- a/tests/standalone/handover/test_message.py
+++ b/tests/standalone/handover/test_message.py
@@ -1,4 +1,4 @@
-"""What passes from one process to the next, as bytes that may be damaged."""
+"""The encoded handover message, whole and damaged."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
 RAW = write_message(MESSAGE)
 
 
-def test_what_was_written_is_read() -> None:
+def test_a_message_round_trips() -> None:
     assert read_message(RAW) == MESSAGE
 
 
-def test_another_version_is_passed_over() -> None:
+def test_another_version_is_rejected() -> None:
     raw = msgspec.msgpack.encode(msgspec.structs.replace(MESSAGE, version=VERSION + 1))
     with pytest.raises(MessageError, match="version"):
         read_message(raw)
 
 
-def test_what_is_known_of_an_upstream_keeps_its_names_between_versions() -> None:
-    """Guards against a rename in the code after which an upgrade starts with nothing that was learned."""
+def test_the_encoded_field_names_of_an_upstream_stay_the_same_between_versions() -> None:
+    """Guards against a rename in the code that makes an upgrade lose the learned state."""
     written = msgspec.msgpack.decode(RAW)["upstreams"]["s-1"]
     assert written == {
         "started_ms": 0.0,
@@ -50,17 +50,17 @@
 
 
 @given(st.integers(0, len(RAW) - 1), st.binary(max_size=30))
-def test_a_damaged_message_is_read_as_one_or_not_at_all(at: int, noise: bytes) -> None:
+def test_a_damaged_message_is_decoded_or_rejected(at: int, noise: bytes) -> None:
     for raw in (RAW[:at], RAW[:at] + noise + RAW[at + len(noise) :], noise):
         with contextlib.suppress(MessageError):
             assert isinstance(read_message(raw), Message)
 
 
-def test_a_directory_goes_on_from_the_memory_of_another() -> None:
-    """Bans, ends and ids that were listed hold in the next process; so does a drain that was told."""
+def test_a_directory_continues_from_the_memory_of_another() -> None:
+    """Bans, ended upstreams, listed ids and an announced drain hold in the next process."""
     old, new = Directory((), ()), Directory((), ())
-    listed = [examples.member("s-1", 5000), examples.member("s-2", 5001), examples.member("s-3", 5002)]
-    old.take(read_listing(json.dumps(examples.listing(*listed, revision=41)).encode()))
+    members = [examples.member("s-1", 5000), examples.member("s-2", 5001), examples.member("s-3", 5002)]
+    old.take(read_listing(json.dumps(examples.listing(*members, revision=41)).encode()))
     change = examples.listing(examples.member("s-2", 5001, "Terminating"), revision=43, complete=False)
     old.take(read_listing(json.dumps(change).encode()))
     old.suspend("s-1")
@@ -72,6 +72,6 @@
         "s-2": UpstreamState.DRAINING,
         "s-3": UpstreamState.READY,
     }
-    late = examples.listing(examples.member("s-2", 5001), revision=42, complete=False)
-    (entry,) = new.take(read_listing(json.dumps(late).encode())).entries
+    outdated = examples.listing(examples.member("s-2", 5001), revision=42, complete=False)
+    (entry,) = new.take(read_listing(json.dumps(outdated).encode())).entries
     assert entry.state is UpstreamState.DRAINING
