--- a/madderwind/testing/local_fleet/baselines.py
+++ b/madderwind/testing/local_fleet/baselines.py
@@ -21,7 +21,7 @@
     "round-robin": "round-robin",
     "random": "random",
 }
-MOST_AT_ONCE = 4
+MAX_WORKERS = 4
 
 
 class Baseline(msgspec.Struct, frozen=True):
@@ -50,14 +50,14 @@
         for_s=traffic_of(fleet).for_s,
         again_s=traffic_of(fleet).again_s,
     )
-    with ProcessPoolExecutor(MOST_AT_ONCE) as pool:
-        results = pool.map(_play, [experiment] * len(POLICIES), POLICIES)
-    return [Baseline(POLICIES[found.policy], found) for found in results]
+    with ProcessPoolExecutor(MAX_WORKERS) as pool:
+        results = pool.map(_simulate, [experiment] * len(POLICIES), POLICIES)
+    return [Baseline(POLICIES[result.policy], result) for result in results]
 
 
 def _model_group(fleet: FleetFile) -> UpstreamGroup | None:
     return next((group for group in fleet.upstreams if group.engine is not None), None)
 
 
-def _play(experiment: Experiment, policy: str) -> Figures:
+def _simulate(experiment: Experiment, policy: str) -> Figures:
     return figures(policy, experiment, Fleet(experiment, policy, seed=1).run())
--- a/madderwind/testing/local_fleet/checker.py
+++ b/madderwind/testing/local_fleet/checker.py
@@ -11,7 +11,7 @@
 from madderwind.testing.engine_emulator.records import AnyRecord, Ran
 from madderwind.testing.local_fleet.outcomes import Outcome
 
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class Promise(Enum):
@@ -109,7 +109,7 @@
         if outcome.kind in idempotent_kinds:
             continue
         for made in outcome.tries:
-            if made.status in PROMISES and made.how == "whole" and runs.get(made.request_id):
+            if made.status in NOT_EXECUTED_STATUSES and made.how == "whole" and runs.get(made.request_id):
                 text = f"{outcome.kind} {made.request_id} got {made.status} and ran"
                 yield Violation(Promise.REFUSAL, text)
 
--- a/madderwind/testing/local_fleet/event_check.py
+++ b/madderwind/testing/local_fleet/event_check.py
@@ -23,7 +23,7 @@
         """Take bytes; how many events became whole."""
         *events, self._buffer = (self._buffer + data).split(_END)
         for event in events:
-            self._take(event)
+            self._check_event(event)
         return len(events)
 
     @property
@@ -31,28 +31,28 @@
         """Whether the last event came, and nothing after it."""
         return bool(self._total) and self.last == self._total and not self._buffer
 
-    def ended_as_complete(self) -> None:
+    def finish(self) -> None:
         """The answer ended in order: all of it must have come."""
         if not self.is_whole:
-            self._note(f"ended as complete after event {self.last} of {self._total or 'none'}")
+            self._record_fault(f"ended as complete after event {self.last} of {self._total or 'none'}")
 
-    def _take(self, event: bytes) -> None:
+    def _check_event(self, event: bytes) -> None:
         fields = dict(line.split(b": ", 1) for line in event.split(b"\n") if b": " in line)
         try:
             number = int(fields[b"id"])
-            subject, _, place = fields[b"data"].decode().partition(" ")
-            told, _, total = place.partition("/")
-            is_consistent = int(told) == number
+            subject, _, position = fields[b"data"].decode().partition(" ")
+            stated_number, _, total = position.partition("/")
+            is_consistent = int(stated_number) == number
             self._total = self._total or int(total)
         except (KeyError, ValueError):
-            self._note(f"an event that can't be read after event {self.last}")
+            self._record_fault(f"an event that can't be read after event {self.last}")
             return
         if not is_consistent or subject != self._subject:
-            self._note(f"another's event after event {self.last}")
+            self._record_fault(f"another's event after event {self.last}")
         elif number != self.last + 1:
             what = "a gap" if number > self.last else "a repeat"
-            self._note(f"{what}: event {number} after event {self.last}")
+            self._record_fault(f"{what}: event {number} after event {self.last}")
         self.last = max(self.last, number)
 
-    def _note(self, fault: str) -> None:
+    def _record_fault(self, fault: str) -> None:
         self.fault = self.fault or fault
--- a/madderwind/testing/local_fleet/fault_player.py
+++ b/madderwind/testing/local_fleet/fault_player.py
@@ -21,10 +21,10 @@
 FAULTS_FILE = "faults.jsonl"
 MS_PER_S = 1000.0
 # How long a fault on the primary waits for there to be one.
-PRIMARY_WITHIN_S, LOOK_S = 4.0, 0.1
+PRIMARY_TIMEOUT_S, PRIMARY_POLL_INTERVAL_S = 4.0, 0.1
 
 
-class PlayedFault(msgspec.Struct, frozen=True):
+class InjectedFault(msgspec.Struct, frozen=True):
     """A fault that was played, on the steady clock; or that could not be, for a reason."""
 
     what: str
@@ -34,16 +34,16 @@
     not_played: str = ""
 
 
-class FaultPlayer:
+class FaultInjector:
     """Plays each fault at its time after `run` begins. To be used as an async context."""
 
     def __init__(self, layout: FleetLayout, faults: Sequence[Fault], seed: int) -> None:
         self._layout, self._faults = layout, faults
         self._rng = random.Random(seed)
         self._conditions: list[LinkCondition] = []
-        self.played: list[PlayedFault] = []
+        self.injected: list[InjectedFault] = []
 
-    async def __aenter__(self) -> FaultPlayer:
+    async def __aenter__(self) -> FaultInjector:
         self._session = aiohttp.ClientSession(trust_env=False)
         return self
 
@@ -52,31 +52,31 @@
 
     async def run(self) -> None:
         """Play all of them; returns after the last one's end."""
-        began_s = time.monotonic()
-        playing = [asyncio.create_task(self._play(fault, began_s)) for fault in self._faults]
+        started_s = time.monotonic()
+        tasks = [asyncio.create_task(self._inject(fault, started_s)) for fault in self._faults]
         try:
-            await asyncio.gather(*playing)
+            await asyncio.gather(*tasks)
         finally:
-            for task in playing:
+            for task in tasks:
                 task.cancel()
-            await asyncio.gather(*playing, return_exceptions=True)
+            await asyncio.gather(*tasks, return_exceptions=True)
         path = Path(self._layout.folder) / FAULTS_FILE
-        path.write_bytes(b"".join(msgspec.json.encode(played) + b"\n" for played in self.played))
+        path.write_bytes(b"".join(msgspec.json.encode(injected) + b"\n" for injected in self.injected))
 
-    async def _play(self, fault: Fault, began_s: float) -> None:
-        await _sleep_until(began_s + fault.at_s)
+    async def _inject(self, fault: Fault, started_s: float) -> None:
+        await _sleep_until(started_s + fault.at_s)
         begin_ms = time.monotonic() * MS_PER_S
         try:
             planned = await self._plan(fault)
         except LocalFleetError as error:
-            self.played.append(PlayedFault(fault.what, fault.nodes, begin_ms, begin_ms, str(error)))
+            self.injected.append(InjectedFault(fault.what, fault.nodes, begin_ms, begin_ms, str(error)))
             return
         begin_ms = time.monotonic() * MS_PER_S
         await self._begin(planned)
-        await _sleep_until(began_s + planned.end_s)
+        await _sleep_until(started_s + planned.end_s)
         await self._end(planned)
         end_ms = time.monotonic() * MS_PER_S
-        self.played.append(PlayedFault(planned.what, planned.nodes, begin_ms, end_ms))
+        self.injected.append(InjectedFault(planned.what, planned.nodes, begin_ms, end_ms))
 
     async def _plan(self, fault: Fault) -> PlannedFault:
         names = [node.name for node in self._layout.nodes]
@@ -85,28 +85,28 @@
 
     async def _primary(self) -> str:
         addresses = [node.status for node in self._layout.of_kind(NodeKind.CONTROL_PLANE)]
-        give_up_s = time.monotonic() + PRIMARY_WITHIN_S
-        while time.monotonic() < give_up_s:
+        deadline_s = time.monotonic() + PRIMARY_TIMEOUT_S
+        while time.monotonic() < deadline_s:
             if primary := primary_of(await read_status(addresses)):
                 return primary
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(PRIMARY_POLL_INTERVAL_S)
         return ""
 
     async def _begin(self, planned: PlannedFault) -> None:
         if planned.actions is not None:
-            await self._act_on_all(planned.nodes, planned.actions[0])
+            await self._act_on_nodes(planned.nodes, planned.actions[0])
         elif planned.condition is not None:
             self._conditions.append(planned.condition)
             await self._set_links()
 
     async def _end(self, planned: PlannedFault) -> None:
         if planned.actions is not None:
-            await self._act_on_all(planned.nodes, planned.actions[1])
+            await self._act_on_nodes(planned.nodes, planned.actions[1])
         elif planned.condition is not None:
             self._conditions.remove(planned.condition)
             await self._set_links()
 
-    async def _act_on_all(self, nodes: Sequence[str], action: Action) -> None:
+    async def _act_on_nodes(self, nodes: Sequence[str], action: Action) -> None:
         await asyncio.gather(*(self._post(f"/nodes/{node}/{action.value}", b"") for node in nodes))
 
     async def _set_links(self) -> None:
@@ -122,12 +122,12 @@
             raise LocalFleetError(f"the fleet's supervisor does not answer: {error}") from None
 
 
-def read_faults(folder: Path) -> list[PlayedFault]:
+def read_faults(folder: Path) -> list[InjectedFault]:
     """The faults that were played last; none where there is no record."""
     path = folder / FAULTS_FILE
     if not path.exists():
         return []
-    decoder = msgspec.json.Decoder(PlayedFault)
+    decoder = msgspec.json.Decoder(InjectedFault)
     return [decoder.decode(line) for line in path.read_bytes().splitlines()]
 
 
--- a/madderwind/testing/local_fleet/fleet_file.py
+++ b/madderwind/testing/local_fleet/fleet_file.py
@@ -17,7 +17,7 @@
 from madderwind.testing.local_fleet.traffic_file import Traffic
 from madderwind.testing.local_fleet.yaml_files import field_name, line_of, read_yaml, steps_of
 
-MOST_PROCESSES_OF_A_KIND = 90
+MAX_PROCESSES_PER_KIND = 90
 
 
 @attrs.frozen
@@ -28,7 +28,7 @@
     """
 
     service: str
-    count: int = attrs.field(default=2, validator=between(1, MOST_PROCESSES_OF_A_KIND))
+    count: int = attrs.field(default=2, validator=between(1, MAX_PROCESSES_PER_KIND))
     engine: dict[str, Any] | None = None
     plain: dict[str, Any] | None = None
     mishaps: dict[str, Any] = attrs.field(factory=dict)
@@ -46,7 +46,7 @@
         """The work of a plain service."""
         return None if self.plain is None else msgspec.convert(self.plain, PlainWork)
 
-    def mishap_shares(self) -> Mishaps:
+    def mishap_settings(self) -> Mishaps:
         """What goes wrong at these upstreams without any fault."""
         return msgspec.convert(self.mishaps, Mishaps)
 
@@ -64,8 +64,8 @@
     configuration: dict[str, Any]
     upstreams: tuple[UpstreamGroup, ...]
     zones: tuple[str, ...] = attrs.field(default=("zone-a", "zone-b", "zone-c"), validator=not_empty)
-    control_planes: int = attrs.field(default=3, validator=between(1, MOST_PROCESSES_OF_A_KIND))
-    data_planes: int = attrs.field(default=3, validator=between(1, MOST_PROCESSES_OF_A_KIND))
+    control_planes: int = attrs.field(default=3, validator=between(1, MAX_PROCESSES_PER_KIND))
+    data_planes: int = attrs.field(default=3, validator=between(1, MAX_PROCESSES_PER_KIND))
     tolerance: int = 1
     heartbeat_ms: float = 500.0
     relays: bool = True
@@ -107,7 +107,7 @@
     for name, read in (
         ("engine", group.engine_settings),
         ("plain", group.plain_work),
-        ("mishaps", group.mishap_shares),
+        ("mishaps", group.mishap_settings),
     ):
         try:
             read()
--- a/madderwind/testing/local_fleet/layout.py
+++ b/madderwind/testing/local_fleet/layout.py
@@ -20,9 +20,9 @@
 METRICS_PORT = 9464
 INTERNAL_PORTS = (7500, 7515)
 # The third byte of the addresses, by kind of process; services' upstreams follow one another from theirs on.
-CONTROL_PLANES, DATA_PLANES, SUPERVISOR, UPSTREAMS = 1, 2, 3, 10
+CONTROL_PLANE_BYTE, DATA_PLANE_BYTE, SUPERVISOR_BYTE, FIRST_UPSTREAM_BYTE = 1, 2, 3, 10
 # What is added to the third byte for the address that a process behind a relay listens on.
-BEHIND_RELAY = 100
+RELAY_TARGET_OFFSET = 100
 STATE_FILE = "fleet.json"
 
 
@@ -93,54 +93,57 @@
     return msgspec.json.decode((folder / STATE_FILE).read_bytes(), type=FleetLayout)
 
 
-def lay_out(fleet: FleetFile, file: Path, folder: Path, net: int) -> FleetLayout:
+def build_layout(fleet: FleetFile, file: Path, folder: Path, net: int) -> FleetLayout:
     """All processes of the fleet, with loopback addresses 127.`net`.*.*."""
-    return _Layouter(fleet, folder.resolve(), net).lay_out(file)
+    return _LayoutBuilder(fleet, folder.resolve(), net).build_layout(file)
 
 
-class _Layouter:
+class _LayoutBuilder:
     def __init__(self, fleet: FleetFile, folder: Path, net: int) -> None:
         self._fleet, self._folder, self._net = fleet, folder, net
         self._relays: list[RelayLayout] = []
 
-    def lay_out(self, file: Path) -> FleetLayout:
+    def build_layout(self, file: Path) -> FleetLayout:
         fleet = self._fleet
         control_planes = [self._control_plane(number) for number in range(fleet.control_planes)]
         data_planes = [self._data_plane(number) for number in range(fleet.data_planes)]
         upstreams = [
-            self._upstream(place, group, number)
-            for place, group in enumerate(fleet.upstreams)
+            self._upstream(group_index, group, number)
+            for group_index, group in enumerate(fleet.upstreams)
             for number in range(group.count)
         ]
         return FleetLayout(
             name=fleet.name,
             folder=str(self._folder),
             file=str(file.resolve()),
-            supervisor=self._address(SUPERVISOR, 0, SUPERVISOR_PORT),
+            supervisor=self._address(SUPERVISOR_BYTE, 0, SUPERVISOR_PORT),
             control=self._control_addresses(),
             nodes=(*control_planes, *data_planes, *upstreams),
             relays=tuple(self._relays),
         )
 
-    def _ip(self, third: int, number: int) -> str:
-        return f"127.{self._net}.{third}.{number + 1}"
+    def _ip(self, third_byte: int, number: int) -> str:
+        return f"127.{self._net}.{third_byte}.{number + 1}"
 
-    def _address(self, third: int, number: int, port: int) -> str:
-        return f"{self._ip(third, number)}:{port}"
+    def _address(self, third_byte: int, number: int, port: int) -> str:
+        return f"{self._ip(third_byte, number)}:{port}"
 
-    def _behind(self, third: int) -> int:
-        return third + BEHIND_RELAY if self._fleet.relays else third
+    def _bound_third_byte(self, third_byte: int) -> int:
+        return third_byte + RELAY_TARGET_OFFSET if self._fleet.relays else third_byte
 
-    def _relayed(self, node: str, third: int, number: int, port: int) -> tuple[str, str]:
+    def _add_relay(self, node: str, third_byte: int, number: int, port: int) -> tuple[str, str]:
         """The address that is told, and the one that is listened on."""
-        told, listened = self._address(third, number, port), self._address(self._behind(third), number, port)
-        if told != listened:
-            self._relays.append(RelayLayout(node, told, listened))
-        return told, listened
+        advertised, bound = (
+            self._address(third_byte, number, port),
+            self._address(self._bound_third_byte(third_byte), number, port),
+        )
+        if advertised != bound:
+            self._relays.append(RelayLayout(node, advertised, bound))
+        return advertised, bound
 
     def _control_addresses(self) -> tuple[str, ...]:
         numbers = range(self._fleet.control_planes)
-        return tuple(self._address(CONTROL_PLANES, number, CONTROL_PORT) for number in numbers)
+        return tuple(self._address(CONTROL_PLANE_BYTE, number, CONTROL_PORT) for number in numbers)
 
     def _zone(self, number: int) -> str:
         return self._fleet.zones[number % len(self._fleet.zones)]
@@ -171,11 +174,11 @@
         name, zone = f"control-{number + 1}", self._zone(number)
         folder = self._folder / name
         internal_port = INTERNAL_PORTS[0] + CONTROL_PLANE_PORT
-        _, internal = self._relayed(name, CONTROL_PLANES, number, internal_port)
-        _, control = self._relayed(name, CONTROL_PLANES, number, CONTROL_PORT)
+        _, internal = self._add_relay(name, CONTROL_PLANE_BYTE, number, internal_port)
+        _, control = self._add_relay(name, CONTROL_PLANE_BYTE, number, CONTROL_PORT)
         data_dir = str(folder / "data")
         settings = {
-            **self._node_settings(name, self._ip(CONTROL_PLANES, number), zone),
+            **self._node_settings(name, self._ip(CONTROL_PLANE_BYTE, number), zone),
             "bind_ip": internal.rpartition(":")[0],
             "listen": {"control": control, **self._metrics(internal.rpartition(":")[0])},
             "data_dir": data_dir,
@@ -193,11 +196,11 @@
 
     def _data_plane(self, number: int) -> NodeLayout:
         name, zone = f"data-{number + 1}", self._zone(number)
-        front = self._address(DATA_PLANES, number, FRONT_PORT)
-        ready = self._address(DATA_PLANES, number, READY_PORT)
+        front = self._address(DATA_PLANE_BYTE, number, FRONT_PORT)
+        ready = self._address(DATA_PLANE_BYTE, number, READY_PORT)
         settings = {
-            **self._node_settings(name, self._ip(DATA_PLANES, number), zone),
-            "listen": {"front": front, "ready": ready, **self._metrics(self._ip(DATA_PLANES, number))},
+            **self._node_settings(name, self._ip(DATA_PLANE_BYTE, number), zone),
+            "listen": {"front": front, "ready": ready, **self._metrics(self._ip(DATA_PLANE_BYTE, number))},
             "data_dir": None,
         }
         return NodeLayout(
@@ -211,10 +214,10 @@
             ready=ready,
         )
 
-    def _upstream(self, place: int, group: UpstreamGroup, number: int) -> NodeLayout:
+    def _upstream(self, group_index: int, group: UpstreamGroup, number: int) -> NodeLayout:
         name, zone = f"{group.service}-{number + 1}", self._zone(number)
         folder = self._folder / name
-        told, listened = self._relayed(name, UPSTREAMS + place, number, UPSTREAM_PORT)
+        advertised, bound = self._add_relay(name, FIRST_UPSTREAM_BYTE + group_index, number, UPSTREAM_PORT)
         records = str(folder / "records.jsonl")
         engine = group.engine_settings()
         if engine is not None:
@@ -224,8 +227,8 @@
         settings = UpstreamSettings(
             service=group.service,
             zone=zone,
-            listen=listened,
-            address=told,
+            listen=bound,
+            address=advertised,
             control=self._control_addresses(),
             records=records,
             heartbeat_ms=self._fleet.heartbeat_ms,
@@ -234,7 +237,7 @@
             max_connections=group.max_connections,
             cold_ms=group.cold_ms,
             cold_slowness=group.cold_slowness,
-            mishaps=group.mishap_shares(),
+            mishaps=group.mishap_settings(),
             engine=engine,
             plain=group.plain_work(),
         )
--- a/madderwind/testing/local_fleet/load.py
+++ b/madderwind/testing/local_fleet/load.py
@@ -11,15 +11,15 @@
 
 from madderwind.errors import LocalFleetError
 from madderwind.testing.local_fleet.fleet_file import FleetFile
-from madderwind.testing.local_fleet.ingress import Front, Ingress
+from madderwind.testing.local_fleet.ingress import DataPlaneEndpoint, Ingress
 from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind, NodeLayout
 from madderwind.testing.local_fleet.load_client import MS_PER_S, LoadClient, now_ms
 from madderwind.testing.local_fleet.outcomes import OUTCOMES_FILE, Outcome, write_outcomes
 from madderwind.testing.local_fleet.traffic import PlannedRequest, draw_requests
 from madderwind.testing.local_fleet.traffic_file import Traffic
 
-QUERY_INTERVAL_S, QUERY_TIMEOUT_S = 0.5, 0.5
-HEAD_START_S = 0.3
+PROBE_INTERVAL_S, PROBE_TIMEOUT_S = 0.5, 0.5
+START_DELAY_S = 0.3
 
 
 class Load:
@@ -32,7 +32,9 @@
         self._keys = {tenant.name: tenant.api_keys[0] for tenant in document.tenants if tenant.api_keys}
         self._kinds = {kind.name: kind for kind in traffic.kinds}
         self._planes = layout.of_kind(NodeKind.DATA_PLANE)
-        self._ingress = Ingress([Front(node.name, node.zone, node.front) for node in self._planes])
+        self._ingress = Ingress(
+            [DataPlaneEndpoint(node.name, node.zone, node.front) for node in self._planes]
+        )
         self._zones = sorted({node.zone for node in self._planes})
         self.outcomes: list[Outcome] = []
 
@@ -45,13 +47,13 @@
             )
             for number in range(self._traffic.clients)
         ]
-        querying = [asyncio.create_task(self._query(node)) for node in self._planes]
+        probe_tasks = [asyncio.create_task(self._probe_readiness(node)) for node in self._planes]
         try:
             await self._send_all(requests, clients)
         finally:
-            for task in querying:
+            for task in probe_tasks:
                 task.cancel()
-            await asyncio.gather(*querying, return_exceptions=True)
+            await asyncio.gather(*probe_tasks, return_exceptions=True)
             await asyncio.gather(*(client.close() for client in clients))
         return self.outcomes
 
@@ -59,21 +61,21 @@
         return self._keys.get(tenant, "")
 
     async def _send_all(self, requests: Sequence[PlannedRequest], clients: Sequence[LoadClient]) -> None:
-        began_ms = now_ms() + HEAD_START_S * MS_PER_S
+        started_ms = now_ms() + START_DELAY_S * MS_PER_S
         async with asyncio.TaskGroup() as group:
             for request in requests:
-                at_ms = began_ms + request.at_ms
+                at_ms = started_ms + request.at_ms
                 await asyncio.sleep(max(0.0, (at_ms - now_ms()) / MS_PER_S))
-                group.create_task(self._make(clients[request.client], request, at_ms))
+                group.create_task(self._send_request(clients[request.client], request, at_ms))
 
-    async def _make(self, client: LoadClient, request: PlannedRequest, at_ms: float) -> None:
+    async def _send_request(self, client: LoadClient, request: PlannedRequest, at_ms: float) -> None:
         kind = self._kinds[request.kind]
         route = self._table.match(kind.host, kind.path)
         self.outcomes.append(await client.make(request, kind, route, at_ms))
 
-    async def _query(self, node: NodeLayout) -> None:
+    async def _probe_readiness(self, node: NodeLayout) -> None:
         """Ask a data plane again and again whether it is ready, as the platform does."""
-        timeout = aiohttp.ClientTimeout(total=QUERY_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 try:
@@ -81,8 +83,8 @@
                         is_ready = answer.status == 200
                 except (aiohttp.ClientError, OSError, TimeoutError):
                     is_ready = False
-                self._ingress.queried(node.name, is_ready)
-                await asyncio.sleep(QUERY_INTERVAL_S)
+                self._ingress.record_probe(node.name, is_ready)
+                await asyncio.sleep(PROBE_INTERVAL_S)
 
 
 def traffic_of(fleet: FleetFile) -> Traffic:
--- a/madderwind/testing/local_fleet/load_figures.py
+++ b/madderwind/testing/local_fleet/load_figures.py
@@ -8,12 +8,12 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from madderwind.testing.local_fleet.outcomes import Fate, Outcome
+from madderwind.testing.local_fleet.outcomes import Outcome, OutcomeCategory
 
-LONGEST_US, DIGITS, US_PER_MS = 120_000_000, 3, 1000.0
+HISTOGRAM_MAX_US, HISTOGRAM_DIGITS, US_PER_MS = 120_000_000, 3, 1000.0
 
 
-class Times(msgspec.Struct, frozen=True):
+class LatencyQuantiles(msgspec.Struct, frozen=True):
     """Quantiles in ms; all 0 where nothing was counted."""
 
     count: int
@@ -33,22 +33,22 @@
     refused: int
     failed: int
     tries: int
-    first: Times
-    between: Times
+    first: LatencyQuantiles
+    between: LatencyQuantiles
 
 
-def times_of(values_ms: Iterable[float]) -> Times:
+def latency_quantiles(values_ms: Iterable[float]) -> LatencyQuantiles:
     """The quantiles of some times, by a histogram of microseconds."""
-    histogram = HdrHistogram(1, LONGEST_US, DIGITS)
+    histogram = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
     for value_ms in values_ms:
-        histogram.record_value(min(max(1, round(value_ms * US_PER_MS)), LONGEST_US))
+        histogram.record_value(min(max(1, round(value_ms * US_PER_MS)), HISTOGRAM_MAX_US))
     count = histogram.get_total_count()
     if not count:
-        return Times(0, 0.0, 0.0, 0.0, 0.0)
+        return LatencyQuantiles(0, 0.0, 0.0, 0.0, 0.0)
     p50, p95, p99, longest = (
         histogram.get_value_at_percentile(percentile) / US_PER_MS for percentile in (50, 95, 99, 100)
     )
-    return Times(count, p50, p95, p99, longest)
+    return LatencyQuantiles(count, p50, p95, p99, longest)
 
 
 def kind_figures(kind: str, outcomes: Sequence[Outcome]) -> KindFigures:
@@ -57,19 +57,21 @@
     return KindFigures(
         kind=kind,
         requests=len(outcomes),
-        in_time=fates[Fate.IN_TIME],
-        late=fates[Fate.LATE],
-        refused=fates[Fate.REFUSED],
-        failed=fates[Fate.FAILED],
+        in_time=fates[OutcomeCategory.IN_TIME],
+        late=fates[OutcomeCategory.LATE],
+        refused=fates[OutcomeCategory.REFUSED],
+        failed=fates[OutcomeCategory.FAILED],
         tries=sum(len(outcome.tries) for outcome in outcomes),
-        first=times_of(outcome.first_ms for outcome in outcomes if outcome.first_ms is not None),
-        between=times_of(gap_ms for outcome in outcomes for gap_ms in outcome.gaps_ms),
+        first=latency_quantiles(outcome.first_ms for outcome in outcomes if outcome.first_ms is not None),
+        between=latency_quantiles(gap_ms for outcome in outcomes for gap_ms in outcome.gaps_ms),
     )
 
 
-def own_lateness(outcomes: Sequence[Outcome]) -> Times:
+def own_lateness(outcomes: Sequence[Outcome]) -> LatencyQuantiles:
     """How late the load itself was: a busy machine holds clients up too."""
-    return times_of(outcome.tries[0].sent_ms - outcome.at_ms for outcome in outcomes if outcome.tries)
+    return latency_quantiles(
+        outcome.tries[0].sent_ms - outcome.at_ms for outcome in outcomes if outcome.tries
+    )
 
 
 def all_figures(outcomes: Sequence[Outcome]) -> list[KindFigures]:
--- a/madderwind/testing/local_fleet/node_process.py
+++ b/madderwind/testing/local_fleet/node_process.py
@@ -30,14 +30,14 @@
 class NodeState(Enum):
     """`HELD`: down until it is told to start; `RESTARTING`: it ended by itself, and starts again soon."""
 
-    HELD = "held"
+    STOPPED = "held"
     RUNNING = "running"
     PAUSED = "paused"
-    ENDING = "ending"
+    STOPPING = "ending"
     RESTARTING = "restarting"
 
 
-class LifeEvent(msgspec.Struct, frozen=True):
+class ProcessEvent(msgspec.Struct, frozen=True):
     """Something that befell a node's process. `code`: how it ended, where it did."""
 
     at_ms: float
@@ -50,13 +50,13 @@
 class NodeProcess:
     """The process of one node."""
 
-    def __init__(self, layout: NodeLayout, note: Callable[[LifeEvent], None]) -> None:
-        self.layout, self._note_event = layout, note
-        self.state = NodeState.HELD
+    def __init__(self, layout: NodeLayout, on_event: Callable[[ProcessEvent], None]) -> None:
+        self.layout, self._on_event = layout, on_event
+        self.state = NodeState.STOPPED
         self._process: asyncio.subprocess.Process | None = None
-        self._waiting: asyncio.Task[None] | None = None
+        self._wait_task: asyncio.Task[None] | None = None
         self._was_started = False
-        self.own_ends = 0  # how many times its process ended without being told to
+        self.unexpected_exits = 0  # how many times its process ended without being told to
 
     @property
     def pid(self) -> int:
@@ -73,9 +73,9 @@
         settings = dict(layout.settings)
         if "bootstrap" in settings:
             settings["bootstrap"] = not self._was_started
-        beside = layout.settings_path.with_suffix(".new")
-        beside.write_bytes(msgspec.json.encode(settings))
-        beside.replace(layout.settings_path)
+        temporary_path = layout.settings_path.with_suffix(".new")
+        temporary_path.write_bytes(msgspec.json.encode(settings))
+        temporary_path.replace(layout.settings_path)
 
     async def start(self) -> None:
         """Start the process, where none runs."""
@@ -97,45 +97,45 @@
                 env={**os.environ, SETTINGS_VARIABLE: str(self.layout.settings_path)},
                 preexec_fn=dies_with_parent,
             )
-        self._change(NodeState.RUNNING, "started")
-        self._waiting = asyncio.create_task(self._wait(self._process))
+        self._set_state(NodeState.RUNNING, "started")
+        self._wait_task = asyncio.create_task(self._wait(self._process))
 
     async def kill(self) -> None:
         """SIGKILL; it stays down until it is started."""
         if self.pid:
-            self._change(NodeState.HELD, "killed")
-            self._send(signal.SIGKILL)
-            await self.wait_ended()
+            self._set_state(NodeState.STOPPED, "killed")
+            self._send_signal(signal.SIGKILL)
+            await self.wait_exited()
         else:
-            self.state = NodeState.HELD
+            self.state = NodeState.STOPPED
 
     async def terminate(self) -> None:
         """SIGTERM; it stays down once it has ended."""
         if self.pid:
-            self._change(NodeState.ENDING, "asked to end")
-            self._send(signal.SIGTERM)
+            self._set_state(NodeState.STOPPING, "asked to end")
+            self._send_signal(signal.SIGTERM)
 
-    async def wait_ended(self) -> None:
+    async def wait_exited(self) -> None:
         """Return once its process has ended."""
-        if self._waiting is not None:
-            await self._waiting
+        if self._wait_task is not None:
+            await self._wait_task
 
-    async def wait_ended_if_ending(self) -> None:
+    async def wait_exited_if_stopping(self) -> None:
         """Return once a process that was asked to end has ended; at once for any other."""
-        if self.state is NodeState.ENDING:
-            await self.wait_ended()
+        if self.state is NodeState.STOPPING:
+            await self.wait_exited()
 
     def pause(self) -> None:
         """SIGSTOP."""
         if self.state is NodeState.RUNNING:
-            self._change(NodeState.PAUSED, "paused")
-            self._send(signal.SIGSTOP)
+            self._set_state(NodeState.PAUSED, "paused")
+            self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
         """SIGCONT."""
         if self.state is NodeState.PAUSED:
-            self._change(NodeState.RUNNING, "resumed")
-            self._send(signal.SIGCONT)
+            self._set_state(NodeState.RUNNING, "resumed")
+            self._send_signal(signal.SIGCONT)
 
     async def wipe(self) -> None:
         """SIGKILL, and its disk is empty."""
@@ -143,7 +143,7 @@
         if self.layout.data_dir:
             shutil.rmtree(self.layout.data_dir, ignore_errors=True)
             Path(self.layout.data_dir).mkdir()
-        self._note("wiped")
+        self._record_event("wiped")
 
     def refuse_writes(self, refused: bool) -> None:
         """Whether every write that would make a file longer fails, as on a full disk."""
@@ -152,15 +152,15 @@
         process = psutil.Process(self.pid)
         _, hard = process.rlimit(psutil.RLIMIT_FSIZE)
         process.rlimit(psutil.RLIMIT_FSIZE, (0 if refused else hard, hard))
-        self._note("disk full" if refused else "disk has room")
+        self._record_event("disk full" if refused else "disk has room")
 
-    async def end(self) -> None:
+    async def force_stop(self) -> None:
         """End it at once, for good."""
-        self.state = NodeState.HELD
+        self.state = NodeState.STOPPED
         if self.pid:
-            self._send(signal.SIGCONT)
-            self._send(signal.SIGKILL)
-            await self.wait_ended()
+            self._send_signal(signal.SIGCONT)
+            self._send_signal(signal.SIGKILL)
+            await self.wait_exited()
 
     def log_tail(self, characters: int = 400) -> str:
         """The end of what it wrote."""
@@ -171,11 +171,11 @@
 
     async def _wait(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if self.state in (NodeState.HELD, NodeState.ENDING):
-            self._change(NodeState.HELD, "ended", code)
+        if self.state in (NodeState.STOPPED, NodeState.STOPPING):
+            self._set_state(NodeState.STOPPED, "ended", code)
             return
-        self.own_ends += 1
-        self._change(NodeState.RESTARTING, "ended by itself", code)
+        self.unexpected_exits += 1
+        self._set_state(NodeState.RESTARTING, "ended by itself", code)
         asyncio.create_task(self._restart())  # noqa: RUF006 (it ends with the loop)
 
     async def _restart(self) -> None:
@@ -183,16 +183,16 @@
         if self.state is NodeState.RESTARTING:
             await self.start()
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, signal_number: signal.Signals) -> None:
         if self._process is None or self._process.returncode is not None:
             raise LocalFleetError(f"{self.layout.name} does not run")
-        self._process.send_signal(number)
+        self._process.send_signal(signal_number)
 
-    def _change(self, state: NodeState, what: str, code: int = 0) -> None:
+    def _set_state(self, state: NodeState, what: str, code: int = 0) -> None:
         """The one place where a running node's state changes."""
         self.state = state
-        self._note(what, code)
+        self._record_event(what, code)
 
-    def _note(self, what: str, code: int = 0) -> None:
+    def _record_event(self, what: str, code: int = 0) -> None:
         pid = self._process.pid if self._process is not None else 0
-        self._note_event(LifeEvent(time.monotonic() * MS_PER_S, self.layout.name, what, pid, code))
+        self._on_event(ProcessEvent(time.monotonic() * MS_PER_S, self.layout.name, what, pid, code))
--- a/madderwind/testing/local_fleet/operator_client.py
+++ b/madderwind/testing/local_fleet/operator_client.py
@@ -10,12 +10,12 @@
 
 from madderwind.errors import OperatorCallError
 
-MOST_REDIRECTS = 2
+MAX_REDIRECTS = 2
 # A control plane that has not answered by then is given up for the next one.
 ANSWER_TIMEOUT_S = 2.0
-LEAST_PAUSE_S, MOST_PAUSE_S = 0.05, 1.0
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0
 # Answers after which the same call elsewhere makes sense.
-UNCLEAR_STATUSES = frozenset((408, 429))
+RETRYABLE_STATUSES = frozenset((408, 429))
 
 
 class Answer(msgspec.Struct, frozen=True):
@@ -55,7 +55,7 @@
 
     async def read(self) -> Answer:
         """The newest configuration; 404 where there is none yet."""
-        return await self._until_clear("GET", "/config/read", {}, b"")
+        return await self._call_until_conclusive("GET", "/config/read", {}, b"")
 
     async def read_at(self, address: str) -> Answer:
         """The newest configuration as one control plane gives it; OperatorCallError where it can't."""
@@ -66,26 +66,28 @@
 
     async def _command(self, path: str, base_version: int, body: bytes) -> Answer:
         headers = {"X-Base-Version": str(base_version), "Content-Type": "application/json"}
-        return await self._until_clear("POST", path, headers, body)
+        return await self._call_until_conclusive("POST", path, headers, body)
 
-    async def _until_clear(self, method: str, path: str, headers: dict[str, str], body: bytes) -> Answer:
+    async def _call_until_conclusive(
+        self, method: str, path: str, headers: dict[str, str], body: bytes
+    ) -> Answer:
         loop = asyncio.get_running_loop()
-        give_up_s, pause_s = loop.time() + self._within_s, LEAST_PAUSE_S
+        deadline_s, backoff_s = loop.time() + self._within_s, MIN_BACKOFF_S
         while True:
             answer = await self._call(method, f"http://{self._addresses[0]}{path}", headers, body)
             if answer is not None:
                 return answer
-            if loop.time() + pause_s > give_up_s:
+            if loop.time() + backoff_s > deadline_s:
                 tried = ", ".join(sorted(self._addresses))
                 raise OperatorCallError(f"no clear answer within {self._within_s:g} s from {tried}")
             self._addresses.append(self._addresses.pop(0))
-            await asyncio.sleep(pause_s)
-            pause_s = min(pause_s * 2, MOST_PAUSE_S)
+            await asyncio.sleep(backoff_s)
+            backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def _call(self, method: str, url: str, headers: dict[str, str], body: bytes) -> Answer | None:
         """One try; None where it gave no clear answer."""
         try:
-            for _ in range(MOST_REDIRECTS + 1):
+            for _ in range(MAX_REDIRECTS + 1):
                 async with self._session.request(
                     method, url, headers=headers, data=body or None, allow_redirects=False
                 ) as answer:
@@ -95,6 +97,6 @@
                     url = answer.headers.get("Location", url)
         except (aiohttp.ClientError, OSError, TimeoutError):
             return None
-        if answer.status >= 500 or answer.status in UNCLEAR_STATUSES or answer.status == 307:
+        if answer.status >= 500 or answer.status in RETRYABLE_STATUSES or answer.status == 307:
             return None
         return Answer(answer.status, content)
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -15,12 +15,12 @@
 
 # Versions rise by uneven steps.
 VERSION_STEP = 2
-ORDER_WITHIN_S, READ_WITHIN_S, READ_PAUSE_S = 6.0, 10.0, 0.1
+COMMAND_TIMEOUT_S, READ_TIMEOUT_S, READ_RETRY_INTERVAL_S = 6.0, 10.0, 0.1
 # The route that changes add and move.
 CHANGED_ROUTE = "changed-by-the-operator"
 
 
-class OperatorAtWork:
+class OperatorLoad:
     """Sends a change each `every_s` and keeps what was acknowledged."""
 
     def __init__(self, layout: FleetLayout, every_s: float) -> None:
@@ -30,7 +30,7 @@
 
     async def run(self) -> None:
         """Go on until cancelled."""
-        async with OperatorClient(self._layout.control, ORDER_WITHIN_S) as client:
+        async with OperatorClient(self._layout.control, COMMAND_TIMEOUT_S) as client:
             while True:
                 await self._change(client)
                 await asyncio.sleep(self._every_s)
@@ -41,15 +41,15 @@
             if not current.is_taken:
                 return
             document = read_document(current.body)
-            change = _change_of(document)
-            after = document.updated(change)
-            self._sent[after.version] = after
-            self.commands.append(CommandSent(after.version, False))
+            change = _next_change(document)
+            changed = document.updated(change)
+            self._sent[changed.version] = changed
+            self.commands.append(CommandSent(changed.version, False))
             answer = await client.update(document.version, change)
         except (OperatorCallError, ConfigurationError):
             return
         if answer.is_taken:
-            self.commands[-1] = CommandSent(after.version, True)
+            self.commands[-1] = CommandSent(changed.version, True)
 
     async def read_back(self) -> list[ConfigurationRead]:
         """What each control plane gives as the newest configuration, once it gives one."""
@@ -66,12 +66,12 @@
 
     async def _read_at(self, client: OperatorClient, node: str, address: str) -> ConfigurationRead:
         try:
-            async with asyncio.timeout(READ_WITHIN_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 while True:
                     try:
                         answer = await client.read_at(address)
                     except OperatorCallError:
-                        await asyncio.sleep(READ_PAUSE_S)
+                        await asyncio.sleep(READ_RETRY_INTERVAL_S)
                         continue
                     document = read_document(answer.body)
                     return ConfigurationRead(node, document.version, self._matches(document))
@@ -83,7 +83,7 @@
         return sent is None or sent.configuration == document.configuration
 
 
-def _change_of(document: Document) -> bytes:
+def _next_change(document: Document) -> bytes:
     """Adds the operator's route, or gives it another time-out."""
     first = document.configuration.routes[0]
     version = document.version + VERSION_STEP
--- a/madderwind/testing/local_fleet/outcomes.py
+++ b/madderwind/testing/local_fleet/outcomes.py
@@ -11,7 +11,7 @@
 OUTCOMES_FILE = "requests.jsonl"
 
 
-class Fate(Enum):
+class OutcomeCategory(Enum):
     """`IN_TIME`: whole, its first event within the objective and no pause too long."""
 
     IN_TIME = "in time"
@@ -20,7 +20,7 @@
     FAILED = "failed"
 
 
-class TryOutcome(msgspec.Struct):
+class AttemptOutcome(msgspec.Struct):
     """One try. `status` is 0 where no answer came; `how` tells how it ended. Times on the steady clock."""
 
     request_id: str
@@ -42,17 +42,17 @@
     tenant: str
     at_ms: float
     shared_tokens: int
-    fate: Fate = Fate.FAILED
+    fate: OutcomeCategory = OutcomeCategory.FAILED
     first_ms: float | None = None
     ended_ms: float = 0.0
     gaps_ms: list[float] = []
-    tries: list[TryOutcome] = []
+    tries: list[AttemptOutcome] = []
     fault: str = ""
 
     @property
     def is_served(self) -> bool:
         """Whether the whole answer came."""
-        return self.fate in (Fate.IN_TIME, Fate.LATE)
+        return self.fate in (OutcomeCategory.IN_TIME, OutcomeCategory.LATE)
 
 
 def write_outcomes(path: Path, outcomes: Iterable[Outcome]) -> None:
--- a/madderwind/testing/local_fleet/relays.py
+++ b/madderwind/testing/local_fleet/relays.py
@@ -17,7 +17,7 @@
 from madderwind.testing.local_fleet.layout import RelayLayout
 
 # Who has which connection is looked up at most so often while a cut is in force.
-OWNERS_KEPT_S = 0.1
+OWNER_REFRESH_INTERVAL_S = 0.1
 CUT, SLOW = "cut", "slow"
 SOCKET_LINK = "socket:["
 # A line of /proc/net/tcp in the state ESTABLISHED: own address and port, and the inode.
@@ -39,14 +39,14 @@
         """Whether the node is cut from all others."""
         return self.kind == CUT and not self.between and node in self.nodes
 
-    def concerns(self, source: str, target: str) -> bool:
+    def applies_between(self, source: str, target: str) -> bool:
         """Whether it lies between these two; a source outside of the fleet has no name."""
-        return self._joins(source, target) or self._joins(target, source)
+        return self._applies_from(source, target) or self._applies_from(target, source)
 
-    def _joins(self, one: str, other: str) -> bool:
-        if one not in self.nodes or one == other:
+    def _applies_from(self, source: str, target: str) -> bool:
+        if source not in self.nodes or source == target:
             return False
-        return other in self.between if self.between else bool(other)
+        return target in self.between if self.between else bool(target)
 
 
 class ConnectionOwners:
@@ -55,29 +55,29 @@
     def __init__(self, pids: Callable[[], Mapping[str, int]]) -> None:
         self._pids = pids
         self._owners: dict[Address, str] = {}
-        self._looked_s = float("-inf")
+        self._refreshed_s = float("-inf")
 
     def node_of(self, peer: Address) -> str:
         """The node whose process had this end when looked up; empty where it is none of the fleet's."""
         return self._owners.get(peer, "")
 
-    def look_for(self, peer: Address) -> float:
+    def lookup_delay_s(self, peer: Address) -> float:
         """Look up a new connection's end; 0 where that is done, else how many seconds to wait for it."""
-        since_s = time.monotonic() - self._looked_s
+        since_s = time.monotonic() - self._refreshed_s
         if peer in self._owners:
             return 0.0
-        if since_s < OWNERS_KEPT_S:
-            return OWNERS_KEPT_S - since_s
-        self.look()
+        if since_s < OWNER_REFRESH_INTERVAL_S:
+            return OWNER_REFRESH_INTERVAL_S - since_s
+        self.refresh()
         return 0.0
 
-    def look(self) -> None:
+    def refresh(self) -> None:
         """Look up all ends."""
         node_by_inode = {inode: node for node, pid in self._pids().items() for inode in _socket_inodes(pid)}
         self._owners = {
             address: node_by_inode[inode] for address, inode in _tcp_sockets() if inode in node_by_inode
         }
-        self._looked_s = time.monotonic()
+        self._refreshed_s = time.monotonic()
 
 
 def _socket_inodes(pid: int) -> Iterator[str]:
@@ -105,16 +105,16 @@
     def __init__(self, relay: FleetRelay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(relay, reader, writer)
         self.peer: Address = writer.get_extra_info("peername")[:2]
-        self.open = asyncio.Event()
+        self.may_pass = asyncio.Event()
         self.late_ms = 0.0
-        relay.settle_new(self)
+        relay.apply_conditions_once_owned(self)
 
 
 class FleetRelay(Relay):
     """The relay before one address of a node."""
 
     def __init__(self, layout: RelayLayout, relays: FleetRelays) -> None:
-        super().__init__(_address(layout.address), _address(layout.target))
+        super().__init__(_parse_address(layout.address), _parse_address(layout.target))
         self.node, self._relays = layout.node, relays
 
     def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> RelayedConnection:
@@ -123,33 +123,33 @@
     async def passes(self, connection: RelayedConnection) -> None:
         assert isinstance(connection, _FleetConnection)
         await super().passes(connection)
-        await connection.open.wait()
+        await connection.may_pass.wait()
         if connection.late_ms:
             await asyncio.sleep(connection.late_ms / MS_PER_S)
-            await connection.open.wait()
+            await connection.may_pass.wait()
 
-    def settle_new(self, connection: _FleetConnection) -> None:
+    def apply_conditions_once_owned(self, connection: _FleetConnection) -> None:
         """A connection was accepted: nothing passes on it before it is known whose it is."""
-        wait_s = self._relays.look_for(connection.peer)
+        wait_s = self._relays.lookup_delay_s(connection.peer)
         if not wait_s:
-            self.settle(connection)
+            self.apply_conditions(connection)
             return
-        connection.open.clear()
-        asyncio.get_running_loop().call_later(wait_s, self.settle_new, connection)
+        connection.may_pass.clear()
+        asyncio.get_running_loop().call_later(wait_s, self.apply_conditions_once_owned, connection)
 
-    def settle(self, connection: _FleetConnection) -> None:
+    def apply_conditions(self, connection: _FleetConnection) -> None:
         """Give a connection what the conditions in force make of it."""
         is_cut, connection.late_ms = self._relays.between(connection.peer, self.node)
         if is_cut:
-            connection.open.clear()
+            connection.may_pass.clear()
         else:
-            connection.open.set()
+            connection.may_pass.set()
 
-    def settle_all(self) -> None:
+    def apply_conditions_to_all(self) -> None:
         """After the conditions changed."""
         for connection in self.connections:
             assert isinstance(connection, _FleetConnection)
-            self.settle(connection)
+            self.apply_conditions(connection)
 
 
 class FleetRelays:
@@ -173,26 +173,26 @@
         """These hold from now on, and no others. A node cut from all others is not even connected to."""
         self._conditions = tuple(conditions)
         if self._conditions:
-            self._owners.look()
+            self._owners.refresh()
         for relay in self._relays:
             isolated = any(condition.isolates(relay.node) for condition in self._conditions)
             relay.be("vanish" if isolated else "", 0.0)
-            relay.settle_all()
+            relay.apply_conditions_to_all()
 
-    def look_for(self, peer: Address) -> float:
+    def lookup_delay_s(self, peer: Address) -> float:
         """0 once it is known whose a new connection is, or that does not matter; else when to ask again."""
-        return self._owners.look_for(peer) if self._conditions else 0.0
+        return self._owners.lookup_delay_s(peer) if self._conditions else 0.0
 
     def between(self, peer: Address, node: str) -> tuple[bool, float]:
         """Whether nothing passes between a connection's end and a node, and how late what passes is."""
         if not self._conditions:
             return False, 0.0
         source = self._owners.node_of(peer)
-        found = [condition for condition in self._conditions if condition.concerns(source, node)]
-        is_cut = any(condition.kind == CUT for condition in found)
-        return is_cut, max((condition.late_ms for condition in found), default=0.0)
+        matching = [condition for condition in self._conditions if condition.applies_between(source, node)]
+        is_cut = any(condition.kind == CUT for condition in matching)
+        return is_cut, max((condition.late_ms for condition in matching), default=0.0)
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     ip, _, port = text.rpartition(":")
     return ip, int(port)
--- a/madderwind/testing/local_fleet/report.py
+++ b/madderwind/testing/local_fleet/report.py
@@ -10,17 +10,17 @@
 from madderwind.testing.local_fleet.baselines import Baseline
 from madderwind.testing.local_fleet.cache_figures import CacheFigures
 from madderwind.testing.local_fleet.checker import Promise, Violation
-from madderwind.testing.local_fleet.fault_player import PlayedFault
-from madderwind.testing.local_fleet.load_figures import KindFigures, Times
-from madderwind.testing.local_fleet.outcomes import Fate, Outcome
+from madderwind.testing.local_fleet.fault_player import InjectedFault
+from madderwind.testing.local_fleet.load_figures import KindFigures, LatencyQuantiles
+from madderwind.testing.local_fleet.outcomes import Outcome, OutcomeCategory
 
 MS_PER_S = 1000.0
-MOST_VIOLATIONS_SHOWN = 10
-_FATE_COLOURS = {
-    Fate.IN_TIME: "tab:green",
-    Fate.LATE: "tab:olive",
-    Fate.REFUSED: "tab:orange",
-    Fate.FAILED: "tab:red",
+MAX_VIOLATIONS_SHOWN = 10
+_CATEGORY_COLOURS = {
+    OutcomeCategory.IN_TIME: "tab:green",
+    OutcomeCategory.LATE: "tab:olive",
+    OutcomeCategory.REFUSED: "tab:orange",
+    OutcomeCategory.FAILED: "tab:red",
 }
 
 
@@ -29,9 +29,9 @@
 
     name: str
     kinds: Sequence[KindFigures]
-    own_lateness: Times
+    own_lateness: LatencyQuantiles
     cache: CacheFigures
-    faults: Sequence[PlayedFault]
+    faults: Sequence[InjectedFault]
     baselines: Sequence[Baseline]
     acknowledged_commands: int
     sent_commands: int
@@ -53,7 +53,7 @@
     if report.baselines:
         parts.append(_baseline_table(report))
     if report.violations is not None:
-        parts.append(_promises(report.violations))
+        parts.append(_guarantee_results(report.violations))
     return "\n\n".join(parts) + "\n"
 
 
@@ -62,8 +62,8 @@
         f"{'kind':12}{'requests':>9}{'in time':>9}{'late':>6}{'refused':>9}{'failed':>8}{'tries':>7}"
         f"{'first event ms':>22}{'between events ms':>22}"
     )
-    second = f"{'':60}{'p50':>8}{'p95':>7}{'p99':>7}{'p50':>8}{'p95':>7}{'p99':>7}"
-    return "\n".join([head, second, *(_kind_row(kind) for kind in kinds)])
+    quantile_head = f"{'':60}{'p50':>8}{'p95':>7}{'p99':>7}{'p50':>8}{'p95':>7}{'p99':>7}"
+    return "\n".join([head, quantile_head, *(_kind_row(kind) for kind in kinds)])
 
 
 def _kind_row(kind: KindFigures) -> str:
@@ -104,26 +104,26 @@
         f"{'prefilled again':>17}",
     ]
     for baseline in report.baselines:
-        found = baseline.figures
+        figures = baseline.figures
         lines.append(
-            f"{baseline.name:24}{found.served:8.1%}{found.late:8.1%}{found.first_p50_ms:21.0f}"
-            f"{found.first_p95_ms:7.0f}{found.first_p99_ms:7.0f}{found.reread:17.1%}"
+            f"{baseline.name:24}{figures.served:8.1%}{figures.late:8.1%}{figures.first_p50_ms:21.0f}"
+            f"{figures.first_p95_ms:7.0f}{figures.first_p99_ms:7.0f}{figures.reread:17.1%}"
         )
     return "\n".join(lines)
 
 
-def _promises(violations: Sequence[Violation]) -> str:
+def _guarantee_results(violations: Sequence[Violation]) -> str:
     lines = ["Checked afterwards:"]
     for promise in Promise:
         broken = [violation for violation in violations if violation.promise is promise]
         lines.append(f"  {'BROKEN' if broken else 'holds ':7}{promise.value}")
-        lines += [f"          {violation.text}" for violation in broken[:MOST_VIOLATIONS_SHOWN]]
-        if len(broken) > MOST_VIOLATIONS_SHOWN:
-            lines.append(f"          and {len(broken) - MOST_VIOLATIONS_SHOWN} more")
+        lines += [f"          {violation.text}" for violation in broken[:MAX_VIOLATIONS_SHOWN]]
+        if len(broken) > MAX_VIOLATIONS_SHOWN:
+            lines.append(f"          and {len(broken) - MAX_VIOLATIONS_SHOWN} more")
     return "\n".join(lines)
 
 
-def draw_picture(path: Path, outcomes: Sequence[Outcome], faults: Sequence[PlayedFault]) -> None:
+def draw_chart(path: Path, outcomes: Sequence[Outcome], faults: Sequence[InjectedFault]) -> None:
     """Requests by second and fate, first-event times, and the faults, as a picture."""
     import matplotlib
 
@@ -132,13 +132,20 @@
 
     begin_ms = min(outcome.at_ms for outcome in outcomes)
     figure, (counts, times) = pyplot.subplots(2, 1, sharex=True, figsize=(9, 6))
-    below = [0] * (1 + int(max(outcome.at_ms - begin_ms for outcome in outcomes) / MS_PER_S))
-    for fate, colour in _FATE_COLOURS.items():
-        by_second = [0] * len(below)
+    stacked_counts = [0] * (1 + int(max(outcome.at_ms - begin_ms for outcome in outcomes) / MS_PER_S))
+    for fate, colour in _CATEGORY_COLOURS.items():
+        by_second = [0] * len(stacked_counts)
         for outcome in outcomes:
             by_second[int((outcome.at_ms - begin_ms) / MS_PER_S)] += outcome.fate is fate
-        counts.bar(range(len(below)), by_second, bottom=below, color=colour, label=fate.value, align="edge")
-        below = [low + more for low, more in zip(below, by_second, strict=True)]
+        counts.bar(
+            range(len(stacked_counts)),
+            by_second,
+            bottom=stacked_counts,
+            color=colour,
+            label=fate.value,
+            align="edge",
+        )
+        stacked_counts = [low + more for low, more in zip(stacked_counts, by_second, strict=True)]
     for kind in sorted({outcome.kind for outcome in outcomes}):
         points = [
             ((outcome.at_ms - begin_ms) / MS_PER_S, outcome.first_ms)
--- a/madderwind/testing/local_fleet/run.py
+++ b/madderwind/testing/local_fleet/run.py
@@ -13,22 +13,22 @@
 from madderwind.testing.local_fleet.baselines import simulate_baselines
 from madderwind.testing.local_fleet.cache_figures import cache_figures
 from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead, Evidence, Violation, check
-from madderwind.testing.local_fleet.fault_player import FaultPlayer, PlayedFault
+from madderwind.testing.local_fleet.fault_player import FaultInjector, InjectedFault
 from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
 from madderwind.testing.local_fleet.layout import FleetLayout, read_layout
 from madderwind.testing.local_fleet.load import traffic_of
 from madderwind.testing.local_fleet.load_figures import all_figures, own_lateness
 from madderwind.testing.local_fleet.load_process import LoadProcess
-from madderwind.testing.local_fleet.node_process import LifeEvent
+from madderwind.testing.local_fleet.node_process import ProcessEvent
 from madderwind.testing.local_fleet.operator_client import OperatorClient
-from madderwind.testing.local_fleet.operator_load import OperatorAtWork, acknowledged
+from madderwind.testing.local_fleet.operator_load import OperatorLoad, acknowledged
 from madderwind.testing.local_fleet.outcomes import Outcome
-from madderwind.testing.local_fleet.report import RunReport, draw_picture, render_report
-from madderwind.testing.local_fleet.supervisor import LIVES_FILE, Supervisor
+from madderwind.testing.local_fleet.report import RunReport, draw_chart, render_report
+from madderwind.testing.local_fleet.supervisor import PROCESS_EVENTS_FILE, Supervisor
 
 PICTURE_FILE, REPORT_FILE = "report.png", "report.txt"
 # After the last request, upstreams note what has ended.
-SETTLE_S = 0.3
+RECORD_FLUSH_DELAY_S = 0.3
 
 
 async def start_fleet(supervisor: Supervisor, fleet: FleetFile) -> None:
@@ -52,36 +52,36 @@
 
 async def load_and_break(
     fleet: FleetFile, layout: FleetLayout
-) -> tuple[list[Outcome], list[PlayedFault], OperatorAtWork]:
+) -> tuple[list[Outcome], list[InjectedFault], OperatorLoad]:
     """The load from a process of its own, with the file's faults and operator's changes beside it."""
     async with LoadProcess(layout) as load:
-        playing = asyncio.create_task(play_faults(fleet, layout))
+        fault_task = asyncio.create_task(play_faults(fleet, layout))
         try:
             outcomes = await load.wait()
-            played, operator = await playing
+            injected, operator = await fault_task
         finally:
-            playing.cancel()
-            await asyncio.gather(playing, return_exceptions=True)
-    return outcomes, played, operator
+            fault_task.cancel()
+            await asyncio.gather(fault_task, return_exceptions=True)
+    return outcomes, injected, operator
 
 
-async def play_faults(fleet: FleetFile, layout: FleetLayout) -> tuple[list[PlayedFault], OperatorAtWork]:
+async def play_faults(fleet: FleetFile, layout: FleetLayout) -> tuple[list[InjectedFault], OperatorLoad]:
     """The file's faults and operator's changes alone, beside a load that somebody else sends."""
-    operator = OperatorAtWork(layout, fleet.operator.change_every_s)
-    async with FaultPlayer(layout, fleet.faults, traffic_of(fleet).seed) as player:
-        changing = asyncio.create_task(operator.run()) if fleet.operator.change_every_s else None
+    operator = OperatorLoad(layout, fleet.operator.change_every_s)
+    async with FaultInjector(layout, fleet.faults, traffic_of(fleet).seed) as injector:
+        operator_task = asyncio.create_task(operator.run()) if fleet.operator.change_every_s else None
         try:
-            await player.run()
+            await injector.run()
         finally:
-            if changing is not None:
-                changing.cancel()
-                await asyncio.gather(changing, return_exceptions=True)
-    return player.played, operator
+            if operator_task is not None:
+                operator_task.cancel()
+                await asyncio.gather(operator_task, return_exceptions=True)
+    return injector.injected, operator
 
 
-async def read_back(operator: OperatorAtWork) -> list[ConfigurationRead]:
+async def read_back(operator: OperatorLoad) -> list[ConfigurationRead]:
     """What the control planes give as the newest configuration, once things are calm."""
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(RECORD_FLUSH_DELAY_S)
     return await operator.read_back()
 
 
@@ -114,15 +114,15 @@
     fleet: FleetFile,
     layout: FleetLayout,
     outcomes: Sequence[Outcome],
-    faults: Sequence[PlayedFault],
-    operator: OperatorAtWork | None,
+    faults: Sequence[InjectedFault],
+    operator: OperatorLoad | None,
     violations: Sequence[Violation] | None,
     with_baselines: bool,
 ) -> str:
     """The report as text, also kept in the fleet's folder beside a picture."""
     folder = Path(layout.folder)
-    began_ms = min((outcome.at_ms for outcome in outcomes), default=0.0)
-    records = [record for record in upstream_records(layout) if record.at_ms >= began_ms]
+    started_ms = min((outcome.at_ms for outcome in outcomes), default=0.0)
+    records = [record for record in upstream_records(layout) if record.at_ms >= started_ms]
     asked_tokens = sum(outcome.shared_tokens for outcome in outcomes if outcome.is_served)
     commands = operator.commands if operator is not None else []
     report = RunReport(
@@ -134,20 +134,20 @@
         baselines=simulate_baselines(fleet) if with_baselines else [],
         acknowledged_commands=acknowledged(commands),
         sent_commands=len(commands),
-        own_ends=_own_ends(folder),
+        own_ends=_count_unexpected_exits(folder),
         violations=violations,
     )
     text = render_report(report)
     (folder / REPORT_FILE).write_text(text)
     if outcomes:
-        draw_picture(folder / PICTURE_FILE, outcomes, faults)
+        draw_chart(folder / PICTURE_FILE, outcomes, faults)
     return text
 
 
-def _own_ends(folder: Path) -> int:
-    path = folder / LIVES_FILE
+def _count_unexpected_exits(folder: Path) -> int:
+    path = folder / PROCESS_EVENTS_FILE
     if not path.exists():
         return 0
-    decoder = msgspec.json.Decoder(LifeEvent)
+    decoder = msgspec.json.Decoder(ProcessEvent)
     events = (decoder.decode(line) for line in path.read_bytes().splitlines())
     return sum(event.what == "ended by itself" for event in events)
--- a/madderwind/testing/local_fleet/supervisor.py
+++ b/madderwind/testing/local_fleet/supervisor.py
@@ -16,16 +16,16 @@
 from madderwind.errors import LocalFleetError
 from madderwind.testing.fault_tests.plan import take_net
 from madderwind.testing.local_fleet.fleet_file import FleetFile
-from madderwind.testing.local_fleet.layout import STATE_FILE, FleetLayout, NodeKind, lay_out
-from madderwind.testing.local_fleet.node_process import LifeEvent, NodeProcess
+from madderwind.testing.local_fleet.layout import STATE_FILE, FleetLayout, NodeKind, build_layout
+from madderwind.testing.local_fleet.node_process import NodeProcess, ProcessEvent
 from madderwind.testing.local_fleet.relays import FleetRelays, LinkCondition
 
-LIVES_FILE = "lives.jsonl"
+PROCESS_EVENTS_FILE = "lives.jsonl"
 # All processes start within this, and a data plane is ready; a busy machine starts many at once.
 START_TIMEOUT_S = 60.0
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 # A process that ends by itself so often before it is up is not going to come up.
-MOST_FAILED_STARTS = 3
+MAX_FAILED_STARTS = 3
 ACTIONS = ("start", "kill", "term", "pause", "resume", "wipe", "fill_disk", "free_disk")
 
 
@@ -35,9 +35,9 @@
     def __init__(self, fleet: FleetFile, file: Path, folder: Path) -> None:
         self._fleet = fleet
         net, self._lock = _take_net()
-        self.layout: FleetLayout = lay_out(fleet, file, folder, net)
+        self.layout: FleetLayout = build_layout(fleet, file, folder, net)
         self._folder = folder
-        self._nodes = {node.name: NodeProcess(node, self._note) for node in self.layout.nodes}
+        self._nodes = {node.name: NodeProcess(node, self._record_event) for node in self.layout.nodes}
         self._runner: web.AppRunner | None = None
 
     async def __aenter__(self) -> Supervisor:
@@ -53,7 +53,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         (self._folder / STATE_FILE).unlink(missing_ok=True)
-        await asyncio.gather(*(node.end() for node in self._nodes.values()))
+        await asyncio.gather(*(node.force_stop() for node in self._nodes.values()))
         await self._relays.end()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -62,22 +62,22 @@
     async def wait_until_control_answers(self) -> None:
         """Return once each control plane takes connections; LocalFleetError where one does not."""
         for node in self.layout.of_kind(NodeKind.CONTROL_PLANE):
-            await self._await(node.name, lambda address=node.status: _listens(address))  # type: ignore[misc]
+            await self._wait_until(node.name, lambda address=node.status: _listens(address))  # type: ignore[misc]
 
     async def wait_until_ready(self) -> None:
         """Return once all data planes are ready; LocalFleetError where one is not."""
         async with aiohttp.ClientSession() as session:
             for node in self.layout.of_kind(NodeKind.DATA_PLANE):
                 url = f"http://{node.ready}/ready"
-                await self._await(node.name, lambda url=url: _answers_200(session, url))  # type: ignore[misc]
+                await self._wait_until(node.name, lambda url=url: _answers_200(session, url))  # type: ignore[misc]
 
-    async def _await(self, name: str, holds: Callable[[], Awaitable[bool]]) -> None:
+    async def _wait_until(self, name: str, condition: Callable[[], Awaitable[bool]]) -> None:
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
-                while not await holds():
-                    if self._nodes[name].own_ends >= MOST_FAILED_STARTS:
+                while not await condition():
+                    if self._nodes[name].unexpected_exits >= MAX_FAILED_STARTS:
                         raise LocalFleetError(f"{name} does not start: {self._nodes[name].log_tail()}")
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             tail = self._nodes[name].log_tail()
             raise LocalFleetError(f"{name} did not come up within {START_TIMEOUT_S:g} s: {tail}") from None
@@ -85,8 +85,8 @@
     def _pids(self) -> dict[str, int]:
         return {name: node.pid for name, node in self._nodes.items() if node.pid}
 
-    def _note(self, event: LifeEvent) -> None:
-        with (self._folder / LIVES_FILE).open("ab") as file:
+    def _record_event(self, event: ProcessEvent) -> None:
+        with (self._folder / PROCESS_EVENTS_FILE).open("ab") as file:
             file.write(msgspec.json.encode(event) + b"\n")
 
     # --- what other commands ask for ---
@@ -95,7 +95,7 @@
         application = web.Application()
         application.router.add_post("/nodes/{name}/{action}", self._act)
         application.router.add_post("/links", self._set_links)
-        application.router.add_get("/nodes", self._list)
+        application.router.add_get("/nodes", self._list_nodes)
         self._runner = web.AppRunner(application, access_log=None, handle_signals=False, shutdown_timeout=0.2)
         await self._runner.setup()
         ip, _, port = self.layout.supervisor.rpartition(":")
@@ -108,7 +108,7 @@
             raise web.HTTPNotFound
         match action:
             case "start":
-                await node.wait_ended_if_ending()
+                await node.wait_exited_if_stopping()
                 await node.start()
             case "kill":
                 await node.kill()
@@ -133,9 +133,9 @@
         self._relays.set_conditions(conditions)
         return web.Response()
 
-    async def _list(self, _: web.Request) -> web.Response:
-        told = {name: {"state": node.state.value, "pid": node.pid} for name, node in self._nodes.items()}
-        return web.Response(body=msgspec.json.encode(told), content_type="application/json")
+    async def _list_nodes(self, _: web.Request) -> web.Response:
+        states = {name: {"state": node.state.value, "pid": node.pid} for name, node in self._nodes.items()}
+        return web.Response(body=msgspec.json.encode(states), content_type="application/json")
 
 
 def _take_net() -> tuple[int, socket.socket]:
--- a/madderwind/testing/local_fleet/yaml_files.py
+++ b/madderwind/testing/local_fleet/yaml_files.py
@@ -23,7 +23,7 @@
 PathStep = str | int
 
 
-class _WrongValue(Exception):
+class _InvalidValue(Exception):
     """A value that its field can't take; the text tells why."""
 
 
@@ -45,7 +45,7 @@
         raise FileFormatError(name, line, "", error.problem or "is no YAML") from None
     try:
         return _converter.structure(raw, file_type)
-    except (BaseValidationError, ConfigurationError, _WrongValue) as error:
+    except (BaseValidationError, ConfigurationError, _InvalidValue) as error:
         steps, reason = _first_fault(error)
         raise FileFormatError(name, line_of(text, steps), field_name(steps), reason) from None
 
@@ -119,25 +119,25 @@
 
 def _number(value: Any, _: object) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise _WrongValue(f"a number was expected, not {value!r}")
+        raise _InvalidValue(f"a number was expected, not {value!r}")
     return float(value)
 
 
-def _whole_number(value: Any, _: object) -> int:
+def _integer(value: Any, _: object) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _WrongValue(f"a whole number was expected, not {value!r}")
+        raise _InvalidValue(f"a whole number was expected, not {value!r}")
     return value
 
 
 def _text(value: Any, _: object) -> str:
     if not isinstance(value, str):
-        raise _WrongValue(f"a text was expected, not {value!r}")
+        raise _InvalidValue(f"a text was expected, not {value!r}")
     return value
 
 
-def _truth(value: Any, _: object) -> bool:
+def _boolean(value: Any, _: object) -> bool:
     if not isinstance(value, bool):
-        raise _WrongValue(f"true or false was expected, not {value!r}")
+        raise _InvalidValue(f"true or false was expected, not {value!r}")
     return value
 
 
@@ -146,7 +146,7 @@
 
     def structure_object(value: Any, _: object) -> Any:
         if not isinstance(value, dict):
-            raise _WrongValue("a mapping of fields was expected")
+            raise _InvalidValue("a mapping of fields was expected")
         return structure(value, item_type)
 
     return structure_object
@@ -157,7 +157,7 @@
 
     def structure_list(value: Any, _: object) -> Any:
         if not isinstance(value, list):
-            raise _WrongValue("a list was expected")
+            raise _InvalidValue("a list was expected")
         return tuple(_converter.structure(value, list[item_type]))  # type: ignore[valid-type]
 
     return structure_list
@@ -170,9 +170,9 @@
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=True)
     converter.register_structure_hook(float, _number)
-    converter.register_structure_hook(int, _whole_number)
+    converter.register_structure_hook(int, _integer)
     converter.register_structure_hook(str, _text)
-    converter.register_structure_hook(bool, _truth)
+    converter.register_structure_hook(bool, _boolean)
     converter.register_structure_hook_factory(_is_tuple, _list_of)
     converter.register_structure_hook_factory(attrs.has, _object_of)
     return converter
--- a/tests/testing/local_fleet/test_checking.py
+++ b/tests/testing/local_fleet/test_checking.py
@@ -12,7 +12,7 @@
 from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead, Evidence, Promise, check
 from madderwind.testing.local_fleet.fault_file import Fault
 from madderwind.testing.local_fleet.fault_schedule import Action, plan_fault
-from madderwind.testing.local_fleet.outcomes import Fate, Outcome, TryOutcome
+from madderwind.testing.local_fleet.outcomes import AttemptOutcome, Outcome, OutcomeCategory
 from madderwind.testing.local_fleet.relays import LinkCondition
 
 NODES = ("control-1", "control-2", "data-1", "model-1", "model-2")
@@ -22,60 +22,60 @@
     return Ran(1.0, instance, request, "acme", "/x")
 
 
-def outcome(*tries: TryOutcome, kind: str = "unsafe", fault: str = "") -> Outcome:
-    return Outcome(1, kind, "acme", 0.0, 0, Fate.IN_TIME, tries=list(tries), fault=fault)
+def outcome(*tries: AttemptOutcome, kind: str = "unsafe", fault: str = "") -> Outcome:
+    return Outcome(1, kind, "acme", 0.0, 0, OutcomeCategory.IN_TIME, tries=list(tries), fault=fault)
 
 
-def made(request: str = "r", status: int = 200, signature: str = "s") -> TryOutcome:
-    return TryOutcome(request, "data-1", 0.0, 1.0, status, "whole", signature)
+def attempt(request: str = "r", status: int = 200, signature: str = "s") -> AttemptOutcome:
+    return AttemptOutcome(request, "data-1", 0.0, 1.0, status, "whole", signature)
 
 
-def broken(**changes: Any) -> list[Promise]:
+def violated(**changes: Any) -> list[Promise]:
     """The promises that a run with this evidence broke."""
     evidence: dict[str, Any] = {"outcomes": [], "records": [], "commands": [], "reads": []}
     evidence |= {"idempotent_kinds": frozenset({"safe"}), **changes}
     return [violation.promise for violation in check(Evidence(**evidence))]
 
 
-class TheChecker(unittest.TestCase):
+class CheckerTest(unittest.TestCase):
     def test_finds_nothing_in_a_run_that_went_well(self) -> None:
-        found = broken(
-            outcomes=[outcome(made("a", 503, ""), made("b"))],
+        violations = violated(
+            outcomes=[outcome(attempt("a", 503, ""), attempt("b"))],
             records=[ran("b")],
             commands=[CommandSent(3, True), CommandSent(5, False)],
             reads=[ConfigurationRead("control-1", 3), ConfigurationRead("control-2", 5)],
         )
-        self.assertEqual(found, [])
+        self.assertEqual(violations, [])
 
     def test_a_second_run_of_one_request(self) -> None:
         records = [ran("r", "i-1"), ran("r", "i-2")]
-        self.assertEqual(broken(outcomes=[outcome(made())], records=records), [Promise.RUN_ONCE])
-        self.assertEqual(broken(outcomes=[outcome(made(), kind="safe")], records=records), [])
+        self.assertEqual(violated(outcomes=[outcome(attempt())], records=records), [Promise.RUN_ONCE])
+        self.assertEqual(violated(outcomes=[outcome(attempt(), kind="safe")], records=records), [])
 
     def test_a_refusal_of_what_ran(self) -> None:
-        found = broken(outcomes=[outcome(made(status=503, signature=""))], records=[ran("r")])
-        self.assertEqual(found, [Promise.REFUSAL])
+        violations = violated(outcomes=[outcome(attempt(status=503, signature=""))], records=[ran("r")])
+        self.assertEqual(violations, [Promise.REFUSAL])
 
     def test_a_stream_with_a_gap(self) -> None:
-        found = broken(outcomes=[outcome(made(), fault="a gap: event 3 after event 1")])
-        self.assertEqual(found, [Promise.STREAM])
+        violations = violated(outcomes=[outcome(attempt(), fault="a gap: event 3 after event 1")])
+        self.assertEqual(violations, [Promise.STREAM])
 
     def test_a_success_that_no_upstream_signed(self) -> None:
-        self.assertEqual(broken(outcomes=[outcome(made(signature=""))]), [Promise.ANSWER])
+        self.assertEqual(violated(outcomes=[outcome(attempt(signature=""))]), [Promise.ANSWER])
 
     def test_an_acknowledged_configuration_that_is_gone(self) -> None:
         commands = [CommandSent(3, True), CommandSent(5, True)]
         older = [ConfigurationRead("control-1", 3)]
-        self.assertEqual(set(broken(commands=commands, reads=older)), {Promise.CONFIGURATION})
+        self.assertEqual(set(violated(commands=commands, reads=older)), {Promise.CONFIGURATION})
         silent = [ConfigurationRead("control-1", 0)]
-        self.assertEqual(broken(commands=commands, reads=silent), [Promise.CONFIGURATION])
+        self.assertEqual(violated(commands=commands, reads=silent), [Promise.CONFIGURATION])
         other = [ConfigurationRead("control-1", 5, matches_sent=False)]
-        self.assertEqual(broken(commands=commands, reads=other), [Promise.CONFIGURATION])
+        self.assertEqual(violated(commands=commands, reads=other), [Promise.CONFIGURATION])
         one_silent = [ConfigurationRead("control-1", 0), ConfigurationRead("control-2", 5)]
-        self.assertEqual(broken(commands=commands, reads=one_silent), [])
+        self.assertEqual(violated(commands=commands, reads=one_silent), [])
 
 
-class FaultsOnNodes(unittest.TestCase):
+class FaultPlanTest(unittest.TestCase):
     def plan(self, **changes: Any) -> Any:
         fault = Fault(**{"what": "kill", "nodes": ("model-*",), "at_s": 1.0, "for_s": 2.0, **changes})
         return plan_fault(fault, NODES, "control-2", random.Random(1))
@@ -101,19 +101,19 @@
     def test_a_cut_lies_between_its_nodes_and_the_others(self) -> None:
         alone = self.plan(what="cut", nodes=("control-1",)).condition
         self.assertTrue(alone.isolates("control-1"))
-        self.assertTrue(alone.concerns("control-1", "data-1"))
-        self.assertTrue(alone.concerns("data-1", "control-1"))
-        self.assertFalse(alone.concerns("data-1", "control-2"))
-        self.assertFalse(alone.concerns("", "control-2"))
+        self.assertTrue(alone.applies_between("control-1", "data-1"))
+        self.assertTrue(alone.applies_between("data-1", "control-1"))
+        self.assertFalse(alone.applies_between("data-1", "control-2"))
+        self.assertFalse(alone.applies_between("", "control-2"))
 
     def test_a_cut_between_two_groups_leaves_the_rest(self) -> None:
         condition = LinkCondition("cut", ("data-1",), ("model-1",))
-        self.assertTrue(condition.concerns("data-1", "model-1"))
-        self.assertFalse(condition.concerns("data-1", "model-2"))
+        self.assertTrue(condition.applies_between("data-1", "model-1"))
+        self.assertFalse(condition.applies_between("data-1", "model-2"))
         self.assertFalse(condition.isolates("data-1"))
 
 
-class CacheFigures(unittest.TestCase):
+class CacheFiguresTest(unittest.TestCase):
     def test_what_is_prefilled_again_soon_is_told_apart(self) -> None:
         reads = [
             PrefilledPart(0.0, "i-1", "a", 100, True),
--- a/tests/testing/local_fleet/test_client_side.py
+++ b/tests/testing/local_fleet/test_client_side.py
@@ -8,7 +8,7 @@
 
 from madderwind.testing.engine_emulator.workload import Burst, SharedPart, Tokens
 from madderwind.testing.local_fleet.event_check import EventCheck
-from madderwind.testing.local_fleet.ingress import Front, Ingress
+from madderwind.testing.local_fleet.ingress import DataPlaneEndpoint, Ingress
 from madderwind.testing.local_fleet.traffic import draw_requests
 from madderwind.testing.local_fleet.traffic_file import Generations, RequestKind, Sessions, Traffic
 
@@ -25,7 +25,7 @@
 PLAIN = RequestKind(name="plain", host="h", path="/plain/", per_s=10.0)
 
 
-class DrawnTraffic(unittest.TestCase):
+class DrawRequestsTest(unittest.TestCase):
     def test_one_seed_gives_one_traffic(self) -> None:
         traffic = Traffic((CHAT, PLAIN), for_s=10.0)
         self.assertEqual(draw_requests(traffic, "r"), draw_requests(traffic, "r"))
@@ -63,10 +63,12 @@
         self.assertAlmostEqual(share, 0.75, delta=0.05)
 
 
-class NewConnections(unittest.TestCase):
+class IngressTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.fronts = [Front(f"d{number}", "ab"[number % 2], f"a{number}") for number in range(6)]
-        self.ingress = Ingress(self.fronts)
+        self.endpoints = [
+            DataPlaneEndpoint(f"d{number}", "ab"[number % 2], f"a{number}") for number in range(6)
+        ]
+        self.ingress = Ingress(self.endpoints)
 
     def chosen(self, zone: str, tried: tuple[str, ...] = ()) -> set[str]:
         return {self.ingress.choose(f"c{number}", zone, tried).name for number in range(100)}
@@ -78,21 +80,21 @@
         self.assertEqual(self.ingress.choose("c", "a"), self.ingress.choose("c", "a"))
 
     def test_avoid_one_that_missed_twice_until_it_answers(self) -> None:
-        self.ingress.queried("d0", False)
+        self.ingress.record_probe("d0", False)
         self.assertIn("d0", self.chosen("a"))
-        self.ingress.queried("d0", False)
+        self.ingress.record_probe("d0", False)
         self.assertEqual(self.chosen("a"), {"d2", "d4"})
-        self.ingress.queried("d0", True)
+        self.ingress.record_probe("d0", True)
         self.assertIn("d0", self.chosen("a"))
 
     def test_go_to_all_of_the_zone_where_fewer_than_half_are_in(self) -> None:
         for name in ("d0", "d2", "d0", "d2"):
-            self.ingress.queried(name, False)
+            self.ingress.record_probe(name, False)
         self.assertEqual(self.chosen("a"), {"d0", "d2", "d4"})
 
     def test_leave_a_zone_where_none_is_in(self) -> None:
         for name in ("d0", "d2", "d4") * 2:
-            self.ingress.queried(name, False)
+            self.ingress.record_probe(name, False)
         self.assertEqual(self.chosen("a"), {"d1", "d3", "d5"})
 
     def test_of_a_retry_reach_another_data_plane(self) -> None:
@@ -104,7 +106,7 @@
     return f"id: {number}\ndata: {subject} {number}/{total}\n\n".encode()
 
 
-class StreamsAreChecked(unittest.TestCase):
+class EventCheckTest(unittest.TestCase):
     def setUp(self) -> None:
         self.check = EventCheck("s")
 
@@ -112,7 +114,7 @@
         data = event(1) + event(2) + event(3)
         counts = [self.check.feed(data[at : at + 7]) for at in range(0, len(data), 7)]
         self.assertEqual(sum(counts), 3)
-        self.check.ended_as_complete()
+        self.check.finish()
         self.assertTrue(self.check.is_whole)
         self.assertEqual(self.check.fault, "")
 
@@ -130,14 +132,14 @@
 
     def test_an_end_too_early(self) -> None:
         self.check.feed(event(1))
-        self.check.ended_as_complete()
+        self.check.finish()
         self.assertIn("complete after event 1 of 3", self.check.fault)
 
     def test_a_resumption_goes_on_after_the_last_whole_event(self) -> None:
         self.check.feed(event(1) + event(2)[:9])
         self.check.resume()
         self.check.feed(event(2) + event(3))
-        self.check.ended_as_complete()
+        self.check.finish()
         self.assertEqual(self.check.fault, "")
 
 
--- a/tests/testing/local_fleet/test_files.py
+++ b/tests/testing/local_fleet/test_files.py
@@ -13,7 +13,7 @@
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "local" / "workshop.yaml"
 
 
-class FleetFiles(unittest.TestCase):
+class FleetFileTest(unittest.TestCase):
     def read_changed(self, old: str, new: str) -> FileFormatError:
         """What is told of the example with one text in it changed."""
         text = EXAMPLE.read_text()
@@ -68,7 +68,7 @@
         self.assertEqual(caught.exception.line, 2)
 
 
-class Lines(unittest.TestCase):
+class LineOfTest(unittest.TestCase):
     def test_a_place_is_found_in_json_too(self) -> None:
         text = '{\n "routes": [\n  {"name": "a"},\n  {"name": "b",\n   "timeout_ms": 0}\n ]\n}'
         self.assertEqual(line_of(text, steps_of("routes[1].timeout_ms")), 5)
--- a/tests/testing/local_fleet/test_relays.py
+++ b/tests/testing/local_fleet/test_relays.py
@@ -14,10 +14,10 @@
 
 DEADLINE_S = 10.0
 # Long enough that what passes at once would have come.
-NOTHING_WITHIN_S = 0.3
+BLOCKED_TIMEOUT_S = 0.3
 
 
-class RelayStory(unittest.IsolatedAsyncioTestCase):
+class FleetRelaysTest(unittest.IsolatedAsyncioTestCase):
     """This process is node `caller`; `echo` is the node behind the relay."""
 
     async def asyncSetUp(self) -> None:
@@ -42,9 +42,9 @@
         self.addCleanup(writer.close)
         return reader, writer
 
-    async def passes(self, reader: asyncio.StreamReader, within_s: float = DEADLINE_S) -> bool:
+    async def receives_echo(self, reader: asyncio.StreamReader, timeout_s: float = DEADLINE_S) -> bool:
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 return await reader.readline() == b"hello\n"
         except TimeoutError:
             return False
@@ -55,46 +55,46 @@
     async def test_all_passes_without_a_cut(self) -> None:
         reader, writer = await self.connect()
         writer.write(b"hello\n")
-        self.assertTrue(await self.passes(reader))
+        self.assertTrue(await self.receives_echo(reader))
 
     async def test_a_cut_between_the_two_holds_up_an_open_connection_and_a_new_one(self) -> None:
         reader, writer = await self.connect()
         writer.write(b"hello\n")
-        self.assertTrue(await self.passes(reader))
+        self.assertTrue(await self.receives_echo(reader))
         await self.cut(["caller"], ["echo"])
         new_reader, new_writer = await self.connect()
         for each in (writer, new_writer):
             each.write(b"hello\n")
-        self.assertFalse(await self.passes(reader, NOTHING_WITHIN_S))
-        self.assertFalse(await self.passes(new_reader, NOTHING_WITHIN_S))
+        self.assertFalse(await self.receives_echo(reader, BLOCKED_TIMEOUT_S))
+        self.assertFalse(await self.receives_echo(new_reader, BLOCKED_TIMEOUT_S))
         self.relays.set_conditions([])
-        self.assertTrue(await self.passes(reader))
-        self.assertTrue(await self.passes(new_reader))
+        self.assertTrue(await self.receives_echo(reader))
+        self.assertTrue(await self.receives_echo(new_reader))
 
     async def test_a_cut_between_others_concerns_nobody_here(self) -> None:
         await self.cut(["somebody"], ["echo"])
         reader, writer = await self.connect()
         writer.write(b"hello\n")
-        self.assertTrue(await self.passes(reader))
+        self.assertTrue(await self.receives_echo(reader))
 
     async def test_a_node_cut_from_all_is_not_even_connected_to(self) -> None:
         await self.cut(["echo"])
         with self.assertRaises(TimeoutError):
-            async with asyncio.timeout(NOTHING_WITHIN_S):
+            async with asyncio.timeout(BLOCKED_TIMEOUT_S):
                 await self.connect()
         self.relays.set_conditions([])
         reader, writer = await self.connect()
         writer.write(b"hello\n")
-        self.assertTrue(await self.passes(reader))
+        self.assertTrue(await self.receives_echo(reader))
 
     async def test_a_slow_link_is_late_each_way(self) -> None:
         self.relays.set_conditions([LinkCondition("slow", ("caller",), ("echo",), late_ms=100.0)])
         reader, writer = await self.connect()
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         writer.write(b"hello\n")
-        self.assertTrue(await self.passes(reader))
-        self.assertGreaterEqual(loop.time() - began_s, 0.2)
+        self.assertTrue(await self.receives_echo(reader))
+        self.assertGreaterEqual(loop.time() - started_s, 0.2)
 
 
 if __name__ == "__main__":
--- a/tests/testing/local_fleet/test_whole_fleet.py
+++ b/tests/testing/local_fleet/test_whole_fleet.py
@@ -11,8 +11,8 @@
 from madderwind.testing.local_fleet.fleet_file import read_fleet_file
 from madderwind.testing.local_fleet.layout import NodeKind
 from madderwind.testing.local_fleet.load import Load, traffic_of
-from madderwind.testing.local_fleet.operator_load import OperatorAtWork
-from madderwind.testing.local_fleet.outcomes import Fate
+from madderwind.testing.local_fleet.operator_load import OperatorLoad
+from madderwind.testing.local_fleet.outcomes import OutcomeCategory
 from madderwind.testing.local_fleet.run import (
     check_run,
     play_faults,
@@ -51,7 +51,7 @@
 """
 
 
-class AFleetOfProcesses(unittest.IsolatedAsyncioTestCase):
+class LocalFleetTest(unittest.IsolatedAsyncioTestCase):
     async def test_serves_loses_an_upstream_and_keeps_its_promises(self) -> None:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / "fleet"
         file = folder.with_suffix(".yaml")
@@ -66,11 +66,14 @@
 
             outcomes = await Load(fleet, layout, traffic_of(fleet)).run()
             self.assertGreater(len(outcomes), 5)
-            self.assertTrue({outcome.fate for outcome in outcomes} <= {Fate.IN_TIME, Fate.LATE}, outcomes)
+            self.assertTrue(
+                {outcome.fate for outcome in outcomes} <= {OutcomeCategory.IN_TIME, OutcomeCategory.LATE},
+                outcomes,
+            )
 
-            played, _ = await play_faults(fleet, layout)
-            self.assertEqual([fault.nodes for fault in played], [("model-1",)])
-            operator = OperatorAtWork(layout, 0.0)
+            injected, _ = await play_faults(fleet, layout)
+            self.assertEqual([fault.nodes for fault in injected], [("model-1",)])
+            operator = OperatorLoad(layout, 0.0)
             reads = await read_back(operator)
             self.assertEqual([read.version for read in reads], [1])
             self.assertEqual(check_run(fleet, layout, outcomes, [], reads), [])
