--- a/madderwind/testing/local_fleet/__init__.py
+++ b/madderwind/testing/local_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet on one machine: its processes, traffic for it, faults in it, and a report on both."""
+"""Runs a complete fleet on one machine: processes, generated traffic, injected faults, and a report."""
--- a/madderwind/testing/local_fleet/baselines.py
+++ b/madderwind/testing/local_fleet/baselines.py
@@ -1,4 +1,7 @@
-"""The same mix with other ways of choosing an upstream, in the in-memory fleet: simulated, not measured."""
+"""Simulates the same traffic mix in the in-memory fleet under other policies of choosing an upstream.
+
+The resulting figures are simulated, not measured.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from madderwind.testing.local_fleet.load import traffic_of
 from madderwind.testing.local_fleet.traffic import workload_kind
 
-# The name of each policy in the table. `idle-first` is this project's own choice without placement.
+# Label of each policy in the report. `idle-first` is this project's own policy without prefix placement.
 POLICIES = {
     "placement": "ours",
     "idle-first": "ours without placement",
@@ -25,14 +28,14 @@
 
 
 class Baseline(msgspec.Struct, frozen=True):
-    """One policy's simulated figures."""
+    """Simulated figures of one policy."""
 
     name: str
     figures: Figures
 
 
 def simulate_baselines(fleet: FleetFile) -> list[Baseline]:
-    """Play the fleet's generations with every policy; empty where the file has none."""
+    """Simulate the fleet's generation requests under every policy; empty if the file has none."""
     group = _model_group(fleet)
     kinds = [workload_kind(kind) for kind in traffic_of(fleet).kinds if kind.generation is not None]
     if group is None or not kinds:
--- a/madderwind/testing/local_fleet/cache_figures.py
+++ b/madderwind/testing/local_fleet/cache_figures.py
@@ -1,4 +1,4 @@
-"""How much of what prompts share was read from an upstream's memory, and how much was prefilled again."""
+"""Prefix cache figures: shared prompt tokens found in an upstream's cache, and tokens prefilled again."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class CacheFigures(msgspec.Struct, frozen=True):
-    """Tokens of shared parts.
+    """Token counts of shared prompt parts.
 
-    In all prompts that ran, prefilled, and prefilled again within the time after their last use in which that
-    counts.
+    `asked_tokens` counts them in all prompts that ran, `prefilled_tokens` those that were prefilled, and
+    `prefilled_again_tokens` those that were prefilled again within `again_s` of the previous prefill.
     """
 
     asked_tokens: int
@@ -24,19 +24,19 @@
 
     @property
     def hit_share(self) -> float:
-        """The part of the shared tokens that did not have to be prefilled."""
+        """Fraction of the shared tokens that did not have to be prefilled."""
         if not self.asked_tokens:
             return 0.0
         return max(0.0, 1.0 - self.prefilled_tokens / self.asked_tokens)
 
     @property
     def again_share(self) -> float:
-        """The part that was prefilled though an upstream had read it a short time before."""
+        """Fraction of the shared tokens prefilled although an upstream had prefilled them shortly before."""
         return self.prefilled_again_tokens / self.asked_tokens if self.asked_tokens else 0.0
 
 
 def cache_figures(records: Iterable[AnyRecord], asked_tokens: int, again_s: float) -> CacheFigures:
-    """The figures of one load. `records` are those of all its upstreams."""
+    """Compute the figures of one load from the records of all its upstreams."""
     reads: Sequence[PrefilledPart] = sorted(
         (record for record in records if isinstance(record, PrefilledPart) and record.shared),
         key=lambda read: read.at_ms,
--- a/madderwind/testing/local_fleet/checker.py
+++ b/madderwind/testing/local_fleet/checker.py
@@ -1,4 +1,7 @@
-"""Checks what a run left behind: nothing acknowledged is lost, run twice, or streamed with a gap. No I/O."""
+"""Checks the evidence of a run against the guarantees of the system. Performs no I/O.
+
+No acknowledged configuration may be lost, no request may run twice, and no stream may have a gap.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class Promise(Enum):
-    """What is checked."""
+    """A guarantee that is checked after a run."""
 
     CONFIGURATION = "every acknowledged configuration is readable"
     RUN_ONCE = "no request ran twice"
@@ -25,14 +28,14 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One promise broken."""
+    """One violated guarantee."""
 
     promise: Promise
     text: str
 
 
 class ConfigurationRead(msgspec.Struct, frozen=True):
-    """What one control plane gave as the newest configuration at the end; `version` 0 where it gave none."""
+    """The newest configuration that one control plane returned at the end; `version` is 0 if it had none."""
 
     node: str
     version: int
@@ -40,14 +43,14 @@
 
 
 class CommandSent(msgspec.Struct, frozen=True):
-    """An operator's command and whether it was acknowledged."""
+    """A configuration command sent by the operator, and whether it was acknowledged."""
 
     version: int
     acknowledged: bool
 
 
 class Evidence(msgspec.Struct, frozen=True):
-    """All that is known after a run. `idempotent_kinds` may run more than once."""
+    """All evidence collected from a run. Requests of `idempotent_kinds` may run more than once."""
 
     outcomes: Sequence[Outcome]
     records: Sequence[AnyRecord]
@@ -57,7 +60,7 @@
 
 
 def check(evidence: Evidence) -> list[Violation]:
-    """Every violation that the evidence shows."""
+    """Return every violation that the evidence shows."""
     runs = _runs(evidence.records)
     return [
         *_check_configuration(evidence),
@@ -81,7 +84,9 @@
         return
     if not any(read.version >= newest for read in evidence.reads):
         read = {read.node: read.version for read in evidence.reads}
-        text = f"version {newest} was acknowledged, at the end there was {read or 'no answer'}"
+        text = (
+            f"version {newest} was acknowledged, but at the end the control planes had {read or 'no answer'}"
+        )
         yield Violation(Promise.CONFIGURATION, text)
     for found in evidence.reads:
         if found.version and (found.version < newest or not found.matches_sent):
--- a/madderwind/testing/local_fleet/event_check.py
+++ b/madderwind/testing/local_fleet/event_check.py
@@ -1,4 +1,7 @@
-"""Reads a stream of events as a client does, and notices what is missing, repeated or another's. No I/O."""
+"""Parses an event stream as a client does and detects missing, repeated and foreign events.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,10 @@
 
 
 class EventCheck:
-    """One generation's events over all tries that go on with it. `fault` tells the first thing wrong."""
+    """Checks the events of one generation over all attempts that resume it.
+
+    `fault` describes the first error found.
+    """
 
     def __init__(self, subject: str) -> None:
         self._subject = subject
@@ -16,11 +22,11 @@
         self.fault = ""
 
     def resume(self) -> None:
-        """A new try goes on after the last whole event."""
+        """Discard a partial event: a new attempt resumes after the last complete event."""
         self._buffer = b""
 
     def feed(self, data: bytes) -> int:
-        """Take bytes; how many events became whole."""
+        """Parse received bytes and return the number of events that they completed."""
         *events, self._buffer = (self._buffer + data).split(_END)
         for event in events:
             self._check_event(event)
@@ -28,11 +34,11 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the last event came, and nothing after it."""
+        """Whether the last event was received and nothing after it."""
         return bool(self._total) and self.last == self._total and not self._buffer
 
     def finish(self) -> None:
-        """The answer ended in order: all of it must have come."""
+        """Check that all events were received, at the regular end of the response."""
         if not self.is_whole:
             self._record_fault(f"ended as complete after event {self.last} of {self._total or 'none'}")
 
@@ -45,10 +51,10 @@
             is_consistent = int(stated_number) == number
             self._total = self._total or int(total)
         except (KeyError, ValueError):
-            self._record_fault(f"an event that can't be read after event {self.last}")
+            self._record_fault(f"a malformed event after event {self.last}")
             return
         if not is_consistent or subject != self._subject:
-            self._record_fault(f"another's event after event {self.last}")
+            self._record_fault(f"an event of another stream after event {self.last}")
         elif number != self.last + 1:
             what = "a gap" if number > self.last else "a repeat"
             self._record_fault(f"{what}: event {number} after event {self.last}")
--- a/madderwind/testing/local_fleet/fault_file.py
+++ b/madderwind/testing/local_fleet/fault_file.py
@@ -1,4 +1,4 @@
-"""Faults in and between the processes of a fleet on one machine, and its operator's changes, as written."""
+"""File format of the faults in a local fleet and of the operator's configuration changes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 
 @attrs.frozen
 class Fault:
-    """From `at_s` on, for `for_s`, this befalls the nodes.
+    """A fault that affects the nodes from `at_s` on, for `for_s`.
 
-    kill: SIGKILL, started again after `for_s`. term: SIGTERM, started again `for_s` after the end.
-    pause: SIGSTOP, SIGCONT. wipe: as kill, and the disk is empty afterwards. disk_full: every write to a
-    file is refused. cut: nothing passes between the nodes and those in `between`, or all others where that
-    is empty. slow: what passes there is late by `late_ms`.
+    kill: SIGKILL, restarted after `for_s`. term: SIGTERM at `at_s`; restarted `for_s` later, or once the
+    process has exited if that takes longer. pause: SIGSTOP, then SIGCONT. wipe: as kill, and the data
+    directory is emptied. disk_full: every write that would extend a file fails. cut: no data passes
+    between the nodes and those in `between`, or all other nodes if `between` is empty. slow: data on these
+    links is delayed by `late_ms`.
 
-    `nodes` are names such as `control-1`, or `primary`, or `control-*`; `count` of them are drawn, 0: all.
+    `nodes` holds names such as `control-1`, the word `primary`, or patterns such as `control-*`. `count`
+    of the matching nodes are selected at random; 0 selects all.
     """
 
     what: str = attrs.field(validator=one_of(FAULT_KINDS))
@@ -32,6 +34,6 @@
 
 @attrs.frozen
 class Operator:
-    """Changes of the configuration while faults are played: one each `change_every_s`, none for 0."""
+    """Configuration changes during the faults: one every `change_every_s`, none if it is 0."""
 
     change_every_s: float = 0.0
--- a/madderwind/testing/local_fleet/fault_player.py
+++ b/madderwind/testing/local_fleet/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a fleet file on a fleet that runs, and keeps what was done when."""
+"""Injects the faults of a fleet file into a running fleet and records what was injected when."""
 
 from __future__ import annotations
 
@@ -20,12 +20,15 @@
 
 FAULTS_FILE = "faults.jsonl"
 MS_PER_S = 1000.0
-# How long a fault on the primary waits for there to be one.
+# A fault on the primary waits this long for a primary to be elected.
 PRIMARY_TIMEOUT_S, PRIMARY_POLL_INTERVAL_S = 4.0, 0.1
 
 
 class InjectedFault(msgspec.Struct, frozen=True):
-    """A fault that was played, on the steady clock; or that could not be, for a reason."""
+    """A fault with its begin and end on the monotonic clock.
+
+    `not_played` holds the reason if the fault could not be injected.
+    """
 
     what: str
     nodes: tuple[str, ...]
@@ -35,7 +38,7 @@
 
 
 class FaultInjector:
-    """Plays each fault at its time after `run` begins. To be used as an async context."""
+    """Injects each fault at its time after the start of `run`. Use as an async context manager."""
 
     def __init__(self, layout: FleetLayout, faults: Sequence[Fault], seed: int) -> None:
         self._layout, self._faults = layout, faults
@@ -51,7 +54,7 @@
         await self._session.close()
 
     async def run(self) -> None:
-        """Play all of them; returns after the last one's end."""
+        """Inject all faults and return after the last one has ended."""
         started_s = time.monotonic()
         tasks = [asyncio.create_task(self._inject(fault, started_s)) for fault in self._faults]
         try:
@@ -123,7 +126,7 @@
 
 
 def read_faults(folder: Path) -> list[InjectedFault]:
-    """The faults that were played last; none where there is no record."""
+    """Read the faults injected by the last run; empty if there is no record."""
     path = folder / FAULTS_FILE
     if not path.exists():
         return []
--- a/madderwind/testing/local_fleet/fault_schedule.py
+++ b/madderwind/testing/local_fleet/fault_schedule.py
@@ -1,4 +1,4 @@
-"""Which nodes a fault of the file befalls, and what is done to them when. No I/O."""
+"""Resolves a fault of the file to its target nodes, actions and times. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Action(Enum):
-    """What the supervisor is asked to do to a node."""
+    """An action on a node that the supervisor can be asked for."""
 
     START = "start"
     KILL = "kill"
@@ -29,7 +29,7 @@
     FREE_DISK = "free_disk"
 
 
-# The actions at the begin and the end of each kind of fault that befalls processes.
+# The actions at the begin and the end of each kind of fault that affects processes.
 _ACTIONS = {
     "kill": (Action.KILL, Action.START),
     "term": (Action.TERM, Action.START),
@@ -40,7 +40,7 @@
 
 
 class PlannedFault(msgspec.Struct, frozen=True):
-    """One fault with the nodes that it befalls. Exactly one of `actions` and `condition` is set."""
+    """One fault with its target nodes. Exactly one of `actions` and `condition` is set."""
 
     what: str
     nodes: tuple[str, ...]
@@ -51,7 +51,10 @@
 
 
 def plan_fault(fault: Fault, known: Sequence[str], primary: str, rng: random.Random) -> PlannedFault:
-    """The fault on the nodes that it names now. `primary` is the primary's name, empty where unknown."""
+    """Resolve a fault to the nodes that it currently names.
+
+    `primary` is the name of the current primary, empty if unknown.
+    """
     nodes = _select(fault.nodes, known, primary)
     if fault.count and fault.count < len(nodes):
         nodes = tuple(sorted(rng.sample(nodes, fault.count)))
@@ -68,11 +71,11 @@
     for pattern in patterns:
         if pattern == PRIMARY:
             if not primary:
-                raise LocalFleetError("there is no primary at the moment")
+                raise LocalFleetError("no control plane is primary at present")
             found = [primary]
         else:
             found = fnmatch.filter(known, pattern)
         if not found:
-            raise LocalFleetError(f"no node is called {pattern!r}; there are {', '.join(known)}")
+            raise LocalFleetError(f"no node matches {pattern!r}; the nodes are {', '.join(known)}")
         selected.update(dict.fromkeys(found))
     return tuple(selected)
--- a/madderwind/testing/local_fleet/field_checks.py
+++ b/madderwind/testing/local_fleet/field_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single fields in the files of local fleets. ConfigurationError names the field."""
+"""Validators of single fields in local fleet files. They raise ConfigurationError with the field's name."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def between(least: float, most: float = float("inf")) -> Check:
-    """A number from `least` to `most`."""
+    """Require a number from `least` to `most`."""
 
     def check(_: Any, attribute: attrs.Attribute[Any], value: float) -> None:
         if not least <= value <= most:
@@ -24,13 +24,13 @@
 
 
 def above_zero(_: Any, attribute: attrs.Attribute[Any], value: float) -> None:
-    """A number above 0."""
+    """Require a number above 0."""
     if value <= 0:
         raise ConfigurationError(attribute.name, f"must be above 0, not {value:g}")
 
 
 def one_of(options: Collection[str]) -> Check:
-    """One of some words."""
+    """Require one of the given strings."""
 
     def check(_: Any, attribute: attrs.Attribute[Any], value: str) -> None:
         if value not in options:
@@ -40,6 +40,6 @@
 
 
 def not_empty(_: Any, attribute: attrs.Attribute[Any], value: Collection[Any]) -> None:
-    """At least one."""
+    """Require at least one item."""
     if not value:
-        raise ConfigurationError(attribute.name, "at least one is needed")
+        raise ConfigurationError(attribute.name, "at least one item is required")
--- a/madderwind/testing/local_fleet/fleet_file.py
+++ b/madderwind/testing/local_fleet/fleet_file.py
@@ -1,4 +1,4 @@
-"""A fleet on one machine as written in YAML: processes, upstreams, configuration, traffic, faults."""
+"""YAML file format of a local fleet: processes, upstreams, configuration, traffic and faults."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 
 @attrs.frozen
 class UpstreamGroup:
-    """The stand-in upstreams of one service: `engine` for a model's, `plain` for any other.
+    """The emulated upstreams of one service: `engine` for a model service, `plain` for any other.
 
-    Their fields are those of `standin.engine.EngineSettings` and `standin.upstream_settings.PlainWork`.
+    Their fields are those of `engine_emulator.engine.EngineSettings` and
+    `engine_emulator.upstream_settings.PlainWork`.
     """
 
     service: str
@@ -39,25 +40,25 @@
     max_connections: int = 256
 
     def engine_settings(self) -> EngineSettings | None:
-        """The engine of a model's service."""
+        """The engine settings of a model service; None for a plain service."""
         return None if self.engine is None else msgspec.convert(self.engine, EngineSettings)
 
     def plain_work(self) -> PlainWork | None:
-        """The work of a plain service."""
+        """The work settings of a plain service; None for a model service."""
         return None if self.plain is None else msgspec.convert(self.plain, PlainWork)
 
     def mishap_settings(self) -> Mishaps:
-        """What goes wrong at these upstreams without any fault."""
+        """The errors that these upstreams produce without an injected fault."""
         return msgspec.convert(self.mishaps, Mishaps)
 
 
 @attrs.frozen
 class FleetFile:
-    """The whole file.
+    """The content of a fleet file.
 
-    `configuration` is the operator's, as it is sent; `bounds` and `limits` go into the settings files as they
-    are. With `relays`, what lies between the processes can be cut; with `metrics`, they serve figures for
-    Prometheus.
+    `configuration` is the operator's document as it is sent; `bounds` and `limits` are copied unchanged into
+    the settings files of the nodes. With `relays`, the links between the processes can be cut or delayed.
+    With `metrics`, the nodes serve Prometheus metrics.
     """
 
     name: str
@@ -77,12 +78,12 @@
     operator: Operator = Operator()
 
     def document(self) -> Document:
-        """The operator's configuration, checked."""
+        """Validate and return the operator's configuration."""
         return read_document(msgspec.json.encode(self.configuration))
 
 
 def read_fleet_file(path: Path) -> FleetFile:
-    """The fleet in a file; FileFormatError names the field and the line at fault."""
+    """Read and validate a fleet file. FileFormatError names the invalid field and its line."""
     fleet = read_yaml(path, FleetFile)
     _check_configuration(path, fleet)
     for index, group in enumerate(fleet.upstreams):
--- a/madderwind/testing/local_fleet/ingress.py
+++ b/madderwind/testing/local_fleet/ingress.py
@@ -1,4 +1,7 @@
-"""Which data plane a client's new connection reaches, as a platform's front spreads them. No I/O."""
+"""Models the platform's load balancer, which assigns new client connections to data planes.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,13 @@
 
 import msgspec
 
-# A data plane that missed so many queries in a row gets no new connections until it answers again.
+# A data plane that missed more consecutive readiness probes than this gets no new connections until it
+# answers one again.
 MAX_MISSED_PROBES = 1
 
 
 class DataPlaneEndpoint(msgspec.Struct, frozen=True):
-    """A data plane as the platform knows it."""
+    """A data plane as known to the platform's load balancer."""
 
     name: str
     zone: str
@@ -20,22 +24,29 @@
 
 
 class Ingress:
-    """Clients of a zone are spread over its data planes that are in, by a hash of the client."""
+    """Spreads the clients of a zone over its data planes in service by rendezvous hashing.
+
+    If none of the zone's data planes is in service, all data planes in service are candidates. If some but
+    fewer than half of them are, all of the zone's data planes are candidates.
+    """
 
     def __init__(self, endpoints: Sequence[DataPlaneEndpoint]) -> None:
         self._endpoints = tuple(endpoints)
         self._missed_probes = dict.fromkeys((endpoint.name for endpoint in endpoints), 0)
 
     def record_probe(self, name: str, is_ready: bool) -> None:
-        """A data plane answered the platform's query, or did not."""
+        """Record whether a data plane answered a readiness probe of the platform."""
         self._missed_probes[name] = 0 if is_ready else self._missed_probes[name] + 1
 
     def is_in_service(self, endpoint: DataPlaneEndpoint) -> bool:
-        """Whether it receives new connections."""
+        """Whether the data plane receives new connections."""
         return self._missed_probes[endpoint.name] <= MAX_MISSED_PROBES
 
     def choose(self, client: str, zone: str, tried: Sequence[str] = ()) -> DataPlaneEndpoint:
-        """The data plane for a client's new connection; a retry reaches another one where there is one."""
+        """Select the data plane for a client's new connection.
+
+        A retry avoids the data planes in `tried` as long as there is another one.
+        """
         own = [endpoint for endpoint in self._endpoints if endpoint.zone == zone]
         candidates = [endpoint for endpoint in own if self.is_in_service(endpoint)]
         if not candidates:
--- a/madderwind/testing/local_fleet/layout.py
+++ b/madderwind/testing/local_fleet/layout.py
@@ -1,7 +1,7 @@
-"""Who is where in a fleet on one machine: names, addresses, settings files and folders of all processes.
+"""Layout of a local fleet: names, addresses, settings files and folders of all processes.
 
-Every process has a loopback address of its own. Where relays stand between the processes, what a process
-tells of itself is its relay's address; the one that it listens on differs in the third byte.
+Every process has its own loopback address. If the fleet uses relays, a process advertises the address of
+its relay; the address that it binds to differs in the third byte.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 CONTROL_PORT, FRONT_PORT, READY_PORT, UPSTREAM_PORT, SUPERVISOR_PORT = 8367, 8360, 8365, 8080, 8500
 METRICS_PORT = 9464
 INTERNAL_PORTS = (7500, 7515)
-# The third byte of the addresses, by kind of process; services' upstreams follow one another from theirs on.
+# Third byte of the addresses by kind of process. Each upstream group has its own, from the first one upwards.
 CONTROL_PLANE_BYTE, DATA_PLANE_BYTE, SUPERVISOR_BYTE, FIRST_UPSTREAM_BYTE = 1, 2, 3, 10
-# What is added to the third byte for the address that a process behind a relay listens on.
+# Added to the third byte for the address that a process behind a relay binds to.
 RELAY_TARGET_OFFSET = 100
 STATE_FILE = "fleet.json"
 
 
 class NodeKind(Enum):
-    """What a process is."""
+    """The kind of a process."""
 
     CONTROL_PLANE = "control plane"
     DATA_PLANE = "data plane"
@@ -35,7 +35,7 @@
 
 
 class RelayLayout(msgspec.Struct, frozen=True):
-    """A relay: whoever connects to `address` reaches `target`, a process of `node`."""
+    """A relay that forwards connections from `address` to `target`, an address of `node`."""
 
     node: str
     address: str
@@ -43,7 +43,7 @@
 
 
 class NodeLayout(msgspec.Struct, frozen=True):
-    """One process: its module, where its settings file and folder are, and what the file holds."""
+    """One process: its module, its folder, the content of its settings file, and its addresses."""
 
     name: str
     kind: NodeKind
@@ -59,17 +59,20 @@
 
     @property
     def settings_path(self) -> Path:
-        """The process's settings file."""
+        """Path of the process's settings file."""
         return Path(self.folder) / "settings.json"
 
     @property
     def log_path(self) -> Path:
-        """Where its standard output and error go."""
+        """Path of the file that receives standard output and standard error."""
         return Path(self.folder) / "log"
 
 
 class FleetLayout(msgspec.Struct, frozen=True):
-    """The whole fleet. `control` is where operators call; it is kept in the folder for other commands."""
+    """The layout of a whole fleet, stored in its folder for other commands.
+
+    `control` holds the control plane addresses that operators call.
+    """
 
     name: str
     folder: str
@@ -80,21 +83,21 @@
     relays: tuple[RelayLayout, ...]
 
     def node(self, name: str) -> NodeLayout:
-        """The node of that name; KeyError where there is none."""
+        """Return the node with this name; KeyError if there is none."""
         return {node.name: node for node in self.nodes}[name]
 
     def of_kind(self, kind: NodeKind) -> tuple[NodeLayout, ...]:
-        """All nodes of a kind."""
+        """Return all nodes of a kind."""
         return tuple(node for node in self.nodes if node.kind is kind)
 
 
 def read_layout(folder: Path) -> FleetLayout:
-    """The fleet that runs by this folder; OSError or msgspec.MsgspecError where there is none."""
+    """Read the layout of the fleet running in a folder; OSError or msgspec.MsgspecError if there is none."""
     return msgspec.json.decode((folder / STATE_FILE).read_bytes(), type=FleetLayout)
 
 
 def build_layout(fleet: FleetFile, file: Path, folder: Path, net: int) -> FleetLayout:
-    """All processes of the fleet, with loopback addresses 127.`net`.*.*."""
+    """Lay out all processes of the fleet on loopback addresses 127.`net`.*.*."""
     return _LayoutBuilder(fleet, folder.resolve(), net).build_layout(file)
 
 
@@ -132,7 +135,7 @@
         return third_byte + RELAY_TARGET_OFFSET if self._fleet.relays else third_byte
 
     def _add_relay(self, node: str, third_byte: int, number: int, port: int) -> tuple[str, str]:
-        """The address that is told, and the one that is listened on."""
+        """Return the advertised address and the bound address, with a relay between them if they differ."""
         advertised, bound = (
             self._address(third_byte, number, port),
             self._address(self._bound_third_byte(third_byte), number, port),
@@ -149,11 +152,11 @@
         return self._fleet.zones[number % len(self._fleet.zones)]
 
     def _metrics(self, ip: str) -> dict[str, str]:
-        """Where a process serves its figures, if it is to."""
+        """The listen setting of the metrics endpoint; empty if the fleet serves no metrics."""
         return {"metrics": f"{ip}:{METRICS_PORT}"} if self._fleet.metrics else {}
 
     def _node_settings(self, name: str, ip: str, zone: str) -> dict[str, Any]:
-        """What control planes' and data planes' settings files have in common."""
+        """The settings common to control planes and data planes."""
         fleet = self._fleet
         return {
             "node": name,
--- a/madderwind/testing/local_fleet/load.py
+++ b/madderwind/testing/local_fleet/load.py
@@ -1,4 +1,4 @@
-"""Sends the traffic of a fleet file to a fleet that runs, in an open loop: no request waits for another."""
+"""Sends the traffic of a fleet file to a running fleet in an open loop: no request waits for another."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Load:
-    """One run of the traffic."""
+    """One run of a fleet's traffic."""
 
     def __init__(self, fleet: FleetFile, layout: FleetLayout, traffic: Traffic) -> None:
         self._traffic = traffic
@@ -39,7 +39,7 @@
         self.outcomes: list[Outcome] = []
 
     async def run(self) -> list[Outcome]:
-        """Send everything; what became of each request."""
+        """Send all requests and return their outcomes."""
         requests = draw_requests(self._traffic, secrets.token_hex(4))
         clients = [
             LoadClient(
@@ -74,7 +74,7 @@
         self.outcomes.append(await client.make(request, kind, route, at_ms))
 
     async def _probe_readiness(self, node: NodeLayout) -> None:
-        """Ask a data plane again and again whether it is ready, as the platform does."""
+        """Probe the readiness of a data plane periodically, as the platform does."""
         timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
@@ -88,14 +88,14 @@
 
 
 def traffic_of(fleet: FleetFile) -> Traffic:
-    """The traffic that a fleet file describes; LocalFleetError where it has none."""
+    """Return the traffic described by a fleet file; LocalFleetError if it has none."""
     if fleet.traffic is None:
         raise LocalFleetError(f"the file of fleet {fleet.name!r} has no traffic")
     return fleet.traffic
 
 
 async def run_load(fleet: FleetFile, layout: FleetLayout) -> list[Outcome]:
-    """Send the fleet's traffic and keep what became of it in its folder."""
+    """Send the fleet's traffic and store the outcomes in the fleet's folder."""
     outcomes = await Load(fleet, layout, traffic_of(fleet)).run()
     write_outcomes(Path(layout.folder) / OUTCOMES_FILE, outcomes)
     return outcomes
--- a/madderwind/testing/local_fleet/load_client.py
+++ b/madderwind/testing/local_fleet/load_client.py
@@ -1,4 +1,4 @@
-"""One client's requests: tries, waits and resumptions as the protocol's clients make them."""
+"""Sends one client's requests with the retries, waits and resumptions that the protocol defines."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 
 MS_PER_S = 1000.0
 CONNECT_TIMEOUT_S = 1.0
-# Statuses which promise that the request has not run and never will.
+# Statuses that guarantee that the request has not run and never will.
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
-# After these, no try follows.
+# Statuses after which the client does not retry.
 NON_RETRYABLE_STATUSES = frozenset((400, 401, 404, 413, 431))
-# A client honours Retry-After up to this part of its time left.
+# A client honours Retry-After up to this fraction of its remaining time.
 MAX_RETRY_WAIT_FRACTION = 1.0 / 3.0
-# Without an event for the longest of these, a client gives a stream up.
+# A client abandons a stream that has no event for the longest of these times: the minimum, or a multiple of
+# the objective for the first event or for the gap between events.
 MIN_IDLE_TIMEOUT_MS, IDLE_TIMEOUT_FIRST_EVENT_FACTOR, IDLE_TIMEOUT_GAP_FACTOR = 2000.0, 4.0, 8.0
 MODEL = "m"
 
 
 class ClientConnections:
-    """Connections of one client: some are kept, some requests open a new one."""
+    """The HTTP sessions of one client: one keeps connections, the other opens one for each request."""
 
     def __init__(self) -> None:
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
@@ -44,7 +45,7 @@
             )
             for is_single_use in (False, True)
         )
-        # Guards against a second sending of a request whose kept connection breaks.
+        # Prevents aiohttp from resending a request when a persistent connection breaks.
         self.persistent._retry_connection = False
 
     async def close(self) -> None:
@@ -57,18 +58,18 @@
     """One client in one zone."""
 
     def __init__(self, name: str, zone: str, ingress: Ingress, key_of: Callable[[str], str]) -> None:
-        """`key_of`: the key of a tenant. Needs a running loop."""
+        """`key_of` returns the API key of a tenant. Requires a running event loop."""
         self._name, self._zone, self._ingress, self._key_of = name, zone, ingress, key_of
         self._connections = ClientConnections()
 
     async def close(self) -> None:
-        """Close its connections."""
+        """Close the client's connections."""
         await self._connections.close()
 
     async def make(
         self, planned: PlannedRequest, kind: RequestKind, route: Route | None, at_ms: float
     ) -> Outcome:
-        """Make one request, meant for `at_ms` on the steady clock; what became of it."""
+        """Send one request, scheduled for `at_ms` on the monotonic clock, and return its outcome."""
         request = _Request(planned, kind, route, at_ms)
         deadline_s = (at_ms + kind.deadline_ms) / MS_PER_S
         try:
@@ -95,7 +96,7 @@
     async def _attempt(
         self, session: aiohttp.ClientSession, address: str, request: _Request, attempt: AttemptOutcome
     ) -> float:
-        """One try; for how long the answer asks the client to wait."""
+        """Make one attempt and return the Retry-After time in seconds, 0 without one."""
         url = f"http://{address}{request.kind.path}{request.planned.number:x}"
         headers = request.headers(attempt, self._key_of(request.planned.tenant))
         body = b"x" * request.kind.body_bytes
@@ -137,7 +138,7 @@
 
 
 class _Request:
-    """One request while it is made."""
+    """The state of one request in progress."""
 
     def __init__(self, planned: PlannedRequest, kind: RequestKind, route: Route | None, at_ms: float) -> None:
         self.planned, self.kind, self._at_ms = planned, kind, at_ms
@@ -151,7 +152,7 @@
 
     @property
     def idle_timeout_ms(self) -> float:
-        """Without an event for so long, the stream is given up."""
+        """Time without an event after which the stream is abandoned."""
         kind = self.kind
         return max(
             MIN_IDLE_TIMEOUT_MS,
@@ -160,11 +161,11 @@
         )
 
     def remaining_s(self) -> float:
-        """Until the client's deadline."""
+        """Time remaining until the client's deadline."""
         return max(0.0, (self._at_ms + self.kind.deadline_ms - now_ms()) / MS_PER_S)
 
     def begin_attempt(self, front: str) -> AttemptOutcome:
-        """A new try, with an id of its own."""
+        """Begin a new attempt with its own request id."""
         attempt = AttemptOutcome(secrets.token_hex(8), front, now_ms())
         if self.events is not None:
             self.events.resume()
@@ -173,7 +174,7 @@
         return attempt
 
     def headers(self, attempt: AttemptOutcome, key: str) -> dict[str, str]:
-        """What a client sends with a try."""
+        """The request headers of an attempt."""
         headers = {
             "Host": self.kind.host,
             "X-Request-Id": attempt.request_id,
@@ -191,7 +192,7 @@
         return headers
 
     def record_event_arrival(self) -> None:
-        """One event or more came just now."""
+        """Record the arrival time of one or more events."""
         at_ms = now_ms()
         if self.outcome.first_ms is None:
             self.outcome.first_ms = at_ms - self._at_ms
@@ -200,12 +201,12 @@
         self._last_event_ms = at_ms
 
     def record_answer(self, attempt: AttemptOutcome) -> None:
-        """The whole answer of a request that is no stream came."""
+        """Record the complete response of a request that is not a stream."""
         if attempt.status == 200:
             self.outcome.first_ms = now_ms() - self._at_ms
 
     def may_retry(self, attempt: AttemptOutcome) -> bool:
-        """Whether another try does no harm and may help."""
+        """Whether a retry is safe and may succeed."""
         if (attempt.how == "whole" and attempt.status == 200) or attempt.status in NON_RETRYABLE_STATUSES:
             return False
         if attempt.status in NOT_EXECUTED_STATUSES and attempt.how == "whole":
@@ -217,13 +218,13 @@
         return self._is_safe or self._is_resumable
 
     def abandon(self, how: str) -> None:
-        """The client's time is over."""
+        """End an attempt in progress because the client's deadline has passed."""
         if self.outcome.tries and not self.outcome.tries[-1].how:
             self.outcome.tries[-1].how = how
             self.outcome.tries[-1].ended_ms = now_ms()
 
     def finish(self) -> Outcome:
-        """What became of it."""
+        """Complete and return the outcome."""
         outcome = self.outcome
         outcome.ended_ms = now_ms() - self._at_ms
         outcome.fate = self._categorize()
@@ -246,7 +247,7 @@
 
 
 def now_ms() -> float:
-    """The machine's steady clock."""
+    """The monotonic clock in milliseconds."""
     return time.monotonic() * MS_PER_S
 
 
--- a/madderwind/testing/local_fleet/load_figures.py
+++ b/madderwind/testing/local_fleet/load_figures.py
@@ -1,4 +1,4 @@
-"""The figures of a load: what was served, how soon first events came, the pauses between events."""
+"""Figures of a load: request counts by category, time to first event, and gaps between events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class LatencyQuantiles(msgspec.Struct, frozen=True):
-    """Quantiles in ms; all 0 where nothing was counted."""
+    """Latency quantiles in milliseconds; all 0 if there were no values."""
 
     count: int
     p50_ms: float
@@ -24,7 +24,7 @@
 
 
 class KindFigures(msgspec.Struct, frozen=True):
-    """One kind of request, or all of them."""
+    """Figures of one kind of request, or of all kinds."""
 
     kind: str
     requests: int
@@ -38,7 +38,7 @@
 
 
 def latency_quantiles(values_ms: Iterable[float]) -> LatencyQuantiles:
-    """The quantiles of some times, by a histogram of microseconds."""
+    """Compute the quantiles of some times with a histogram in microseconds."""
     histogram = HdrHistogram(1, HISTOGRAM_MAX_US, HISTOGRAM_DIGITS)
     for value_ms in values_ms:
         histogram.record_value(min(max(1, round(value_ms * US_PER_MS)), HISTOGRAM_MAX_US))
@@ -52,7 +52,7 @@
 
 
 def kind_figures(kind: str, outcomes: Sequence[Outcome]) -> KindFigures:
-    """The figures of these outcomes, under that name."""
+    """Compute the figures of these outcomes under the name `kind`."""
     fates = Counter(outcome.fate for outcome in outcomes)
     return KindFigures(
         kind=kind,
@@ -68,14 +68,14 @@
 
 
 def own_lateness(outcomes: Sequence[Outcome]) -> LatencyQuantiles:
-    """How late the load itself was: a busy machine holds clients up too."""
+    """The send delay of the load generator itself: a busy machine delays its clients too."""
     return latency_quantiles(
         outcome.tries[0].sent_ms - outcome.at_ms for outcome in outcomes if outcome.tries
     )
 
 
 def all_figures(outcomes: Sequence[Outcome]) -> list[KindFigures]:
-    """By kind, and of all together in the end."""
+    """Compute the figures of each kind, followed by those of all kinds together."""
     kinds = sorted({outcome.kind for outcome in outcomes})
     found = [kind_figures(kind, [o for o in outcomes if o.kind == kind]) for kind in kinds]
     return [*found, kind_figures("all", outcomes)]
--- a/madderwind/testing/local_fleet/load_process.py
+++ b/madderwind/testing/local_fleet/load_process.py
@@ -1,4 +1,4 @@
-"""The load as a process of its own, so that nothing else that the same program does holds its clients up."""
+"""Runs the load in its own process, so that other work of the calling program does not delay its clients."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class LoadProcess:
-    """Sends the traffic of a fleet that runs. To be used as an async context, which ends it."""
+    """Sends the traffic of a running fleet. Use as an async context manager, which ends the process."""
 
     def __init__(self, layout: FleetLayout) -> None:
         self._layout = layout
@@ -42,7 +42,7 @@
         except TimeoutError:
             line = b""
         if line != SENDING:
-            raise LocalFleetError("the load did not start")
+            raise LocalFleetError("the load process did not start")
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -51,9 +51,9 @@
             await self._process.wait()
 
     async def wait(self) -> list[Outcome]:
-        """What became of all requests, once they are over."""
+        """Wait for all requests to finish and return their outcomes."""
         if await self._process.wait():
-            raise LocalFleetError("the load ended before all requests were over")
+            raise LocalFleetError("the load process failed before all requests had finished")
         return read_outcomes(Path(self._layout.folder) / OUTCOMES_FILE)
 
 
--- a/madderwind/testing/local_fleet/node_process.py
+++ b/madderwind/testing/local_fleet/node_process.py
@@ -1,4 +1,4 @@
-"""One node of a fleet on this machine: its settings file, its process, and what is done to it."""
+"""One node of a local fleet: its settings file, its process, and the actions on it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from madderwind.testing.fault_tests.fleet import dies_with_parent
 from madderwind.testing.local_fleet.layout import NodeKind, NodeLayout
 
-# The platform starts a process that ended again after so long.
+# Delay before a process that exited unexpectedly is restarted, as a platform does.
 RESTART_DELAY_S = 0.3
 MS_PER_S = 1000.0
 ROOT = Path(__file__).parents[3]
@@ -28,7 +28,10 @@
 
 
 class NodeState(Enum):
-    """`HELD`: down until it is told to start; `RESTARTING`: it ended by itself, and starts again soon."""
+    """State of a node's process.
+
+    STOPPED: down until it is started by request. RESTARTING: exited unexpectedly, restarted after a delay.
+    """
 
     STOPPED = "held"
     RUNNING = "running"
@@ -38,7 +41,7 @@
 
 
 class ProcessEvent(msgspec.Struct, frozen=True):
-    """Something that befell a node's process. `code`: how it ended, where it did."""
+    """A change in the state of a node's process. `code` is the exit code if the process has ended."""
 
     at_ms: float
     node: str
@@ -56,16 +59,16 @@
         self._process: asyncio.subprocess.Process | None = None
         self._wait_task: asyncio.Task[None] | None = None
         self._was_started = False
-        self.unexpected_exits = 0  # how many times its process ended without being told to
+        self.unexpected_exits = 0  # exits that were not requested
 
     @property
     def pid(self) -> int:
-        """The process's number, 0 where none runs."""
+        """The process id, 0 if the process is not running."""
         process = self._process
         return process.pid if process is not None and process.returncode is None else 0
 
     def write_settings(self) -> None:
-        """Lay its settings file; after the first start of all, without `bootstrap`."""
+        """Write the settings file; `bootstrap` is true only before the first start."""
         layout = self.layout
         Path(layout.folder).mkdir(parents=True, exist_ok=True)
         if layout.data_dir:
@@ -78,7 +81,7 @@
         temporary_path.replace(layout.settings_path)
 
     async def start(self) -> None:
-        """Start the process, where none runs."""
+        """Start the process unless it is running."""
         if self.pid:
             return
         self.write_settings()
@@ -101,7 +104,7 @@
         self._wait_task = asyncio.create_task(self._wait(self._process))
 
     async def kill(self) -> None:
-        """SIGKILL; it stays down until it is started."""
+        """Send SIGKILL. The node stays down until it is started."""
         if self.pid:
             self._set_state(NodeState.STOPPED, "killed")
             self._send_signal(signal.SIGKILL)
@@ -110,35 +113,35 @@
             self.state = NodeState.STOPPED
 
     async def terminate(self) -> None:
-        """SIGTERM; it stays down once it has ended."""
+        """Send SIGTERM. The node stays down once the process has exited."""
         if self.pid:
             self._set_state(NodeState.STOPPING, "asked to end")
             self._send_signal(signal.SIGTERM)
 
     async def wait_exited(self) -> None:
-        """Return once its process has ended."""
+        """Wait for the process to exit."""
         if self._wait_task is not None:
             await self._wait_task
 
     async def wait_exited_if_stopping(self) -> None:
-        """Return once a process that was asked to end has ended; at once for any other."""
+        """Wait for the process to exit if it was sent SIGTERM; return at once otherwise."""
         if self.state is NodeState.STOPPING:
             await self.wait_exited()
 
     def pause(self) -> None:
-        """SIGSTOP."""
+        """Send SIGSTOP to a running process."""
         if self.state is NodeState.RUNNING:
             self._set_state(NodeState.PAUSED, "paused")
             self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT to a paused process."""
         if self.state is NodeState.PAUSED:
             self._set_state(NodeState.RUNNING, "resumed")
             self._send_signal(signal.SIGCONT)
 
     async def wipe(self) -> None:
-        """SIGKILL, and its disk is empty."""
+        """Send SIGKILL and empty the data directory."""
         await self.kill()
         if self.layout.data_dir:
             shutil.rmtree(self.layout.data_dir, ignore_errors=True)
@@ -146,7 +149,7 @@
         self._record_event("wiped")
 
     def refuse_writes(self, refused: bool) -> None:
-        """Whether every write that would make a file longer fails, as on a full disk."""
+        """Set whether every write that would extend a file fails, as on a full disk."""
         if not self.pid:
             return
         process = psutil.Process(self.pid)
@@ -155,7 +158,7 @@
         self._record_event("disk full" if refused else "disk has room")
 
     async def force_stop(self) -> None:
-        """End it at once, for good."""
+        """Kill the process, also while it is paused, without a restart."""
         self.state = NodeState.STOPPED
         if self.pid:
             self._send_signal(signal.SIGCONT)
@@ -163,7 +166,7 @@
             await self.wait_exited()
 
     def log_tail(self, characters: int = 400) -> str:
-        """The end of what it wrote."""
+        """Return the end of the process's log."""
         try:
             return self.layout.log_path.read_text(errors="replace")[-characters:].strip()
         except OSError:
@@ -189,7 +192,7 @@
         self._process.send_signal(signal_number)
 
     def _set_state(self, state: NodeState, what: str, code: int = 0) -> None:
-        """The one place where a running node's state changes."""
+        """Set the state of a node and record the change as an event."""
         self.state = state
         self._record_event(what, code)
 
--- a/madderwind/testing/local_fleet/operator_client.py
+++ b/madderwind/testing/local_fleet/operator_client.py
@@ -1,4 +1,4 @@
-"""An operator's calls: commands and reads at any control plane, sent again until one answers clearly."""
+"""Client for operator commands and reads, which retries at any control plane until a conclusive response."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from madderwind.errors import OperatorCallError
 
 MAX_REDIRECTS = 2
-# A control plane that has not answered by then is given up for the next one.
+# After this time without a response the client tries the next control plane.
 ANSWER_TIMEOUT_S = 2.0
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0
-# Answers after which the same call elsewhere makes sense.
+# Statuses below 500 after which the same call is retried at another control plane.
 RETRYABLE_STATUSES = frozenset((408, 429))
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A clear answer: the status, and the body as it came."""
+    """A conclusive response: the status and the raw body."""
 
     status: int
     body: bytes
 
     @property
     def is_taken(self) -> bool:
-        """Whether the call was carried out."""
+        """Whether the call succeeded."""
         return self.status == 200
 
 
 class OperatorClient:
-    """Calls to the control planes at these public addresses; to be used as an async context."""
+    """Calls the control planes at these public addresses. Use as an async context manager."""
 
     def __init__(self, addresses: Sequence[str], within_s: float = 20.0) -> None:
-        """`within_s`: how long a call is tried for."""
+        """`within_s` limits how long a call is retried."""
         self._addresses, self._within_s = list(addresses), within_s
 
     async def __aenter__(self) -> OperatorClient:
@@ -46,22 +46,25 @@
         await self._session.close()
 
     async def replace(self, base_version: int, document: bytes) -> Answer:
-        """Send a whole configuration that follows a version, 0 for the first."""
+        """Send a whole configuration based on a version, 0 for the first configuration."""
         return await self._command("/config/replace", base_version, document)
 
     async def update(self, base_version: int, change: bytes) -> Answer:
-        """Send a change of named items on top of a version."""
+        """Send a change of named items based on a version."""
         return await self._command("/config/update", base_version, change)
 
     async def read(self) -> Answer:
-        """The newest configuration; 404 where there is none yet."""
+        """Read the newest configuration; status 404 if there is none yet."""
         return await self._call_until_conclusive("GET", "/config/read", {}, b"")
 
     async def read_at(self, address: str) -> Answer:
-        """The newest configuration as one control plane gives it; OperatorCallError where it can't."""
+        """Read the newest configuration from one control plane.
+
+        Raises OperatorCallError without a conclusive response.
+        """
         answer = await self._call("GET", f"http://{address}/config/read", {}, b"")
         if answer is None:
-            raise OperatorCallError(f"{address} gave no clear answer")
+            raise OperatorCallError(f"{address} gave no conclusive response")
         return answer
 
     async def _command(self, path: str, base_version: int, body: bytes) -> Answer:
@@ -79,13 +82,13 @@
                 return answer
             if loop.time() + backoff_s > deadline_s:
                 tried = ", ".join(sorted(self._addresses))
-                raise OperatorCallError(f"no clear answer within {self._within_s:g} s from {tried}")
+                raise OperatorCallError(f"no conclusive response within {self._within_s:g} s from {tried}")
             self._addresses.append(self._addresses.pop(0))
             await asyncio.sleep(backoff_s)
             backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
 
     async def _call(self, method: str, url: str, headers: dict[str, str], body: bytes) -> Answer | None:
-        """One try; None where it gave no clear answer."""
+        """Make one attempt, following redirects; None without a conclusive response."""
         try:
             for _ in range(MAX_REDIRECTS + 1):
                 async with self._session.request(
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -1,4 +1,4 @@
-"""An operator at work while faults are played: small changes of the configuration, one after the other."""
+"""Sends small configuration changes, one after the other, while faults are injected."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind
 from madderwind.testing.local_fleet.operator_client import OperatorClient
 
-# Versions rise by uneven steps.
+# Versions increase by more than 1: they need not be consecutive.
 VERSION_STEP = 2
 COMMAND_TIMEOUT_S, READ_TIMEOUT_S, READ_RETRY_INTERVAL_S = 6.0, 10.0, 0.1
-# The route that changes add and move.
+# Name of the route that the first change adds and later changes modify.
 CHANGED_ROUTE = "changed-by-the-operator"
 
 
 class OperatorLoad:
-    """Sends a change each `every_s` and keeps what was acknowledged."""
+    """Sends a change every `every_s` and records which ones were acknowledged."""
 
     def __init__(self, layout: FleetLayout, every_s: float) -> None:
         self._layout, self._every_s = layout, every_s
@@ -29,7 +29,7 @@
         self._sent: dict[int, Document] = {}
 
     async def run(self) -> None:
-        """Go on until cancelled."""
+        """Send changes until cancelled."""
         async with OperatorClient(self._layout.control, COMMAND_TIMEOUT_S) as client:
             while True:
                 await self._change(client)
@@ -52,7 +52,7 @@
             self.commands[-1] = CommandSent(changed.version, True)
 
     async def read_back(self) -> list[ConfigurationRead]:
-        """What each control plane gives as the newest configuration, once it gives one."""
+        """Read the newest configuration from each control plane, retrying until it responds."""
         nodes = self._layout.of_kind(NodeKind.CONTROL_PLANE)
         async with OperatorClient(self._layout.control) as client:
             return list(
@@ -84,7 +84,7 @@
 
 
 def _next_change(document: Document) -> bytes:
-    """Adds the operator's route, or gives it another time-out."""
+    """Encode a change that adds the operator's route or gives it another timeout."""
     first = document.configuration.routes[0]
     version = document.version + VERSION_STEP
     route = {
@@ -100,5 +100,5 @@
 
 
 def acknowledged(commands: Sequence[CommandSent]) -> int:
-    """How many commands were acknowledged."""
+    """Count the acknowledged commands."""
     return sum(command.acknowledged for command in commands)
--- a/madderwind/testing/local_fleet/outcomes.py
+++ b/madderwind/testing/local_fleet/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of each request of a load, as the client saw it: a JSON line each."""
+"""Outcomes of the requests of a load as seen by the client, stored as JSON lines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 
 class OutcomeCategory(Enum):
-    """`IN_TIME`: whole, its first event within the objective and no pause too long."""
+    """Category of a finished request.
+
+    IN_TIME: complete, with the first event and the longest gap between events within their objectives.
+    LATE: complete, but not within the objectives. REFUSED: answered with a status that guarantees that the
+    request has not run. FAILED: anything else.
+    """
 
     IN_TIME = "in time"
     LATE = "late"
@@ -21,7 +26,10 @@
 
 
 class AttemptOutcome(msgspec.Struct):
-    """One try. `status` is 0 where no answer came; `how` tells how it ended. Times on the steady clock."""
+    """One attempt, with times on the monotonic clock.
+
+    `status` is 0 if there was no response; `how` tells how the attempt ended.
+    """
 
     request_id: str
     front: str
@@ -35,7 +43,11 @@
 
 
 class Outcome(msgspec.Struct):
-    """One request. `first_ms` counts from when it was meant to be sent; `gaps_ms` are between its events."""
+    """One request.
+
+    `first_ms` is the time from the scheduled send time to the first event; `gaps_ms` are the times between
+    consecutive events.
+    """
 
     number: int
     kind: str
@@ -51,16 +63,16 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether the whole answer came."""
+        """Whether the complete response was received."""
         return self.fate in (OutcomeCategory.IN_TIME, OutcomeCategory.LATE)
 
 
 def write_outcomes(path: Path, outcomes: Iterable[Outcome]) -> None:
-    """All outcomes of a load, one a line."""
+    """Write all outcomes of a load, one per line."""
     path.write_bytes(b"".join(msgspec.json.encode(outcome) + b"\n" for outcome in outcomes))
 
 
 def read_outcomes(path: Path) -> list[Outcome]:
-    """The outcomes in a file."""
+    """Read the outcomes from a file."""
     decoder = msgspec.json.Decoder(Outcome)
     return [decoder.decode(line) for line in path.read_bytes().splitlines()]
--- a/madderwind/testing/local_fleet/relays.py
+++ b/madderwind/testing/local_fleet/relays.py
@@ -1,4 +1,4 @@
-"""The relays between the processes of a fleet, and the cuts that are in force between nodes."""
+"""TCP relays between the processes of a fleet, which apply cuts and delays between nodes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from madderwind.testing.fault_tests.relay import MS_PER_S, Address, Relay, RelayedConnection
 from madderwind.testing.local_fleet.layout import RelayLayout
 
-# Who has which connection is looked up at most so often while a cut is in force.
+# Minimum interval between lookups of the connection owners while a condition is in force.
 OWNER_REFRESH_INTERVAL_S = 0.1
 CUT, SLOW = "cut", "slow"
 SOCKET_LINK = "socket:["
-# A line of /proc/net/tcp in the state ESTABLISHED: own address and port, and the inode.
+# A line of /proc/net/tcp in state ESTABLISHED (01): local address, local port and inode.
 CONNECTED_SOCKET = re.compile(
     rb"^ *\d+: ([0-9A-F]{8}):([0-9A-F]{4}) [0-9A-F:]+ 01 [0-9A-F:]+ [0-9A-F:]+ [0-9A-F]+ +\d+ +\d+ (\d+) ",
     re.MULTILINE,
@@ -28,7 +28,7 @@
 
 
 class LinkCondition(msgspec.Struct, frozen=True):
-    """Between `nodes` and `between` (all others where empty) nothing passes, or late by `late_ms`."""
+    """A cut, or a delay of `late_ms`, between `nodes` and `between` (all other nodes if empty)."""
 
     kind: str
     nodes: tuple[str, ...]
@@ -36,11 +36,11 @@
     late_ms: float = 0.0
 
     def isolates(self, node: str) -> bool:
-        """Whether the node is cut from all others."""
+        """Whether the node is cut off from all other nodes."""
         return self.kind == CUT and not self.between and node in self.nodes
 
     def applies_between(self, source: str, target: str) -> bool:
-        """Whether it lies between these two; a source outside of the fleet has no name."""
+        """Whether the condition applies between two nodes; a source outside the fleet has an empty name."""
         return self._applies_from(source, target) or self._applies_from(target, source)
 
     def _applies_from(self, source: str, target: str) -> bool:
@@ -50,7 +50,7 @@
 
 
 class ConnectionOwners:
-    """Which node a connection comes from, by the sockets that its process has open."""
+    """Maps the peer address of a connection to the node whose process owns the socket."""
 
     def __init__(self, pids: Callable[[], Mapping[str, int]]) -> None:
         self._pids = pids
@@ -58,11 +58,14 @@
         self._refreshed_s = float("-inf")
 
     def node_of(self, peer: Address) -> str:
-        """The node whose process had this end when looked up; empty where it is none of the fleet's."""
+        """The node that owned this address at the last lookup; empty for a process outside the fleet."""
         return self._owners.get(peer, "")
 
     def lookup_delay_s(self, peer: Address) -> float:
-        """Look up a new connection's end; 0 where that is done, else how many seconds to wait for it."""
+        """Look up the owner of a new connection.
+
+        Returns 0 if the lookup is done, otherwise the seconds to wait before the next call.
+        """
         since_s = time.monotonic() - self._refreshed_s
         if peer in self._owners:
             return 0.0
@@ -72,7 +75,7 @@
         return 0.0
 
     def refresh(self) -> None:
-        """Look up all ends."""
+        """Look up the owners of all connections."""
         node_by_inode = {inode: node for node, pid in self._pids().items() for inode in _socket_inodes(pid)}
         self._owners = {
             address: node_by_inode[inode] for address, inode in _tcp_sockets() if inode in node_by_inode
@@ -81,9 +84,9 @@
 
 
 def _socket_inodes(pid: int) -> Iterator[str]:
-    """The sockets of a process, as the kernel numbers them."""
+    """Yield the inode numbers of a process's sockets."""
     folder = f"/proc/{pid}/fd"
-    with contextlib.suppress(OSError):  # it ended meanwhile
+    with contextlib.suppress(OSError):  # the process has ended meanwhile
         for descriptor in os.listdir(folder):
             with contextlib.suppress(OSError):
                 target = os.readlink(f"{folder}/{descriptor}")
@@ -92,7 +95,7 @@
 
 
 def _tcp_sockets() -> Iterator[tuple[Address, str]]:
-    """Own address and inode of every TCP socket over IPv4 that is connected."""
+    """Yield the local address and inode of every connected IPv4 TCP socket."""
     with open("/proc/net/tcp", "rb") as file:
         for ip, port, inode in CONNECTED_SOCKET.findall(file.read()):
             address = socket.inet_ntoa(struct.pack("<I", int(ip, 16)))
@@ -100,7 +103,7 @@
 
 
 class _FleetConnection(RelayedConnection):
-    """A connection between two nodes, or from outside of the fleet."""
+    """A relayed connection between two nodes, or from outside the fleet."""
 
     def __init__(self, relay: FleetRelay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(relay, reader, writer)
@@ -111,7 +114,7 @@
 
 
 class FleetRelay(Relay):
-    """The relay before one address of a node."""
+    """The relay in front of one address of a node."""
 
     def __init__(self, layout: RelayLayout, relays: FleetRelays) -> None:
         super().__init__(_parse_address(layout.address), _parse_address(layout.target))
@@ -129,7 +132,7 @@
             await connection.may_pass.wait()
 
     def apply_conditions_once_owned(self, connection: _FleetConnection) -> None:
-        """A connection was accepted: nothing passes on it before it is known whose it is."""
+        """Apply the conditions to an accepted connection; hold its data back until its owner is known."""
         wait_s = self._relays.lookup_delay_s(connection.peer)
         if not wait_s:
             self.apply_conditions(connection)
@@ -138,7 +141,7 @@
         asyncio.get_running_loop().call_later(wait_s, self.apply_conditions_once_owned, connection)
 
     def apply_conditions(self, connection: _FleetConnection) -> None:
-        """Give a connection what the conditions in force make of it."""
+        """Block, delay or release a connection according to the conditions in force."""
         is_cut, connection.late_ms = self._relays.between(connection.peer, self.node)
         if is_cut:
             connection.may_pass.clear()
@@ -146,14 +149,14 @@
             connection.may_pass.set()
 
     def apply_conditions_to_all(self) -> None:
-        """After the conditions changed."""
+        """Apply changed conditions to all connections."""
         for connection in self.connections:
             assert isinstance(connection, _FleetConnection)
             self.apply_conditions(connection)
 
 
 class FleetRelays:
-    """All relays of a fleet. Needs a running loop."""
+    """All relays of a fleet. Requires a running event loop."""
 
     def __init__(self, layouts: Sequence[RelayLayout], pids: Callable[[], Mapping[str, int]]) -> None:
         self._owners = ConnectionOwners(pids)
@@ -161,16 +164,19 @@
         self._relays = [FleetRelay(layout, self) for layout in layouts]
 
     def listen(self) -> None:
-        """Take connections at all addresses."""
+        """Accept connections on all addresses."""
         for relay in self._relays:
             relay.listen()
 
     async def end(self) -> None:
-        """Take no more connections and end those that are open."""
+        """Stop accepting connections and close the open ones."""
         await asyncio.gather(*(relay.end() for relay in self._relays))
 
     def set_conditions(self, conditions: Sequence[LinkCondition]) -> None:
-        """These hold from now on, and no others. A node cut from all others is not even connected to."""
+        """Replace the conditions in force.
+
+        For a node that is cut off from all others, the relays do not even accept connections.
+        """
         self._conditions = tuple(conditions)
         if self._conditions:
             self._owners.refresh()
@@ -180,11 +186,11 @@
             relay.apply_conditions_to_all()
 
     def lookup_delay_s(self, peer: Address) -> float:
-        """0 once it is known whose a new connection is, or that does not matter; else when to ask again."""
+        """Seconds to wait for the owner of a new connection; 0 if it is known or no condition is in force."""
         return self._owners.lookup_delay_s(peer) if self._conditions else 0.0
 
     def between(self, peer: Address, node: str) -> tuple[bool, float]:
-        """Whether nothing passes between a connection's end and a node, and how late what passes is."""
+        """Whether the link between a connection's peer and a node is cut, and its delay in milliseconds."""
         if not self._conditions:
             return False, 0.0
         source = self._owners.node_of(peer)
--- a/madderwind/testing/local_fleet/report.py
+++ b/madderwind/testing/local_fleet/report.py
@@ -1,4 +1,4 @@
-"""The report on a run of a fleet on one machine: tables as text, and a picture over time."""
+"""The report on a run of a local fleet: text tables and a chart over time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """All that a run came to. `violations` is None where nothing was checked."""
+    """All results of a run. `violations` is None if nothing was checked."""
 
     name: str
     kinds: Sequence[KindFigures]
@@ -40,12 +40,12 @@
 
 
 def render_report(report: RunReport) -> str:
-    """The report as lines of text."""
+    """Render the report as text."""
     parts = [
         f"Fleet {report.name}: measured on this machine, over real sockets",
         _kind_table(report.kinds),
         f"Requests left the load tool late by {report.own_lateness.p50_ms:.0f} ms (p50), "
-        f"{report.own_lateness.p99_ms:.0f} ms (p99): this is in the times above",
+        f"{report.own_lateness.p99_ms:.0f} ms (p99): the times above include this delay",
         _cache_line(report.cache),
     ]
     if report.faults:
@@ -78,21 +78,21 @@
 def _cache_line(cache: CacheFigures) -> str:
     return (
         f"Shared prompt tokens: {cache.asked_tokens}, of which {cache.hit_share:.1%} were found in an "
-        f"upstream's memory; {cache.again_share:.1%} were prefilled again shortly after another time"
+        f"upstream's cache; {cache.again_share:.1%} were prefilled again shortly after a previous prefill"
     )
 
 
 def _faults(report: RunReport) -> str:
     begin_ms = min(fault.begin_ms for fault in report.faults)
-    lines = ["Faults played:"]
+    lines = ["Faults injected:"]
     for fault in sorted(report.faults, key=lambda fault: fault.begin_ms):
         after_s = (fault.begin_ms - begin_ms) / MS_PER_S
         for_s = (fault.end_ms - fault.begin_ms) / MS_PER_S
-        outcome = f"not played: {fault.not_played}" if fault.not_played else f"for {for_s:.1f} s"
+        outcome = f"not injected: {fault.not_played}" if fault.not_played else f"for {for_s:.1f} s"
         lines.append(f"  +{after_s:4.1f} s  {fault.what:9} {', '.join(fault.nodes)} {outcome}")
     lines.append(
         f"Operator's changes: {report.acknowledged_commands} of {report.sent_commands} acknowledged. "
-        f"Processes that ended by themselves: {report.own_ends}"
+        f"Processes that exited unexpectedly: {report.own_ends}"
     )
     return "\n".join(lines)
 
@@ -124,7 +124,7 @@
 
 
 def draw_chart(path: Path, outcomes: Sequence[Outcome], faults: Sequence[InjectedFault]) -> None:
-    """Requests by second and fate, first-event times, and the faults, as a picture."""
+    """Draw a chart of the requests per second by category, the times to first event, and the faults."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/madderwind/testing/local_fleet/run.py
+++ b/madderwind/testing/local_fleet/run.py
@@ -1,4 +1,4 @@
-"""What the commands do with a fleet on one machine: start it, load it, break it, check it, report on it."""
+"""The steps of the local fleet commands: start, load, fault injection, check and report."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from madderwind.testing.local_fleet.supervisor import PROCESS_EVENTS_FILE, Supervisor
 
 PICTURE_FILE, REPORT_FILE = "report.png", "report.txt"
-# After the last request, upstreams note what has ended.
+# Time after the last request for the upstreams to write their final records.
 RECORD_FLUSH_DELAY_S = 0.3
 
 
 async def start_fleet(supervisor: Supervisor, fleet: FleetFile) -> None:
-    """Wait until the fleet has come up, install its configuration, wait until its data planes are ready."""
+    """Wait for the control planes, install the configuration, and wait until the data planes are ready."""
     await supervisor.wait_until_control_answers()
     async with OperatorClient(supervisor.layout.control) as client:
         answer = await client.replace(0, fleet.document().raw)
@@ -42,7 +42,7 @@
 
 
 def running_fleet(folder: Path) -> tuple[FleetFile, FleetLayout]:
-    """The fleet that was started in a folder; LocalFleetError where none runs."""
+    """Read the file and layout of the fleet running in a folder; LocalFleetError if there is none."""
     try:
         layout = read_layout(folder)
     except (OSError, msgspec.MsgspecError):
@@ -53,7 +53,7 @@
 async def load_and_break(
     fleet: FleetFile, layout: FleetLayout
 ) -> tuple[list[Outcome], list[InjectedFault], OperatorLoad]:
-    """The load from a process of its own, with the file's faults and operator's changes beside it."""
+    """Run the load in its own process, together with the file's faults and operator changes."""
     async with LoadProcess(layout) as load:
         fault_task = asyncio.create_task(play_faults(fleet, layout))
         try:
@@ -66,7 +66,7 @@
 
 
 async def play_faults(fleet: FleetFile, layout: FleetLayout) -> tuple[list[InjectedFault], OperatorLoad]:
-    """The file's faults and operator's changes alone, beside a load that somebody else sends."""
+    """Inject the file's faults and send the operator changes, without sending the load."""
     operator = OperatorLoad(layout, fleet.operator.change_every_s)
     async with FaultInjector(layout, fleet.faults, traffic_of(fleet).seed) as injector:
         operator_task = asyncio.create_task(operator.run()) if fleet.operator.change_every_s else None
@@ -80,7 +80,7 @@
 
 
 async def read_back(operator: OperatorLoad) -> list[ConfigurationRead]:
-    """What the control planes give as the newest configuration, once things are calm."""
+    """Read the newest configuration from each control plane after a short delay."""
     await asyncio.sleep(RECORD_FLUSH_DELAY_S)
     return await operator.read_back()
 
@@ -92,7 +92,7 @@
     commands: Sequence[CommandSent],
     reads: Sequence[ConfigurationRead],
 ) -> list[Violation]:
-    """The violations that a run left behind."""
+    """Check the evidence of a run and return the violations."""
     table = fleet.document().routing
     idempotent = set()
     for kind in traffic_of(fleet).kinds:
@@ -104,7 +104,7 @@
 
 
 def upstream_records(layout: FleetLayout) -> Iterator[AnyRecord]:
-    """What all stand-in upstreams noted."""
+    """Yield the records of all emulated upstreams."""
     for node in layout.nodes:
         if node.records and Path(node.records).exists():
             yield from read_records(Path(node.records))
@@ -119,7 +119,7 @@
     violations: Sequence[Violation] | None,
     with_baselines: bool,
 ) -> str:
-    """The report as text, also kept in the fleet's folder beside a picture."""
+    """Return the report as text; store it in the fleet's folder together with a chart."""
     folder = Path(layout.folder)
     started_ms = min((outcome.at_ms for outcome in outcomes), default=0.0)
     records = [record for record in upstream_records(layout) if record.at_ms >= started_ms]
--- a/madderwind/testing/local_fleet/status_client.py
+++ b/madderwind/testing/local_fleet/status_client.py
@@ -1,4 +1,4 @@
-"""Reads how control planes stand, from the status that each gives at its internal address."""
+"""Reads the status that each control plane serves at its internal address."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class NodeStatus(msgspec.Struct, frozen=True):
-    """What one control plane told; `status` None where it did not answer."""
+    """The status of one control plane; `status` is None without a valid response."""
 
     address: str
     status: ControlPlaneStatus | None
 
 
 async def read_status(addresses: Sequence[str]) -> list[NodeStatus]:
-    """The status of the control planes at these internal addresses."""
+    """Read the status of the control planes at these internal addresses."""
     timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with aiohttp.ClientSession(timeout=timeout, trust_env=False) as session:
         return list(await asyncio.gather(*(_read(session, address) for address in addresses)))
@@ -43,7 +43,7 @@
 
 
 def primary_of(statuses: Sequence[NodeStatus]) -> str:
-    """The node that is the primary, by who says so under the highest epoch; empty where nobody does."""
+    """The node that claims to be primary with the highest epoch; empty if no node claims it."""
     claiming = [found.status for found in statuses if found.status is not None and found.status.is_primary]
     if not claiming:
         return ""
--- a/madderwind/testing/local_fleet/supervisor.py
+++ b/madderwind/testing/local_fleet/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts all processes of a fleet, keeps them running, and lets other commands act on them."""
+"""Starts all processes of a fleet, keeps them running, and serves requests to act on them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from madderwind.testing.local_fleet.relays import FleetRelays, LinkCondition
 
 PROCESS_EVENTS_FILE = "lives.jsonl"
-# All processes start within this, and a data plane is ready; a busy machine starts many at once.
+# Time for a process to start and become ready; a busy machine starts many processes at once.
 START_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.05
-# A process that ends by itself so often before it is up is not going to come up.
+# A process that exits this often before it is up is considered unable to start.
 MAX_FAILED_STARTS = 3
 ACTIONS = ("start", "kill", "term", "pause", "resume", "wipe", "fill_disk", "free_disk")
 
 
 class Supervisor:
-    """One fleet and its processes; to be used as an async context, which begins and ends all of them."""
+    """One fleet and its processes. Use as an async context manager, which starts and ends all of them."""
 
     def __init__(self, fleet: FleetFile, file: Path, folder: Path) -> None:
         self._fleet = fleet
@@ -60,12 +60,12 @@
         self._lock.close()
 
     async def wait_until_control_answers(self) -> None:
-        """Return once each control plane takes connections; LocalFleetError where one does not."""
+        """Wait until every control plane accepts connections; LocalFleetError if one does not."""
         for node in self.layout.of_kind(NodeKind.CONTROL_PLANE):
             await self._wait_until(node.name, lambda address=node.status: _listens(address))  # type: ignore[misc]
 
     async def wait_until_ready(self) -> None:
-        """Return once all data planes are ready; LocalFleetError where one is not."""
+        """Wait until all data planes are ready; LocalFleetError if one is not."""
         async with aiohttp.ClientSession() as session:
             for node in self.layout.of_kind(NodeKind.DATA_PLANE):
                 url = f"http://{node.ready}/ready"
@@ -89,8 +89,6 @@
         with (self._folder / PROCESS_EVENTS_FILE).open("ab") as file:
             file.write(msgspec.json.encode(event) + b"\n")
 
-    # --- what other commands ask for ---
-
     async def _serve(self) -> None:
         application = web.Application()
         application.router.add_post("/nodes/{name}/{action}", self._act)
--- a/madderwind/testing/local_fleet/traffic.py
+++ b/madderwind/testing/local_fleet/traffic.py
@@ -1,4 +1,4 @@
-"""Draws the requests of a load from one seed: arrivals, prompts, sessions, tenants, clients."""
+"""Generates the requests of a load from one seed: arrivals, prompts, sessions, tenants, clients."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from madderwind.testing.local_fleet.traffic_file import RequestKind, Traffic
 
 PART_ID_BYTES = 6
-# What a kind without generations is drawn with.
+# Placeholder token distribution for kinds without generations, required by the workload generator.
 _NO_TOKENS = Tokens(mean=1.0)
 
 
 class PlannedRequest(msgspec.Struct, frozen=True):
-    """One request that a client is going to make. `parts` is empty where it is no generation."""
+    """One request that a client will send. `parts` is empty if the request is not a generation."""
 
     number: int
     at_ms: float
@@ -31,17 +31,20 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """The length of the whole prompt."""
+        """Length of the whole prompt in tokens."""
         return sum(part.tokens for part in self.parts)
 
     @property
     def shared_tokens(self) -> int:
-        """The length of what other prompts may have too."""
+        """Length in tokens of the parts that other prompts may share."""
         return sum(part.tokens for part in self.parts[:-1])
 
 
 def draw_requests(traffic: Traffic, run: str) -> list[PlannedRequest]:
-    """All requests in the order of time. `run` keeps the prompts of different runs apart."""
+    """Generate all requests in order of time.
+
+    `run` goes into the part ids, so that different runs share no prompt parts.
+    """
     rng = random.Random(traffic.seed)
     by_name = {kind.name: kind for kind in traffic.kinds}
     workload = Workload(
@@ -68,7 +71,7 @@
 
 
 def workload_kind(kind: RequestKind) -> Kind:
-    """The kind as the workload of experiments draws it."""
+    """Convert a kind of request to a workload kind of the engine emulator."""
     generation = kind.generation
     return Kind(
         name=kind.name,
@@ -85,7 +88,7 @@
 
 
 class _Sessions:
-    """The conversations of one kind: some requests begin with an earlier one's whole prompt."""
+    """The conversations of one kind: some requests begin with the whole prompt of an earlier one."""
 
     def __init__(self, kind: RequestKind, rng: random.Random) -> None:
         self._settings = None if kind.generation is None else kind.generation.sessions
--- a/madderwind/testing/local_fleet/traffic_file.py
+++ b/madderwind/testing/local_fleet/traffic_file.py
@@ -1,4 +1,4 @@
-"""The traffic for a fleet, as somebody writes it: kinds of requests, tenants, sessions, bursts."""
+"""File format of a fleet's traffic: kinds of requests, tenants, sessions, bursts."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @attrs.frozen
 class Sessions:
-    """Conversations.
+    """Conversations of several requests.
 
-    A `share` of requests goes on with an earlier one of the same kind, whose prompt it begins with, up to
-    `most_turns` in all.
+    A fraction `share` of the requests continues an earlier one of the same kind: its prompt begins with the
+    earlier prompt. A conversation has at most `most_turns` requests.
     """
 
     share: float = 0.0
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Generations:
-    """What requests to a model look like: the chain of shared parts, the own part, the output."""
+    """Shape of model requests: the chain of shared prompt parts, the unique part, and the output."""
 
     chain: tuple[SharedPart, ...]
     prompt: Tokens
@@ -34,8 +34,8 @@
 class RequestKind:
     """One kind of request.
 
-    `tenants` gives each tenant's weight; without it, no key is sent. Without `generation` it is a plain
-    request with a body of `body_bytes`.
+    `tenants` maps each tenant to its weight; if it is empty, no API key is sent. Without `generation` the
+    request is a plain one with a body of `body_bytes`.
     """
 
     name: str
@@ -54,10 +54,10 @@
 
 @attrs.frozen
 class Traffic:
-    """What is sent: arrivals of each kind by a Poisson process, more of them in a burst.
+    """The traffic of a fleet: a Poisson arrival process per kind, with a higher rate during bursts.
 
-    Clients are spread over the zones; each keeps connections, and `reconnect_share` of the requests open a
-    new one.
+    Clients are spread over the zones and keep their connections; a fraction `reconnect_share` of the requests
+    opens a new connection.
     """
 
     kinds: tuple[RequestKind, ...] = attrs.field(validator=not_empty)
--- a/madderwind/testing/local_fleet/yaml_files.py
+++ b/madderwind/testing/local_fleet/yaml_files.py
@@ -1,4 +1,4 @@
-"""Files that people write in YAML or JSON, read into attrs classes; an error names the field and its line."""
+"""Reads hand-written YAML or JSON files into attrs classes. Errors name the field and its line."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class _InvalidValue(Exception):
-    """A value that its field can't take; the text tells why."""
+    """A value that is invalid for its field; the message gives the reason."""
 
 
 def read_yaml(path: Path, file_type: type[FileType]) -> FileType:
-    """The typed content of a file; FileFormatError names what is wrong, and where."""
+    """Read a file into `file_type`. FileFormatError names the invalid field, its line and the reason."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -37,12 +37,12 @@
 
 
 def parse_yaml(text: str, file_type: type[FileType], name: str) -> FileType:
-    """As `read_yaml`, of text; `name` stands for the file in errors."""
+    """Parse text as `read_yaml` does; `name` stands for the file in errors."""
     try:
         raw = yaml.safe_load(text)
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + 1 if error.problem_mark else 0
-        raise FileFormatError(name, line, "", error.problem or "is no YAML") from None
+        raise FileFormatError(name, line, "", error.problem or "is not valid YAML") from None
     try:
         return _converter.structure(raw, file_type)
     except (BaseValidationError, ConfigurationError, _InvalidValue) as error:
@@ -51,7 +51,7 @@
 
 
 def field_name(steps: Sequence[PathStep]) -> str:
-    """A place in a document, such as `routes[3].timeout_ms`."""
+    """Format a path in a document, such as `routes[3].timeout_ms`."""
     name = ""
     for step in steps:
         name += f"[{step}]" if isinstance(step, int) else f".{step}"
@@ -59,7 +59,7 @@
 
 
 def steps_of(field: str) -> list[PathStep]:
-    """The reverse of `field_name`."""
+    """Parse a path formatted by `field_name`."""
     steps: list[PathStep] = []
     for part in field.split("."):
         key, *indices = part.split("[")
@@ -69,9 +69,9 @@
 
 
 def line_of(text: str, steps: Sequence[PathStep]) -> int:
-    """The line of a place in YAML or JSON text, or of the nearest part around it that is there.
+    """Return the line of a path in YAML or JSON text, or of its nearest enclosing node that exists.
 
-    0 where the text can't be read.
+    Returns 0 if the text can't be parsed or is empty.
     """
     try:
         node = yaml.compose(text, Loader=yaml.SafeLoader)
@@ -98,7 +98,7 @@
 
 
 def _first_fault(error: BaseException) -> tuple[list[PathStep], str]:
-    """The first thing that is wrong and its place: cattrs notes on each nested error where it arose."""
+    """Return the path and reason of the first error; cattrs adds a note with the location to each level."""
     steps: list[PathStep] = []
     while isinstance(error, BaseValidationError) and not isinstance(error, ForbiddenExtraKeysError):
         error = error.exceptions[0]
@@ -125,13 +125,13 @@
 
 def _integer(value: Any, _: object) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
-        raise _InvalidValue(f"a whole number was expected, not {value!r}")
+        raise _InvalidValue(f"an integer was expected, not {value!r}")
     return value
 
 
 def _text(value: Any, _: object) -> str:
     if not isinstance(value, str):
-        raise _InvalidValue(f"a text was expected, not {value!r}")
+        raise _InvalidValue(f"a string was expected, not {value!r}")
     return value
 
 
--- a/tests/testing/local_fleet/test_checking.py
+++ b/tests/testing/local_fleet/test_checking.py
@@ -1,4 +1,4 @@
-"""Faults on nodes, and the checker: each promise broken on purpose is noticed, and only that one."""
+"""Tests for fault planning, cache figures and the checker, which reports exactly the violated guarantees."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 
 def violated(**changes: Any) -> list[Promise]:
-    """The promises that a run with this evidence broke."""
+    """Return the guarantees that the checker reports as violated for this evidence."""
     evidence: dict[str, Any] = {"outcomes": [], "records": [], "commands": [], "reads": []}
     evidence |= {"idempotent_kinds": frozenset({"safe"}), **changes}
     return [violation.promise for violation in check(Evidence(**evidence))]
 
 
 class CheckerTest(unittest.TestCase):
-    def test_finds_nothing_in_a_run_that_went_well(self) -> None:
+    def test_valid_run_has_no_violations(self) -> None:
         violations = violated(
             outcomes=[outcome(attempt("a", 503, ""), attempt("b"))],
             records=[ran("b")],
@@ -47,23 +47,23 @@
         )
         self.assertEqual(violations, [])
 
-    def test_a_second_run_of_one_request(self) -> None:
+    def test_request_that_ran_twice_is_a_violation_unless_idempotent(self) -> None:
         records = [ran("r", "i-1"), ran("r", "i-2")]
         self.assertEqual(violated(outcomes=[outcome(attempt())], records=records), [Promise.RUN_ONCE])
         self.assertEqual(violated(outcomes=[outcome(attempt(), kind="safe")], records=records), [])
 
-    def test_a_refusal_of_what_ran(self) -> None:
+    def test_refused_request_that_ran_is_a_violation(self) -> None:
         violations = violated(outcomes=[outcome(attempt(status=503, signature=""))], records=[ran("r")])
         self.assertEqual(violations, [Promise.REFUSAL])
 
-    def test_a_stream_with_a_gap(self) -> None:
+    def test_stream_with_a_gap_is_a_violation(self) -> None:
         violations = violated(outcomes=[outcome(attempt(), fault="a gap: event 3 after event 1")])
         self.assertEqual(violations, [Promise.STREAM])
 
-    def test_a_success_that_no_upstream_signed(self) -> None:
+    def test_success_without_upstream_signature_is_a_violation(self) -> None:
         self.assertEqual(violated(outcomes=[outcome(attempt(signature=""))]), [Promise.ANSWER])
 
-    def test_an_acknowledged_configuration_that_is_gone(self) -> None:
+    def test_lost_acknowledged_configuration_is_a_violation(self) -> None:
         commands = [CommandSent(3, True), CommandSent(5, True)]
         older = [ConfigurationRead("control-1", 3)]
         self.assertEqual(set(violated(commands=commands, reads=older)), {Promise.CONFIGURATION})
@@ -80,25 +80,25 @@
         fault = Fault(**{"what": "kill", "nodes": ("model-*",), "at_s": 1.0, "for_s": 2.0, **changes})
         return plan_fault(fault, NODES, "control-2", random.Random(1))
 
-    def test_befall_all_that_a_pattern_names(self) -> None:
+    def test_pattern_selects_all_matching_nodes(self) -> None:
         planned = self.plan()
         self.assertEqual(planned.nodes, ("model-1", "model-2"))
         self.assertEqual(planned.actions, (Action.KILL, Action.START))
         self.assertEqual((planned.begin_s, planned.end_s), (1.0, 3.0))
 
-    def test_befall_some_of_them(self) -> None:
+    def test_count_limits_the_selected_nodes(self) -> None:
         self.assertEqual(len(self.plan(count=1).nodes), 1)
 
-    def test_befall_who_is_the_primary_then(self) -> None:
+    def test_primary_selects_the_current_primary(self) -> None:
         self.assertEqual(self.plan(nodes=("primary",)).nodes, ("control-2",))
 
-    def test_on_unknown_nodes_are_refused(self) -> None:
+    def test_unknown_nodes_are_rejected(self) -> None:
         with self.assertRaises(LocalFleetError):
             self.plan(nodes=("modle-1",))
         with self.assertRaises(LocalFleetError):
             plan_fault(Fault("kill", ("primary",), 0.0), NODES, "", random.Random(1))
 
-    def test_a_cut_lies_between_its_nodes_and_the_others(self) -> None:
+    def test_cut_without_between_isolates_its_nodes(self) -> None:
         alone = self.plan(what="cut", nodes=("control-1",)).condition
         self.assertTrue(alone.isolates("control-1"))
         self.assertTrue(alone.applies_between("control-1", "data-1"))
@@ -106,7 +106,7 @@
         self.assertFalse(alone.applies_between("data-1", "control-2"))
         self.assertFalse(alone.applies_between("", "control-2"))
 
-    def test_a_cut_between_two_groups_leaves_the_rest(self) -> None:
+    def test_cut_between_two_groups_does_not_affect_other_nodes(self) -> None:
         condition = LinkCondition("cut", ("data-1",), ("model-1",))
         self.assertTrue(condition.applies_between("data-1", "model-1"))
         self.assertFalse(condition.applies_between("data-1", "model-2"))
@@ -114,7 +114,7 @@
 
 
 class CacheFiguresTest(unittest.TestCase):
-    def test_what_is_prefilled_again_soon_is_told_apart(self) -> None:
+    def test_repeated_prefill_within_the_window_is_counted_separately(self) -> None:
         reads = [
             PrefilledPart(0.0, "i-1", "a", 100, True),
             PrefilledPart(5_000.0, "i-2", "a", 100, True),
--- a/tests/testing/local_fleet/test_relays.py
+++ b/tests/testing/local_fleet/test_relays.py
@@ -1,4 +1,4 @@
-"""Cuts between nodes, by relays over loopback: whom they concern, and what passes once they are over."""
+"""Tests for cuts and delays between nodes, applied by relays over loopback addresses."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from madderwind.testing.local_fleet.relays import FleetRelays, LinkCondition
 
 DEADLINE_S = 10.0
-# Long enough that what passes at once would have come.
+# Longer than an undelayed message needs over loopback.
 BLOCKED_TIMEOUT_S = 0.3
 
 
 class FleetRelaysTest(unittest.IsolatedAsyncioTestCase):
-    """This process is node `caller`; `echo` is the node behind the relay."""
+    """This process acts as the node `caller`; an echo server acts as the node `echo` behind the relay."""
 
     async def asyncSetUp(self) -> None:
         net, lock = take_net(random.Random())
@@ -52,12 +52,12 @@
     async def cut(self, nodes: Sequence[str], between: Sequence[str] = ()) -> None:
         self.relays.set_conditions([LinkCondition("cut", tuple(nodes), tuple(between))])
 
-    async def test_all_passes_without_a_cut(self) -> None:
+    async def test_data_passes_without_a_cut(self) -> None:
         reader, writer = await self.connect()
         writer.write(b"hello\n")
         self.assertTrue(await self.receives_echo(reader))
 
-    async def test_a_cut_between_the_two_holds_up_an_open_connection_and_a_new_one(self) -> None:
+    async def test_cut_blocks_open_and_new_connections_until_it_ends(self) -> None:
         reader, writer = await self.connect()
         writer.write(b"hello\n")
         self.assertTrue(await self.receives_echo(reader))
@@ -71,13 +71,13 @@
         self.assertTrue(await self.receives_echo(reader))
         self.assertTrue(await self.receives_echo(new_reader))
 
-    async def test_a_cut_between_others_concerns_nobody_here(self) -> None:
+    async def test_cut_between_other_nodes_has_no_effect(self) -> None:
         await self.cut(["somebody"], ["echo"])
         reader, writer = await self.connect()
         writer.write(b"hello\n")
         self.assertTrue(await self.receives_echo(reader))
 
-    async def test_a_node_cut_from_all_is_not_even_connected_to(self) -> None:
+    async def test_isolated_node_accepts_no_connections_until_the_cut_ends(self) -> None:
         await self.cut(["echo"])
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(BLOCKED_TIMEOUT_S):
@@ -87,7 +87,7 @@
         writer.write(b"hello\n")
         self.assertTrue(await self.receives_echo(reader))
 
-    async def test_a_slow_link_is_late_each_way(self) -> None:
+    async def test_slow_link_delays_both_directions(self) -> None:
         self.relays.set_conditions([LinkCondition("slow", ("caller",), ("echo",), late_ms=100.0)])
         reader, writer = await self.connect()
         loop = asyncio.get_running_loop()
--- a/tests/testing/local_fleet/test_whole_fleet.py
+++ b/tests/testing/local_fleet/test_whole_fleet.py
@@ -1,4 +1,4 @@
-"""One small fleet of real processes on loopback: it serves, loses an upstream, and keeps its promises."""
+"""Tests a small fleet of real processes on loopback, which serves a load and then loses an upstream."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 class LocalFleetTest(unittest.IsolatedAsyncioTestCase):
-    async def test_serves_loses_an_upstream_and_keeps_its_promises(self) -> None:
+    async def test_fleet_serves_load_and_keeps_guarantees_after_an_upstream_is_killed(self) -> None:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory())) / "fleet"
         file = folder.with_suffix(".yaml")
         file.write_text(FLEET)
