--- a/madderwind/testing/local_fleet/cache_figures.py
+++ b/madderwind/testing/local_fleet/cache_figures.py
@@ -37,15 +37,15 @@
 
 def cache_figures(records: Iterable[AnyRecord], asked_tokens: int, again_s: float) -> CacheFigures:
     """Compute the figures of one load from the records of all its upstreams."""
-    reads: Sequence[PrefilledPart] = sorted(
+    prefills: Sequence[PrefilledPart] = sorted(
         (record for record in records if isinstance(record, PrefilledPart) and record.shared),
-        key=lambda read: read.at_ms,
+        key=lambda prefill: prefill.at_ms,
     )
-    last_ms: dict[str, float] = {}
+    last_prefill_ms: dict[str, float] = {}
     again_tokens = 0
-    for read in reads:
-        before_ms = last_ms.get(read.part)
-        if before_ms is not None and read.at_ms - before_ms <= again_s * MS_PER_S:
-            again_tokens += read.tokens
-        last_ms[read.part] = read.at_ms
-    return CacheFigures(asked_tokens, sum(read.tokens for read in reads), again_tokens)
+    for prefill in prefills:
+        previous_ms = last_prefill_ms.get(prefill.part)
+        if previous_ms is not None and prefill.at_ms - previous_ms <= again_s * MS_PER_S:
+            again_tokens += prefill.tokens
+        last_prefill_ms[prefill.part] = prefill.at_ms
+    return CacheFigures(asked_tokens, sum(prefill.tokens for prefill in prefills), again_tokens)
--- a/madderwind/testing/local_fleet/checker.py
+++ b/madderwind/testing/local_fleet/checker.py
@@ -83,15 +83,17 @@
     if not newest:
         return
     if not any(read.version >= newest for read in evidence.reads):
-        read = {read.node: read.version for read in evidence.reads}
+        versions = {read.node: read.version for read in evidence.reads}
         text = (
-            f"version {newest} was acknowledged, but at the end the control planes had {read or 'no answer'}"
+            f"version {newest} was acknowledged, but the control planes ended with {versions or 'no answer'}"
         )
         yield Violation(Promise.CONFIGURATION, text)
-    for found in evidence.reads:
-        if found.version and (found.version < newest or not found.matches_sent):
-            text = f"{found.node} gave version {found.version} as the newest, {newest} was acknowledged"
-            yield Violation(Promise.CONFIGURATION, text if found.matches_sent else f"{text}: other content")
+    for returned in evidence.reads:
+        if returned.version and (returned.version < newest or not returned.matches_sent):
+            text = f"{returned.node} gave version {returned.version} as the newest, {newest} was acknowledged"
+            yield Violation(
+                Promise.CONFIGURATION, text if returned.matches_sent else f"{text}: other content"
+            )
 
 
 def _check_runs(
@@ -100,11 +102,11 @@
     for outcome in outcomes:
         if outcome.kind in idempotent_kinds:
             continue
-        for made in outcome.tries:
-            ran = runs.get(made.request_id, [])
+        for attempt in outcome.tries:
+            ran = runs.get(attempt.request_id, [])
             if len(ran) > 1:
                 where = ", ".join(run.instance for run in ran)
-                yield Violation(Promise.RUN_ONCE, f"{outcome.kind} {made.request_id} ran at {where}")
+                yield Violation(Promise.RUN_ONCE, f"{outcome.kind} {attempt.request_id} ran at {where}")
 
 
 def _check_refusals(
@@ -113,9 +115,13 @@
     for outcome in outcomes:
         if outcome.kind in idempotent_kinds:
             continue
-        for made in outcome.tries:
-            if made.status in NOT_EXECUTED_STATUSES and made.how == "whole" and runs.get(made.request_id):
-                text = f"{outcome.kind} {made.request_id} got {made.status} and ran"
+        for attempt in outcome.tries:
+            if (
+                attempt.status in NOT_EXECUTED_STATUSES
+                and attempt.how == "whole"
+                and runs.get(attempt.request_id)
+            ):
+                text = f"{outcome.kind} {attempt.request_id} got {attempt.status} and ran"
                 yield Violation(Promise.REFUSAL, text)
 
 
@@ -123,7 +129,7 @@
     for outcome in outcomes:
         if outcome.fault:
             yield Violation(Promise.STREAM, f"{outcome.kind} request {outcome.number}: {outcome.fault}")
-        for made in outcome.tries:
-            if made.status // 100 == 2 and made.how == "whole" and not made.signature:
-                text = f"{outcome.kind} {made.request_id} got {made.status} without a signature"
+        for attempt in outcome.tries:
+            if attempt.status // 100 == 2 and attempt.how == "whole" and not attempt.signature:
+                text = f"{outcome.kind} {attempt.request_id} got {attempt.status} without a signature"
                 yield Violation(Promise.ANSWER, text)
--- a/madderwind/testing/local_fleet/event_check.py
+++ b/madderwind/testing/local_fleet/event_check.py
@@ -33,13 +33,13 @@
         return len(events)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the last event was received and nothing after it."""
         return bool(self._total) and self.last == self._total and not self._buffer
 
-    def finish(self) -> None:
+    def check_end(self) -> None:
         """Check that all events were received, at the regular end of the response."""
-        if not self.is_whole:
+        if not self.is_complete:
             self._record_fault(f"ended as complete after event {self.last} of {self._total or 'none'}")
 
     def _check_event(self, event: bytes) -> None:
@@ -56,8 +56,8 @@
         if not is_consistent or subject != self._subject:
             self._record_fault(f"an event of another stream after event {self.last}")
         elif number != self.last + 1:
-            what = "a gap" if number > self.last else "a repeat"
-            self._record_fault(f"{what}: event {number} after event {self.last}")
+            error_kind = "a gap" if number > self.last else "a repeat"
+            self._record_fault(f"{error_kind}: event {number} after event {self.last}")
         self.last = max(self.last, number)
 
     def _record_fault(self, fault: str) -> None:
--- a/madderwind/testing/local_fleet/fault_schedule.py
+++ b/madderwind/testing/local_fleet/fault_schedule.py
@@ -72,10 +72,10 @@
         if pattern == PRIMARY:
             if not primary:
                 raise LocalFleetError("no control plane is primary at present")
-            found = [primary]
+            matches = [primary]
         else:
-            found = fnmatch.filter(known, pattern)
-        if not found:
+            matches = fnmatch.filter(known, pattern)
+        if not matches:
             raise LocalFleetError(f"no node matches {pattern!r}; the nodes are {', '.join(known)}")
-        selected.update(dict.fromkeys(found))
+        selected.update(dict.fromkeys(matches))
     return tuple(selected)
--- a/madderwind/testing/local_fleet/fleet_file.py
+++ b/madderwind/testing/local_fleet/fleet_file.py
@@ -99,12 +99,12 @@
 
 
 def _check_group(path: Path, fleet: FleetFile, index: int, group: UpstreamGroup) -> None:
-    place = field_name(["upstreams", index])
+    group_field = field_name(["upstreams", index])
     known = {service.name for service in fleet.document().configuration.services}
     if group.service not in known:
-        raise _invalid(path, f"{place}.service", f"the configuration has no service {group.service!r}")
+        raise _invalid(path, f"{group_field}.service", f"the configuration has no service {group.service!r}")
     if (group.engine is None) == (group.plain is None):
-        raise _invalid(path, place, "exactly one of engine and plain is needed")
+        raise _invalid(path, group_field, "exactly one of engine and plain is needed")
     for name, read in (
         ("engine", group.engine_settings),
         ("plain", group.plain_work),
@@ -113,7 +113,7 @@
         try:
             read()
         except msgspec.ValidationError as error:
-            raise _invalid(path, f"{place}.{name}", str(error)) from None
+            raise _invalid(path, f"{group_field}.{name}", str(error)) from None
 
 
 def _invalid(path: Path, field: str, reason: str) -> FileFormatError:
--- a/madderwind/testing/local_fleet/load.py
+++ b/madderwind/testing/local_fleet/load.py
@@ -29,13 +29,13 @@
         self._traffic = traffic
         document = fleet.document()
         self._table = document.routing
-        self._keys = {tenant.name: tenant.api_keys[0] for tenant in document.tenants if tenant.api_keys}
+        self._api_keys = {tenant.name: tenant.api_keys[0] for tenant in document.tenants if tenant.api_keys}
         self._kinds = {kind.name: kind for kind in traffic.kinds}
-        self._planes = layout.of_kind(NodeKind.DATA_PLANE)
+        self._data_planes = layout.of_kind(NodeKind.DATA_PLANE)
         self._ingress = Ingress(
-            [DataPlaneEndpoint(node.name, node.zone, node.front) for node in self._planes]
+            [DataPlaneEndpoint(node.name, node.zone, node.front) for node in self._data_planes]
         )
-        self._zones = sorted({node.zone for node in self._planes})
+        self._zones = sorted({node.zone for node in self._data_planes})
         self.outcomes: list[Outcome] = []
 
     async def run(self) -> list[Outcome]:
@@ -43,11 +43,11 @@
         requests = draw_requests(self._traffic, secrets.token_hex(4))
         clients = [
             LoadClient(
-                f"client-{number}", self._zones[number % len(self._zones)], self._ingress, self._key_of
+                f"client-{number}", self._zones[number % len(self._zones)], self._ingress, self._api_key_of
             )
             for number in range(self._traffic.clients)
         ]
-        probe_tasks = [asyncio.create_task(self._probe_readiness(node)) for node in self._planes]
+        probe_tasks = [asyncio.create_task(self._probe_readiness(node)) for node in self._data_planes]
         try:
             await self._send_all(requests, clients)
         finally:
@@ -57,8 +57,8 @@
             await asyncio.gather(*(client.close() for client in clients))
         return self.outcomes
 
-    def _key_of(self, tenant: str) -> str:
-        return self._keys.get(tenant, "")
+    def _api_key_of(self, tenant: str) -> str:
+        return self._api_keys.get(tenant, "")
 
     async def _send_all(self, requests: Sequence[PlannedRequest], clients: Sequence[LoadClient]) -> None:
         started_ms = now_ms() + START_DELAY_S * MS_PER_S
--- a/madderwind/testing/local_fleet/load_client.py
+++ b/madderwind/testing/local_fleet/load_client.py
@@ -57,9 +57,9 @@
 class LoadClient:
     """One client in one zone."""
 
-    def __init__(self, name: str, zone: str, ingress: Ingress, key_of: Callable[[str], str]) -> None:
-        """`key_of` returns the API key of a tenant. Requires a running event loop."""
-        self._name, self._zone, self._ingress, self._key_of = name, zone, ingress, key_of
+    def __init__(self, name: str, zone: str, ingress: Ingress, api_key_of: Callable[[str], str]) -> None:
+        """`api_key_of` returns the API key of a tenant. Requires a running event loop."""
+        self._name, self._zone, self._ingress, self._api_key_of = name, zone, ingress, api_key_of
         self._connections = ClientConnections()
 
     async def close(self) -> None:
@@ -98,7 +98,7 @@
     ) -> float:
         """Make one attempt and return the Retry-After time in seconds, 0 without one."""
         url = f"http://{address}{request.kind.path}{request.planned.number:x}"
-        headers = request.headers(attempt, self._key_of(request.planned.tenant))
+        headers = request.headers(attempt, self._api_key_of(request.planned.tenant))
         body = b"x" * request.kind.body_bytes
         try:
             async with session.request(request.kind.method, url, headers=headers, data=body) as answer:
@@ -123,17 +123,17 @@
         self, answer: aiohttp.ClientResponse, request: _Request, attempt: AttemptOutcome
     ) -> None:
         idle_timeout_s = request.idle_timeout_ms / MS_PER_S
-        check = request.events
-        assert check is not None
+        event_check = request.events
+        assert event_check is not None
         while True:
             async with asyncio.timeout(idle_timeout_s):
                 data = await answer.content.readany()
             if not data:
                 break
-            if whole := check.feed(data):
-                attempt.events += whole
+            if completed_events := event_check.feed(data):
+                attempt.events += completed_events
                 request.record_event_arrival()
-        check.finish()
+        event_check.check_end()
         attempt.how = "whole"
 
 
@@ -238,7 +238,7 @@
             return OutcomeCategory.FAILED
         if last.status in NOT_EXECUTED_STATUSES:
             return OutcomeCategory.REFUSED
-        if last.status != 200 or (self.events is not None and not self.events.is_whole):
+        if last.status != 200 or (self.events is not None and not self.events.is_complete):
             return OutcomeCategory.FAILED
         assert outcome.first_ms is not None
         longest_gap_ms = max(outcome.gaps_ms, default=0.0)
--- a/madderwind/testing/local_fleet/load_figures.py
+++ b/madderwind/testing/local_fleet/load_figures.py
@@ -53,14 +53,14 @@
 
 def kind_figures(kind: str, outcomes: Sequence[Outcome]) -> KindFigures:
     """Compute the figures of these outcomes under the name `kind`."""
-    fates = Counter(outcome.fate for outcome in outcomes)
+    counts = Counter(outcome.fate for outcome in outcomes)
     return KindFigures(
         kind=kind,
         requests=len(outcomes),
-        in_time=fates[OutcomeCategory.IN_TIME],
-        late=fates[OutcomeCategory.LATE],
-        refused=fates[OutcomeCategory.REFUSED],
-        failed=fates[OutcomeCategory.FAILED],
+        in_time=counts[OutcomeCategory.IN_TIME],
+        late=counts[OutcomeCategory.LATE],
+        refused=counts[OutcomeCategory.REFUSED],
+        failed=counts[OutcomeCategory.FAILED],
         tries=sum(len(outcome.tries) for outcome in outcomes),
         first=latency_quantiles(outcome.first_ms for outcome in outcomes if outcome.first_ms is not None),
         between=latency_quantiles(gap_ms for outcome in outcomes for gap_ms in outcome.gaps_ms),
@@ -77,5 +77,5 @@
 def all_figures(outcomes: Sequence[Outcome]) -> list[KindFigures]:
     """Compute the figures of each kind, followed by those of all kinds together."""
     kinds = sorted({outcome.kind for outcome in outcomes})
-    found = [kind_figures(kind, [o for o in outcomes if o.kind == kind]) for kind in kinds]
-    return [*found, kind_figures("all", outcomes)]
+    by_kind = [kind_figures(kind, [o for o in outcomes if o.kind == kind]) for kind in kinds]
+    return [*by_kind, kind_figures("all", outcomes)]
--- a/madderwind/testing/local_fleet/node_process.py
+++ b/madderwind/testing/local_fleet/node_process.py
@@ -192,7 +192,7 @@
         self._process.send_signal(signal_number)
 
     def _set_state(self, state: NodeState, what: str, code: int = 0) -> None:
-        """Set the state of a node and record the change as an event."""
+        """Set the state and record it as an event; every state change of a running node goes through here."""
         self.state = state
         self._record_event(what, code)
 
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -99,6 +99,6 @@
     return msgspec.json.encode({"version": version, "upsert": {"routes": [route]}})
 
 
-def acknowledged(commands: Sequence[CommandSent]) -> int:
+def count_acknowledged(commands: Sequence[CommandSent]) -> int:
     """Count the acknowledged commands."""
     return sum(command.acknowledged for command in commands)
--- a/madderwind/testing/local_fleet/relays.py
+++ b/madderwind/testing/local_fleet/relays.py
@@ -61,7 +61,7 @@
         """The node that owned this address at the last lookup; empty for a process outside the fleet."""
         return self._owners.get(peer, "")
 
-    def lookup_delay_s(self, peer: Address) -> float:
+    def look_up_owner(self, peer: Address) -> float:
         """Look up the owner of a new connection.
 
         Returns 0 if the lookup is done, otherwise the seconds to wait before the next call.
@@ -110,7 +110,7 @@
         self.peer: Address = writer.get_extra_info("peername")[:2]
         self.may_pass = asyncio.Event()
         self.late_ms = 0.0
-        relay.apply_conditions_once_owned(self)
+        relay.apply_conditions_once_owner_known(self)
 
 
 class FleetRelay(Relay):
@@ -131,14 +131,14 @@
             await asyncio.sleep(connection.late_ms / MS_PER_S)
             await connection.may_pass.wait()
 
-    def apply_conditions_once_owned(self, connection: _FleetConnection) -> None:
+    def apply_conditions_once_owner_known(self, connection: _FleetConnection) -> None:
         """Apply the conditions to an accepted connection; hold its data back until its owner is known."""
-        wait_s = self._relays.lookup_delay_s(connection.peer)
+        wait_s = self._relays.look_up_owner(connection.peer)
         if not wait_s:
             self.apply_conditions(connection)
             return
         connection.may_pass.clear()
-        asyncio.get_running_loop().call_later(wait_s, self.apply_conditions_once_owned, connection)
+        asyncio.get_running_loop().call_later(wait_s, self.apply_conditions_once_owner_known, connection)
 
     def apply_conditions(self, connection: _FleetConnection) -> None:
         """Block, delay or release a connection according to the conditions in force."""
@@ -185,9 +185,9 @@
             relay.be("vanish" if isolated else "", 0.0)
             relay.apply_conditions_to_all()
 
-    def lookup_delay_s(self, peer: Address) -> float:
+    def look_up_owner(self, peer: Address) -> float:
         """Seconds to wait for the owner of a new connection; 0 if it is known or no condition is in force."""
-        return self._owners.lookup_delay_s(peer) if self._conditions else 0.0
+        return self._owners.look_up_owner(peer) if self._conditions else 0.0
 
     def between(self, peer: Address, node: str) -> tuple[bool, float]:
         """Whether the link between a connection's peer and a node is cut, and its delay in milliseconds."""
--- a/madderwind/testing/local_fleet/run.py
+++ b/madderwind/testing/local_fleet/run.py
@@ -21,7 +21,7 @@
 from madderwind.testing.local_fleet.load_process import LoadProcess
 from madderwind.testing.local_fleet.node_process import ProcessEvent
 from madderwind.testing.local_fleet.operator_client import OperatorClient
-from madderwind.testing.local_fleet.operator_load import OperatorLoad, acknowledged
+from madderwind.testing.local_fleet.operator_load import OperatorLoad, count_acknowledged
 from madderwind.testing.local_fleet.outcomes import Outcome
 from madderwind.testing.local_fleet.report import RunReport, draw_chart, render_report
 from madderwind.testing.local_fleet.supervisor import PROCESS_EVENTS_FILE, Supervisor
@@ -132,7 +132,7 @@
         cache=cache_figures(records, asked_tokens, traffic_of(fleet).again_s),
         faults=faults,
         baselines=simulate_baselines(fleet) if with_baselines else [],
-        acknowledged_commands=acknowledged(commands),
+        acknowledged_commands=count_acknowledged(commands),
         sent_commands=len(commands),
         own_ends=_count_unexpected_exits(folder),
         violations=violations,
--- a/madderwind/testing/local_fleet/status_client.py
+++ b/madderwind/testing/local_fleet/status_client.py
@@ -44,7 +44,11 @@
 
 def primary_of(statuses: Sequence[NodeStatus]) -> str:
     """The node that claims to be primary with the highest epoch; empty if no node claims it."""
-    claiming = [found.status for found in statuses if found.status is not None and found.status.is_primary]
+    claiming = [
+        node_status.status
+        for node_status in statuses
+        if node_status.status is not None and node_status.status.is_primary
+    ]
     if not claiming:
         return ""
     return max(claiming, key=lambda status: status.epoch).node
--- a/madderwind/testing/local_fleet/supervisor.py
+++ b/madderwind/testing/local_fleet/supervisor.py
@@ -34,7 +34,7 @@
 
     def __init__(self, fleet: FleetFile, file: Path, folder: Path) -> None:
         self._fleet = fleet
-        net, self._lock = _take_net()
+        net, self._lock = _reserve_loopback_network()
         self.layout: FleetLayout = build_layout(fleet, file, folder, net)
         self._folder = folder
         self._nodes = {node.name: NodeProcess(node, self._record_event) for node in self.layout.nodes}
@@ -136,7 +136,7 @@
         return web.Response(body=msgspec.json.encode(states), content_type="application/json")
 
 
-def _take_net() -> tuple[int, socket.socket]:
+def _reserve_loopback_network() -> tuple[int, socket.socket]:
     try:
         return take_net(random.Random())
     except OSError as error:
--- a/madderwind/testing/local_fleet/yaml_files.py
+++ b/madderwind/testing/local_fleet/yaml_files.py
@@ -46,7 +46,7 @@
     try:
         return _converter.structure(raw, file_type)
     except (BaseValidationError, ConfigurationError, _InvalidValue) as error:
-        steps, reason = _first_fault(error)
+        steps, reason = _first_error(error)
         raise FileFormatError(name, line_of(text, steps), field_name(steps), reason) from None
 
 
@@ -97,7 +97,7 @@
     return None
 
 
-def _first_fault(error: BaseException) -> tuple[list[PathStep], str]:
+def _first_error(error: BaseException) -> tuple[list[PathStep], str]:
     """Return the path and reason of the first error; cattrs adds a note with the location to each level."""
     steps: list[PathStep] = []
     while isinstance(error, BaseValidationError) and not isinstance(error, ForbiddenExtraKeysError):
--- a/tests/testing/local_fleet/test_checking.py
+++ b/tests/testing/local_fleet/test_checking.py
@@ -1,4 +1,4 @@
-"""Tests for fault planning, cache figures and the checker, which reports exactly the violated guarantees."""
+"""Tests for fault planning, cache figures, and the checker, which reports only the violated guarantee."""
 
 from __future__ import annotations
 
@@ -67,12 +67,12 @@
         commands = [CommandSent(3, True), CommandSent(5, True)]
         older = [ConfigurationRead("control-1", 3)]
         self.assertEqual(set(violated(commands=commands, reads=older)), {Promise.CONFIGURATION})
-        silent = [ConfigurationRead("control-1", 0)]
-        self.assertEqual(violated(commands=commands, reads=silent), [Promise.CONFIGURATION])
+        no_answer = [ConfigurationRead("control-1", 0)]
+        self.assertEqual(violated(commands=commands, reads=no_answer), [Promise.CONFIGURATION])
         other = [ConfigurationRead("control-1", 5, matches_sent=False)]
         self.assertEqual(violated(commands=commands, reads=other), [Promise.CONFIGURATION])
-        one_silent = [ConfigurationRead("control-1", 0), ConfigurationRead("control-2", 5)]
-        self.assertEqual(violated(commands=commands, reads=one_silent), [])
+        one_no_answer = [ConfigurationRead("control-1", 0), ConfigurationRead("control-2", 5)]
+        self.assertEqual(violated(commands=commands, reads=one_no_answer), [])
 
 
 class FaultPlanTest(unittest.TestCase):
@@ -99,12 +99,12 @@
             plan_fault(Fault("kill", ("primary",), 0.0), NODES, "", random.Random(1))
 
     def test_cut_without_between_isolates_its_nodes(self) -> None:
-        alone = self.plan(what="cut", nodes=("control-1",)).condition
-        self.assertTrue(alone.isolates("control-1"))
-        self.assertTrue(alone.applies_between("control-1", "data-1"))
-        self.assertTrue(alone.applies_between("data-1", "control-1"))
-        self.assertFalse(alone.applies_between("data-1", "control-2"))
-        self.assertFalse(alone.applies_between("", "control-2"))
+        condition = self.plan(what="cut", nodes=("control-1",)).condition
+        self.assertTrue(condition.isolates("control-1"))
+        self.assertTrue(condition.applies_between("control-1", "data-1"))
+        self.assertTrue(condition.applies_between("data-1", "control-1"))
+        self.assertFalse(condition.applies_between("data-1", "control-2"))
+        self.assertFalse(condition.applies_between("", "control-2"))
 
     def test_cut_between_two_groups_does_not_affect_other_nodes(self) -> None:
         condition = LinkCondition("cut", ("data-1",), ("model-1",))
--- a/tests/testing/local_fleet/test_client_side.py
+++ b/tests/testing/local_fleet/test_client_side.py
@@ -70,36 +70,36 @@
         ]
         self.ingress = Ingress(self.endpoints)
 
-    def chosen(self, zone: str, tried: tuple[str, ...] = ()) -> set[str]:
+    def chosen_names(self, zone: str, tried: tuple[str, ...] = ()) -> set[str]:
         return {self.ingress.choose(f"c{number}", zone, tried).name for number in range(100)}
 
     def test_clients_are_spread_over_all_data_planes_of_their_zone(self) -> None:
-        self.assertEqual(self.chosen("a"), {"d0", "d2", "d4"})
+        self.assertEqual(self.chosen_names("a"), {"d0", "d2", "d4"})
 
     def test_same_client_always_gets_the_same_data_plane(self) -> None:
         self.assertEqual(self.ingress.choose("c", "a"), self.ingress.choose("c", "a"))
 
     def test_data_plane_with_two_missed_probes_is_avoided_until_it_answers(self) -> None:
         self.ingress.record_probe("d0", False)
-        self.assertIn("d0", self.chosen("a"))
+        self.assertIn("d0", self.chosen_names("a"))
         self.ingress.record_probe("d0", False)
-        self.assertEqual(self.chosen("a"), {"d2", "d4"})
+        self.assertEqual(self.chosen_names("a"), {"d2", "d4"})
         self.ingress.record_probe("d0", True)
-        self.assertIn("d0", self.chosen("a"))
+        self.assertIn("d0", self.chosen_names("a"))
 
     def test_all_data_planes_of_the_zone_are_used_if_fewer_than_half_are_in_service(self) -> None:
         for name in ("d0", "d2", "d0", "d2"):
             self.ingress.record_probe(name, False)
-        self.assertEqual(self.chosen("a"), {"d0", "d2", "d4"})
+        self.assertEqual(self.chosen_names("a"), {"d0", "d2", "d4"})
 
     def test_other_zones_are_used_if_none_of_the_zone_is_in_service(self) -> None:
         for name in ("d0", "d2", "d4") * 2:
             self.ingress.record_probe(name, False)
-        self.assertEqual(self.chosen("a"), {"d1", "d3", "d5"})
+        self.assertEqual(self.chosen_names("a"), {"d1", "d3", "d5"})
 
     def test_retry_reaches_another_data_plane(self) -> None:
-        self.assertEqual(self.chosen("a", ("d0", "d2")), {"d4"})
-        self.assertEqual(self.chosen("a", ("d0", "d2", "d4")), {"d1", "d3", "d5"})
+        self.assertEqual(self.chosen_names("a", ("d0", "d2")), {"d4"})
+        self.assertEqual(self.chosen_names("a", ("d0", "d2", "d4")), {"d1", "d3", "d5"})
 
 
 def event(number: int, total: int = 3, subject: str = "s") -> bytes:
@@ -114,8 +114,8 @@
         data = event(1) + event(2) + event(3)
         counts = [self.check.feed(data[at : at + 7]) for at in range(0, len(data), 7)]
         self.assertEqual(sum(counts), 3)
-        self.check.finish()
-        self.assertTrue(self.check.is_whole)
+        self.check.check_end()
+        self.assertTrue(self.check.is_complete)
         self.assertEqual(self.check.fault, "")
 
     def test_gap_is_a_fault(self) -> None:
@@ -132,14 +132,14 @@
 
     def test_premature_end_is_a_fault(self) -> None:
         self.check.feed(event(1))
-        self.check.finish()
+        self.check.check_end()
         self.assertIn("complete after event 1 of 3", self.check.fault)
 
     def test_resumption_continues_after_the_last_complete_event(self) -> None:
         self.check.feed(event(1) + event(2)[:9])
         self.check.resume()
         self.check.feed(event(2) + event(3))
-        self.check.finish()
+        self.check.check_end()
         self.assertEqual(self.check.fault, "")
 
 
