--- a/madderwind/testing/local_fleet/checker.py
+++ b/madderwind/testing/local_fleet/checker.py
@@ -1,4 +1,7 @@
-"""Checks what a run left behind: nothing acknowledged is lost, run twice, or streamed with a gap. No I/O."""
+"""Checks the evidence of a run against the guarantees of the system. Performs no I/O.
+
+No acknowledged configuration may be lost, no request may run twice, and no stream may have a gap.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from madderwind.testing.engine_emulator.records import AnyRecord, Ran
 from madderwind.testing.local_fleet.outcomes import Outcome
 
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 class Promise(Enum):
-    """What is checked."""
+    """A guarantee that is checked after a run."""
 
     CONFIGURATION = "every acknowledged configuration is readable"
     RUN_ONCE = "no request ran twice"
@@ -25,14 +28,14 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One promise broken."""
+    """One violated guarantee."""
 
     promise: Promise
     text: str
 
 
 class ConfigurationRead(msgspec.Struct, frozen=True):
-    """What one control plane gave as the newest configuration at the end; `version` 0 where it gave none."""
+    """The newest configuration that one control plane returned at the end; `version` is 0 if it had none."""
 
     node: str
     version: int
@@ -40,14 +43,14 @@
 
 
 class CommandSent(msgspec.Struct, frozen=True):
-    """An operator's command and whether it was acknowledged."""
+    """A configuration command sent by the operator, and whether it was acknowledged."""
 
     version: int
     acknowledged: bool
 
 
 class Evidence(msgspec.Struct, frozen=True):
-    """All that is known after a run. `idempotent_kinds` may run more than once."""
+    """All evidence collected from a run. Requests of `idempotent_kinds` may run more than once."""
 
     outcomes: Sequence[Outcome]
     records: Sequence[AnyRecord]
@@ -57,7 +60,7 @@
 
 
 def check(evidence: Evidence) -> list[Violation]:
-    """Every violation that the evidence shows."""
+    """Return every violation that the evidence shows."""
     runs = _runs(evidence.records)
     return [
         *_check_configuration(evidence),
@@ -80,13 +83,17 @@
     if not newest:
         return
     if not any(read.version >= newest for read in evidence.reads):
-        read = {read.node: read.version for read in evidence.reads}
-        text = f"version {newest} was acknowledged, at the end there was {read or 'no answer'}"
+        versions = {read.node: read.version for read in evidence.reads}
+        text = (
+            f"version {newest} was acknowledged, but the control planes ended with {versions or 'no answer'}"
+        )
         yield Violation(Promise.CONFIGURATION, text)
-    for found in evidence.reads:
-        if found.version and (found.version < newest or not found.matches_sent):
-            text = f"{found.node} gave version {found.version} as the newest, {newest} was acknowledged"
-            yield Violation(Promise.CONFIGURATION, text if found.matches_sent else f"{text}: other content")
+    for returned in evidence.reads:
+        if returned.version and (returned.version < newest or not returned.matches_sent):
+            text = f"{returned.node} gave version {returned.version} as the newest, {newest} was acknowledged"
+            yield Violation(
+                Promise.CONFIGURATION, text if returned.matches_sent else f"{text}: other content"
+            )
 
 
 def _check_runs(
@@ -95,11 +102,11 @@
     for outcome in outcomes:
         if outcome.kind in idempotent_kinds:
             continue
-        for made in outcome.tries:
-            ran = runs.get(made.request_id, [])
+        for attempt in outcome.tries:
+            ran = runs.get(attempt.request_id, [])
             if len(ran) > 1:
                 where = ", ".join(run.instance for run in ran)
-                yield Violation(Promise.RUN_ONCE, f"{outcome.kind} {made.request_id} ran at {where}")
+                yield Violation(Promise.RUN_ONCE, f"{outcome.kind} {attempt.request_id} ran at {where}")
 
 
 def _check_refusals(
@@ -108,9 +115,13 @@
     for outcome in outcomes:
         if outcome.kind in idempotent_kinds:
             continue
-        for made in outcome.tries:
-            if made.status in PROMISES and made.how == "whole" and runs.get(made.request_id):
-                text = f"{outcome.kind} {made.request_id} got {made.status} and ran"
+        for attempt in outcome.tries:
+            if (
+                attempt.status in NOT_EXECUTED_STATUSES
+                and attempt.how == "whole"
+                and runs.get(attempt.request_id)
+            ):
+                text = f"{outcome.kind} {attempt.request_id} got {attempt.status} and ran"
                 yield Violation(Promise.REFUSAL, text)
 
 
@@ -118,7 +129,7 @@
     for outcome in outcomes:
         if outcome.fault:
             yield Violation(Promise.STREAM, f"{outcome.kind} request {outcome.number}: {outcome.fault}")
-        for made in outcome.tries:
-            if made.status // 100 == 2 and made.how == "whole" and not made.signature:
-                text = f"{outcome.kind} {made.request_id} got {made.status} without a signature"
+        for attempt in outcome.tries:
+            if attempt.status // 100 == 2 and attempt.how == "whole" and not attempt.signature:
+                text = f"{outcome.kind} {attempt.request_id} got {attempt.status} without a signature"
                 yield Violation(Promise.ANSWER, text)
--- a/madderwind/testing/local_fleet/fleet_file.py
+++ b/madderwind/testing/local_fleet/fleet_file.py
@@ -1,4 +1,4 @@
-"""A fleet on one machine as written in YAML: processes, upstreams, configuration, traffic, faults."""
+"""YAML file format of a local fleet: processes, upstreams, configuration, traffic and faults."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 from madderwind.testing.local_fleet.traffic_file import Traffic
 from madderwind.testing.local_fleet.yaml_files import field_name, line_of, read_yaml, steps_of
 
-MOST_PROCESSES_OF_A_KIND = 90
+MAX_PROCESSES_PER_KIND = 90
 
 
 @attrs.frozen
 class UpstreamGroup:
-    """The stand-in upstreams of one service: `engine` for a model's, `plain` for any other.
+    """The emulated upstreams of one service: `engine` for a model service, `plain` for any other.
 
-    Their fields are those of `standin.engine.EngineSettings` and `standin.upstream_settings.PlainWork`.
+    Their fields are those of `engine_emulator.engine.EngineSettings` and
+    `engine_emulator.upstream_settings.PlainWork`.
     """
 
     service: str
-    count: int = attrs.field(default=2, validator=between(1, MOST_PROCESSES_OF_A_KIND))
+    count: int = attrs.field(default=2, validator=between(1, MAX_PROCESSES_PER_KIND))
     engine: dict[str, Any] | None = None
     plain: dict[str, Any] | None = None
     mishaps: dict[str, Any] = attrs.field(factory=dict)
@@ -39,33 +40,33 @@
     max_connections: int = 256
 
     def engine_settings(self) -> EngineSettings | None:
-        """The engine of a model's service."""
+        """The engine settings of a model service; None for a plain service."""
         return None if self.engine is None else msgspec.convert(self.engine, EngineSettings)
 
     def plain_work(self) -> PlainWork | None:
-        """The work of a plain service."""
+        """The work settings of a plain service; None for a model service."""
         return None if self.plain is None else msgspec.convert(self.plain, PlainWork)
 
-    def mishap_shares(self) -> Mishaps:
-        """What goes wrong at these upstreams without any fault."""
+    def mishap_settings(self) -> Mishaps:
+        """The errors that these upstreams produce without an injected fault."""
         return msgspec.convert(self.mishaps, Mishaps)
 
 
 @attrs.frozen
 class FleetFile:
-    """The whole file.
+    """The content of a fleet file.
 
-    `configuration` is the operator's, as it is sent; `bounds` and `limits` go into the settings files as they
-    are. With `relays`, what lies between the processes can be cut; with `metrics`, they serve figures for
-    Prometheus.
+    `configuration` is the operator's document as it is sent; `bounds` and `limits` are copied unchanged into
+    the settings files of the nodes. With `relays`, the links between the processes can be cut or delayed.
+    With `metrics`, the nodes serve Prometheus metrics.
     """
 
     name: str
     configuration: dict[str, Any]
     upstreams: tuple[UpstreamGroup, ...]
     zones: tuple[str, ...] = attrs.field(default=("zone-a", "zone-b", "zone-c"), validator=not_empty)
-    control_planes: int = attrs.field(default=3, validator=between(1, MOST_PROCESSES_OF_A_KIND))
-    data_planes: int = attrs.field(default=3, validator=between(1, MOST_PROCESSES_OF_A_KIND))
+    control_planes: int = attrs.field(default=3, validator=between(1, MAX_PROCESSES_PER_KIND))
+    data_planes: int = attrs.field(default=3, validator=between(1, MAX_PROCESSES_PER_KIND))
     tolerance: int = 1
     heartbeat_ms: float = 500.0
     relays: bool = True
@@ -77,12 +78,12 @@
     operator: Operator = Operator()
 
     def document(self) -> Document:
-        """The operator's configuration, checked."""
+        """Validate and return the operator's configuration."""
         return read_document(msgspec.json.encode(self.configuration))
 
 
 def read_fleet_file(path: Path) -> FleetFile:
-    """The fleet in a file; FileFormatError names the field and the line at fault."""
+    """Read and validate a fleet file. FileFormatError names the invalid field and its line."""
     fleet = read_yaml(path, FleetFile)
     _check_configuration(path, fleet)
     for index, group in enumerate(fleet.upstreams):
@@ -98,21 +99,21 @@
 
 
 def _check_group(path: Path, fleet: FleetFile, index: int, group: UpstreamGroup) -> None:
-    place = field_name(["upstreams", index])
+    group_field = field_name(["upstreams", index])
     known = {service.name for service in fleet.document().configuration.services}
     if group.service not in known:
-        raise _invalid(path, f"{place}.service", f"the configuration has no service {group.service!r}")
+        raise _invalid(path, f"{group_field}.service", f"the configuration has no service {group.service!r}")
     if (group.engine is None) == (group.plain is None):
-        raise _invalid(path, place, "exactly one of engine and plain is needed")
+        raise _invalid(path, group_field, "exactly one of engine and plain is needed")
     for name, read in (
         ("engine", group.engine_settings),
         ("plain", group.plain_work),
-        ("mishaps", group.mishap_shares),
+        ("mishaps", group.mishap_settings),
     ):
         try:
             read()
         except msgspec.ValidationError as error:
-            raise _invalid(path, f"{place}.{name}", str(error)) from None
+            raise _invalid(path, f"{group_field}.{name}", str(error)) from None
 
 
 def _invalid(path: Path, field: str, reason: str) -> FileFormatError:
--- a/madderwind/testing/local_fleet/layout.py
+++ b/madderwind/testing/local_fleet/layout.py
@@ -1,7 +1,7 @@
-"""Who is where in a fleet on one machine: names, addresses, settings files and folders of all processes.
+"""Layout of a local fleet: names, addresses, settings files and folders of all processes.
 
-Every process has a loopback address of its own. Where relays stand between the processes, what a process
-tells of itself is its relay's address; the one that it listens on differs in the third byte.
+Every process has its own loopback address. If the fleet uses relays, a process advertises the address of
+its relay; the address that it binds to differs in the third byte.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 CONTROL_PORT, FRONT_PORT, READY_PORT, UPSTREAM_PORT, SUPERVISOR_PORT = 8367, 8360, 8365, 8080, 8500
 METRICS_PORT = 9464
 INTERNAL_PORTS = (7500, 7515)
-# The third byte of the addresses, by kind of process; services' upstreams follow one another from theirs on.
-CONTROL_PLANES, DATA_PLANES, SUPERVISOR, UPSTREAMS = 1, 2, 3, 10
-# What is added to the third byte for the address that a process behind a relay listens on.
-BEHIND_RELAY = 100
+# Third byte of the addresses by kind of process. Each upstream group has its own, from the first one upwards.
+CONTROL_PLANE_BYTE, DATA_PLANE_BYTE, SUPERVISOR_BYTE, FIRST_UPSTREAM_BYTE = 1, 2, 3, 10
+# Added to the third byte for the address that a process behind a relay binds to.
+RELAY_TARGET_OFFSET = 100
 STATE_FILE = "fleet.json"
 
 
 class NodeKind(Enum):
-    """What a process is."""
+    """The kind of a process."""
 
     CONTROL_PLANE = "control plane"
     DATA_PLANE = "data plane"
@@ -35,7 +35,7 @@
 
 
 class RelayLayout(msgspec.Struct, frozen=True):
-    """A relay: whoever connects to `address` reaches `target`, a process of `node`."""
+    """A relay that forwards connections from `address` to `target`, an address of `node`."""
 
     node: str
     address: str
@@ -43,7 +43,7 @@
 
 
 class NodeLayout(msgspec.Struct, frozen=True):
-    """One process: its module, where its settings file and folder are, and what the file holds."""
+    """One process: its module, its folder, the content of its settings file, and its addresses."""
 
     name: str
     kind: NodeKind
@@ -59,17 +59,20 @@
 
     @property
     def settings_path(self) -> Path:
-        """The process's settings file."""
+        """Path of the process's settings file."""
         return Path(self.folder) / "settings.json"
 
     @property
     def log_path(self) -> Path:
-        """Where its standard output and error go."""
+        """Path of the file that receives standard output and standard error."""
         return Path(self.folder) / "log"
 
 
 class FleetLayout(msgspec.Struct, frozen=True):
-    """The whole fleet. `control` is where operators call; it is kept in the folder for other commands."""
+    """The layout of a whole fleet, stored in its folder for other commands.
+
+    `control` holds the control plane addresses that operators call.
+    """
 
     name: str
     folder: str
@@ -80,77 +83,80 @@
     relays: tuple[RelayLayout, ...]
 
     def node(self, name: str) -> NodeLayout:
-        """The node of that name; KeyError where there is none."""
+        """Return the node with this name; KeyError if there is none."""
         return {node.name: node for node in self.nodes}[name]
 
     def of_kind(self, kind: NodeKind) -> tuple[NodeLayout, ...]:
-        """All nodes of a kind."""
+        """Return all nodes of a kind."""
         return tuple(node for node in self.nodes if node.kind is kind)
 
 
 def read_layout(folder: Path) -> FleetLayout:
-    """The fleet that runs by this folder; OSError or msgspec.MsgspecError where there is none."""
+    """Read the layout of the fleet running in a folder; OSError or msgspec.MsgspecError if there is none."""
     return msgspec.json.decode((folder / STATE_FILE).read_bytes(), type=FleetLayout)
 
 
-def lay_out(fleet: FleetFile, file: Path, folder: Path, net: int) -> FleetLayout:
-    """All processes of the fleet, with loopback addresses 127.`net`.*.*."""
-    return _Layouter(fleet, folder.resolve(), net).lay_out(file)
+def build_layout(fleet: FleetFile, file: Path, folder: Path, net: int) -> FleetLayout:
+    """Lay out all processes of the fleet on loopback addresses 127.`net`.*.*."""
+    return _LayoutBuilder(fleet, folder.resolve(), net).build_layout(file)
 
 
-class _Layouter:
+class _LayoutBuilder:
     def __init__(self, fleet: FleetFile, folder: Path, net: int) -> None:
         self._fleet, self._folder, self._net = fleet, folder, net
         self._relays: list[RelayLayout] = []
 
-    def lay_out(self, file: Path) -> FleetLayout:
+    def build_layout(self, file: Path) -> FleetLayout:
         fleet = self._fleet
         control_planes = [self._control_plane(number) for number in range(fleet.control_planes)]
         data_planes = [self._data_plane(number) for number in range(fleet.data_planes)]
         upstreams = [
-            self._upstream(place, group, number)
-            for place, group in enumerate(fleet.upstreams)
+            self._upstream(group_index, group, number)
+            for group_index, group in enumerate(fleet.upstreams)
             for number in range(group.count)
         ]
         return FleetLayout(
             name=fleet.name,
             folder=str(self._folder),
             file=str(file.resolve()),
-            supervisor=self._address(SUPERVISOR, 0, SUPERVISOR_PORT),
+            supervisor=self._address(SUPERVISOR_BYTE, 0, SUPERVISOR_PORT),
             control=self._control_addresses(),
             nodes=(*control_planes, *data_planes, *upstreams),
             relays=tuple(self._relays),
         )
 
-    def _ip(self, third: int, number: int) -> str:
-        return f"127.{self._net}.{third}.{number + 1}"
+    def _ip(self, third_byte: int, number: int) -> str:
+        return f"127.{self._net}.{third_byte}.{number + 1}"
 
-    def _address(self, third: int, number: int, port: int) -> str:
-        return f"{self._ip(third, number)}:{port}"
+    def _address(self, third_byte: int, number: int, port: int) -> str:
+        return f"{self._ip(third_byte, number)}:{port}"
 
-    def _behind(self, third: int) -> int:
-        return third + BEHIND_RELAY if self._fleet.relays else third
+    def _bound_third_byte(self, third_byte: int) -> int:
+        return third_byte + RELAY_TARGET_OFFSET if self._fleet.relays else third_byte
 
-    def _relayed(self, node: str, third: int, number: int, port: int) -> tuple[str, str]:
-        """The address that is told, and the one that is listened on."""
-        told, listened = self._address(third, number, port), self._address(self._behind(third), number, port)
-        if told != listened:
-            self._relays.append(RelayLayout(node, told, listened))
-        return told, listened
+    def _add_relay(self, node: str, third_byte: int, number: int, port: int) -> tuple[str, str]:
+        """Return the advertised address and the bound address, with a relay between them if they differ."""
+        advertised, bound = (
+            self._address(third_byte, number, port),
+            self._address(self._bound_third_byte(third_byte), number, port),
+        )
+        if advertised != bound:
+            self._relays.append(RelayLayout(node, advertised, bound))
+        return advertised, bound
 
     def _control_addresses(self) -> tuple[str, ...]:
         numbers = range(self._fleet.control_planes)
-        return tuple(self._address(CONTROL_PLANES, number, CONTROL_PORT) for number in numbers)
+        return tuple(self._address(CONTROL_PLANE_BYTE, number, CONTROL_PORT) for number in numbers)
 
     def _zone(self, number: int) -> str:
         return self._fleet.zones[number % len(self._fleet.zones)]
 
     def _metrics(self, ip: str) -> dict[str, str]:
-        """Where a process serves its figures, if it is to."""
+        """The listen setting of the metrics endpoint; empty if the fleet serves no metrics."""
         return {"metrics": f"{ip}:{METRICS_PORT}"} if self._fleet.metrics else {}
 
     def _node_settings(self, name: str, ip: str, zone: str) -> dict[str, Any]:
-        """What control planes' and data planes' settings files have in common."""
+        """The settings common to control planes and data planes."""
         fleet = self._fleet
         return {
             "node": name,
@@ -171,11 +177,11 @@
         name, zone = f"control-{number + 1}", self._zone(number)
         folder = self._folder / name
         internal_port = INTERNAL_PORTS[0] + CONTROL_PLANE_PORT
-        _, internal = self._relayed(name, CONTROL_PLANES, number, internal_port)
-        _, control = self._relayed(name, CONTROL_PLANES, number, CONTROL_PORT)
+        _, internal = self._add_relay(name, CONTROL_PLANE_BYTE, number, internal_port)
+        _, control = self._add_relay(name, CONTROL_PLANE_BYTE, number, CONTROL_PORT)
         data_dir = str(folder / "data")
         settings = {
-            **self._node_settings(name, self._ip(CONTROL_PLANES, number), zone),
+            **self._node_settings(name, self._ip(CONTROL_PLANE_BYTE, number), zone),
             "bind_ip": internal.rpartition(":")[0],
             "listen": {"control": control, **self._metrics(internal.rpartition(":")[0])},
             "data_dir": data_dir,
@@ -193,11 +199,11 @@
 
     def _data_plane(self, number: int) -> NodeLayout:
         name, zone = f"data-{number + 1}", self._zone(number)
-        front = self._address(DATA_PLANES, number, FRONT_PORT)
-        ready = self._address(DATA_PLANES, number, READY_PORT)
+        front = self._address(DATA_PLANE_BYTE, number, FRONT_PORT)
+        ready = self._address(DATA_PLANE_BYTE, number, READY_PORT)
         settings = {
-            **self._node_settings(name, self._ip(DATA_PLANES, number), zone),
-            "listen": {"front": front, "ready": ready, **self._metrics(self._ip(DATA_PLANES, number))},
+            **self._node_settings(name, self._ip(DATA_PLANE_BYTE, number), zone),
+            "listen": {"front": front, "ready": ready, **self._metrics(self._ip(DATA_PLANE_BYTE, number))},
             "data_dir": None,
         }
         return NodeLayout(
@@ -211,10 +217,10 @@
             ready=ready,
         )
 
-    def _upstream(self, place: int, group: UpstreamGroup, number: int) -> NodeLayout:
+    def _upstream(self, group_index: int, group: UpstreamGroup, number: int) -> NodeLayout:
         name, zone = f"{group.service}-{number + 1}", self._zone(number)
         folder = self._folder / name
-        told, listened = self._relayed(name, UPSTREAMS + place, number, UPSTREAM_PORT)
+        advertised, bound = self._add_relay(name, FIRST_UPSTREAM_BYTE + group_index, number, UPSTREAM_PORT)
         records = str(folder / "records.jsonl")
         engine = group.engine_settings()
         if engine is not None:
@@ -224,8 +230,8 @@
         settings = UpstreamSettings(
             service=group.service,
             zone=zone,
-            listen=listened,
-            address=told,
+            listen=bound,
+            address=advertised,
             control=self._control_addresses(),
             records=records,
             heartbeat_ms=self._fleet.heartbeat_ms,
@@ -234,7 +240,7 @@
             max_connections=group.max_connections,
             cold_ms=group.cold_ms,
             cold_slowness=group.cold_slowness,
-            mishaps=group.mishap_shares(),
+            mishaps=group.mishap_settings(),
             engine=engine,
             plain=group.plain_work(),
         )
--- a/madderwind/testing/local_fleet/node_process.py
+++ b/madderwind/testing/local_fleet/node_process.py
@@ -1,4 +1,4 @@
-"""One node of a fleet on this machine: its settings file, its process, and what is done to it."""
+"""One node of a local fleet: its settings file, its process, and the actions on it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from madderwind.testing.fault_tests.fleet import dies_with_parent
 from madderwind.testing.local_fleet.layout import NodeKind, NodeLayout
 
-# The platform starts a process that ended again after so long.
+# Delay before a process that exited unexpectedly is restarted, as a platform does.
 RESTART_DELAY_S = 0.3
 MS_PER_S = 1000.0
 ROOT = Path(__file__).parents[3]
@@ -28,17 +28,20 @@
 
 
 class NodeState(Enum):
-    """`HELD`: down until it is told to start; `RESTARTING`: it ended by itself, and starts again soon."""
+    """State of a node's process.
 
-    HELD = "held"
+    STOPPED: down until it is started by request. RESTARTING: exited unexpectedly, restarted after a delay.
+    """
+
+    STOPPED = "held"
     RUNNING = "running"
     PAUSED = "paused"
-    ENDING = "ending"
+    STOPPING = "ending"
     RESTARTING = "restarting"
 
 
-class LifeEvent(msgspec.Struct, frozen=True):
-    """Something that befell a node's process. `code`: how it ended, where it did."""
+class ProcessEvent(msgspec.Struct, frozen=True):
+    """A change in the state of a node's process. `code` is the exit code if the process has ended."""
 
     at_ms: float
     node: str
@@ -50,22 +53,22 @@
 class NodeProcess:
     """The process of one node."""
 
-    def __init__(self, layout: NodeLayout, note: Callable[[LifeEvent], None]) -> None:
-        self.layout, self._note_event = layout, note
-        self.state = NodeState.HELD
+    def __init__(self, layout: NodeLayout, on_event: Callable[[ProcessEvent], None]) -> None:
+        self.layout, self._on_event = layout, on_event
+        self.state = NodeState.STOPPED
         self._process: asyncio.subprocess.Process | None = None
-        self._waiting: asyncio.Task[None] | None = None
+        self._wait_task: asyncio.Task[None] | None = None
         self._was_started = False
-        self.own_ends = 0  # how many times its process ended without being told to
+        self.unexpected_exits = 0  # exits that were not requested
 
     @property
     def pid(self) -> int:
-        """The process's number, 0 where none runs."""
+        """The process id, 0 if the process is not running."""
         process = self._process
         return process.pid if process is not None and process.returncode is None else 0
 
     def write_settings(self) -> None:
-        """Lay its settings file; after the first start of all, without `bootstrap`."""
+        """Write the settings file; `bootstrap` is true only before the first start."""
         layout = self.layout
         Path(layout.folder).mkdir(parents=True, exist_ok=True)
         if layout.data_dir:
@@ -73,12 +76,12 @@
         settings = dict(layout.settings)
         if "bootstrap" in settings:
             settings["bootstrap"] = not self._was_started
-        beside = layout.settings_path.with_suffix(".new")
-        beside.write_bytes(msgspec.json.encode(settings))
-        beside.replace(layout.settings_path)
+        temporary_path = layout.settings_path.with_suffix(".new")
+        temporary_path.write_bytes(msgspec.json.encode(settings))
+        temporary_path.replace(layout.settings_path)
 
     async def start(self) -> None:
-        """Start the process, where none runs."""
+        """Start the process unless it is running."""
         if self.pid:
             return
         self.write_settings()
@@ -97,73 +100,73 @@
                 env={**os.environ, SETTINGS_VARIABLE: str(self.layout.settings_path)},
                 preexec_fn=dies_with_parent,
             )
-        self._change(NodeState.RUNNING, "started")
-        self._waiting = asyncio.create_task(self._wait(self._process))
+        self._set_state(NodeState.RUNNING, "started")
+        self._wait_task = asyncio.create_task(self._wait(self._process))
 
     async def kill(self) -> None:
-        """SIGKILL; it stays down until it is started."""
+        """Send SIGKILL. The node stays down until it is started."""
         if self.pid:
-            self._change(NodeState.HELD, "killed")
-            self._send(signal.SIGKILL)
-            await self.wait_ended()
+            self._set_state(NodeState.STOPPED, "killed")
+            self._send_signal(signal.SIGKILL)
+            await self.wait_exited()
         else:
-            self.state = NodeState.HELD
+            self.state = NodeState.STOPPED
 
     async def terminate(self) -> None:
-        """SIGTERM; it stays down once it has ended."""
+        """Send SIGTERM. The node stays down once the process has exited."""
         if self.pid:
-            self._change(NodeState.ENDING, "asked to end")
-            self._send(signal.SIGTERM)
+            self._set_state(NodeState.STOPPING, "asked to end")
+            self._send_signal(signal.SIGTERM)
 
-    async def wait_ended(self) -> None:
-        """Return once its process has ended."""
-        if self._waiting is not None:
-            await self._waiting
+    async def wait_exited(self) -> None:
+        """Wait for the process to exit."""
+        if self._wait_task is not None:
+            await self._wait_task
 
-    async def wait_ended_if_ending(self) -> None:
-        """Return once a process that was asked to end has ended; at once for any other."""
-        if self.state is NodeState.ENDING:
-            await self.wait_ended()
+    async def wait_exited_if_stopping(self) -> None:
+        """Wait for the process to exit if it was sent SIGTERM; return at once otherwise."""
+        if self.state is NodeState.STOPPING:
+            await self.wait_exited()
 
     def pause(self) -> None:
-        """SIGSTOP."""
+        """Send SIGSTOP to a running process."""
         if self.state is NodeState.RUNNING:
-            self._change(NodeState.PAUSED, "paused")
-            self._send(signal.SIGSTOP)
+            self._set_state(NodeState.PAUSED, "paused")
+            self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """SIGCONT."""
+        """Send SIGCONT to a paused process."""
         if self.state is NodeState.PAUSED:
-            self._change(NodeState.RUNNING, "resumed")
-            self._send(signal.SIGCONT)
+            self._set_state(NodeState.RUNNING, "resumed")
+            self._send_signal(signal.SIGCONT)
 
     async def wipe(self) -> None:
-        """SIGKILL, and its disk is empty."""
+        """Send SIGKILL and empty the data directory."""
         await self.kill()
         if self.layout.data_dir:
             shutil.rmtree(self.layout.data_dir, ignore_errors=True)
             Path(self.layout.data_dir).mkdir()
-        self._note("wiped")
+        self._record_event("wiped")
 
     def refuse_writes(self, refused: bool) -> None:
-        """Whether every write that would make a file longer fails, as on a full disk."""
+        """Set whether every write that would extend a file fails, as on a full disk."""
         if not self.pid:
             return
         process = psutil.Process(self.pid)
         _, hard = process.rlimit(psutil.RLIMIT_FSIZE)
         process.rlimit(psutil.RLIMIT_FSIZE, (0 if refused else hard, hard))
-        self._note("disk full" if refused else "disk has room")
+        self._record_event("disk full" if refused else "disk has room")
 
-    async def end(self) -> None:
-        """End it at once, for good."""
-        self.state = NodeState.HELD
+    async def force_stop(self) -> None:
+        """Kill the process, also while it is paused, without a restart."""
+        self.state = NodeState.STOPPED
         if self.pid:
-            self._send(signal.SIGCONT)
-            self._send(signal.SIGKILL)
-            await self.wait_ended()
+            self._send_signal(signal.SIGCONT)
+            self._send_signal(signal.SIGKILL)
+            await self.wait_exited()
 
     def log_tail(self, characters: int = 400) -> str:
-        """The end of what it wrote."""
+        """Return the end of the process's log."""
         try:
             return self.layout.log_path.read_text(errors="replace")[-characters:].strip()
         except OSError:
@@ -171,11 +174,11 @@
 
     async def _wait(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if self.state in (NodeState.HELD, NodeState.ENDING):
-            self._change(NodeState.HELD, "ended", code)
+        if self.state in (NodeState.STOPPED, NodeState.STOPPING):
+            self._set_state(NodeState.STOPPED, "ended", code)
             return
-        self.own_ends += 1
-        self._change(NodeState.RESTARTING, "ended by itself", code)
+        self.unexpected_exits += 1
+        self._set_state(NodeState.RESTARTING, "ended by itself", code)
         asyncio.create_task(self._restart())  # noqa: RUF006 (it ends with the loop)
 
     async def _restart(self) -> None:
@@ -183,16 +186,16 @@
         if self.state is NodeState.RESTARTING:
             await self.start()
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, signal_number: signal.Signals) -> None:
         if self._process is None or self._process.returncode is not None:
             raise LocalFleetError(f"{self.layout.name} does not run")
-        self._process.send_signal(number)
+        self._process.send_signal(signal_number)
 
-    def _change(self, state: NodeState, what: str, code: int = 0) -> None:
-        """The one place where a running node's state changes."""
+    def _set_state(self, state: NodeState, what: str, code: int = 0) -> None:
+        """Set the state and record it as an event; every state change of a running node goes through here."""
         self.state = state
-        self._note(what, code)
+        self._record_event(what, code)
 
-    def _note(self, what: str, code: int = 0) -> None:
+    def _record_event(self, what: str, code: int = 0) -> None:
         pid = self._process.pid if self._process is not None else 0
-        self._note_event(LifeEvent(time.monotonic() * MS_PER_S, self.layout.name, what, pid, code))
+        self._on_event(ProcessEvent(time.monotonic() * MS_PER_S, self.layout.name, what, pid, code))
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -1,4 +1,4 @@
-"""An operator at work while faults are played: small changes of the configuration, one after the other."""
+"""Sends small configuration changes, one after the other, while faults are injected."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from madderwind.testing.local_fleet.layout import FleetLayout, NodeKind
 from madderwind.testing.local_fleet.operator_client import OperatorClient
 
-# Versions rise by uneven steps.
+# Versions increase by more than 1: they need not be consecutive.
 VERSION_STEP = 2
-ORDER_WITHIN_S, READ_WITHIN_S, READ_PAUSE_S = 6.0, 10.0, 0.1
-# The route that changes add and move.
+COMMAND_TIMEOUT_S, READ_TIMEOUT_S, READ_RETRY_INTERVAL_S = 6.0, 10.0, 0.1
+# Name of the route that the first change adds and later changes modify.
 CHANGED_ROUTE = "changed-by-the-operator"
 
 
-class OperatorAtWork:
-    """Sends a change each `every_s` and keeps what was acknowledged."""
+class OperatorLoad:
+    """Sends a change every `every_s` and records which ones were acknowledged."""
 
     def __init__(self, layout: FleetLayout, every_s: float) -> None:
         self._layout, self._every_s = layout, every_s
@@ -29,8 +29,8 @@
         self._sent: dict[int, Document] = {}
 
     async def run(self) -> None:
-        """Go on until cancelled."""
-        async with OperatorClient(self._layout.control, ORDER_WITHIN_S) as client:
+        """Send changes until cancelled."""
+        async with OperatorClient(self._layout.control, COMMAND_TIMEOUT_S) as client:
             while True:
                 await self._change(client)
                 await asyncio.sleep(self._every_s)
@@ -41,18 +41,18 @@
             if not current.is_taken:
                 return
             document = read_document(current.body)
-            change = _change_of(document)
-            after = document.updated(change)
-            self._sent[after.version] = after
-            self.commands.append(CommandSent(after.version, False))
+            change = _next_change(document)
+            changed = document.updated(change)
+            self._sent[changed.version] = changed
+            self.commands.append(CommandSent(changed.version, False))
             answer = await client.update(document.version, change)
         except (OperatorCallError, ConfigurationError):
             return
         if answer.is_taken:
-            self.commands[-1] = CommandSent(after.version, True)
+            self.commands[-1] = CommandSent(changed.version, True)
 
     async def read_back(self) -> list[ConfigurationRead]:
-        """What each control plane gives as the newest configuration, once it gives one."""
+        """Read the newest configuration from each control plane, retrying until it responds."""
         nodes = self._layout.of_kind(NodeKind.CONTROL_PLANE)
         async with OperatorClient(self._layout.control) as client:
             return list(
@@ -66,12 +66,12 @@
 
     async def _read_at(self, client: OperatorClient, node: str, address: str) -> ConfigurationRead:
         try:
-            async with asyncio.timeout(READ_WITHIN_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 while True:
                     try:
                         answer = await client.read_at(address)
                     except OperatorCallError:
-                        await asyncio.sleep(READ_PAUSE_S)
+                        await asyncio.sleep(READ_RETRY_INTERVAL_S)
                         continue
                     document = read_document(answer.body)
                     return ConfigurationRead(node, document.version, self._matches(document))
@@ -83,8 +83,8 @@
         return sent is None or sent.configuration == document.configuration
 
 
-def _change_of(document: Document) -> bytes:
-    """Adds the operator's route, or gives it another time-out."""
+def _next_change(document: Document) -> bytes:
+    """Encode a change that adds the operator's route or gives it another timeout."""
     first = document.configuration.routes[0]
     version = document.version + VERSION_STEP
     route = {
@@ -99,6 +99,6 @@
     return msgspec.json.encode({"version": version, "upsert": {"routes": [route]}})
 
 
-def acknowledged(commands: Sequence[CommandSent]) -> int:
-    """How many commands were acknowledged."""
+def count_acknowledged(commands: Sequence[CommandSent]) -> int:
+    """Count the acknowledged commands."""
     return sum(command.acknowledged for command in commands)
--- a/madderwind/testing/local_fleet/relays.py
+++ b/madderwind/testing/local_fleet/relays.py
@@ -1,4 +1,4 @@
-"""The relays between the processes of a fleet, and the cuts that are in force between nodes."""
+"""TCP relays between the processes of a fleet, which apply cuts and delays between nodes."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from madderwind.testing.fault_tests.relay import MS_PER_S, Address, Relay, RelayedConnection
 from madderwind.testing.local_fleet.layout import RelayLayout
 
-# Who has which connection is looked up at most so often while a cut is in force.
-OWNERS_KEPT_S = 0.1
+# Minimum interval between lookups of the connection owners while a condition is in force.
+OWNER_REFRESH_INTERVAL_S = 0.1
 CUT, SLOW = "cut", "slow"
 SOCKET_LINK = "socket:["
-# A line of /proc/net/tcp in the state ESTABLISHED: own address and port, and the inode.
+# A line of /proc/net/tcp in state ESTABLISHED (01): local address, local port and inode.
 CONNECTED_SOCKET = re.compile(
     rb"^ *\d+: ([0-9A-F]{8}):([0-9A-F]{4}) [0-9A-F:]+ 01 [0-9A-F:]+ [0-9A-F:]+ [0-9A-F]+ +\d+ +\d+ (\d+) ",
     re.MULTILINE,
@@ -28,7 +28,7 @@
 
 
 class LinkCondition(msgspec.Struct, frozen=True):
-    """Between `nodes` and `between` (all others where empty) nothing passes, or late by `late_ms`."""
+    """A cut, or a delay of `late_ms`, between `nodes` and `between` (all other nodes if empty)."""
 
     kind: str
     nodes: tuple[str, ...]
@@ -36,54 +36,57 @@
     late_ms: float = 0.0
 
     def isolates(self, node: str) -> bool:
-        """Whether the node is cut from all others."""
+        """Whether the node is cut off from all other nodes."""
         return self.kind == CUT and not self.between and node in self.nodes
 
-    def concerns(self, source: str, target: str) -> bool:
-        """Whether it lies between these two; a source outside of the fleet has no name."""
-        return self._joins(source, target) or self._joins(target, source)
+    def applies_between(self, source: str, target: str) -> bool:
+        """Whether the condition applies between two nodes; a source outside the fleet has an empty name."""
+        return self._applies_from(source, target) or self._applies_from(target, source)
 
-    def _joins(self, one: str, other: str) -> bool:
-        if one not in self.nodes or one == other:
+    def _applies_from(self, source: str, target: str) -> bool:
+        if source not in self.nodes or source == target:
             return False
-        return other in self.between if self.between else bool(other)
+        return target in self.between if self.between else bool(target)
 
 
 class ConnectionOwners:
-    """Which node a connection comes from, by the sockets that its process has open."""
+    """Maps the peer address of a connection to the node whose process owns the socket."""
 
     def __init__(self, pids: Callable[[], Mapping[str, int]]) -> None:
         self._pids = pids
         self._owners: dict[Address, str] = {}
-        self._looked_s = float("-inf")
+        self._refreshed_s = float("-inf")
 
     def node_of(self, peer: Address) -> str:
-        """The node whose process had this end when looked up; empty where it is none of the fleet's."""
+        """The node that owned this address at the last lookup; empty for a process outside the fleet."""
         return self._owners.get(peer, "")
 
-    def look_for(self, peer: Address) -> float:
-        """Look up a new connection's end; 0 where that is done, else how many seconds to wait for it."""
-        since_s = time.monotonic() - self._looked_s
+    def look_up_owner(self, peer: Address) -> float:
+        """Look up the owner of a new connection.
+
+        Returns 0 if the lookup is done, otherwise the seconds to wait before the next call.
+        """
+        since_s = time.monotonic() - self._refreshed_s
         if peer in self._owners:
             return 0.0
-        if since_s < OWNERS_KEPT_S:
-            return OWNERS_KEPT_S - since_s
-        self.look()
+        if since_s < OWNER_REFRESH_INTERVAL_S:
+            return OWNER_REFRESH_INTERVAL_S - since_s
+        self.refresh()
         return 0.0
 
-    def look(self) -> None:
-        """Look up all ends."""
+    def refresh(self) -> None:
+        """Look up the owners of all connections."""
         node_by_inode = {inode: node for node, pid in self._pids().items() for inode in _socket_inodes(pid)}
         self._owners = {
             address: node_by_inode[inode] for address, inode in _tcp_sockets() if inode in node_by_inode
         }
-        self._looked_s = time.monotonic()
+        self._refreshed_s = time.monotonic()
 
 
 def _socket_inodes(pid: int) -> Iterator[str]:
-    """The sockets of a process, as the kernel numbers them."""
+    """Yield the inode numbers of a process's sockets."""
     folder = f"/proc/{pid}/fd"
-    with contextlib.suppress(OSError):  # it ended meanwhile
+    with contextlib.suppress(OSError):  # the process has ended meanwhile
         for descriptor in os.listdir(folder):
             with contextlib.suppress(OSError):
                 target = os.readlink(f"{folder}/{descriptor}")
@@ -92,7 +95,7 @@
 
 
 def _tcp_sockets() -> Iterator[tuple[Address, str]]:
-    """Own address and inode of every TCP socket over IPv4 that is connected."""
+    """Yield the local address and inode of every connected IPv4 TCP socket."""
     with open("/proc/net/tcp", "rb") as file:
         for ip, port, inode in CONNECTED_SOCKET.findall(file.read()):
             address = socket.inet_ntoa(struct.pack("<I", int(ip, 16)))
@@ -100,21 +103,21 @@
 
 
 class _FleetConnection(RelayedConnection):
-    """A connection between two nodes, or from outside of the fleet."""
+    """A relayed connection between two nodes, or from outside the fleet."""
 
     def __init__(self, relay: FleetRelay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(relay, reader, writer)
         self.peer: Address = writer.get_extra_info("peername")[:2]
-        self.open = asyncio.Event()
+        self.may_pass = asyncio.Event()
         self.late_ms = 0.0
-        relay.settle_new(self)
+        relay.apply_conditions_once_owner_known(self)
 
 
 class FleetRelay(Relay):
-    """The relay before one address of a node."""
+    """The relay in front of one address of a node."""
 
     def __init__(self, layout: RelayLayout, relays: FleetRelays) -> None:
-        super().__init__(_address(layout.address), _address(layout.target))
+        super().__init__(_parse_address(layout.address), _parse_address(layout.target))
         self.node, self._relays = layout.node, relays
 
     def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> RelayedConnection:
@@ -123,37 +126,37 @@
     async def passes(self, connection: RelayedConnection) -> None:
         assert isinstance(connection, _FleetConnection)
         await super().passes(connection)
-        await connection.open.wait()
+        await connection.may_pass.wait()
         if connection.late_ms:
             await asyncio.sleep(connection.late_ms / MS_PER_S)
-            await connection.open.wait()
+            await connection.may_pass.wait()
 
-    def settle_new(self, connection: _FleetConnection) -> None:
-        """A connection was accepted: nothing passes on it before it is known whose it is."""
-        wait_s = self._relays.look_for(connection.peer)
+    def apply_conditions_once_owner_known(self, connection: _FleetConnection) -> None:
+        """Apply the conditions to an accepted connection; hold its data back until its owner is known."""
+        wait_s = self._relays.look_up_owner(connection.peer)
         if not wait_s:
-            self.settle(connection)
+            self.apply_conditions(connection)
             return
-        connection.open.clear()
-        asyncio.get_running_loop().call_later(wait_s, self.settle_new, connection)
+        connection.may_pass.clear()
+        asyncio.get_running_loop().call_later(wait_s, self.apply_conditions_once_owner_known, connection)
 
-    def settle(self, connection: _FleetConnection) -> None:
-        """Give a connection what the conditions in force make of it."""
+    def apply_conditions(self, connection: _FleetConnection) -> None:
+        """Block, delay or release a connection according to the conditions in force."""
         is_cut, connection.late_ms = self._relays.between(connection.peer, self.node)
         if is_cut:
-            connection.open.clear()
+            connection.may_pass.clear()
         else:
-            connection.open.set()
+            connection.may_pass.set()
 
-    def settle_all(self) -> None:
-        """After the conditions changed."""
+    def apply_conditions_to_all(self) -> None:
+        """Apply changed conditions to all connections."""
         for connection in self.connections:
             assert isinstance(connection, _FleetConnection)
-            self.settle(connection)
+            self.apply_conditions(connection)
 
 
 class FleetRelays:
-    """All relays of a fleet. Needs a running loop."""
+    """All relays of a fleet. Requires a running event loop."""
 
     def __init__(self, layouts: Sequence[RelayLayout], pids: Callable[[], Mapping[str, int]]) -> None:
         self._owners = ConnectionOwners(pids)
@@ -161,38 +164,41 @@
         self._relays = [FleetRelay(layout, self) for layout in layouts]
 
     def listen(self) -> None:
-        """Take connections at all addresses."""
+        """Accept connections on all addresses."""
         for relay in self._relays:
             relay.listen()
 
     async def end(self) -> None:
-        """Take no more connections and end those that are open."""
+        """Stop accepting connections and close the open ones."""
         await asyncio.gather(*(relay.end() for relay in self._relays))
 
     def set_conditions(self, conditions: Sequence[LinkCondition]) -> None:
-        """These hold from now on, and no others. A node cut from all others is not even connected to."""
+        """Replace the conditions in force.
+
+        For a node that is cut off from all others, the relays do not even accept connections.
+        """
         self._conditions = tuple(conditions)
         if self._conditions:
-            self._owners.look()
+            self._owners.refresh()
         for relay in self._relays:
             isolated = any(condition.isolates(relay.node) for condition in self._conditions)
             relay.be("vanish" if isolated else "", 0.0)
-            relay.settle_all()
+            relay.apply_conditions_to_all()
 
-    def look_for(self, peer: Address) -> float:
-        """0 once it is known whose a new connection is, or that does not matter; else when to ask again."""
-        return self._owners.look_for(peer) if self._conditions else 0.0
+    def look_up_owner(self, peer: Address) -> float:
+        """Seconds to wait for the owner of a new connection; 0 if it is known or no condition is in force."""
+        return self._owners.look_up_owner(peer) if self._conditions else 0.0
 
     def between(self, peer: Address, node: str) -> tuple[bool, float]:
-        """Whether nothing passes between a connection's end and a node, and how late what passes is."""
+        """Whether the link between a connection's peer and a node is cut, and its delay in milliseconds."""
         if not self._conditions:
             return False, 0.0
         source = self._owners.node_of(peer)
-        found = [condition for condition in self._conditions if condition.concerns(source, node)]
-        is_cut = any(condition.kind == CUT for condition in found)
-        return is_cut, max((condition.late_ms for condition in found), default=0.0)
+        matching = [condition for condition in self._conditions if condition.applies_between(source, node)]
+        is_cut = any(condition.kind == CUT for condition in matching)
+        return is_cut, max((condition.late_ms for condition in matching), default=0.0)
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     ip, _, port = text.rpartition(":")
     return ip, int(port)
--- a/madderwind/testing/local_fleet/run.py
+++ b/madderwind/testing/local_fleet/run.py
@@ -1,4 +1,4 @@
-"""What the commands do with a fleet on one machine: start it, load it, break it, check it, report on it."""
+"""The steps of the local fleet commands: start, load, fault injection, check and report."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 from madderwind.testing.local_fleet.baselines import simulate_baselines
 from madderwind.testing.local_fleet.cache_figures import cache_figures
 from madderwind.testing.local_fleet.checker import CommandSent, ConfigurationRead, Evidence, Violation, check
-from madderwind.testing.local_fleet.fault_player import FaultPlayer, PlayedFault
+from madderwind.testing.local_fleet.fault_player import FaultInjector, InjectedFault
 from madderwind.testing.local_fleet.fleet_file import FleetFile, read_fleet_file
 from madderwind.testing.local_fleet.layout import FleetLayout, read_layout
 from madderwind.testing.local_fleet.load import traffic_of
 from madderwind.testing.local_fleet.load_figures import all_figures, own_lateness
 from madderwind.testing.local_fleet.load_process import LoadProcess
-from madderwind.testing.local_fleet.node_process import LifeEvent
+from madderwind.testing.local_fleet.node_process import ProcessEvent
 from madderwind.testing.local_fleet.operator_client import OperatorClient
-from madderwind.testing.local_fleet.operator_load import OperatorAtWork, acknowledged
+from madderwind.testing.local_fleet.operator_load import OperatorLoad, count_acknowledged
 from madderwind.testing.local_fleet.outcomes import Outcome
-from madderwind.testing.local_fleet.report import RunReport, draw_picture, render_report
-from madderwind.testing.local_fleet.supervisor import LIVES_FILE, Supervisor
+from madderwind.testing.local_fleet.report import RunReport, draw_chart, render_report
+from madderwind.testing.local_fleet.supervisor import PROCESS_EVENTS_FILE, Supervisor
 
 PICTURE_FILE, REPORT_FILE = "report.png", "report.txt"
-# After the last request, upstreams note what has ended.
-SETTLE_S = 0.3
+# Time after the last request for the upstreams to write their final records.
+RECORD_FLUSH_DELAY_S = 0.3
 
 
 async def start_fleet(supervisor: Supervisor, fleet: FleetFile) -> None:
-    """Wait until the fleet has come up, install its configuration, wait until its data planes are ready."""
+    """Wait for the control planes, install the configuration, and wait until the data planes are ready."""
     await supervisor.wait_until_control_answers()
     async with OperatorClient(supervisor.layout.control) as client:
         answer = await client.replace(0, fleet.document().raw)
@@ -42,7 +42,7 @@
 
 
 def running_fleet(folder: Path) -> tuple[FleetFile, FleetLayout]:
-    """The fleet that was started in a folder; LocalFleetError where none runs."""
+    """Read the file and layout of the fleet running in a folder; LocalFleetError if there is none."""
     try:
         layout = read_layout(folder)
     except (OSError, msgspec.MsgspecError):
@@ -52,36 +52,36 @@
 
 async def load_and_break(
     fleet: FleetFile, layout: FleetLayout
-) -> tuple[list[Outcome], list[PlayedFault], OperatorAtWork]:
-    """The load from a process of its own, with the file's faults and operator's changes beside it."""
+) -> tuple[list[Outcome], list[InjectedFault], OperatorLoad]:
+    """Run the load in its own process, together with the file's faults and operator changes."""
     async with LoadProcess(layout) as load:
-        playing = asyncio.create_task(play_faults(fleet, layout))
+        fault_task = asyncio.create_task(play_faults(fleet, layout))
         try:
             outcomes = await load.wait()
-            played, operator = await playing
+            injected, operator = await fault_task
         finally:
-            playing.cancel()
-            await asyncio.gather(playing, return_exceptions=True)
-    return outcomes, played, operator
+            fault_task.cancel()
+            await asyncio.gather(fault_task, return_exceptions=True)
+    return outcomes, injected, operator
 
 
-async def play_faults(fleet: FleetFile, layout: FleetLayout) -> tuple[list[PlayedFault], OperatorAtWork]:
-    """The file's faults and operator's changes alone, beside a load that somebody else sends."""
-    operator = OperatorAtWork(layout, fleet.operator.change_every_s)
-    async with FaultPlayer(layout, fleet.faults, traffic_of(fleet).seed) as player:
-        changing = asyncio.create_task(operator.run()) if fleet.operator.change_every_s else None
+async def play_faults(fleet: FleetFile, layout: FleetLayout) -> tuple[list[InjectedFault], OperatorLoad]:
+    """Inject the file's faults and send the operator changes, without sending the load."""
+    operator = OperatorLoad(layout, fleet.operator.change_every_s)
+    async with FaultInjector(layout, fleet.faults, traffic_of(fleet).seed) as injector:
+        operator_task = asyncio.create_task(operator.run()) if fleet.operator.change_every_s else None
         try:
-            await player.run()
+            await injector.run()
         finally:
-            if changing is not None:
-                changing.cancel()
-                await asyncio.gather(changing, return_exceptions=True)
-    return player.played, operator
+            if operator_task is not None:
+                operator_task.cancel()
+                await asyncio.gather(operator_task, return_exceptions=True)
+    return injector.injected, operator
 
 
-async def read_back(operator: OperatorAtWork) -> list[ConfigurationRead]:
-    """What the control planes give as the newest configuration, once things are calm."""
-    await asyncio.sleep(SETTLE_S)
+async def read_back(operator: OperatorLoad) -> list[ConfigurationRead]:
+    """Read the newest configuration from each control plane after a short delay."""
+    await asyncio.sleep(RECORD_FLUSH_DELAY_S)
     return await operator.read_back()
 
 
@@ -92,7 +92,7 @@
     commands: Sequence[CommandSent],
     reads: Sequence[ConfigurationRead],
 ) -> list[Violation]:
-    """The violations that a run left behind."""
+    """Check the evidence of a run and return the violations."""
     table = fleet.document().routing
     idempotent = set()
     for kind in traffic_of(fleet).kinds:
@@ -104,7 +104,7 @@
 
 
 def upstream_records(layout: FleetLayout) -> Iterator[AnyRecord]:
-    """What all stand-in upstreams noted."""
+    """Yield the records of all emulated upstreams."""
     for node in layout.nodes:
         if node.records and Path(node.records).exists():
             yield from read_records(Path(node.records))
@@ -114,15 +114,15 @@
     fleet: FleetFile,
     layout: FleetLayout,
     outcomes: Sequence[Outcome],
-    faults: Sequence[PlayedFault],
-    operator: OperatorAtWork | None,
+    faults: Sequence[InjectedFault],
+    operator: OperatorLoad | None,
     violations: Sequence[Violation] | None,
     with_baselines: bool,
 ) -> str:
-    """The report as text, also kept in the fleet's folder beside a picture."""
+    """Return the report as text; store it in the fleet's folder together with a chart."""
     folder = Path(layout.folder)
-    began_ms = min((outcome.at_ms for outcome in outcomes), default=0.0)
-    records = [record for record in upstream_records(layout) if record.at_ms >= began_ms]
+    started_ms = min((outcome.at_ms for outcome in outcomes), default=0.0)
+    records = [record for record in upstream_records(layout) if record.at_ms >= started_ms]
     asked_tokens = sum(outcome.shared_tokens for outcome in outcomes if outcome.is_served)
     commands = operator.commands if operator is not None else []
     report = RunReport(
@@ -132,22 +132,22 @@
         cache=cache_figures(records, asked_tokens, traffic_of(fleet).again_s),
         faults=faults,
         baselines=simulate_baselines(fleet) if with_baselines else [],
-        acknowledged_commands=acknowledged(commands),
+        acknowledged_commands=count_acknowledged(commands),
         sent_commands=len(commands),
-        own_ends=_own_ends(folder),
+        own_ends=_count_unexpected_exits(folder),
         violations=violations,
     )
     text = render_report(report)
     (folder / REPORT_FILE).write_text(text)
     if outcomes:
-        draw_picture(folder / PICTURE_FILE, outcomes, faults)
+        draw_chart(folder / PICTURE_FILE, outcomes, faults)
     return text
 
 
-def _own_ends(folder: Path) -> int:
-    path = folder / LIVES_FILE
+def _count_unexpected_exits(folder: Path) -> int:
+    path = folder / PROCESS_EVENTS_FILE
     if not path.exists():
         return 0
-    decoder = msgspec.json.Decoder(LifeEvent)
+    decoder = msgspec.json.Decoder(ProcessEvent)
     events = (decoder.decode(line) for line in path.read_bytes().splitlines())
     return sum(event.what == "ended by itself" for event in events)
