--- a/madderwind/testing/engine_emulator/__init__.py
+++ b/madderwind/testing/engine_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the services around the fleet: model servers on one simulated clock. No input or output."""
+"""Emulated upstreams: an engine on a simulated clock, an in-memory fleet and a socket server."""
--- a/madderwind/testing/engine_emulator/engine.py
+++ b/madderwind/testing/engine_emulator/engine.py
@@ -1,8 +1,8 @@
-"""A model server on a simulated clock: a batch of sequences, prompts prefilled in chunks between tokens.
+"""A model server on a simulated clock, with continuous batching and chunked prefill.
 
-Each step makes one token for every sequence that decodes, and prefills at most one chunk of prompts: those
-already begun first, in the order of their admission, then the most urgent that wait. The host calls `advance`
-once the clock has passed `next_ms`, and passes on the events that come back.
+Each step generates one token for every decoding sequence and prefills at most one chunk of prompt tokens:
+first prompts already in prefill, in order of admission, then waiting ones, most urgent first. The host
+calls `advance` once the clock has passed `next_ms`, and forwards the events that it returns.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class EngineSettings(msgspec.Struct, frozen=True):
-    """One model server's size and speed. `queue` is how many may wait beyond the batch."""
+    """Capacity and speed of one model server. `queue`: requests that may wait outside the batch."""
 
     slots: int = 64
     queue: int = 192
@@ -38,14 +38,14 @@
 
 
 class Admission(Enum):
-    """What became of a request on arrival."""
+    """Result of submitting a request."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     FULL = "full"
 
 
 class EngineRequest(msgspec.Struct, frozen=True):
-    """A request to a model server. `output_tokens` is what it will generate; `priority` 0 is foremost."""
+    """A request that generates `output_tokens` tokens. `priority` 0 is the highest."""
 
     key: str
     parts: tuple[PromptPart, ...]
@@ -54,7 +54,7 @@
 
 
 class EngineEvent(msgspec.Struct, frozen=True):
-    """One event of an answer, `index` counted from 0."""
+    """One event of a response stream; `index` starts at 0."""
 
     at_ms: float
     key: str
@@ -62,8 +62,8 @@
     last: bool
 
 
-class PartRead(msgspec.Struct, frozen=True):
-    """A prompt part was prefilled whole for a request. `shared`: it is not the last of its prompt."""
+class PartPrefilled(msgspec.Struct, frozen=True):
+    """A prompt part was prefilled completely for a request. `shared`: not the last part of its prompt."""
 
     at_ms: float
     key: str
@@ -72,7 +72,7 @@
 
 
 class SequenceState(Enum):
-    """Where a sequence stands."""
+    """Phase of a sequence."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -104,25 +104,25 @@
         self.state = SequenceState.WAITING
         self.generated = 0
         self.events = 0
-        # The parts in memory that it uses, its own blocks, and the tokens prefilled into those.
+        # Pinned cached parts and their tokens, its own blocks, and the tokens prefilled into those.
         self.held_parts = 0
         self.held_tokens = 0
         self.blocks = 0
         self.prefilled = 0
 
     @property
-    def urgency(self) -> tuple[int, int]:
-        """Sorts the most urgent and oldest first."""
+    def scheduling_key(self) -> tuple[int, int]:
+        """Sort key: the most urgent first, then the oldest."""
         return self.request.priority, self.order
 
     @property
-    def to_prefill(self) -> int:
-        """Tokens to be prefilled before the next token; after a preemption, the generated ones too."""
+    def tokens_to_prefill(self) -> int:
+        """Tokens to prefill before the next one is generated; after a preemption, generated tokens too."""
         return self.prompt_tokens - self.held_tokens + self.generated - self.prefilled
 
     @property
-    def context(self) -> int:
-        """Tokens that the next one attends to."""
+    def context_tokens(self) -> int:
+        """Number of tokens that the next token attends to."""
         if self.state is SequenceState.DECODE:
             return self.prompt_tokens + self.generated
         return self.held_tokens + self.prefilled
@@ -135,9 +135,9 @@
         self.settings = settings
         self.memory = EngineMemory(settings.kv_tokens, settings.block_tokens)
         self.next_ms = math.inf
-        self.reads: list[PartRead] = []
+        self.prefilled_parts: list[PartPrefilled] = []
         self.preemptions = 0
-        self._orders = 0
+        self._submitted = 0
         self._waiting: list[Sequence] = []
         self._running: list[Sequence] = []
         self._sequences: dict[str, Sequence] = {}
@@ -146,40 +146,42 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a place."""
+        """Number of requests waiting for admission to the batch."""
         return len(self._waiting)
 
     @property
     def running(self) -> int:
-        """Requests in the batch."""
+        """Number of requests in the batch."""
         return len(self._running)
 
     def tokens_ahead(self, priority: int) -> int:
-        """Prompt tokens that are prefilled before those of a request of this priority that came now."""
+        """Prompt tokens that would be prefilled before those of a request of this priority submitted now."""
         return sum(
-            sequence.to_prefill
+            sequence.tokens_to_prefill
             for sequence in (*self._running, *self._waiting)
             if sequence.state is SequenceState.PREFILL
             or (sequence.state is SequenceState.WAITING and sequence.request.priority <= priority)
         )
 
     def submit(self, now_ms: float, request: EngineRequest) -> Admission:
-        """A request arrives."""
+        """Queue a request, or reject it where the queue is full or it exceeds the memory."""
         tokens = sum(part.tokens for part in request.parts) + request.output_tokens
-        if self.memory.blocks_of(tokens) > self.memory.total_blocks:
+        if self.memory.blocks_for(tokens) > self.memory.total_blocks:
             return Admission.FULL
         if len(self._sequences) >= self.settings.slots + self.settings.queue:
             return Admission.FULL
-        sequence = Sequence(request, self._orders, now_ms + self.settings.first_ms * self.settings.slowness)
-        self._orders += 1
+        sequence = Sequence(
+            request, self._submitted, now_ms + self.settings.first_ms * self.settings.slowness
+        )
+        self._submitted += 1
         self._sequences[request.key] = sequence
         self._waiting.append(sequence)
         if not self._in_step:
             self._begin_step(now_ms)
-        return Admission.TAKEN
+        return Admission.ACCEPTED
 
     def cancel(self, key: str) -> None:
-        """The caller has left: the request is dropped."""
+        """Drop a request whose caller disconnected."""
         sequence = self._sequences.pop(key, None)
         if sequence is None:
             return
@@ -190,7 +192,7 @@
         self._chunks = [chunk for chunk in self._chunks if chunk[0] is not sequence]
 
     def advance(self, now_ms: float) -> list[EngineEvent]:
-        """Carry out all that is due by now."""
+        """Run all steps due by `now_ms` and return their events."""
         events: list[EngineEvent] = []
         while self.next_ms <= now_ms:
             at_ms = self.next_ms
@@ -199,8 +201,6 @@
             self._begin_step(at_ms)
         return events
 
-    # --- a step ---
-
     def _begin_step(self, at_ms: float) -> None:
         self._chunks = self._continue_prefills()
         self._admit(at_ms)
@@ -212,39 +212,39 @@
         self.next_ms = at_ms + self._step_ms()
 
     def _continue_prefills(self) -> list[tuple[Sequence, int]]:
-        left = self.settings.chunk_tokens
+        budget = self.settings.chunk_tokens
         chunks = []
         for sequence in self._running:
-            if sequence.state is SequenceState.PREFILL and left > 0:
-                tokens = min(left, sequence.to_prefill)
+            if sequence.state is SequenceState.PREFILL and budget > 0:
+                tokens = min(budget, sequence.tokens_to_prefill)
                 chunks.append((sequence, tokens))
-                left -= tokens
+                budget -= tokens
         return chunks
 
     def _step_ms(self) -> float:
         settings = self.settings
-        context = sum(sequence.context for sequence in self._running)
-        took_ms = settings.step_ms + settings.step_ms_per_sequence * len(self._running)
-        took_ms += settings.context_ms_per_k * context / THOUSAND
+        context_tokens = sum(sequence.context_tokens for sequence in self._running)
+        duration_ms = settings.step_ms + settings.step_ms_per_sequence * len(self._running)
+        duration_ms += settings.context_ms_per_k * context_tokens / THOUSAND
         for sequence, tokens in self._chunks:
-            pairs = tokens * (sequence.context + tokens / 2)
-            took_ms += tokens / settings.prefill_tokens_per_ms
-            took_ms += settings.pairs_ms_per_million * pairs / MILLION
-        return took_ms * settings.slowness
+            pairs = tokens * (sequence.context_tokens + tokens / 2)
+            duration_ms += tokens / settings.prefill_tokens_per_ms
+            duration_ms += settings.pairs_ms_per_million * pairs / MILLION
+        return duration_ms * settings.slowness
 
     def _end_step(self, at_ms: float) -> list[EngineEvent]:
         decoding = [sequence for sequence in self._running if sequence.state is SequenceState.DECODE]
         for sequence, tokens in self._chunks:
             sequence.prefilled += tokens
-            self._keep_whole_parts(at_ms, sequence)
-            if sequence.to_prefill <= 0:
+            self._cache_completed_parts(at_ms, sequence)
+            if sequence.tokens_to_prefill <= 0:
                 sequence.state = SequenceState.DECODE
                 sequence.prefilled = 0
                 decoding.append(sequence)
         self._chunks = []
         events = []
-        for sequence in sorted(decoding, key=lambda sequence: sequence.urgency):
-            if sequence.state is SequenceState.DECODE and self._grow(sequence):
+        for sequence in sorted(decoding, key=lambda sequence: sequence.scheduling_key):
+            if sequence.state is SequenceState.DECODE and self._allocate_next_token(sequence):
                 events.extend(self._generate(at_ms, sequence))
         return events
 
@@ -260,53 +260,51 @@
             self._release(sequence)
         return [event]
 
-    # --- memory ---
-
     def _admit(self, at_ms: float) -> None:
-        left = self.settings.chunk_tokens - sum(tokens for _, tokens in self._chunks)
+        budget = self.settings.chunk_tokens - sum(tokens for _, tokens in self._chunks)
         ready = [sequence for sequence in self._waiting if sequence.ready_ms <= at_ms]
-        for sequence in sorted(ready, key=lambda sequence: sequence.urgency):
-            if left <= 0 or not self._make_place(sequence):
+        for sequence in sorted(ready, key=lambda sequence: sequence.scheduling_key):
+            if budget <= 0 or not self._admit_with_preemption(sequence):
                 return
             self._waiting.remove(sequence)
             self._running.append(sequence)
-            tokens = min(left, sequence.to_prefill)
+            tokens = min(budget, sequence.tokens_to_prefill)
             self._chunks.append((sequence, tokens))
-            left -= tokens
+            budget -= tokens
 
-    def _make_place(self, sequence: Sequence) -> bool:
-        """Take a place in the batch and memory for the prompt; less urgent ones give way for it."""
-        while not self._take_place(sequence):
-            victim = self._newest_least_urgent()
+    def _admit_with_preemption(self, sequence: Sequence) -> bool:
+        """Add a sequence to the batch, preempting less urgent ones for its slot and memory if needed."""
+        while not self._try_admit(sequence):
+            victim = self._preemption_victim()
             if victim is None or victim.request.priority <= sequence.request.priority:
                 return False
             self._preempt(victim)
         return True
 
-    def _take_place(self, sequence: Sequence) -> bool:
+    def _try_admit(self, sequence: Sequence) -> bool:
         if len(self._running) >= self.settings.slots:
             return False
         parts = sequence.request.parts
-        held = self.memory.kept_chain(parts)
-        self.memory.use(parts[:held])
-        tokens = sum(part.tokens for part in parts[held:]) + sequence.generated + 1
-        blocks = self.memory.blocks_of(tokens)
-        if not self.memory.take(blocks):
-            self.memory.release(parts[:held])
+        cached = self.memory.cached_prefix_length(parts)
+        self.memory.pin(parts[:cached])
+        tokens = sum(part.tokens for part in parts[cached:]) + sequence.generated + 1
+        blocks = self.memory.blocks_for(tokens)
+        if not self.memory.allocate(blocks):
+            self.memory.unpin(parts[:cached])
             return False
-        sequence.held_parts, sequence.blocks, sequence.prefilled = held, blocks, 0
-        sequence.held_tokens = sum(part.tokens for part in parts[:held])
+        sequence.held_parts, sequence.blocks, sequence.prefilled = cached, blocks, 0
+        sequence.held_tokens = sum(part.tokens for part in parts[:cached])
         sequence.state = SequenceState.PREFILL
         return True
 
-    def _grow(self, sequence: Sequence) -> bool:
-        """Memory for one more token; False where the sequence itself had to give way."""
+    def _allocate_next_token(self, sequence: Sequence) -> bool:
+        """Allocate memory for one more token; False if none is left or the sequence itself was preempted."""
         own_tokens = sequence.generated + 1
-        while self.memory.blocks_of(own_tokens) > sequence.blocks:
-            if self.memory.take(1):
+        while self.memory.blocks_for(own_tokens) > sequence.blocks:
+            if self.memory.allocate(1):
                 sequence.blocks += 1
                 continue
-            victim = self._newest_least_urgent()
+            victim = self._preemption_victim()
             if victim is None:
                 return False
             self._preempt(victim)
@@ -314,8 +312,8 @@
                 return False
         return True
 
-    def _newest_least_urgent(self) -> Sequence | None:
-        return max(self._running, key=lambda sequence: sequence.urgency, default=None)
+    def _preemption_victim(self) -> Sequence | None:
+        return max(self._running, key=lambda sequence: sequence.scheduling_key, default=None)
 
     def _preempt(self, sequence: Sequence) -> None:
         self.preemptions += 1
@@ -326,22 +324,22 @@
 
     def _release(self, sequence: Sequence) -> None:
         self._running.remove(sequence)
-        self.memory.release(sequence.request.parts[: sequence.held_parts])
-        self.memory.refund(sequence.blocks)
+        self.memory.unpin(sequence.request.parts[: sequence.held_parts])
+        self.memory.free(sequence.blocks)
         sequence.held_parts = sequence.held_tokens = sequence.blocks = sequence.prefilled = 0
 
-    def _keep_whole_parts(self, at_ms: float, sequence: Sequence) -> None:
-        """Parts that are prefilled to their end are kept for others from now on."""
+    def _cache_completed_parts(self, at_ms: float, sequence: Sequence) -> None:
+        """Move completely prefilled parts to the prefix cache, where other sequences can use them."""
         parts = sequence.request.parts
         while sequence.held_parts < len(parts):
             part = parts[sequence.held_parts]
             if sequence.prefilled < part.tokens:
                 return
-            blocks = min(self.memory.blocks_of(part.tokens), sequence.blocks)
-            self.memory.keep(part, blocks)
+            blocks = min(self.memory.blocks_for(part.tokens), sequence.blocks)
+            self.memory.add_to_cache(part, blocks)
             sequence.blocks -= blocks
             sequence.prefilled -= part.tokens
             sequence.held_tokens += part.tokens
             sequence.held_parts += 1
             shared = sequence.held_parts < len(parts)
-            self.reads.append(PartRead(at_ms, sequence.request.key, part, shared))
+            self.prefilled_parts.append(PartPrefilled(at_ms, sequence.request.key, part, shared))
--- a/madderwind/testing/engine_emulator/engine_host.py
+++ b/madderwind/testing/engine_emulator/engine_host.py
@@ -1,4 +1,4 @@
-"""The engine on the running loop's clock: requests come as streams of events, each as soon as it is due."""
+"""Runs an engine in real time on an event loop and delivers each event when it is due."""
 
 from __future__ import annotations
 
@@ -8,17 +8,24 @@
 
 import msgspec
 
-from madderwind.testing.engine_emulator.engine import Admission, Engine, EngineEvent, EngineRequest, PartRead
+from madderwind.testing.engine_emulator.engine import (
+    Admission,
+    Engine,
+    EngineEvent,
+    EngineRequest,
+    PartPrefilled,
+)
 
 MS_PER_S = 1000.0
-# A step that ends later than this was held up by a pause of the whole process: its time does not count.
-LONGEST_LATENESS_MS = 250.0
-# State is told as it stood some time before, as a model server's is.
+# A step that ends later than this was delayed by a pause of the whole process, which is not counted as
+# engine time.
+MAX_STEP_DELAY_MS = 250.0
+# The reported state is up to this old, as that of a real model server is.
 REPORT_AGE_MS = 200.0
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What GET /report tells of the engine."""
+    """Engine state in the response to GET /report."""
 
     waiting: int = 0
     running: int = 0
@@ -26,10 +33,10 @@
 
 
 class EngineHost:
-    """Runs one engine; needs a running loop."""
+    """Runs one engine; must be created inside a running event loop."""
 
-    def __init__(self, engine: Engine, on_read: Callable[[PartRead], None]) -> None:
-        self._engine, self._on_read = engine, on_read
+    def __init__(self, engine: Engine, on_prefilled: Callable[[PartPrefilled], None]) -> None:
+        self._engine, self._on_prefilled = engine, on_prefilled
         self._loop = asyncio.get_running_loop()
         self._streams: dict[str, asyncio.Queue[EngineEvent]] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -39,26 +46,26 @@
 
     @property
     def engine(self) -> Engine:
-        """The engine itself."""
+        """The hosted engine."""
         return self._engine
 
     def submit(self, request: EngineRequest) -> asyncio.Queue[EngineEvent] | None:
-        """The request's events; None where the engine is full."""
+        """Queue of the request's events; None where the engine rejects it."""
         self._advance()
-        if self._engine.submit(self._now_ms(), request) is not Admission.TAKEN:
+        if self._engine.submit(self._now_ms(), request) is not Admission.ACCEPTED:
             return None
         events = self._streams[request.key] = asyncio.Queue()
-        self._arm()
+        self._schedule_tick()
         return events
 
     def cancel(self, key: str) -> None:
-        """Nobody waits for this request any more."""
+        """Drop a request whose caller disconnected."""
         if self._streams.pop(key, None) is not None:
             self._engine.cancel(key)
-            self._arm()
+            self._schedule_tick()
 
     def state(self) -> EngineState:
-        """How the engine stood some time ago."""
+        """Engine state, refreshed at most once every `REPORT_AGE_MS`."""
         now_ms = self._loop.time() * MS_PER_S
         if now_ms - self._reported_ms > REPORT_AGE_MS:
             engine, self._reported_ms = self._engine, now_ms
@@ -69,20 +76,20 @@
         return self._loop.time() * MS_PER_S - self._paused_ms
 
     def _advance(self) -> None:
-        lateness_ms = self._now_ms() - self._engine.next_ms
-        if LONGEST_LATENESS_MS < lateness_ms < math.inf:
-            self._paused_ms += lateness_ms
+        delay_ms = self._now_ms() - self._engine.next_ms
+        if MAX_STEP_DELAY_MS < delay_ms < math.inf:
+            self._paused_ms += delay_ms
         for event in self._engine.advance(self._now_ms()):
             stream = self._streams.get(event.key)
             if stream is not None:
                 stream.put_nowait(event)
                 if event.last:
                     del self._streams[event.key]
-        for read in self._engine.reads:
-            self._on_read(read)
-        self._engine.reads.clear()
+        for prefilled in self._engine.prefilled_parts:
+            self._on_prefilled(prefilled)
+        self._engine.prefilled_parts.clear()
 
-    def _arm(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -92,4 +99,4 @@
 
     def _tick(self) -> None:
         self._advance()
-        self._arm()
+        self._schedule_tick()
--- a/madderwind/testing/engine_emulator/experiment.py
+++ b/madderwind/testing/engine_emulator/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment with placements, as an operator writes it in YAML: fleet, engines, traffic, troubles."""
+"""The YAML description of a placement experiment: fleet, engines, traffic and faults."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Crash:
-    """From `at_s`, for `for_s`, `count` upstreams are down; they return empty, as other instances."""
+    """From `at_s`, `count` upstreams are down for `for_s`; new instances with empty caches replace them."""
 
     at_s: float
     for_s: float
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Release:
-    """From `at_s`, one upstream each `gap_s` is replaced by an empty one, `count` in all."""
+    """From `at_s`, one upstream every `gap_s` is replaced by one with an empty cache, `count` in total."""
 
     at_s: float
     gap_s: float
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Restart:
-    """At `at_s`, `count` data planes restart and know nothing of the others or of the upstreams."""
+    """At `at_s`, `count` data planes restart without state of the other data planes or the upstreams."""
 
     at_s: float
     count: int
@@ -44,7 +44,7 @@
 class Experiment:
     """One experiment.
 
-    `report_ms` and `dispatch_ms`: how often data planes hear of each other's load and dispatches; 0 is never.
+    `report_ms` and `dispatch_ms`: interval at which data planes exchange load and dispatches; 0 disables it.
     """
 
     name: str
@@ -71,10 +71,10 @@
 
     @property
     def engine_settings(self) -> EngineSettings:
-        """The engine's settings, the rest at their defaults."""
+        """The engine's settings, with defaults for those not given."""
         return msgspec.convert(self.engine, EngineSettings)
 
 
 def read_experiment(path: Path) -> Experiment:
-    """The experiment in a YAML file."""
+    """Read an experiment from a YAML file."""
     return cattrs.Converter(forbid_extra_keys=True).structure(yaml.safe_load(path.read_text()), Experiment)
--- a/madderwind/testing/engine_emulator/memory.py
+++ b/madderwind/testing/engine_emulator/memory.py
@@ -1,4 +1,4 @@
-"""A model server's memory: blocks of running sequences and of kept prompt parts."""
+"""KV-cache memory of a model server: blocks of running sequences and of cached prompt parts."""
 
 from __future__ import annotations
 
@@ -8,92 +8,92 @@
 from madderwind.placement.prompts import PromptPart
 
 
-class KeptPart:
-    """One part in memory. It can't give way while a sequence uses it."""
+class CachedPart:
+    """A cached prompt part. It can't be evicted while a sequence has it pinned."""
 
-    __slots__ = ("blocks", "users")
+    __slots__ = ("blocks", "pin_count")
 
     def __init__(self, blocks: int) -> None:
         self.blocks = blocks
-        self.users = 0
+        self.pin_count = 0
 
 
 class EngineMemory:
-    """Blocks in use. Parts that nobody uses give way, those unused longest first."""
+    """Block allocator with a prefix cache. Unpinned parts are evicted in least-recently-used order."""
 
     def __init__(self, kv_tokens: int, block_tokens: int) -> None:
         self._block_tokens = block_tokens
-        self._total = kv_tokens // block_tokens
-        self._free = self._total
-        self._used: dict[str, KeptPart] = {}
-        self._unused: OrderedDict[str, KeptPart] = OrderedDict()
-        self._unused_blocks = 0
+        self._total_blocks = kv_tokens // block_tokens
+        self._free_blocks = self._total_blocks
+        self._pinned: dict[str, CachedPart] = {}
+        self._unpinned: OrderedDict[str, CachedPart] = OrderedDict()
+        self._unpinned_blocks = 0
 
     @property
     def total_blocks(self) -> int:
-        """All blocks there are."""
-        return self._total
+        """Total number of blocks."""
+        return self._total_blocks
 
     @property
     def available_blocks(self) -> int:
-        """Blocks that are free or can give way."""
-        return self._free + self._unused_blocks
+        """Blocks that are free or can be freed by eviction."""
+        return self._free_blocks + self._unpinned_blocks
 
     @property
     def held_tokens(self) -> int:
-        """Tokens that can't give way."""
-        return (self._total - self.available_blocks) * self._block_tokens
+        """Capacity, in tokens, of the blocks that can't be evicted."""
+        return (self._total_blocks - self.available_blocks) * self._block_tokens
 
-    def blocks_of(self, tokens: int) -> int:
-        """Blocks that this many tokens take."""
+    def blocks_for(self, tokens: int) -> int:
+        """Number of blocks that this many tokens occupy."""
         return -(-tokens // self._block_tokens)
 
-    def kept_chain(self, parts: Sequence[PromptPart]) -> int:
-        """How many parts from the start are kept, none before them missing."""
+    def cached_prefix_length(self, parts: Sequence[PromptPart]) -> int:
+        """Number of leading parts that are cached, up to the first that is not."""
         for index, part in enumerate(parts):
-            if part.id not in self._used and part.id not in self._unused:
+            if part.id not in self._pinned and part.id not in self._unpinned:
                 return index
         return len(parts)
 
-    def use(self, parts: Iterable[PromptPart]) -> None:
-        """A sequence uses these kept parts from now on."""
+    def pin(self, parts: Iterable[PromptPart]) -> None:
+        """Pin these cached parts for one sequence."""
         for part in parts:
-            kept = self._used.get(part.id)
-            if kept is None:
-                kept = self._unused.pop(part.id)
-                self._unused_blocks -= kept.blocks
-                self._used[part.id] = kept
-            kept.users += 1
-
-    def release(self, parts: Iterable[PromptPart]) -> None:
-        """A sequence no longer uses these parts."""
+            cached = self._pinned.get(part.id)
+            if cached is None:
+                cached = self._unpinned.pop(part.id)
+                self._unpinned_blocks -= cached.blocks
+                self._pinned[part.id] = cached
+            cached.pin_count += 1
+
+    def unpin(self, parts: Iterable[PromptPart]) -> None:
+        """Remove one sequence's pin from these parts."""
         for part in parts:
-            kept = self._used[part.id]
-            kept.users -= 1
-            if not kept.users:
-                self._unused[part.id] = self._used.pop(part.id)
-                self._unused_blocks += kept.blocks
-
-    def take(self, blocks: int) -> bool:
-        """Take blocks for a sequence, parts giving way for them; False where they can't be had."""
+            cached = self._pinned[part.id]
+            cached.pin_count -= 1
+            if not cached.pin_count:
+                self._unpinned[part.id] = self._pinned.pop(part.id)
+                self._unpinned_blocks += cached.blocks
+
+    def allocate(self, blocks: int) -> bool:
+        """Allocate blocks, evicting unpinned parts if needed; False if too few are available."""
         if blocks > self.available_blocks:
             return False
-        while self._free < blocks:
-            _, kept = self._unused.popitem(last=False)
-            self._unused_blocks -= kept.blocks
-            self._free += kept.blocks
-        self._free -= blocks
+        while self._free_blocks < blocks:
+            _, cached = self._unpinned.popitem(last=False)
+            self._unpinned_blocks -= cached.blocks
+            self._free_blocks += cached.blocks
+        self._free_blocks -= blocks
         return True
 
-    def refund(self, blocks: int) -> None:
-        """A sequence's own blocks are free again."""
-        self._free += blocks
+    def free(self, blocks: int) -> None:
+        """Free a sequence's own blocks."""
+        self._free_blocks += blocks
 
-    def keep(self, part: PromptPart, blocks: int) -> None:
-        """Blocks that a sequence has filled become a kept part which it uses; a copy of one is freed."""
-        if part.id in self._used or part.id in self._unused:
-            self._free += blocks
+    def add_to_cache(self, part: PromptPart, blocks: int) -> None:
+        """Turn a sequence's filled blocks into a cached part that it pins; a duplicate's blocks are freed."""
+        if part.id in self._pinned or part.id in self._unpinned:
+            self._free_blocks += blocks
         else:
-            self._unused[part.id] = KeptPart(blocks)
-            self._unused_blocks += blocks
-        self.use((part,))
+            self._unpinned[part.id] = CachedPart(blocks)
+            self._unpinned_blocks += blocks
+        self.pin((part,))
--- a/madderwind/testing/engine_emulator/policy_names.py
+++ b/madderwind/testing/engine_emulator/policy_names.py
@@ -1,4 +1,4 @@
-"""The policies by the names that experiments give them."""
+"""Maps the policy names used in experiments to constructors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     IdleFirst,
     LeastLoaded,
     Policy,
-    RandomPick,
+    RandomChoice,
     RoundRobin,
 )
 from madderwind.testing.engine_emulator.whole_knowledge import WholeKnowledge
@@ -22,11 +22,11 @@
     return Placement(rng, zone, ablation=without(mechanism))
 
 
-PolicyMaker = Callable[[random.Random, str], Policy]
+PolicyFactory = Callable[[random.Random, str], Policy]
 
-POLICIES: dict[str, PolicyMaker] = {
+POLICIES: dict[str, PolicyFactory] = {
     "placement": lambda rng, zone: Placement(rng, zone),
-    "random": lambda rng, zone: RandomPick(rng),
+    "random": lambda rng, zone: RandomChoice(rng),
     "round-robin": lambda rng, zone: RoundRobin(rng),
     "least-loaded": lambda rng, zone: LeastLoaded(rng),
     "whole-knowledge": lambda rng, zone: WholeKnowledge(),
--- a/madderwind/testing/engine_emulator/records.py
+++ b/madderwind/testing/engine_emulator/records.py
@@ -1,6 +1,6 @@
-"""What stand-in upstreams note down, a JSON line each, so that a checker can tell afterwards what ran where.
+"""Records of emulated upstreams, one JSON line each, from which a checker later determines what ran where.
 
-Times are in milliseconds of the machine's steady clock, which all processes of one machine share.
+Times are in milliseconds of the machine's monotonic clock, which all processes of one machine share.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class Record(msgspec.Struct, frozen=True, tag=True):
-    """The base of all records; the tag is the class's name."""
+    """Base of all records; the tag is the class name."""
 
 
 class Started(Record, frozen=True):
-    """An incarnation began to listen."""
+    """An incarnation started listening."""
 
     at_ms: float
     instance: str
@@ -25,7 +25,7 @@
 
 
 class Ran(Record, frozen=True):
-    """Work on a request began. `resumed_after`: events of an earlier run that this one goes on after."""
+    """Execution of a request began. `resumed_after`: number of events of an earlier run that it continues."""
 
     at_ms: float
     instance: str
@@ -36,7 +36,7 @@
 
 
 class TurnedAway(Record, frozen=True):
-    """A request was answered without having run, and never will."""
+    """A request was rejected without being executed, and will not be executed."""
 
     at_ms: float
     instance: str
@@ -45,7 +45,7 @@
 
 
 class Ended(Record, frozen=True):
-    """A request that ran is over: `whole`, or why not."""
+    """An executed request ended. `how` is `whole`, or the reason why it is incomplete."""
 
     at_ms: float
     instance: str
@@ -55,7 +55,7 @@
 
 
 class PrefilledPart(Record, frozen=True):
-    """A prompt part was prefilled whole. `shared`: other prompts may have it too."""
+    """A prompt part was prefilled completely. `shared`: other prompts may contain it too."""
 
     at_ms: float
     instance: str
@@ -69,22 +69,22 @@
 
 
 class RecordWriter:
-    """Appends records to a file, each with one write: what is noted outlives a kill of the process."""
+    """Appends each record to a file with one write, so that it survives a kill of the process."""
 
     def __init__(self, path: Path) -> None:
         self._descriptor = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
 
     def __call__(self, record: Record) -> None:
-        """Note a record."""
+        """Append a record."""
         os.write(self._descriptor, msgspec.json.encode(record) + b"\n")
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the file."""
         os.close(self._descriptor)
 
 
 def read_records(path: Path) -> Iterator[AnyRecord]:
-    """The records in a file; a last line that was cut short is passed over."""
+    """Read the records in a file; a truncated last line is skipped."""
     with path.open("rb") as file:
         for line in file:
             if line.endswith(b"\n"):
--- a/madderwind/testing/engine_emulator/server.py
+++ b/madderwind/testing/engine_emulator/server.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream on sockets: a model server's streams, or the answers of a plain service."""
+"""An emulated upstream on sockets: a model server with event streams, or a plain service."""
 
 from __future__ import annotations
 
@@ -15,102 +15,102 @@
 
 from madderwind.errors import MessageError
 from madderwind.placement.prompts import PromptPart, parse_prefix
-from madderwind.testing.engine_emulator.engine import Engine, EngineEvent, EngineRequest, PartRead
+from madderwind.testing.engine_emulator.engine import Engine, EngineEvent, EngineRequest, PartPrefilled
 from madderwind.testing.engine_emulator.engine_host import MS_PER_S, EngineHost
 from madderwind.testing.engine_emulator.records import Ended, PrefilledPart, Ran, RecordWriter, TurnedAway
 from madderwind.testing.engine_emulator.upstream_settings import UpstreamSettings
 
 REPORT_PATH = "/report"
-# What is open at the end is broken off after so long.
+# On shutdown, open connections are closed after this time.
 CLOSE_TIMEOUT_S = 0.05
 DEFAULT_DEADLINE_MS = 30_000.0
 DEFAULT_PRIORITY = 5
 MODEL = "m"
 
 
-class _Plain:
-    """Places of a plain service: how many run and how many wait."""
+class _PlainService:
+    """Slots and queue of a plain service."""
 
     def __init__(self, slots: int, queue: int) -> None:
         self._slots, self._queue = slots, queue
-        self._places = asyncio.Semaphore(slots)
-        self.present = 0
+        self._free_slots = asyncio.Semaphore(slots)
+        self.request_count = 0
 
     def is_full(self) -> bool:
-        """Whether neither a slot nor a place in the queue is free."""
-        return self.present >= self._slots + self._queue
+        """Whether all slots and queue positions are occupied."""
+        return self.request_count >= self._slots + self._queue
 
-    async def begin(self, within_s: float) -> bool:
-        """Wait for a slot; False where the time is over."""
+    async def acquire(self, within_s: float) -> bool:
+        """Wait for a slot; return False after `within_s`."""
         try:
             async with asyncio.timeout(within_s):
-                await self._places.acquire()
+                await self._free_slots.acquire()
         except TimeoutError:
             return False
         return True
 
-    def end(self) -> None:
+    def release(self) -> None:
         """Free the slot."""
-        self._places.release()
+        self._free_slots.release()
 
 
 class _LimitedServer(web.Server):
-    """Resets connections beyond the most that an upstream takes."""
+    """Resets connections beyond `connection_limit`."""
 
-    most_connections = math.inf
+    connection_limit = math.inf
 
     def connection_made(self, handler: web.RequestHandler, transport: asyncio.Transport) -> None:
         super().connection_made(handler, transport)
-        if len(self.connections) > self.most_connections:
+        if len(self.connections) > self.connection_limit:
             transport.abort()
 
 
 class UpstreamServer:
     """One incarnation of an upstream."""
 
-    def __init__(self, settings: UpstreamSettings, note: RecordWriter, rng: random.Random) -> None:
-        """Needs a running loop."""
-        self.settings, self._note, self._rng = settings, note, rng
+    def __init__(self, settings: UpstreamSettings, write_record: RecordWriter, rng: random.Random) -> None:
+        """Must be called inside a running event loop."""
+        self.settings, self._write_record, self._rng = settings, write_record, rng
         self.instance = f"i-{secrets.token_hex(4)}"
-        self.is_leaving = False
+        self.is_draining = False
         self._loop = asyncio.get_running_loop()
-        self._numbers = itertools.count()
-        self._began_s = self._loop.time()
+        self._stream_numbers = itertools.count()
+        self._started_s = self._loop.time()
         self._host: EngineHost | None = None
         if settings.engine is not None:
-            self._host = EngineHost(Engine(settings.engine), self._note_read)
+            self._host = EngineHost(Engine(settings.engine), self._record_prefilled)
         plain = settings.plain
-        self._plain = None if plain is None else _Plain(plain.slots, plain.queue)
+        self._plain = None if plain is None else _PlainService(plain.slots, plain.queue)
         self._server = _LimitedServer(
-            self._answer, handler_cancellation=True, access_log=None, keepalive_timeout=settings.keep_alive_s
+            self._handle, handler_cancellation=True, access_log=None, keepalive_timeout=settings.keep_alive_s
         )
-        self._server.most_connections = settings.max_connections
+        self._server.connection_limit = settings.max_connections
         self._warm_up()
 
     async def start(self) -> str:
-        """Listen; the address, with the port that was decided where the settings say 0."""
+        """Start listening; return the address, with the assigned port if the settings have port 0."""
         ip, _, port = self.settings.listen.rpartition(":")
-        self._listening = await self._loop.create_server(self._server, ip, int(port), reuse_address=True)
-        return f"{ip}:{self._listening.sockets[0].getsockname()[1]}"
+        self._listener = await self._loop.create_server(self._server, ip, int(port), reuse_address=True)
+        return f"{ip}:{self._listener.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """Listen no more and break off what is open."""
-        self._listening.close()
+        """Stop listening and close open connections."""
+        self._listener.close()
         await self._server.shutdown(CLOSE_TIMEOUT_S)
 
     def cold_remaining_ms(self) -> float:
-        """For how long this upstream stays slow after its start."""
-        return max(0.0, self.settings.cold_ms - (self._loop.time() - self._began_s) * MS_PER_S)
+        """Remaining time of the slow phase after the start."""
+        return max(0.0, self.settings.cold_ms - (self._loop.time() - self._started_s) * MS_PER_S)
 
     @property
     def requests_open(self) -> int:
-        """Requests that wait or run."""
+        """Number of waiting and running requests."""
         if self._host is not None:
             return self._host.engine.waiting + self._host.engine.running
-        return 0 if self._plain is None else self._plain.present
+        return 0 if self._plain is None else self._plain.request_count
 
     def _warm_up(self) -> None:
-        """Slow until the cold time is over."""
+        """Slow the engine down until the cold phase is over."""
         settings = self.settings
         if self._host is None or settings.engine is None or not settings.cold_ms:
             return
@@ -120,25 +120,23 @@
         )
         self._loop.call_later(settings.cold_ms / MS_PER_S, setattr, engine, "settings", settings.engine)
 
-    # --- requests ---
-
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path == REPORT_PATH:
             return self._report()
         if request.path == self.settings.health_path and request.method == "GET":
             return self._health()
         body = await request.read()
-        if (turned_away := self._turn_away(request)) is not None:
-            return turned_away
+        if (rejection := self._reject_misdirected(request)) is not None:
+            return rejection
         if self._rng.random() < self.settings.mishaps.error:
-            return self._own_error(request)
+            return self._fail(request)
         if self._host is not None:
             return await self._generate(request, self._host)
         assert self._plain is not None
-        return await self._work(request, self._plain, body)
+        return await self._serve_plain(request, self._plain, body)
 
-    def _turn_away(self, request: web.BaseRequest) -> web.StreamResponse | None:
-        """The answer to a request that this upstream does not run, before it looks for a place."""
+    def _reject_misdirected(self, request: web.BaseRequest) -> web.StreamResponse | None:
+        """Reject a request without an id, or for another instance or version; None if acceptable."""
         if not request.headers.get("X-Request-Id"):
             return self._not_executed(request, 400)
         expected = request.headers.get("X-Expect-Instance")
@@ -151,43 +149,43 @@
 
     def _not_executed(self, request: web.BaseRequest, status: int) -> web.StreamResponse:
         request_id = request.headers.get("X-Request-Id", "")
-        self._note(TurnedAway(_steady_ms(), self.instance, request_id, status))
+        self._write_record(TurnedAway(_monotonic_ms(), self.instance, request_id, status))
         headers = {"X-Not-Executed": "1", "X-Upstream-Instance": self.instance, "X-Request-Id": request_id}
-        return self._finished(web.Response(status=status, headers=headers))
+        return self._with_connection_headers(web.Response(status=status, headers=headers))
 
-    def _own_error(self, request: web.BaseRequest) -> web.StreamResponse:
-        self._note_ran(request)
-        self._note_ended(request, 0, "error")
-        return self._finished(web.Response(status=500, headers=self._stamp(request), body=b"failed\n"))
+    def _fail(self, request: web.BaseRequest) -> web.StreamResponse:
+        self._record_ran(request)
+        self._record_ended(request, 0, "error")
+        return self._with_connection_headers(
+            web.Response(status=500, headers=self._identity_headers(request), body=b"failed\n")
+        )
 
-    def _stamp(self, request: web.BaseRequest) -> dict[str, str]:
+    def _identity_headers(self, request: web.BaseRequest) -> dict[str, str]:
         request_id = request.headers["X-Request-Id"]
-        check = zlib.crc32(f"{self.instance} {request_id}".encode())
+        checksum = zlib.crc32(f"{self.instance} {request_id}".encode())
         return {
             "X-Request-Id": request_id,
-            "X-Upstream-Signature": f"{self.instance}.{check:08x}",
+            "X-Upstream-Signature": f"{self.instance}.{checksum:08x}",
             "Versions": str(self.settings.weights),
         }
 
-    def _finished(self, response: web.StreamResponse) -> web.StreamResponse:
-        """With what this upstream tells about its connections."""
+    def _with_connection_headers(self, response: web.StreamResponse) -> web.StreamResponse:
+        """Add the Keep-Alive header, and close the connection if draining or by an injected fault."""
         response.headers["Keep-Alive"] = f"timeout={self.settings.keep_alive_s}"
-        if self.is_leaving or self._rng.random() < self.settings.mishaps.close:
+        if self.is_draining or self._rng.random() < self.settings.mishaps.close:
             response.force_close()
         return response
 
     def _deadline_s(self, request: web.BaseRequest) -> float:
         try:
-            left_ms = float(request.headers.get("X-Deadline-Ms", DEFAULT_DEADLINE_MS))
+            remaining_ms = float(request.headers.get("X-Deadline-Ms", DEFAULT_DEADLINE_MS))
         except ValueError:
-            left_ms = DEFAULT_DEADLINE_MS
-        return self._loop.time() + left_ms / MS_PER_S
-
-    # --- a model's answers ---
+            remaining_ms = DEFAULT_DEADLINE_MS
+        return self._loop.time() + remaining_ms / MS_PER_S
 
     async def _generate(self, request: web.BaseRequest, host: EngineHost) -> web.StreamResponse:
-        stream = self._stream_of(request, host)
-        events = None if stream is None else host.submit(stream.work)
+        stream = self._parse_stream(request, host)
+        events = None if stream is None else host.submit(stream.request)
         if stream is None or events is None:
             return self._not_executed(request, 503)
         deadline_s = self._deadline_s(request)
@@ -197,32 +195,35 @@
                     first = await events.get()
             except TimeoutError:
                 return self._not_executed(request, 503)
-            self._note_ran(request, stream.resumed_after)
+            self._record_ran(request, stream.resumed_after)
             return await self._send_events(request, stream, first, events, deadline_s)
         finally:
-            host.cancel(stream.work.key)
+            host.cancel(stream.request.key)
 
-    def _stream_of(self, request: web.BaseRequest, host: EngineHost) -> _Stream | None:
-        """What a request asks for; None where it can't be read, or asks to go on after its own end."""
+    def _parse_stream(self, request: web.BaseRequest, host: EngineHost) -> _Stream | None:
+        """Parse a generation request; None if it is invalid or resumes at or after its end."""
         settings = host.engine.settings
         try:
             parts = parse_prefix(request.headers.get("X-Prompt-Prefix", ""))
             prompt, _, output = request.headers.get("X-Token-Usage", "").partition(",")
             tokens = int(output)
             parts = parts or (PromptPart(request.headers["X-Request-Id"], int(prompt)),)
-            done = int(request.headers.get("Last-Event-Id", "0"))
+            events_done = int(request.headers.get("Last-Event-Id", "0"))
             priority = int(request.headers.get("Priority", DEFAULT_PRIORITY))
         except (MessageError, ValueError):
             return None
         total = -(-tokens // settings.stride)
-        if not 0 <= done < total:
+        if not 0 <= events_done < total:
             return None
-        key = f"{request.headers['X-Request-Id']}.{next(self._numbers)}"
-        subject = parts[-1].id
-        if done:  # what was generated elsewhere has to be prefilled here
-            parts += (PromptPart(f"{subject} up to {done}", done * settings.stride),)
+        key = f"{request.headers['X-Request-Id']}.{next(self._stream_numbers)}"
+        last_part_id = parts[-1].id
+        if events_done:  # tokens generated by another upstream have to be prefilled here
+            parts += (PromptPart(f"{last_part_id} up to {events_done}", events_done * settings.stride),)
         return _Stream(
-            EngineRequest(key, parts, tokens - done * settings.stride, priority), subject, done, total
+            EngineRequest(key, parts, tokens - events_done * settings.stride, priority),
+            last_part_id,
+            events_done,
+            total,
         )
 
     async def _send_events(
@@ -233,21 +234,21 @@
         events: asyncio.Queue[EngineEvent],
         deadline_s: float,
     ) -> web.StreamResponse:
-        response = web.StreamResponse(headers=self._stamp(request))
+        response = web.StreamResponse(headers=self._identity_headers(request))
         response.content_type = "text/event-stream"
-        self._finished(response)
+        self._with_connection_headers(response)
         sent = 0
-        breaks_at = self._breaking_point(stream)
+        abort_index = self._abort_index(stream)
         how = "client left"
         try:
             await response.prepare(request)
             async with asyncio.timeout_at(deadline_s):
                 while True:
                     encoded = stream.encode(event)
-                    if event.index == breaks_at:
+                    if event.index == abort_index:
                         how = "broken off"
                         await response.write(encoded[: len(encoded) // 2])
-                        return _aborted(request, response)
+                        return _abort(request, response)
                     await response.write(encoded)
                     sent += 1
                     if event.last:
@@ -257,63 +258,65 @@
                     event = await events.get()
         except TimeoutError:
             how = "deadline"
-            return _aborted(request, response)
+            return _abort(request, response)
         except ConnectionError:
             return response
         finally:
-            self._note_ended(request, sent, how)
+            self._record_ended(request, sent, how)
 
-    def _breaking_point(self, stream: _Stream) -> int | None:
-        """The event in whose middle the stream is broken off, for a few."""
+    def _abort_index(self, stream: _Stream) -> int | None:
+        """Index of the event inside which the stream is aborted, or None without an injected fault."""
         if self._rng.random() >= self.settings.mishaps.break_off:
             return None
         return self._rng.randrange(stream.total_events - stream.resumed_after)
 
-    # --- a plain service's answers ---
-
-    async def _work(self, request: web.BaseRequest, plain: _Plain, body: bytes) -> web.StreamResponse:
+    async def _serve_plain(
+        self, request: web.BaseRequest, plain: _PlainService, body: bytes
+    ) -> web.StreamResponse:
         if plain.is_full():
             return self._not_executed(request, 503)
-        left_s = self._deadline_s(request) - self._loop.time()
-        plain.present += 1
+        remaining_s = self._deadline_s(request) - self._loop.time()
+        plain.request_count += 1
         try:
-            if not await plain.begin(left_s):
+            if not await plain.acquire(remaining_s):
                 return self._not_executed(request, 503)
             try:
                 return await self._run_plain(request, body)
             finally:
-                plain.end()
+                plain.release()
         finally:
-            plain.present -= 1
+            plain.request_count -= 1
 
     async def _run_plain(self, request: web.BaseRequest, body: bytes) -> web.StreamResponse:
         settings = self.settings.plain
         assert settings is not None
-        self._note_ran(request)
+        self._record_ran(request)
         how = "client left"
-        middle = math.log(settings.work_ms) - settings.spread**2 / 2.0
+        mu = math.log(settings.work_ms) - settings.spread**2 / 2.0
         try:
-            await asyncio.sleep(self._rng.lognormvariate(middle, settings.spread) / MS_PER_S)
+            await asyncio.sleep(self._rng.lognormvariate(mu, settings.spread) / MS_PER_S)
             how = "whole"
         finally:
-            self._note_ended(request, 0, how)
-        told = msgspec.json.encode(
+            self._record_ended(request, 0, how)
+        payload = msgspec.json.encode(
             {"request": request.headers["X-Request-Id"], "instance": self.instance, "read_bytes": len(body)}
         )
-        headers = {**self._stamp(request), "Content-Type": "application/json"}
-        return self._finished(web.Response(headers=headers, body=told.ljust(settings.body_bytes)))
-
-    # --- what upstreams tell of themselves ---
+        headers = {**self._identity_headers(request), "Content-Type": "application/json"}
+        return self._with_connection_headers(
+            web.Response(headers=headers, body=payload.ljust(settings.body_bytes))
+        )
 
     def _health(self) -> web.StreamResponse:
         is_full = self._plain is not None and self._plain.is_full()
-        status = 503 if self.is_leaving or is_full else 200
-        return self._finished(web.Response(status=status, headers={"X-Upstream-Instance": self.instance}))
+        status = 503 if self.is_draining or is_full else 200
+        return self._with_connection_headers(
+            web.Response(status=status, headers={"X-Upstream-Instance": self.instance})
+        )
 
     def _report(self) -> web.Response:
         engine = self.settings.engine
         state = None if self._host is None else self._host.state()
-        told = {
+        fields = {
             "stage": "dual",
             "models": self.models(),
             "busy": False,
@@ -324,53 +327,57 @@
             "kv_total": 0 if engine is None else engine.kv_tokens,
             "handles": 0,
         }
-        return web.Response(body=msgspec.json.encode(told), content_type="application/json")
+        return web.Response(body=msgspec.json.encode(fields), content_type="application/json")
 
     def models(self) -> list[dict[str, object]]:
-        """The models that it serves, as registrations tell them."""
+        """The models that it serves, in the format of registrations."""
         if self._host is None:
             return []
         return [{"name": MODEL, "version": self.settings.weights, "adapters": []}]
 
-    # --- the records ---
-
-    def _note_read(self, read: PartRead) -> None:
-        part = read.part
-        self._note(PrefilledPart(_steady_ms(), self.instance, part.id, part.tokens, read.shared))
+    def _record_prefilled(self, prefilled: PartPrefilled) -> None:
+        part = prefilled.part
+        self._write_record(
+            PrefilledPart(_monotonic_ms(), self.instance, part.id, part.tokens, prefilled.shared)
+        )
 
-    def _note_ran(self, request: web.BaseRequest, resumed_after: int = 0) -> None:
+    def _record_ran(self, request: web.BaseRequest, resumed_after: int = 0) -> None:
         headers = request.headers
         tenant = headers.get("X-Tenant-Id", "")
-        ran = Ran(_steady_ms(), self.instance, headers["X-Request-Id"], tenant, request.path, resumed_after)
-        self._note(ran)
+        ran = Ran(
+            _monotonic_ms(), self.instance, headers["X-Request-Id"], tenant, request.path, resumed_after
+        )
+        self._write_record(ran)
 
-    def _note_ended(self, request: web.BaseRequest, events: int, how: str) -> None:
-        self._note(Ended(_steady_ms(), self.instance, request.headers["X-Request-Id"], events, how))
+    def _record_ended(self, request: web.BaseRequest, events: int, how: str) -> None:
+        self._write_record(
+            Ended(_monotonic_ms(), self.instance, request.headers["X-Request-Id"], events, how)
+        )
 
 
 class _Stream(msgspec.Struct, frozen=True):
-    """One generation.
+    """One generation stream.
 
-    Its text is its prompt's own part and the number of the event, so that whoever reads it can tell a gap, a
-    repeat, or another's answer.
+    Each event's data is the id of the prompt's last part and the event's number, so that a reader can detect
+    a gap, a repeated event, or the response to another request.
     """
 
-    work: EngineRequest
-    subject: str
+    request: EngineRequest
+    last_part_id: str
     resumed_after: int
     total_events: int
 
     def encode(self, event: EngineEvent) -> bytes:
-        """The event on the wire; ids count from 1."""
+        """Encode an event for the wire; ids start at 1."""
         number = self.resumed_after + event.index + 1
-        return f"id: {number}\ndata: {self.subject} {number}/{self.total_events}\n\n".encode()
+        return f"id: {number}\ndata: {self.last_part_id} {number}/{self.total_events}\n\n".encode()
 
 
-def _aborted(request: web.BaseRequest, response: web.StreamResponse) -> web.StreamResponse:
+def _abort(request: web.BaseRequest, response: web.StreamResponse) -> web.StreamResponse:
     if request.transport is not None:
         request.transport.abort()
     return response
 
 
-def _steady_ms() -> float:
+def _monotonic_ms() -> float:
     return round(time.monotonic() * MS_PER_S, 3)
--- a/madderwind/testing/engine_emulator/upstream_process.py
+++ b/madderwind/testing/engine_emulator/upstream_process.py
@@ -1,4 +1,4 @@
-"""`python -m madderwind.testing.engine_emulator.upstream_process SETTINGS`: a stand-in upstream's process."""
+"""`python -m madderwind.testing.engine_emulator.upstream_process SETTINGS`: runs an emulated upstream."""
 
 from __future__ import annotations
 
@@ -18,49 +18,49 @@
 from madderwind.testing.engine_emulator.upstream_settings import UpstreamSettings, read_upstream_settings
 
 MS_PER_S = 1000.0
-# A call that is not acknowledged within this goes to the next control plane.
+# A call that is not acknowledged within this time is sent to the next control plane.
 CALL_TIMEOUT_S = 1.0
-# Without an acknowledgement of its drain, an upstream ends after so long all the same.
-UNACKNOWLEDGED_END_S = 3.0
-# Beyond `drain_ms`, it goes on for what is still open, at most so long.
-LONGEST_AFTER_DRAIN_S = 5.0
-LOOK_S = 0.05
+# An upstream whose drain is not acknowledged exits after this time.
+UNACKNOWLEDGED_DRAIN_TIMEOUT_S = 3.0
+# After `drain_ms`, it waits at most this long for open requests.
+OPEN_REQUESTS_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.05
 
 
 class Registration:
-    """Heartbeats to the control planes: to one that answered, else to the next."""
+    """Sends heartbeats to a control plane, and switches to the next one when a call fails."""
 
     def __init__(self, settings: UpstreamSettings, server: UpstreamServer, rng: random.Random) -> None:
         self._settings, self._server = settings, server
-        self._control = list(settings.control)
-        rng.shuffle(self._control)
-        self._told = ""  # an address that an acknowledgement named for later heartbeats
+        self._control_planes = list(settings.control)
+        rng.shuffle(self._control_planes)
+        self._heartbeat_target = ""  # address for later heartbeats, from an acknowledgement
         self._sequence = 0
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=CALL_TIMEOUT_S))
 
     async def run(self) -> None:
-        """Tell the control planes that this upstream is ready, until cancelled."""
+        """Send `ready` heartbeats until cancelled."""
         interval_s = self._settings.heartbeat_ms / MS_PER_S
         while True:
-            acknowledged = await self._call_anyone("heartbeat", self._body("ready"))
+            acknowledged = await self._call_any_control_plane("heartbeat", self._body("ready"))
             await asyncio.sleep(interval_s if acknowledged else interval_s / 4)
 
-    async def tell(self, state: str) -> bool:
-        """Tell a state; whether it was acknowledged."""
-        return await self._call_anyone("heartbeat", self._body(state))
+    async def send_state(self, state: str) -> bool:
+        """Send a heartbeat with this state; return whether it was acknowledged."""
+        return await self._call_any_control_plane("heartbeat", self._body(state))
 
     async def deregister(self) -> bool:
-        """Tell the end."""
-        return await self._call_anyone("deregister", b"")
+        """Send the deregistration; return whether it was acknowledged."""
+        return await self._call_any_control_plane("deregister", b"")
 
     async def close(self) -> None:
-        """Let go of connections."""
+        """Close the connections."""
         await self._session.close()
 
     def _body(self, state: str) -> bytes:
         settings, server = self._settings, self._server
         self._sequence += 1
-        told = {
+        fields = {
             "service": settings.service,
             "address": settings.address,
             "zone": settings.zone,
@@ -72,31 +72,31 @@
             "models": server.models(),
             "sequence": self._sequence,
         }
-        return msgspec.json.encode(told)
+        return msgspec.json.encode(fields)
 
-    async def _call_anyone(self, call: str, body: bytes) -> bool:
-        for address in [self._told] if self._told else []:
+    async def _call_any_control_plane(self, call: str, body: bytes) -> bool:
+        for address in [self._heartbeat_target] if self._heartbeat_target else []:
             if await self._call(address, call, body):
                 return True
-            self._told = ""
-        for _ in range(len(self._control)):
-            if await self._call(self._control[0], call, body):
+            self._heartbeat_target = ""
+        for _ in range(len(self._control_planes)):
+            if await self._call(self._control_planes[0], call, body):
                 return True
-            self._control.append(self._control.pop(0))
+            self._control_planes.append(self._control_planes.pop(0))
         return False
 
     async def _call(self, address: str, call: str, body: bytes) -> bool:
         url = f"http://{address}/instances/{self._server.instance}/{call}"
         headers = {"Content-Type": "application/json"}
         try:
-            async with self._session.post(url, data=body, headers=headers) as answer:
-                content = await answer.read()
-                if answer.status // 100 != 2:
+            async with self._session.post(url, data=body, headers=headers) as response:
+                content = await response.read()
+                if response.status // 100 != 2:
                     return False
         except (aiohttp.ClientError, OSError, TimeoutError):
             return False
         if call == "heartbeat":
-            self._told = _heartbeat_address(content)
+            self._heartbeat_target = _heartbeat_address(content)
         return True
 
 
@@ -106,51 +106,51 @@
 
 def _heartbeat_address(content: bytes) -> str:
     try:
-        told = msgspec.json.decode(content, type=_Acknowledgement).heartbeat_url
+        url = msgspec.json.decode(content, type=_Acknowledgement).heartbeat_url
     except msgspec.MsgspecError:
         return ""
-    return told.removeprefix("http://").partition("/")[0]
+    return url.removeprefix("http://").partition("/")[0]
 
 
 async def run(settings: UpstreamSettings) -> None:
-    """Serve until SIGTERM; then drain, deregister and end."""
+    """Serve until SIGTERM or SIGINT; then drain, deregister and stop."""
     loop = asyncio.get_running_loop()
-    asked_to_end = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked_to_end.set)
+    shutdown_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown_requested.set)
     rng = random.Random(secrets.randbits(64))
-    note = RecordWriter(Path(settings.records))
-    server = UpstreamServer(settings, note, rng)
+    write_record = RecordWriter(Path(settings.records))
+    server = UpstreamServer(settings, write_record, rng)
     await server.start()
-    note(Started(time.monotonic() * MS_PER_S, server.instance, settings.service))
+    write_record(Started(time.monotonic() * MS_PER_S, server.instance, settings.service))
     registration = Registration(settings, server, rng)
-    beating = loop.create_task(registration.run())
-    await asked_to_end.wait()
-    beating.cancel()
-    await asyncio.gather(beating, return_exceptions=True)
+    heartbeats = loop.create_task(registration.run())
+    await shutdown_requested.wait()
+    heartbeats.cancel()
+    await asyncio.gather(heartbeats, return_exceptions=True)
     await _drain(settings, server, registration)
     await registration.close()
     await server.stop()
-    note.close()
+    write_record.close()
 
 
 async def _drain(settings: UpstreamSettings, server: UpstreamServer, registration: Registration) -> None:
     loop = asyncio.get_running_loop()
-    give_up_s = loop.time() + UNACKNOWLEDGED_END_S
-    while not await registration.tell("draining"):
-        if loop.time() > give_up_s:
+    acknowledgement_deadline_s = loop.time() + UNACKNOWLEDGED_DRAIN_TIMEOUT_S
+    while not await registration.send_state("draining"):
+        if loop.time() > acknowledgement_deadline_s:
             return
-        await asyncio.sleep(LOOK_S)
-    server.is_leaving = True
+        await asyncio.sleep(POLL_INTERVAL_S)
+    server.is_draining = True
     await asyncio.sleep(settings.drain_ms / MS_PER_S)
-    until_s = loop.time() + LONGEST_AFTER_DRAIN_S
-    while server.requests_open and loop.time() < until_s:
-        await asyncio.sleep(LOOK_S)
+    deadline_s = loop.time() + OPEN_REQUESTS_TIMEOUT_S
+    while server.requests_open and loop.time() < deadline_s:
+        await asyncio.sleep(POLL_INTERVAL_S)
     await registration.deregister()
 
 
 def main() -> None:
-    """Run the upstream that the named settings file describes."""
+    """Run the upstream described by the settings file."""
     asyncio.run(run(read_upstream_settings(Path(sys.argv[1]))))
 
 
--- a/madderwind/testing/engine_emulator/upstream_settings.py
+++ b/madderwind/testing/engine_emulator/upstream_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of one stand-in upstream: JSON, written by who starts it."""
+"""The JSON settings file of an emulated upstream, written by the process that starts it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class PlainWork(msgspec.Struct, frozen=True):
-    """A service that is no model's. Work is log-normal with this mean and spread."""
+    """A service that is not a model server.
+
+    The work per request is log-normal with this mean; `spread` is the sigma of the logarithm.
+    """
 
     slots: int = 6
     queue: int = 12
@@ -20,9 +23,10 @@
 
 
 class Mishaps(msgspec.Struct, frozen=True):
-    """Shares of requests that this upstream spoils.
+    """Fractions of requests with an injected fault.
 
-    Streams broken off within an event, own 500s, and answers after which it closes the connection.
+    `break_off`: the stream is aborted inside an event; `error`: the upstream responds with 500; `close`: it
+    closes the connection after the response.
     """
 
     break_off: float = 0.0
@@ -31,9 +35,9 @@
 
 
 class UpstreamSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One stand-in upstream.
+    """Settings of one emulated upstream.
 
-    `listen` is where it listens, `address` what it registers: they differ where a relay stands before it.
+    It listens on `listen` and registers `address`, which differs where a relay forwards to it.
     Exactly one of `engine` and `plain` is set.
     """
 
@@ -58,12 +62,12 @@
 
     @property
     def slots(self) -> int:
-        """How many requests it works on at once."""
+        """Number of requests it processes concurrently."""
         if self.engine is not None:
             return self.engine.slots
         return self.plain.slots if self.plain is not None else 0
 
 
 def read_upstream_settings(path: Path) -> UpstreamSettings:
-    """The settings in a file; msgspec.ValidationError where it holds none."""
+    """Read a settings file; raises msgspec.ValidationError if its content is invalid."""
     return msgspec.json.decode(path.read_bytes(), type=UpstreamSettings)
--- a/madderwind/testing/engine_emulator/workload.py
+++ b/madderwind/testing/engine_emulator/workload.py
@@ -1,4 +1,4 @@
-"""The traffic of an experiment: kinds of generations whose prompts share parts, drawn from one seed."""
+"""Random traffic of an experiment: kinds of generations whose prompts share parts, from one seed."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @attrs.frozen
 class Tokens:
-    """A log-normal number of tokens with this mean and spread, at most `most`."""
+    """A log-normal distribution of token counts, capped at `most`; `spread` is the sigma of the logarithm."""
 
     mean: float
     spread: float = 0.0
     most: float = 1e9
 
     def draw(self, rng: random.Random) -> int:
-        """One number, at least 1."""
-        middle = math.log(self.mean) - self.spread * self.spread / 2.0
-        return max(1, int(min(rng.lognormvariate(middle, self.spread), self.most)))
+        """Draw a token count, at least 1."""
+        mu = math.log(self.mean) - self.spread * self.spread / 2.0
+        return max(1, int(min(rng.lognormvariate(mu, self.spread), self.most)))
 
 
 @attrs.frozen
 class SharedPart:
-    """One shared part of a kind's prompts: which of `count` is drawn with Zipf's `skew`."""
+    """A shared part of a kind's prompts: one of `count`, Zipf-distributed with exponent `skew`."""
 
     tokens: Tokens
     count: int
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Kind:
-    """A kind of generation. `worth` counts in time, `late_worth` after the objective."""
+    """A kind of generation. A response within its objectives earns `worth`, a late one `late_worth`."""
 
     name: str
     per_s: float
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class Burst:
-    """From `at_s`, for `for_s`: a kind has `factor` times its arrivals, `hot_share` about one subject."""
+    """From `at_s`, for `for_s`: `factor` times a kind's arrivals, `hot_share` of them on the same parts."""
 
     at_s: float
     for_s: float
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class Arrival:
-    """One request of a client. `size` is its worth in parts of the mean of its kind."""
+    """One client request. `size` scales its worth relative to the mean request of its kind."""
 
     at_ms: float
     kind: Kind
@@ -76,7 +76,7 @@
 
 
 class Workload:
-    """Draws the arrivals of one run."""
+    """Generates the arrivals of one run."""
 
     def __init__(
         self, service: str, kinds: list[Kind], bursts: list[Burst], for_s: float, rng: random.Random
@@ -86,23 +86,23 @@
         self._bursts = bursts
         self._for_ms = for_s * MS_PER_S
         self._rng = rng
-        self._subjects = {kind.name: [_subjects(kind, part, rng) for part in kind.chain] for kind in kinds}
-        self._drawn = 0
+        self._part_pools = {kind.name: [_part_pool(kind, part, rng) for part in kind.chain] for kind in kinds}
+        self._arrival_count = 0
 
     def arrivals(self) -> list[Arrival]:
-        """All arrivals in the order of time."""
-        found = [arrival for kind in self._kinds for arrival in self._of_kind(kind)]
-        return sorted(found, key=lambda arrival: arrival.at_ms)
+        """All arrivals, ordered by time."""
+        unordered = [arrival for kind in self._kinds for arrival in self._kind_arrivals(kind)]
+        return sorted(unordered, key=lambda arrival: arrival.at_ms)
 
-    def _of_kind(self, kind: Kind) -> Iterator[Arrival]:
-        most = max([1.0, *(burst.factor for burst in self._bursts if burst.kind == kind.name)])
+    def _kind_arrivals(self, kind: Kind) -> Iterator[Arrival]:
+        peak_factor = max([1.0, *(burst.factor for burst in self._bursts if burst.kind == kind.name)])
         at_ms = 0.0
         while True:
-            at_ms += self._rng.expovariate(kind.per_s * most) * MS_PER_S
+            at_ms += self._rng.expovariate(kind.per_s * peak_factor) * MS_PER_S
             if at_ms >= self._for_ms:
                 return
             burst = self._burst(kind, at_ms)
-            if self._rng.random() * most < (burst.factor if burst else 1.0):
+            if self._rng.random() * peak_factor < (burst.factor if burst else 1.0):
                 yield self._arrival(kind, at_ms, burst.hot_share if burst else 0.0)
 
     def _burst(self, kind: Kind, at_ms: float) -> Burst | None:
@@ -117,16 +117,14 @@
     def _arrival(self, kind: Kind, at_ms: float, hot_share: float) -> Arrival:
         rng = self._rng
         hot = rng.random() < hot_share
-        chain = tuple(
-            subjects.parts[0] if hot else subjects.draw(rng) for subjects in self._subjects[kind.name]
-        )
-        self._drawn += 1
-        own = PromptPart(f"own-{self._drawn}", kind.prompt.draw(rng))
-        prompt_tokens = sum(part.tokens for part in chain) + own.tokens
+        chain = tuple(pool.parts[0] if hot else pool.draw(rng) for pool in self._part_pools[kind.name])
+        self._arrival_count += 1
+        unique_part = PromptPart(f"own-{self._arrival_count}", kind.prompt.draw(rng))
+        prompt_tokens = sum(part.tokens for part in chain) + unique_part.tokens
         output = kind.output.draw(rng)
         generation = Generation(
             self._service,
-            (*chain, own),
+            (*chain, unique_part),
             prompt_tokens,
             output,
             kind.priority,
@@ -136,7 +134,7 @@
         return Arrival(at_ms, kind, generation, output, _size(kind, prompt_tokens, output))
 
 
-class _Subjects:
+class _PartPool:
     def __init__(self, parts: list[PromptPart], weights: list[float]) -> None:
         self.parts = parts
         self._cumulative: list[float] = []
@@ -149,21 +147,21 @@
         return rng.choices(self.parts, cum_weights=self._cumulative)[0]
 
 
-def _subjects(kind: Kind, part: SharedPart, rng: random.Random) -> _Subjects:
+def _part_pool(kind: Kind, part: SharedPart, rng: random.Random) -> _PartPool:
     position = kind.chain.index(part)
     parts = [
         PromptPart(f"{kind.name}-{position}-{number}", part.tokens.draw(rng)) for number in range(part.count)
     ]
-    return _Subjects(parts, [(number + 1.0) ** -part.skew for number in range(part.count)])
+    return _PartPool(parts, [(number + 1.0) ** -part.skew for number in range(part.count)])
 
 
-# An output token counts as this many prompt tokens of a generation's size.
-OUTPUT_TOKEN_SIZE = 10.0
-BASE_WORTH, MOST_WORTH = 0.3, 4.0
+# Weight of an output token in a generation's size, in prompt tokens.
+OUTPUT_TOKEN_WEIGHT = 10.0
+BASE_SIZE, MAX_SIZE = 0.3, 4.0
 
 
 def _size(kind: Kind, prompt_tokens: int, output: int) -> float:
     shared = sum(part.tokens.mean for part in kind.chain)
-    mean = shared + kind.prompt.mean + OUTPUT_TOKEN_SIZE * kind.output.mean
-    size = (prompt_tokens + OUTPUT_TOKEN_SIZE * output) / mean
-    return min(BASE_WORTH + (1.0 - BASE_WORTH) * size, MOST_WORTH)
+    mean = shared + kind.prompt.mean + OUTPUT_TOKEN_WEIGHT * kind.output.mean
+    size = (prompt_tokens + OUTPUT_TOKEN_WEIGHT * output) / mean
+    return min(BASE_SIZE + (1.0 - BASE_SIZE) * size, MAX_SIZE)
--- a/tests/testing/engine_emulator/test_compare.py
+++ b/tests/testing/engine_emulator/test_compare.py
@@ -1,4 +1,4 @@
-"""Policies are compared on the same seeds, and the row is that of the paired differences."""
+"""Comparison of policies on the same seeds, by the mean of their paired differences."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 }
 
 
-def test_a_policy_differs_from_itself_by_nothing_and_random_is_worse(
+def test_the_baseline_has_no_difference_and_random_is_worse(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "tiny.yaml"
--- a/tests/testing/engine_emulator/test_engine.py
+++ b/tests/testing/engine_emulator/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in model server: batches, prefill between tokens, kept parts, memory and preemption."""
+"""The emulated model server: batching, chunked prefill, prefix cache, memory and preemption."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
     return engine.advance(until_ms)
 
 
-def first_ms(engine: Engine, key: str) -> float:
+def first_event_ms(engine: Engine, key: str) -> float:
     return next(event.at_ms for event in run(engine) if event.key == key)
 
 
-class Streams(unittest.TestCase):
-    def test_an_event_holds_a_stride_of_tokens_and_the_last_ends_the_stream(self) -> None:
+class StreamTest(unittest.TestCase):
+    def test_an_event_carries_stride_tokens_and_the_last_one_ends_the_stream(self) -> None:
         engine = Engine(SMALL)
         engine.submit(0.0, request("k", ("a", 100), output=5))
         events = run(engine)
         self.assertEqual([(event.index, event.last) for event in events], [(0, False), (1, False), (2, True)])
         self.assertEqual((engine.running, engine.waiting), (0, 0))
 
-    def test_tokens_come_more_slowly_beside_others(self) -> None:
+    def test_tokens_are_generated_more_slowly_in_a_larger_batch(self) -> None:
         alone, shared = Engine(SMALL), Engine(SMALL)
         alone.submit(0.0, request("k", ("a", 10), output=200))
         for number in range(4):
             shared.submit(0.0, request(f"k{number}", (f"a{number}", 10), output=200))
         self.assertLess(run(alone)[-1].at_ms, run(shared)[-1].at_ms)
 
-    def test_a_long_prompt_holds_up_the_tokens_of_others(self) -> None:
+    def test_a_long_prefill_delays_the_tokens_of_other_requests(self) -> None:
         engine = Engine(SMALL)
         engine.submit(0.0, request("k", ("a", 10), output=100))
         engine.advance(100.0)
@@ -56,7 +56,7 @@
         gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
         self.assertGreater(max(gaps), 2 * min(gaps))
 
-    def test_a_cancelled_request_frees_its_place_and_memory(self) -> None:
+    def test_a_cancelled_request_frees_its_slot_and_memory(self) -> None:
         engine = Engine(SMALL)
         engine.submit(0.0, request("k", ("a", 1000), output=100))
         engine.advance(60.0)
@@ -65,50 +65,52 @@
         self.assertEqual((engine.running, engine.memory.held_tokens), (0, 0))
 
 
-class PrefixCacheView(unittest.TestCase):
-    def test_a_kept_chain_is_not_prefilled_again(self) -> None:
+class PrefixCacheTest(unittest.TestCase):
+    def test_a_cached_prefix_is_not_prefilled_again(self) -> None:
         engine = Engine(SMALL)
         engine.submit(0.0, request("one", ("s", 5000), ("x", 100)))
-        cold = first_ms(engine, "one")
+        uncached_ms = first_event_ms(engine, "one")
         engine.submit(10_000.0, request("two", ("s", 5000), ("y", 100)))
-        self.assertLess(first_ms(engine, "two") - 10_000.0, cold / 3)
-        self.assertEqual([read.part.id for read in engine.reads], ["s", "x", "y"])
+        self.assertLess(first_event_ms(engine, "two") - 10_000.0, uncached_ms / 3)
+        self.assertEqual([prefilled.part.id for prefilled in engine.prefilled_parts], ["s", "x", "y"])
 
-    def test_a_part_counts_only_behind_kept_ones(self) -> None:
+    def test_a_cached_part_is_used_only_if_all_parts_before_it_are_cached(self) -> None:
         engine = Engine(SMALL)
         engine.submit(0.0, request("one", ("s", 500), ("t", 5000), ("x", 10)))
         run(engine)
         engine.submit(10_000.0, request("two", ("other", 500), ("t", 5000), ("y", 10)))
         run(engine)
-        self.assertEqual([read.part.id for read in engine.reads], ["s", "t", "x", "other", "t", "y"])
+        self.assertEqual(
+            [prefilled.part.id for prefilled in engine.prefilled_parts], ["s", "t", "x", "other", "t", "y"]
+        )
 
-    def test_parts_unused_longest_give_way(self) -> None:
+    def test_the_least_recently_used_parts_are_evicted(self) -> None:
         engine = Engine(SMALL)
         for number, shared in enumerate(["a", "b", "c", "a", "d"]):
             engine.submit(number * 10_000.0, request(f"k{number}", (shared, 5000), (f"x{number}", 16)))
             run(engine)
-        reads = [read.part.id for read in engine.reads if read.shared]
-        self.assertEqual(reads, ["a", "b", "c", "d"])
+        prefilled_parts = [prefilled.part.id for prefilled in engine.prefilled_parts if prefilled.shared]
+        self.assertEqual(prefilled_parts, ["a", "b", "c", "d"])
         engine.submit(60_000.0, request("again", ("b", 5000), ("y", 16)))
         run(engine)
-        self.assertEqual(engine.reads[-2].part.id, "b")
+        self.assertEqual(engine.prefilled_parts[-2].part.id, "b")
 
 
-class Admissions(unittest.TestCase):
-    def test_a_full_queue_and_a_request_beyond_memory_are_refused(self) -> None:
+class AdmissionTest(unittest.TestCase):
+    def test_requests_beyond_the_queue_or_the_memory_are_rejected(self) -> None:
         engine = Engine(SMALL)
-        taken = [engine.submit(0.0, request(f"k{number}", (f"x{number}", 10))) for number in range(9)]
-        self.assertEqual(taken, [Admission.TAKEN] * 8 + [Admission.FULL])
+        results = [engine.submit(0.0, request(f"k{number}", (f"x{number}", 10))) for number in range(9)]
+        self.assertEqual(results, [Admission.ACCEPTED] * 8 + [Admission.FULL])
         self.assertIs(Engine(SMALL).submit(0.0, request("big", ("x", 16_000))), Admission.FULL)
 
-    def test_the_more_urgent_is_admitted_first(self) -> None:
+    def test_the_most_urgent_request_is_admitted_first(self) -> None:
         engine = Engine(msgspec.structs.replace(SMALL, slots=1))
         for key, priority in (("running", 5), ("later", 7), ("sooner", 2)):
             engine.submit(0.0, request(key, (key, 10), priority=priority))
         order = [event.key for event in run(engine) if event.last]
         self.assertEqual(order, ["sooner", "running", "later"])
 
-    def test_when_memory_runs_out_the_newest_of_the_least_urgent_is_preempted_and_read_anew(self) -> None:
+    def test_out_of_memory_preempts_and_later_restarts_the_newest_least_urgent_request(self) -> None:
         engine = Engine(msgspec.structs.replace(SMALL, kv_tokens=4_000))
         engine.submit(0.0, request("old", ("a", 1_800), output=400))
         engine.submit(0.0, request("new", ("b", 1_800), output=400))
@@ -119,7 +121,7 @@
         for key in ("old", "new"):
             self.assertEqual([event.index for event in events if event.key == key], list(range(200)))
 
-    def test_no_block_is_lost(self) -> None:
+    def test_all_blocks_are_available_after_all_requests_end(self) -> None:
         engine = Engine(msgspec.structs.replace(SMALL, kv_tokens=6_000))
         for number in range(40):
             parts = ((f"s{number % 3}", 700), (f"x{number}", 100 + 37 * number % 900))
--- a/tests/testing/engine_emulator/test_server.py
+++ b/tests/testing/engine_emulator/test_server.py
@@ -1,4 +1,4 @@
-"""The stand-in upstream over loopback: what PROTOCOL says of upstreams, answer by answer."""
+"""The emulated upstream over loopback, against the requirements of PROTOCOL for upstreams."""
 
 from __future__ import annotations
 
@@ -30,134 +30,134 @@
 PLAIN = PlainWork(slots=1, queue=1, work_ms=20.0, spread=0.1, body_bytes=100)
 
 
-class UpstreamStory(unittest.IsolatedAsyncioTestCase):
+class UpstreamTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
         self.records_path = Path(folder) / "records.jsonl"
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
 
     async def start(self, **changes: Any) -> UpstreamServer:
-        """An upstream with these settings, the engine's unless `plain` is given."""
+        """Start an upstream with these settings; it has an engine unless `plain` is given."""
         fields: dict[str, Any] = {"engine": None if "plain" in changes else ENGINE, **changes}
         settings = UpstreamSettings(
             "model", "z1", "127.0.0.1:0", "127.0.0.1:1", (), str(self.records_path), **fields
         )
-        note = RecordWriter(self.records_path)
-        self.addCleanup(note.close)
-        server = UpstreamServer(settings, note, random.Random(1))
+        write_record = RecordWriter(self.records_path)
+        self.addCleanup(write_record.close)
+        server = UpstreamServer(settings, write_record, random.Random(1))
         self.address = await server.start()
         self.addAsyncCleanup(server.stop)
         return server
 
     def post(self, request_id: str = "r-1", **headers: str) -> Any:
-        told = {
+        all_headers = {
             "X-Request-Id": request_id,
             "X-Token-Usage": "20,7",
             "X-Prompt-Prefix": "aa:10,bb:10",
             "X-Deadline-Ms": "5000",
         }
-        told |= {name.replace("_", "-"): value for name, value in headers.items()}
+        all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         return self.session.post(
-            f"http://{self.address}/x", headers={name: value for name, value in told.items() if value}
+            f"http://{self.address}/x", headers={name: value for name, value in all_headers.items() if value}
         )
 
-    async def ask(self, request_id: str = "r-1", **headers: str) -> tuple[int, bytes]:
-        async with self.post(request_id, **headers) as answer:
-            return answer.status, await answer.read()
+    async def request(self, request_id: str = "r-1", **headers: str) -> tuple[int, bytes]:
+        async with self.post(request_id, **headers) as response:
+            return response.status, await response.read()
 
     def records(self, kind: type[Any]) -> list[Any]:
-        found: list[AnyRecord] = list(read_records(self.records_path))
-        return [record for record in found if isinstance(record, kind)]
+        all_records: list[AnyRecord] = list(read_records(self.records_path))
+        return [record for record in all_records if isinstance(record, kind)]
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(DEADLINE_S):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0)
 
 
-class AModelServer(UpstreamStory):
-    async def test_streams_events_with_rising_ids(self) -> None:
+class ModelServerTest(UpstreamTest):
+    async def test_streams_events_with_increasing_ids(self) -> None:
         server = await self.start()
-        async with self.post(X_Expect_Instance=server.instance, X_Tenant_Id="acme") as answer:
-            self.assertEqual(answer.status, 200)
-            self.assertEqual(answer.content_type, "text/event-stream")
-            self.assertEqual(answer.headers["X-Request-Id"], "r-1")
-            self.assertTrue(answer.headers["X-Upstream-Signature"])
-            body = await answer.read()
+        async with self.post(X_Expect_Instance=server.instance, X_Tenant_Id="acme") as response:
+            self.assertEqual(response.status, 200)
+            self.assertEqual(response.content_type, "text/event-stream")
+            self.assertEqual(response.headers["X-Request-Id"], "r-1")
+            self.assertTrue(response.headers["X-Upstream-Signature"])
+            body = await response.read()
         self.assertEqual(body, b"".join(b"id: %d\ndata: bb %d/4\n\n" % (n, n) for n in (1, 2, 3, 4)))
         (ran,) = self.records(Ran)
         self.assertEqual((ran.request, ran.tenant, ran.instance), ("r-1", "acme", server.instance))
-        await self.until(lambda: bool(self.records(Ended)))
+        await self.wait_until(lambda: bool(self.records(Ended)))
         self.assertEqual([(ended.events, ended.how) for ended in self.records(Ended)], [(4, "whole")])
 
-    async def test_goes_on_after_the_last_event_id(self) -> None:
+    async def test_resumes_after_the_last_event_id(self) -> None:
         await self.start()
-        _, body = await self.ask(Last_Event_Id="2")
+        _, body = await self.request(Last_Event_Id="2")
         self.assertEqual(body, b"id: 3\ndata: bb 3/4\n\nid: 4\ndata: bb 4/4\n\n")
         self.assertEqual(self.records(Ran)[0].resumed_after, 2)
 
-    async def test_does_not_run_what_is_meant_for_another(self) -> None:
+    async def test_rejects_a_request_for_another_instance_or_version(self) -> None:
         server = await self.start()
-        async with self.post(X_Expect_Instance="i-other") as answer:
-            self.assertEqual(answer.status, 421)
-            self.assertEqual(answer.headers["X-Upstream-Instance"], server.instance)
-        async with self.post(Expect_Version="2") as answer:
-            self.assertEqual(answer.status, 421)
+        async with self.post(X_Expect_Instance="i-other") as response:
+            self.assertEqual(response.status, 421)
+            self.assertEqual(response.headers["X-Upstream-Instance"], server.instance)
+        async with self.post(Expect_Version="2") as response:
+            self.assertEqual(response.status, 421)
         self.assertEqual(self.records(Ran), [])
 
-    async def test_refuses_a_request_without_an_id(self) -> None:
+    async def test_rejects_a_request_without_an_id(self) -> None:
         await self.start()
-        async with self.post("") as answer:
-            self.assertEqual((answer.status, answer.headers["X-Not-Executed"]), (400, "1"))
+        async with self.post("") as response:
+            self.assertEqual((response.status, response.headers["X-Not-Executed"]), (400, "1"))
 
-    async def test_refuses_what_is_larger_than_its_memory(self) -> None:
+    async def test_rejects_a_request_that_exceeds_its_memory(self) -> None:
         await self.start()
-        async with self.post(X_Prompt_Prefix="aa:99999", X_Token_Usage="99999,7") as answer:
-            self.assertEqual((answer.status, answer.headers["X-Not-Executed"]), (503, "1"))
+        async with self.post(X_Prompt_Prefix="aa:99999", X_Token_Usage="99999,7") as response:
+            self.assertEqual((response.status, response.headers["X-Not-Executed"]), (503, "1"))
 
-    async def test_refuses_what_did_not_begin_before_its_deadline(self) -> None:
+    async def test_rejects_a_request_that_cannot_start_before_its_deadline(self) -> None:
         await self.start(engine=msgspec.structs.replace(ENGINE, first_ms=60_000.0))
-        async with self.post(X_Deadline_Ms="20") as answer:
-            self.assertEqual((answer.status, answer.headers["X-Not-Executed"]), (503, "1"))
+        async with self.post(X_Deadline_Ms="20") as response:
+            self.assertEqual((response.status, response.headers["X-Not-Executed"]), (503, "1"))
         self.assertEqual(self.records(Ran), [])
 
-    async def test_drops_a_request_whose_caller_left(self) -> None:
+    async def test_cancels_a_request_whose_client_disconnected(self) -> None:
         server = await self.start(engine=msgspec.structs.replace(ENGINE, step_ms=20.0))
-        async with self.post(X_Token_Usage="20,4000") as answer:
-            await answer.content.readany()
-            answer.close()
-        await self.until(lambda: server.requests_open == 0)
+        async with self.post(X_Token_Usage="20,4000") as response:
+            await response.content.readany()
+            response.close()
+        await self.wait_until(lambda: server.requests_open == 0)
         self.assertEqual([ended.how for ended in self.records(Ended)], ["client left"])
 
-    async def test_may_break_a_stream_off_within_an_event(self) -> None:
+    async def test_an_injected_fault_aborts_a_stream_inside_an_event(self) -> None:
         await self.start(mishaps=Mishaps(break_off=1.0))
-        async with self.post() as answer:
+        async with self.post() as response:
             with self.assertRaises(aiohttp.ClientError):
-                await answer.read()
+                await response.read()
 
-    async def test_reports_its_state_without_a_slot(self) -> None:
+    async def test_reports_its_state_without_using_a_slot(self) -> None:
         await self.start()
-        async with self.session.get(f"http://{self.address}/report") as answer:
-            told = await answer.json()
-        self.assertEqual((told["running"], told["waiting"], told["kv_total"]), (0, 0, 16_000))
-        self.assertEqual(told["models"], [{"name": "m", "version": 1, "adapters": []}])
+        async with self.session.get(f"http://{self.address}/report") as response:
+            fields = await response.json()
+        self.assertEqual((fields["running"], fields["waiting"], fields["kv_total"]), (0, 0, 16_000))
+        self.assertEqual(fields["models"], [{"name": "m", "version": 1, "adapters": []}])
 
 
-class AnyUpstream(UpstreamStory):
-    async def test_queues_a_few_and_refuses_the_rest(self) -> None:
+class UpstreamServerTest(UpstreamTest):
+    async def test_rejects_requests_beyond_its_slots_and_queue(self) -> None:
         await self.start(plain=PLAIN)
-        answers = await asyncio.gather(*(self.ask(f"r-{number}") for number in range(3)))
-        self.assertEqual(sorted(status for status, _ in answers), [200, 200, 503])
-        self.assertEqual([len(body) for status, body in answers if status == 200], [100, 100])
-        self.assertEqual([turned.status for turned in self.records(TurnedAway)], [503])
+        responses = await asyncio.gather(*(self.request(f"r-{number}") for number in range(3)))
+        self.assertEqual(sorted(status for status, _ in responses), [200, 200, 503])
+        self.assertEqual([len(body) for status, body in responses if status == 200], [100, 100])
+        self.assertEqual([rejected.status for rejected in self.records(TurnedAway)], [503])
 
-    async def test_is_healthy_until_it_leaves(self) -> None:
+    async def test_is_healthy_until_it_drains(self) -> None:
         server = await self.start()
-        for leaving, status in ((False, 200), (True, 503)):
-            server.is_leaving = leaving
-            async with self.session.get(f"http://{self.address}/health") as answer:
-                self.assertEqual(answer.status, status)
-                self.assertEqual(answer.headers["X-Upstream-Instance"], server.instance)
+        for draining, status in ((False, 200), (True, 503)):
+            server.is_draining = draining
+            async with self.session.get(f"http://{self.address}/health") as response:
+                self.assertEqual(response.status, status)
+                self.assertEqual(response.headers["X-Upstream-Instance"], server.instance)
 
     async def test_resets_connections_beyond_its_limit(self) -> None:
         await self.start(max_connections=1)
