--- a/madderwind/testing/bench_adapter/__init__.py
+++ b/madderwind/testing/bench_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter between the simulator's wire and the decision module. It translates and decides nothing."""
+"""Adapter that translates between the simulator's wire protocol and the decision module."""
--- a/madderwind/testing/bench_adapter/__main__.py
+++ b/madderwind/testing/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m madderwind.testing.bench_adapter`: serve the simulator's wire on standard input and output."""
+"""`python -m madderwind.testing.bench_adapter`: serve the simulator's protocol on stdin and stdout."""
 
 import sys
 
--- a/madderwind/testing/bench_adapter/host.py
+++ b/madderwind/testing/bench_adapter/host.py
@@ -1,4 +1,4 @@
-"""The loop over standard input and output, and the instances it hosts."""
+"""Serves batches from standard input on standard output, for the balancer instances it hosts."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Host:
-    """Keeps one balancer an instance; they share nothing."""
+    """Hosts one balancer per instance; the balancers share no state."""
 
     def __init__(self) -> None:
         self._reader = BatchReader()
         self._balancers: dict[int, Balancer] = {}
 
     def answer(self, number: int, count: int, clock_ms: float, body: bytes) -> bytes:
-        """The reply to one batch."""
+        """Process one batch and return the reply frame."""
         reply = ReplyWriter()
         killed: set[int] = set()
         for instance, item in self._reader.items(number, count, body):
@@ -38,7 +38,7 @@
                 try:
                     for action in self._balancers[instance].handle(clock_ms, item):
                         reply.add(instance, action)
-                except Exception as error:  # the simulator wants the module's failure on its wire
+                except Exception as error:  # the simulator expects the module's failures in the reply
                     reply.panic(instance, f"{type(error).__name__}: {error}")
             elif instance not in killed:
                 raise WireError(
@@ -47,14 +47,14 @@
         return reply.frame(number)
 
 
-def main(source: BinaryIO, sink: BinaryIO, complaints: TextIO) -> int:
-    """Serve until the input ends; 0 then, 1 after a plain line on what was wrong."""
+def main(source: BinaryIO, sink: BinaryIO, errors: TextIO) -> int:
+    """Serve until the input ends and return 0; on an invalid input, print one line and return 1."""
     host = Host()
     try:
         while (batch := read_batch(source)) is not None:
             sink.write(host.answer(*batch))
             sink.flush()
     except (WireError, SettingsError) as error:
-        print(f"madderwind.testing.bench_adapter: {error}", file=complaints)
+        print(f"madderwind.testing.bench_adapter: {error}", file=errors)
         return 1
     return 0
--- a/tests/testing/bench_adapter/test_host.py
+++ b/tests/testing/bench_adapter/test_host.py
@@ -1,4 +1,4 @@
-"""Settings and the loop: what comes in at START, what ends the adapter and how."""
+"""The adapter's settings at START, its batch loop, and its exit on invalid input."""
 
 from __future__ import annotations
 
@@ -65,17 +65,19 @@
     return struct.pack("<BQI", 8, seed, len(setup)) + setup.encode()
 
 
-LISTED = struct.pack("<BIIIHBHBfd", 7, 0, 1, 41, 0, 0, 0, 1, 1.0, 0.0) + struct.pack("<BBQI", 2, 2, 1, 0)
-ARRIVES = struct.pack("<BIBIQddB", 1, 5, 0, 0, 0, 4000.0, 0.0, 0)
+FLEET_LISTED = struct.pack("<BIIIHBHBfd", 7, 0, 1, 41, 0, 0, 0, 1, 1.0, 0.0) + struct.pack(
+    "<BBQI", 2, 2, 1, 0
+)
+REQUEST_ARRIVED = struct.pack("<BIBIQddB", 1, 5, 0, 0, 0, 4000.0, 0.0, 0)
 
 
 def run(data: bytes) -> tuple[int, bytes, str]:
-    sink, complaints = io.BytesIO(), io.StringIO()
-    code = main(io.BytesIO(data), sink, complaints)
-    return code, sink.getvalue(), complaints.getvalue()
+    sink, errors = io.BytesIO(), io.StringIO()
+    code = main(io.BytesIO(data), sink, errors)
+    return code, sink.getvalue(), errors.getvalue()
 
 
-def test_settings_are_read_by_path_and_unknown_keys_are_passed_over() -> None:
+def test_settings_are_read_by_path_and_unknown_keys_are_ignored() -> None:
     settings = read_settings(SETUP.encode())
     assert settings.classes[0].effect is Effect.KEYED and settings.classes[0].group is Group.ZONE
     assert settings.classes[0].window_ms == 10000.0 and settings.classes[0].aim_ms == 2500.0
@@ -88,7 +90,7 @@
 @pytest.mark.parametrize(
     "key", ["NInstances", "Discovery", "Profiles.0.Effect", "Profiles.0.WindowMs", "Ceilings.MaxAttempts"]
 )
-def test_a_needed_key_that_is_missing_or_unreadable_is_named(key: str) -> None:
+def test_the_error_names_a_required_key_that_is_missing_or_invalid(key: str) -> None:
     lines = SETUP.splitlines()
     without = [line for line in lines if not line.startswith(f"{key}=")]
     with pytest.raises(SettingsError, match=f"lack {key}"):
@@ -97,7 +99,7 @@
         read_settings("\n".join([*without, f"{key}=many"]).encode())
 
 
-def test_lines_that_are_no_settings_are_named() -> None:
+def test_invalid_settings_are_rejected() -> None:
     with pytest.raises(SettingsError, match="line 2 has no '='"):
         read_settings(b"Tier=1\nhello\n")
     with pytest.raises(SettingsError, match="not UTF-8"):
@@ -106,46 +108,50 @@
         read_settings(SETUP.replace("=23000.0", "=nan").encode())
 
 
-def test_requests_flow() -> None:
-    code, out, said = run(batch(1) + batch(2, target(3), start(), LISTED[:35], LISTED[35:], ARRIVES))
-    assert (code, said) == (0, "")
+def test_a_request_is_sent_to_a_listed_upstream() -> None:
+    code, out, stderr = run(
+        batch(1) + batch(2, target(3), start(), FLEET_LISTED[:35], FLEET_LISTED[35:], REQUEST_ARRIVED)
+    )
+    assert (code, stderr) == (0, "")
     assert out[:12] == struct.pack("<III", 1, 0, 0)
     assert struct.pack("<BIId", 5, 5, 41, 0.0) in out
 
 
-def test_a_kill_and_a_start_in_one_batch_give_a_new_copy() -> None:
+def test_a_kill_and_a_start_in_one_batch_create_a_new_balancer() -> None:
     host = Host()
     first = target(3) + start()
     host.answer(1, 2, 1000.0, first)
     before = host._balancers[3]
-    again = target(3) + b"\x05" + start(seed=8)
-    host.answer(2, 3, 1005.0, again)
+    restart = target(3) + b"\x05" + start(seed=8)
+    host.answer(2, 3, 1005.0, restart)
     assert host._balancers[3] is not before
 
 
-def test_a_killed_instance_hears_nothing_and_says_nothing() -> None:
-    data = batch(1, target(3), start(), LISTED[:35], LISTED[35:], b"\x05", b"\x06\x4d\x00\x00\x00")
-    code, _, said = run(data)
-    assert (code, said) == (0, "")
+def test_events_for_a_killed_instance_are_ignored() -> None:
+    data = batch(
+        1, target(3), start(), FLEET_LISTED[:35], FLEET_LISTED[35:], b"\x05", b"\x06\x4d\x00\x00\x00"
+    )
+    code, _, stderr = run(data)
+    assert (code, stderr) == (0, "")
 
 
-def test_an_instance_never_started_ends_the_adapter_with_one_line() -> None:
-    code, _, said = run(batch(9, target(3), b"\x0b\x01\x00\x00\x00"))
+def test_an_event_for_an_unknown_instance_exits_with_one_error_line() -> None:
+    code, _, stderr = run(batch(9, target(3), b"\x0b\x01\x00\x00\x00"))
     assert code == 1
-    assert said.count("\n") == 1 and "batch 9" in said and "instance 3, which never started" in said
+    assert stderr.count("\n") == 1 and "batch 9" in stderr and "instance 3, which never started" in stderr
 
 
-def test_a_failure_of_the_module_is_told_on_the_wire(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(self: Balancer, now: float, event: object) -> list[object]:
+def test_an_exception_of_the_balancer_is_reported_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_handle(self: Balancer, now: float, event: object) -> list[object]:
         raise RuntimeError("no idea")
 
-    monkeypatch.setattr(Balancer, "handle", broken)
-    _, out, _ = run(batch(1, target(3), start(), ARRIVES))
+    monkeypatch.setattr(Balancer, "handle", failing_handle)
+    _, out, _ = run(batch(1, target(3), start(), REQUEST_ARRIVED))
     assert b"\x04\x15\x00RuntimeError: no idea" in out
 
 
 @pytest.mark.parametrize(
-    ("data", "code", "says"),
+    ("data", "code", "message"),
     [
         (b"", 0, ""),
         (batch(1), 0, ""),
@@ -154,10 +160,12 @@
         (batch(4, target(1), start("Tier=1\n")), 1, "START settings lack"),
     ],
 )
-def test_the_program_ends_with_a_plain_line_and_never_a_traceback(data: bytes, code: int, says: str) -> None:
-    done = subprocess.run(
+def test_invalid_input_exits_with_one_error_line_and_no_traceback(
+    data: bytes, code: int, message: str
+) -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "madderwind.testing.bench_adapter"], input=data, capture_output=True
     )
-    assert done.returncode == code
-    assert says in done.stderr.decode() and "Traceback" not in done.stderr.decode()
-    assert done.stderr.count(b"\n") == (1 if code else 0)
+    assert process.returncode == code
+    assert message in process.stderr.decode() and "Traceback" not in process.stderr.decode()
+    assert process.stderr.count(b"\n") == (1 if code else 0)
--- a/tests/testing/bench_adapter/test_wire.py
+++ b/tests/testing/bench_adapter/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the wire page's own byte examples, round trips and malformed frames."""
+"""The codec against the byte examples of the protocol description, and with malformed frames."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 )
 
 
-def raw(text: str) -> bytes:
+def from_hex(text: str) -> bytes:
     return bytes.fromhex(text.replace("\n", ""))
 
 
-def one(text: str) -> object:
-    """The single event among these records."""
-    body = raw("04 03000000" + text)
+def decode_single_event(text: str) -> object:
+    """Decode records that contain a single event."""
+    body = from_hex("04 03000000" + text)
     items = list(BatchReader().items(1, 2, body))
     assert len(items) == 1 and items[0][0] == 3
     return items[0][1]
@@ -39,12 +39,12 @@
 
 
 def test_an_empty_batch_and_its_reply() -> None:
-    assert read_batch(io.BytesIO(raw(EMPTY))) == (1, 0, 8412.25, b"")
-    assert ReplyWriter().frame(1) == raw("01000000 00000000 00000000")
+    assert read_batch(io.BytesIO(from_hex(EMPTY))) == (1, 0, 8412.25, b"")
+    assert ReplyWriter().frame(1) == from_hex("01000000 00000000 00000000")
 
 
 def test_a_batch_for_two_instances() -> None:
-    batch = read_batch(io.BytesIO(raw(TWO_INSTANCES)))
+    batch = read_batch(io.BytesIO(from_hex(TWO_INSTANCES)))
     assert batch is not None
     number, count, clock_ms, body = batch
     assert (number, clock_ms) == (12, 8412.25)
@@ -61,7 +61,7 @@
     reply.add(3, api.Send(0x5D3A91C4, 0x03124A07, 8492.25 - 0.0 + 0.0))
     reply.add(3, api.SetTimer(500.0, 77))
     reply.add(5, api.Log("two servers known"))
-    assert reply.frame(12) == raw(
+    assert reply.frame(12) == from_hex(
         """0c000000 05000000 3c000000 0d 03000000
         05 c4913a5d 074a1203 000000002096c040 0b 0000000000407f40 4d000000
         0d 05000000 06 1100 74776f2073657276657273206b6e6f776e""".replace(" ", "")
@@ -89,16 +89,16 @@
     ],
 )
 def test_events(text: str, event: object) -> None:
-    assert one(text) == event
+    assert decode_single_event(text) == event
 
 
-def test_a_list_of_upstreams_and_its_reuse_within_a_batch() -> None:
+def test_a_list_of_upstreams_can_be_replaced_within_a_batch() -> None:
     listed = """07 00000000 02000000
         074a1203 0000 00 0000 01 0000803f 0000000000000000
         f211902c 0000 00 0000 01 0000c03f 0000000000d4b740"""
     topology = "02 02 2900000000000000 00000000"
-    again = "07 00000000 01000000 074a1203 0100 02 0300 02 0000803f 0000000000000000"
-    body = raw("04 03000000" + listed + topology + again + topology)
+    changed_list = "07 00000000 01000000 074a1203 0100 02 0300 02 0000803f 0000000000000000"
+    body = from_hex("04 03000000" + listed + topology + changed_list + topology)
     (_, first), (_, second) = BatchReader().items(1, 5, body)
     assert first == api.FleetListed(
         ListKind.CACHED,
@@ -112,11 +112,11 @@
     assert second.entries == (api.UpstreamEntry(0x03124A07, 1, 2, 3, UpstreamState.DRAINING, 1.0, 0.0),)
 
 
-def test_a_list_outlives_its_batch() -> None:
+def test_a_list_is_available_in_later_batches() -> None:
     reader = BatchReader()
-    listed = raw("07 04000000 01000000 074a1203 0000 00 0000 01 0000803f 0000000000000000")
+    listed = from_hex("07 04000000 01000000 074a1203 0000 00 0000 01 0000803f 0000000000000000")
     assert list(reader.items(1, 1, listed)) == []
-    ((_, event),) = reader.items(2, 2, raw("04 03000000 02 00 0100000000000000 04000000"))
+    ((_, event),) = reader.items(2, 2, from_hex("04 03000000 02 00 0100000000000000 04000000"))
     assert isinstance(event, api.FleetListed) and event.kind is ListKind.CHANGES and len(event.entries) == 1
 
 
@@ -136,17 +136,17 @@
     ],
 )
 def test_actions(action: api.Action, text: str) -> None:
-    assert encode(action) == raw(text)
+    assert encode(action) == from_hex(text)
 
 
-def test_a_panic_carries_its_text() -> None:
+def test_a_panic_contains_its_message() -> None:
     reply = ReplyWriter()
     reply.panic(3, "index out of range")
-    assert reply.frame(1)[17:] == raw("04 1200 696e646578206f7574206f662072616e6765")
+    assert reply.frame(1)[17:] == from_hex("04 1200 696e646578206f7574206f662072616e6765")
 
 
 @pytest.mark.parametrize(
-    ("records", "count", "says"),
+    ("records", "count", "message"),
     [
         ("04 03000000 63", 2, "code 99.*unknown event code"),
         ("04 03000000 06 4d00", 2, "cut short"),
@@ -161,19 +161,19 @@
         ("07 00000000 02000000 074a1203 0000 00 0000 01 0000803f 0000000000000000", 1, "cut short"),
     ],
 )
-def test_malformed_records_are_named(records: str, count: int, says: str) -> None:
-    with pytest.raises(WireError, match=says):
-        list(BatchReader().items(8, count, raw(records)))
+def test_malformed_records_are_rejected_with_their_fault(records: str, count: int, message: str) -> None:
+    with pytest.raises(WireError, match=message):
+        list(BatchReader().items(8, count, from_hex(records)))
 
 
 @pytest.mark.parametrize(
-    ("frame", "says"),
+    ("frame", "message"),
     [
-        (raw(EMPTY)[:9], "inside a batch header"),
-        (raw(TWO_INSTANCES)[:-1], "input ended after"),
+        (from_hex(EMPTY)[:9], "inside a batch header"),
+        (from_hex(TWO_INSTANCES)[:-1], "input ended after"),
         (struct.pack("<IIId", 3, 0, 4, 0.0), "no room for the clock"),
     ],
 )
-def test_a_truncated_frame_is_named(frame: bytes, says: str) -> None:
-    with pytest.raises(WireError, match=says):
+def test_an_incomplete_frame_is_rejected_with_its_fault(frame: bytes, message: str) -> None:
+    with pytest.raises(WireError, match=message):
         read_batch(io.BytesIO(frame))
