--- a/madderwind/standalone/gossip/__init__.py
+++ b/madderwind/standalone/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What copies know of one another: who is alive, and news that is passed on. Free of input and output."""
+"""Gossip between balancer copies: failure detection and dissemination of updates. Performs no I/O."""
--- a/madderwind/standalone/gossip/membership.py
+++ b/madderwind/standalone/gossip/membership.py
@@ -1,7 +1,8 @@
-"""One copy among the others: probes, news and bounds tied together. Time is the call's, chance the seed's.
+"""The gossip protocol of one copy: probes, dissemination of updates and rate limits.
 
-`receive`, `tick` and the `tell` calls return what is to be done, in order: datagrams to send, what was heard,
-and who is held to be otherwise. `due_ms` is when the next `tick` is wanted.
+The caller passes in the current time, and random numbers derive from the seed. `receive`, `tick` and the
+`tell` methods return the actions to carry out, in order: datagrams to send, payloads that were received, and
+changes of members. `due_ms` is the time of the next `tick`.
 """
 
 from __future__ import annotations
@@ -15,38 +16,48 @@
 
 from madderwind.standalone.gossip import wire
 from madderwind.standalone.gossip.members import (
-    ANSWER_MS,
-    HELPERS,
-    LATE_MS,
-    PERIOD_MS,
+    INDIRECT_PROBES,
+    LATE_TICK_MS,
+    PROBE_PERIOD_MS,
+    PROBE_TIMEOUT_MS,
     Changed,
     Members,
     Probe,
     State,
 )
 from madderwind.standalone.gossip.news import News
-from madderwind.standalone.gossip.wire import NOBODY, ROOM, BadMessage, Datagram, Item, Kind, Purpose, Seen
+from madderwind.standalone.gossip.wire import (
+    ITEM_SPACE,
+    NO_MEMBER,
+    BadMessage,
+    Datagram,
+    Item,
+    Kind,
+    Purpose,
+    SequenceWindow,
+)
 
-DATAGRAMS_PER_S = 25.0  # of a copy, to all others together
-ROUND_MS = 200.0  # news that is not urgent goes out so often
+DATAGRAMS_PER_S = 25.0  # from one copy to all others together
+GOSSIP_ROUND_MS = 200.0  # between sends of updates that are not urgent
 FANOUT, URGENT_FANOUT = 2, 3
-HURRY_MS = 60.0  # urgent news that comes sooner after other goes with the next: else a few use up the bound
-STATE_SENDS = 3  # of a state by each copy that has it: it comes again, newer
-URGENT_SENDS = 4  # of urgent news, and the fleet's logarithm on top
-SYNC_FROM, SYNC_DATAGRAMS, SYNC_LEAST, SYNC_TRIES = 2, 6, 2, 5
-MOST_EVENTS = 256
-MOST_SHARED, KEY_BYTES = 128, 8  # registers that the copies share; the payload's first bytes say which
-LOUDEST = 2.0  # what a sender may say to one copy, over what a copy may say to all in a second
-PROBING = 0.55  # of a copy's datagrams
-# A state is told again no sooner than this times the copies: what each has to hear grows with them, and what
-# each may say does not.
-STATE_EACH_MS = 40.0
-KINDS = {State.ALIVE: Kind.ALIVE, State.SUSPECT: Kind.SUSPECT, State.DEAD: Kind.DEAD}
-STATES = {kind: state for state, kind in KINDS.items()}
+# Urgent updates that follow sooner wait for the next send; otherwise a few would use up the rate limit.
+URGENT_INTERVAL_MS = 60.0
+STATE_SENDS = 3  # of a state by each copy that has it; a newer state replaces it soon
+URGENT_SENDS = 4  # of an urgent update, plus the logarithm of the number of copies
+SYNC_PEERS, SYNC_DATAGRAMS, MIN_SYNCS, MAX_SYNCS = 2, 6, 2, 5
+MAX_EVENTS = 256
+MAX_SHARED_KEYS, KEY_BYTES = 128, 8  # of shared registers; the first payload bytes are the key
+PEER_RATE_FACTOR = 2.0  # rate accepted from one sender, relative to what a copy may send to all others
+PROBE_SHARE = 0.55  # of the datagram rate of a copy
+# The shortest interval between sends of a state, per copy of the fleet: the number of states to receive
+# grows with the fleet, while the datagram rate of each copy does not.
+STATE_INTERVAL_PER_COPY_MS = 40.0
+KIND_OF_STATE = {State.ALIVE: Kind.ALIVE, State.SUSPECT: Kind.SUSPECT, State.DEAD: Kind.DEAD}
+STATE_OF_KIND = {kind: state for state, kind in KIND_OF_STATE.items()}
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`fleet` of a configuration. `name` tells one fleet's messages from another's at the same addresses."""
+    """`fleet` of a configuration. `name` separates the messages of fleets that share addresses."""
 
     name: str = ""
     datagrams_per_s: Annotated[float, msgspec.Meta(ge=5, le=500)] = DATAGRAMS_PER_S
@@ -58,8 +69,10 @@
 
 
 class Heard(msgspec.Struct, frozen=True):
-    """A copy's state, event or view, or what is shared, told by itself or passed on. `order` is for what is
-    shared."""
+    """A state, event, view or shared register, received from its origin or through another copy.
+
+    `order` is set for shared registers.
+    """
 
     origin: int
     payload: bytes
@@ -70,25 +83,28 @@
 Action = Send | Heard | Changed
 
 
-class Bucket:
-    """So many a second, and as many at once."""
+class TokenBucket:
+    """A token bucket with a capacity of one second of its rate."""
 
-    __slots__ = ("_at_ms", "_left", "per_s")
+    __slots__ = ("_at_ms", "_tokens", "per_s")
 
     def __init__(self, per_s: float) -> None:
-        self.per_s, self._left, self._at_ms = per_s, per_s, -math.inf
+        self.per_s, self._tokens, self._at_ms = per_s, per_s, -math.inf
 
     def take(self, now: float) -> bool:
-        self._left = min(self.per_s, self._left + max(0.0, now - self._at_ms) * self.per_s / 1000)
+        self._tokens = min(self.per_s, self._tokens + max(0.0, now - self._at_ms) * self.per_s / 1000)
         self._at_ms = max(now, self._at_ms)
-        enough = self._left >= 1
-        self._left -= enough
-        return enough
+        available = self._tokens >= 1
+        self._tokens -= available
+        return available
 
 
 class Membership:
-    """`life`: this process's incarnation at its start, above that of the process before it as far as a clock
-    can tell; where it is not, it learns so from the others and goes above."""
+    """The protocol state of one copy.
+
+    `life` is the incarnation of this process at its start. The clock makes it higher than that of the
+    previous process in most cases; otherwise this copy learns the higher one from the others and exceeds it.
+    """
 
     def __init__(
         self,
@@ -99,312 +115,326 @@
         fleet: str = "",
         datagrams_per_s: float = DATAGRAMS_PER_S,
     ) -> None:
-        if not 0 <= me < copies <= wire.MOST_COPIES:
-            raise ValueError(f"copy {me} of {copies}")
+        if not 0 <= me < copies <= wire.MAX_COPIES:
+            raise ValueError(f"copy number {me} is out of range for {copies} copies")
         self.me, self.life, self._copies = me, max(1, life), copies
-        self._chance = random.Random(seed)
-        self._fleet = wire.seed_of(fleet)
-        self.members = Members(me, copies, self._chance)
-        self.news = News(4 * copies + MOST_EVENTS + MOST_SHARED)
+        self._random = random.Random(seed)
+        self._checksum_seed = wire.seed_of(fleet)
+        self.members = Members(me, copies, self._random)
+        self.news = News(4 * copies + MAX_EVENTS + MAX_SHARED_KEYS)
         self.counts: Counter[str] = Counter()
-        self.states: dict[int, Item] = {}  # the newest of each copy, this one's own among them
+        self.states: dict[int, Item] = {}  # the newest of each copy, including this one
         self.shared: dict[bytes, Item] = {}  # the newest of each key
-        self._views: dict[int, tuple[int, int]] = {}
-        # Probes and their answers have a part of their own, so that no flood of news makes the living silent.
-        self._probing = Bucket(datagrams_per_s * PROBING)
-        self._telling = Bucket(datagrams_per_s * (1 - PROBING))
-        self._loudest_per_s = LOUDEST * datagrams_per_s
-        self._state_least_ms = copies * STATE_EACH_MS
-        self._state_put_ms = -math.inf
-        self._in: dict[int, Bucket] = {}
-        self._numbers: dict[int, tuple[int, Seen]] = {}  # datagrams of each speaker, in its life
-        self._events: dict[int, tuple[int, Seen]] = {}
+        self._received_views: dict[int, tuple[int, int]] = {}
+        # Probes and their answers have a rate limit of their own, so that a flood of updates cannot make
+        # living copies look dead.
+        self._probe_bucket = TokenBucket(datagrams_per_s * PROBE_SHARE)
+        self._gossip_bucket = TokenBucket(datagrams_per_s * (1 - PROBE_SHARE))
+        self._peer_limit_per_s = PEER_RATE_FACTOR * datagrams_per_s
+        self._min_state_interval_ms = copies * STATE_INTERVAL_PER_COPY_MS
+        self._state_queued_ms = -math.inf
+        self._receive_buckets: dict[int, TokenBucket] = {}
+        self._received_numbers: dict[int, tuple[int, SequenceWindow]] = {}  # by sender, in its incarnation
+        self._received_events: dict[int, tuple[int, SequenceWindow]] = {}
         self._number, self._version = 0, 0
         self._probes: dict[int, Probe] = {}
-        self._probe_at_ms = self._round_at_ms = -math.inf
-        self._synced, self._syncs = False, 0
-        self._pressing, self._hurry_at_ms = False, -math.inf
+        self._probe_due_ms = self._round_due_ms = -math.inf
+        self._synced, self._syncs_sent = False, 0
+        self._urgent_pending, self._urgent_due_ms = False, -math.inf
         self._actions: list[Action] = []
 
-    # --- calls ---
-
     @property
     def due_ms(self) -> float:
-        edges_ms = [self._edge_ms(probe) for probe in self._probes.values()]
-        hurry_ms = self._hurry_at_ms if self._pressing else math.inf
-        return min([self._probe_at_ms, self._round_at_ms, hurry_ms, *edges_ms])
+        steps_ms = [self._next_step_ms(probe) for probe in self._probes.values()]
+        urgent_ms = self._urgent_due_ms if self._urgent_pending else math.inf
+        return min([self._probe_due_ms, self._round_due_ms, urgent_ms, *steps_ms])
 
     def tick(self, now: float) -> list[Action]:
-        """What time brings."""
+        """Carry out the steps that are due: probes, timeouts and gossip rounds."""
         due_ms = self.due_ms
-        if now - due_ms > LATE_MS and due_ms > -math.inf:
+        if now - due_ms > LATE_TICK_MS and due_ms > -math.inf:
             self.counts["late"] += 1
-            self.members.was_away(now - due_ms)
+            self.members.record_pause(now - due_ms)
             self._probes.clear()
-        if self._probe_at_ms == -math.inf:  # spread over the copies that start together
-            self._probe_at_ms = now + self._chance.random() * PERIOD_MS
-            self._round_at_ms = now + self._chance.random() * ROUND_MS
+        if self._probe_due_ms == -math.inf:  # random phases for copies that start together
+            self._probe_due_ms = now + self._random.random() * PROBE_PERIOD_MS
+            self._round_due_ms = now + self._random.random() * GOSSIP_ROUND_MS
         for number, probe in list(self._probes.items()):
-            if now >= self._edge_ms(probe):
-                self._unanswered(number, probe, now)
-        for changed in self.members.expired(now):
-            self._changed(changed)
-        if now >= self._probe_at_ms:
-            self._probe_at_ms = now + PERIOD_MS * self.members.scale()
+            if now >= self._next_step_ms(probe):
+                self._probe_timed_out(number, probe, now)
+        for changed in self.members.resolve_expired_suspicions(now):
+            self._report_change(changed)
+        if now >= self._probe_due_ms:
+            self._probe_due_ms = now + PROBE_PERIOD_MS * self.members.scale()
             self._probe(now)
-        if now >= self._round_at_ms:
-            self._round_at_ms = now + ROUND_MS
-            self._round(now)
-        self._hurry(now)
-        return self._done()
+        if now >= self._round_due_ms:
+            self._round_due_ms = now + GOSSIP_ROUND_MS
+            self._gossip_round(now)
+        self._send_urgent(now)
+        return self._take_actions()
 
     def receive(self, now: float, peer: int, data: bytes) -> list[Action]:
-        """A datagram that came from where this peer listens. Whatever it holds, no error."""
+        """Process a datagram from the address of this peer. Never raises, whatever the content."""
         try:
-            datagram = wire.read(data, self._fleet)
+            datagram = wire.read(data, self._checksum_seed)
         except BadMessage as error:
             self.counts[str(error)] += 1
             return []
         if datagram.speaker != peer or peer not in self.members.all:
             self.counts["foreign"] += 1
             return []
-        if not self._in.setdefault(peer, Bucket(self._loudest_per_s)).take(now):
+        if not self._receive_buckets.setdefault(peer, TokenBucket(self._peer_limit_per_s)).take(now):
             self.counts["flood"] += 1
             return []
-        life, seen = self._numbers.get(peer, (-1, Seen()))
+        life, window = self._received_numbers.get(peer, (-1, SequenceWindow()))
         if datagram.life > life:
-            life, seen = datagram.life, Seen()
-            self._numbers[peer] = life, seen
-        if datagram.life < life or not seen.fresh(datagram.number):
+            life, window = datagram.life, SequenceWindow()
+            self._received_numbers[peer] = life, window
+        if datagram.life < life or not window.accept(datagram.number):
             self.counts["repeated"] += 1
             return []
         self.counts["heard"] += 1
-        self._note(self.members.heard(peer, datagram.life, now))
+        self._report_if_changed(self.members.record_message(peer, datagram.life, now))
         for item in datagram.items:
-            self._learn(item, now)
+            self._apply_item(item, now)
         self._reply(datagram, now)
-        self._hurry(now)
-        return self._done()
+        self._send_urgent(now)
+        return self._take_actions()
 
     def tell(self, now: float, state: bytes, events: tuple[bytes, ...] = ()) -> list[Action]:
-        """This copy's state, in place of the one before, and what it saw happen, which is urgent.
+        """Publish the state of this copy in place of the previous one, and events, which are urgent.
 
-        The payloads are the caller's; ValueError where one does not fit into a datagram.
+        The payloads are opaque. Raises ValueError if one does not fit into a datagram.
         """
         self._version += 1
-        item = self._own(Kind.STATE, state)
+        item = self._own_item(Kind.STATE, state)
         self.states[self.me] = item
-        if now - self._state_put_ms >= self._state_least_ms:
-            self._state_put_ms = now
+        if now - self._state_queued_ms >= self._min_state_interval_ms:
+            self._state_queued_ms = now
             self.news.put((Kind.STATE, self.me), item, STATE_SENDS)
         for payload in events:
             self._version += 1
-            event = self._own(Kind.EVENT, payload)
-            self._urgent((Kind.EVENT, self.me, event.version), event)
-            self._pressing = True
-        self._hurry(now)
-        return self._done()
+            event = self._own_item(Kind.EVENT, payload)
+            self._queue_urgent((Kind.EVENT, self.me, event.version), event)
+            self._urgent_pending = True
+        self._send_urgent(now)
+        return self._take_actions()
 
     def tell_view(self, now: float, payload: bytes) -> list[Action]:
-        """What this copy sees, in place of what it told before, and urgent."""
+        """Publish the view of this copy in place of the previous one; views are urgent."""
         self._version += 1
-        self._urgent((Kind.VIEW, self.me), self._own(Kind.VIEW, payload))
-        self._pressing = True
-        self._hurry(now)
-        return self._done()
+        self._queue_urgent((Kind.VIEW, self.me), self._own_item(Kind.VIEW, payload))
+        self._urgent_pending = True
+        self._send_urgent(now)
+        return self._take_actions()
 
     def tell_shared(self, now: float, order: tuple[int, int], payload: bytes) -> list[Action]:
-        """A register that all copies share: of each key, the highest order counts, whoever told it."""
-        if self._keep(Item(Kind.SHARED, self.me, *order, payload)):
-            self._hurry(now)
-        return self._done()
+        """Publish a register shared by all copies: the highest order of each key applies, whoever sent it."""
+        if self._store_shared(Item(Kind.SHARED, self.me, *order, payload)):
+            self._send_urgent(now)
+        return self._take_actions()
 
     @property
     def synced(self) -> bool:
-        """Whether others have told this one what they know: any news may come first, so it asks twice."""
-        return self._synced and self._syncs >= SYNC_LEAST
+        """Whether other copies have sent their known state.
 
-    # --- within ---
+        Unrelated updates may arrive first, so at least two requests are sent.
+        """
+        return self._synced and self._syncs_sent >= MIN_SYNCS
 
-    def _keep(self, item: Item) -> bool:
-        """Whether it is newer than what is known of its key, and kept. Bounded in keys."""
+    def _store_shared(self, item: Item) -> bool:
+        """Store a shared register; returns whether it is newer than the known one."""
         key = item.payload[:KEY_BYTES]
         known = self.shared.get(key)
         if known is not None and (item.life, item.version) <= (known.life, known.version):
             return False
-        if known is None and len(self.shared) >= MOST_SHARED:
+        if known is None and len(self.shared) >= MAX_SHARED_KEYS:
             self.counts["odd"] += 1
             return False
         self.shared[key] = item
-        # Before what copies see: it is what came of that.
-        self.news.put((Kind.SHARED, key), item, self._sends(), urgent=True, first=True)
-        self._pressing = True
+        # Sent before the views, because it is the decision derived from them.
+        self.news.put((Kind.SHARED, key), item, self._urgent_sends(), urgent=True, first=True)
+        self._urgent_pending = True
         return True
 
-    def _done(self) -> list[Action]:
+    def _take_actions(self) -> list[Action]:
         actions, self._actions = self._actions, []
         return actions
 
-    def _own(self, kind: Kind, payload: bytes) -> Item:
+    def _own_item(self, kind: Kind, payload: bytes) -> Item:
         item = Item(kind, self.me, self.life, self._version, payload)
-        if item.size > ROOM:
-            raise ValueError(f"{len(payload)} bytes of messages, {ROOM - item.size + len(payload)} fit")
+        if item.size > ITEM_SPACE:
+            raise ValueError(
+                f"payload has {len(payload)} bytes, the maximum is {ITEM_SPACE - item.size + len(payload)}"
+            )
         return item
 
-    def _sends(self) -> int:
+    def _urgent_sends(self) -> int:
         return URGENT_SENDS + math.ceil(math.log2(self._copies + 1))
 
-    def _urgent(self, key: tuple[int, ...], item: Item) -> None:
-        self.news.put(key, item, self._sends(), urgent=True)
+    def _queue_urgent(self, key: tuple[int, ...], item: Item) -> None:
+        self.news.put(key, item, self._urgent_sends(), urgent=True)
 
     def _send(
-        self, peer: int, purpose: Purpose, now: float, about: int = NOBODY, items: tuple[Item, ...] = ()
+        self, peer: int, purpose: Purpose, now: float, about: int = NO_MEMBER, items: tuple[Item, ...] = ()
     ) -> bool:
-        """Within this copy's bound; with such news as fits."""
-        bucket = self._telling if purpose in (Purpose.NEWS, Purpose.SYNC) else self._probing
+        """Send a datagram, filled up with queued items, if the rate limit of this copy allows."""
+        bucket = self._gossip_bucket if purpose in (Purpose.NEWS, Purpose.SYNC) else self._probe_bucket
         if not bucket.take(now):
             self.counts["held_back"] += 1
             return False
         self._number += 1
-        room = ROOM - sum(item.size for item in items)
-        datagram = Datagram(purpose, self.me, self.life, self._number, about, (*items, *self.news.take(room)))
-        data = wire.write(datagram, self._fleet)
+        space = ITEM_SPACE - sum(item.size for item in items)
+        datagram = Datagram(
+            purpose, self.me, self.life, self._number, about, (*items, *self.news.take(space))
+        )
+        data = wire.write(datagram, self._checksum_seed)
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(data)
         self._actions.append(Send(peer, data))
         return True
 
-    def _hurry(self, now: float) -> None:
-        """What a copy saw happen does not wait for a round."""
-        if self._pressing and now >= self._hurry_at_ms:
-            self._pressing, self._hurry_at_ms = False, now + HURRY_MS
-            for peer in self.members.some(URGENT_FANOUT):
+    def _send_urgent(self, now: float) -> None:
+        """Send urgent updates without waiting for the next gossip round."""
+        if self._urgent_pending and now >= self._urgent_due_ms:
+            self._urgent_pending, self._urgent_due_ms = False, now + URGENT_INTERVAL_MS
+            for peer in self.members.sample_living(URGENT_FANOUT):
                 self._send(peer, Purpose.NEWS, now)
 
-    def _round(self, now: float) -> None:
-        if self._syncs < SYNC_LEAST or (not self._synced and self._syncs < SYNC_TRIES):
-            self._syncs += 1
-            for peer in self.members.some(SYNC_FROM):
+    def _gossip_round(self, now: float) -> None:
+        if self._syncs_sent < MIN_SYNCS or (not self._synced and self._syncs_sent < MAX_SYNCS):
+            self._syncs_sent += 1
+            for peer in self.members.sample_living(SYNC_PEERS):
                 self._send(peer, Purpose.SYNC, now)
         elif len(self.news):
-            for peer in self.members.some(FANOUT):
+            for peer in self.members.sample_living(FANOUT):
                 if len(self.news):
                     self._send(peer, Purpose.NEWS, now)
 
-    def _edge_ms(self, probe: Probe) -> float:
-        """When a probe's next step is due."""
-        if probe.asked_by >= 0:
-            return probe.began_ms + ANSWER_MS * self.members.scale()
-        last_ms = (PERIOD_MS - 1) if probe.helped else ANSWER_MS
-        return probe.began_ms + last_ms * self.members.scale()
+    def _next_step_ms(self, probe: Probe) -> float:
+        """When the next step of a probe is due."""
+        if probe.requested_by >= 0:
+            return probe.began_ms + PROBE_TIMEOUT_MS * self.members.scale()
+        timeout_ms = (PROBE_PERIOD_MS - 1) if probe.indirect_sent else PROBE_TIMEOUT_MS
+        return probe.began_ms + timeout_ms * self.members.scale()
 
-    def _held(self, number: int) -> Item:
-        """How this copy holds a member to be, as an item."""
+    def _member_item(self, number: int) -> Item:
+        """What this copy believes about a member, as an item."""
         member = self.members.all[number]
-        return Item(KINDS[member.state], number, member.life, min(member.accusers, default=self.me))
+        return Item(KIND_OF_STATE[member.state], number, member.life, min(member.accusers, default=self.me))
 
-    def _accusation(self, target: int) -> tuple[Item, ...]:
-        """A suspect is told at once what is said of it, so that it can speak for itself."""
-        return () if self.members.all[target].state is State.ALIVE else (self._held(target),)
+    def _accusation_items(self, target: int) -> tuple[Item, ...]:
+        """The suspicion to send along to a suspected member, so that it can refute it at once."""
+        return () if self.members.all[target].state is State.ALIVE else (self._member_item(target),)
 
-    def _ping(self, target: int, now: float, asked_by: int = -1) -> None:
-        if self._send(target, Purpose.PING, now, target, self._accusation(target)):
-            self._probes[self._number] = Probe(target, now, asked_by)
+    def _ping(self, target: int, now: float, requested_by: int = -1) -> None:
+        if self._send(target, Purpose.PING, now, target, self._accusation_items(target)):
+            self._probes[self._number] = Probe(target, now, requested_by)
 
     def _probe(self, now: float) -> None:
         target = self.members.next_target()
         if target is not None:
             self._ping(target, now)
 
-    def _unanswered(self, number: int, probe: Probe, now: float) -> None:
-        """A probe's time is over: others are asked, then it is a suspicion."""
+    def _probe_timed_out(self, number: int, probe: Probe, now: float) -> None:
+        """Handle a probe timeout: request indirect probes first, then suspect the member."""
         member = self.members.all[probe.target]
-        if member.heard_ms >= probe.began_ms:  # other messages of it came
+        if member.heard_ms >= probe.began_ms:  # another message arrived from it
             del self._probes[number]
-        elif probe.asked_by >= 0:
+        elif probe.requested_by >= 0:
             del self._probes[number]
-            self._send(probe.asked_by, Purpose.SILENT, now, probe.target)
-        elif not probe.helped:
-            probe.helped = True
-            self.members.pinged(answered=False)
-            self._send(probe.target, Purpose.PING, now, probe.target)  # the first may be what was lost
-            for helper in self.members.some(HELPERS, besides=probe.target):
+            self._send(probe.requested_by, Purpose.SILENT, now, probe.target)
+        elif not probe.indirect_sent:
+            probe.indirect_sent = True
+            self.members.record_direct_ping(answered=False)
+            self._send(probe.target, Purpose.PING, now, probe.target)  # the first ping may have been lost
+            for helper in self.members.sample_living(INDIRECT_PROBES, excluded=probe.target):
                 self._send(helper, Purpose.ASK, now, probe.target)
         else:
             del self._probes[number]
-            if not probe.refused and len(self.members.all) > HELPERS:
-                self.members.worse()  # nobody said anything: it may be this copy that is cut off, or slow
-            if member.state is not State.DEAD and self.members.silent(probe.target):
-                self._note(self.members.suspect(probe.target, member.life, self.me, now))
+            # If no helper replied, this copy itself may be partitioned or slow.
+            if not probe.negative_replies and len(self.members.all) > INDIRECT_PROBES:
+                self.members.raise_health_score()
+            if member.state is not State.DEAD and self.members.record_failed_probe(probe.target):
+                self._report_if_changed(self.members.suspect(probe.target, member.life, self.me, now))
 
     def _reply(self, datagram: Datagram, now: float) -> None:
         peer, about = datagram.speaker, datagram.about
-        self._answered(peer, now)
+        self._finish_probes(peer, now)
         match datagram.purpose:
             case Purpose.PING:
                 self._send(peer, Purpose.ANSWER, now, self.me)
             case Purpose.ANSWER if about in self.members.all and about != peer:
-                # A helper heard it: as good as heard by this copy, but for messages of its own.
+                # An answer through a helper counts as heard by this copy, except that it
+                # carries no message of the member itself.
                 self.members.all[about].heard_ms = now
-                self._answered(about, now)
+                self._finish_probes(about, now)
             case Purpose.ASK if about in self.members.all:
                 self._ping(about, now, peer)
             case Purpose.SILENT:
                 for probe in self._probes.values():
-                    probe.refused += probe.target == about and probe.asked_by < 0
+                    probe.negative_replies += probe.target == about and probe.requested_by < 0
             case Purpose.SYNC:
                 self._sync(peer, now)
         if datagram.purpose is not Purpose.SYNC and datagram.items:
             self._synced = True
 
-    def _answered(self, target: int, now: float) -> None:
-        """Ends probes of this member; whoever asked for one is told."""
+    def _finish_probes(self, target: int, now: float) -> None:
+        """End the probes of this member and answer the copies that requested them."""
         for number in [n for n, probe in self._probes.items() if probe.target == target]:
             probe = self._probes.pop(number)
-            if probe.asked_by >= 0:
-                self._send(probe.asked_by, Purpose.ANSWER, now, target)
-            elif not probe.helped:
-                self.members.pinged(answered=True)
-                self.members.better()
-        self.members.answers(target)
+            if probe.requested_by >= 0:
+                self._send(probe.requested_by, Purpose.ANSWER, now, target)
+            elif not probe.indirect_sent:
+                self.members.record_direct_ping(answered=True)
+                self.members.lower_health_score()
+        self.members.record_answer(target)
 
     def _sync(self, peer: int, now: float) -> None:
-        """What this copy knows, to one that has just started: who is not alive, then states by chance."""
+        """Send the known state to a copy that has just started.
+
+        Shared registers go first, then members that are not alive, then states in random order.
+        """
         items = [
-            self._held(n) for n, m in self.members.all.items() if m.state is not State.ALIVE and n != peer
+            self._member_item(n)
+            for n, m in self.members.all.items()
+            if m.state is not State.ALIVE and n != peer
         ]
         states = [item for about, item in self.states.items() if about != peer]
-        self._chance.shuffle(states)
+        self._random.shuffle(states)
         items = [*self.shared.values(), *items, *states]
         for _ in range(SYNC_DATAGRAMS):
-            room, some = ROOM, list[Item]()
-            while items and items[0].size <= room:
-                room -= items[0].size
-                some.append(items.pop(0))
-            if not some or not self._send(peer, Purpose.NEWS, now, items=tuple(some)):
+            space, batch = ITEM_SPACE, list[Item]()
+            while items and items[0].size <= space:
+                space -= items[0].size
+                batch.append(items.pop(0))
+            if not batch or not self._send(peer, Purpose.NEWS, now, items=tuple(batch)):
                 return
 
-    # --- what items say ---
-
-    def _learn(self, item: Item, now: float) -> None:
+    def _apply_item(self, item: Item, now: float) -> None:
         if item.kind == Kind.SHARED:
-            if self._keep(item):
+            if self._store_shared(item):
                 order = item.life, item.version
                 self._actions.append(Heard(item.about, item.payload, Kind.SHARED, order))
         elif item.about == self.me:
-            self._about_me(item)
+            self._apply_item_about_self(item)
         elif item.about not in self.members.all:
             self.counts["foreign"] += 1
-        elif item.kind in STATES:
-            state, member = STATES[Kind(item.kind)], self.members.all[item.about]
+        elif item.kind in STATE_OF_KIND:
+            state, member = STATE_OF_KIND[Kind(item.kind)], self.members.all[item.about]
             if (
                 state is not State.ALIVE
                 and item.life < member.life
                 and (Kind.ALIVE, item.about) not in self.news
             ):
-                # Its accuser does not hear it, nor those who do: it learns from this copy of a later life.
-                self.news.put((Kind.ALIVE, item.about), self._held(item.about), STATE_SENDS, urgent=True)
-            self._note(self.members.told(item.about, state, item.life, item.version, now))
+                # The accuser receives messages neither from the member nor from copies that reach it, so this
+                # copy sends the later incarnation.
+                self.news.put(
+                    (Kind.ALIVE, item.about), self._member_item(item.about), STATE_SENDS, urgent=True
+                )
+            self._report_if_changed(
+                self.members.apply_report(item.about, state, item.life, item.version, now)
+            )
         elif item.kind == Kind.STATE:
             known = self.states.get(item.about)
             if known is None or (item.life, item.version) > (known.life, known.version):
@@ -412,23 +442,28 @@
                 self.news.put((Kind.STATE, item.about), item, STATE_SENDS)
                 self._actions.append(Heard(item.about, item.payload))
         elif item.kind == Kind.EVENT:
-            life, seen = self._events.get(item.about, (-1, Seen()))
+            life, window = self._received_events.get(item.about, (-1, SequenceWindow()))
             if item.life > life:
-                life, seen = item.life, Seen()
-                self._events[item.about] = life, seen
-            if item.life == life and seen.fresh(item.version):
-                self._urgent((Kind.EVENT, item.about, item.version), item)
-                self._pressing = True
+                life, window = item.life, SequenceWindow()
+                self._received_events[item.about] = life, window
+            if item.life == life and window.accept(item.version):
+                self._queue_urgent((Kind.EVENT, item.about, item.version), item)
+                self._urgent_pending = True
                 self._actions.append(Heard(item.about, item.payload, Kind.EVENT))
-        elif item.kind == Kind.VIEW and (item.life, item.version) > self._views.get(item.about, (-1, 0)):
-            self._views[item.about] = item.life, item.version
-            self._urgent((Kind.VIEW, item.about), item)
-            self._pressing = True
+        elif item.kind == Kind.VIEW and (item.life, item.version) > self._received_views.get(
+            item.about, (-1, 0)
+        ):
+            self._received_views[item.about] = item.life, item.version
+            self._queue_urgent((Kind.VIEW, item.about), item)
+            self._urgent_pending = True
             self._actions.append(Heard(item.about, item.payload, Kind.VIEW))
 
-    def _about_me(self, item: Item) -> None:
-        """Others hold this copy to be what it is not, or know a later life: it speaks from one above that, or
-        from its own, which an accuser that never heard it does not know."""
+    def _apply_item_about_self(self, item: Item) -> None:
+        """Refute an accusation of this copy, or exceed a later incarnation that others know of it.
+
+        The incarnation becomes one above the reported one. If the own incarnation is already higher, it is
+        announced as it is, because the accuser has not received it.
+        """
         accused = item.kind in (Kind.SUSPECT, Kind.DEAD)
         if not accused and item.life <= self.life:
             return
@@ -436,19 +471,20 @@
             self.life, self._number = item.life + 1, 0
         if accused:
             self.counts["refuted"] += 1
-            self.members.worse()
-        self._urgent((Kind.ALIVE, self.me), Item(Kind.ALIVE, self.me, self.life, self.me))
+            self.members.raise_health_score()
+        self._queue_urgent((Kind.ALIVE, self.me), Item(Kind.ALIVE, self.me, self.life, self.me))
 
-    def _note(self, changed: Changed | None) -> None:
+    def _report_if_changed(self, changed: Changed | None) -> None:
         if changed is not None:
-            self._changed(changed)
+            self._report_change(changed)
 
-    def _changed(self, changed: Changed) -> None:
+    def _report_change(self, changed: Changed) -> None:
         accuser = changed.accusers[-1] if changed.accusers else self.me
         if self.me in changed.accusers:
             accuser = self.me
-        item = Item(KINDS[changed.state], changed.member, changed.life, accuser)
-        # One more accuser is told less often than the first: it only shortens what all know by then.
-        sends = self._sends() if len(changed.accusers) < 2 else STATE_SENDS
+        item = Item(KIND_OF_STATE[changed.state], changed.member, changed.life, accuser)
+        # Further accusers are sent less often than the first: they only shorten a suspicion that is already
+        # known everywhere.
+        sends = self._urgent_sends() if len(changed.accusers) < 2 else STATE_SENDS
         self.news.put((Kind.ALIVE, changed.member), item, sends, urgent=True)
         self._actions.append(changed)
--- a/madderwind/standalone/gossip/news.py
+++ b/madderwind/standalone/gossip/news.py
@@ -1,4 +1,4 @@
-"""News on its way: what is told first, how often, and when it is dropped."""
+"""The queue of gossip items to send: their order, how often each is sent, and when it is dropped."""
 
 from __future__ import annotations
 
@@ -7,31 +7,32 @@
 
 from madderwind.standalone.gossip.wire import Item
 
-MOST_SENDS = 40
-KEPT = 0.35  # of a datagram, for what is not urgent
+MAX_SENDS = 40
+NORMAL_SHARE = 0.35  # of the item space of a datagram, reserved for items that are not urgent
 
 
 class _Entry:
-    __slots__ = ("item", "key", "live", "most")
+    __slots__ = ("item", "key", "max_sends", "queued")
 
-    def __init__(self, key: Hashable, item: Item, most: int) -> None:
-        self.key, self.item, self.most = key, item, most
-        self.live = True
+    def __init__(self, key: Hashable, item: Item, max_sends: int) -> None:
+        self.key, self.item, self.max_sends = key, item, max_sends
+        self.queued = True
 
 
 class News:
-    """Items by key, each sent a bounded number of times, the least sent first; the newest of a key alone.
+    """Queued items by key: only the newest item of a key is sent, a bounded number of times.
 
-    Urgent ones go before others. Bounded: beyond `most_items` the one that was told most often goes.
+    Urgent items are sent before others, and less often sent items before more often sent ones. When the
+    queue already holds `max_items`, the item that was sent most often is evicted.
     """
 
-    def __init__(self, most_items: int) -> None:
-        self._most_items = most_items
+    def __init__(self, max_items: int) -> None:
+        self._max_items = max_items
         self._by_key: dict[Hashable, _Entry] = {}
-        # By how often they were sent; urgent ones apart. What was superseded is left where it stands, and
-        # dropped when it is met.
-        self._urgent = [deque[_Entry]() for _ in range(MOST_SENDS + 1)]
-        self._usual = [deque[_Entry]() for _ in range(MOST_SENDS + 1)]
+        # Indexed by how often the entries were sent; urgent entries have queues of their own. A superseded
+        # entry stays in its queue and is skipped when it reaches the front.
+        self._urgent = [deque[_Entry]() for _ in range(MAX_SENDS + 1)]
+        self._normal = [deque[_Entry]() for _ in range(MAX_SENDS + 1)]
 
     def __len__(self) -> int:
         return len(self._by_key)
@@ -40,52 +41,58 @@
         return key in self._by_key
 
     def put(self, key: Hashable, item: Item, sends: int, urgent: bool = False, first: bool = False) -> None:
-        """News of this key, in place of what was on its way under it. `first`: before all else that waits."""
-        if (before := self._by_key.pop(key, None)) is not None:
-            before.live = False
-        if len(self._by_key) >= self._most_items:
-            self._drop_one()
-        entry = self._by_key[key] = _Entry(key, item, max(1, min(MOST_SENDS, sends)))
-        queue = (self._urgent if urgent else self._usual)[0]
+        """Queue an item in place of the one queued under this key.
+
+        `first` puts it in front of the entries that have not been sent yet.
+        """
+        if (previous := self._by_key.pop(key, None)) is not None:
+            previous.queued = False
+        if len(self._by_key) >= self._max_items:
+            self._evict_one()
+        entry = self._by_key[key] = _Entry(key, item, max(1, min(MAX_SENDS, sends)))
+        queue = (self._urgent if urgent else self._normal)[0]
         if first:
             queue.appendleft(entry)
         else:
             queue.append(entry)
 
-    def _drop_one(self) -> None:
-        for queues in (self._usual, self._urgent):
+    def _evict_one(self) -> None:
+        for queues in (self._normal, self._urgent):
             for queue in reversed(queues):
                 while queue:
                     entry = queue.popleft()
-                    if entry.live:
+                    if entry.queued:
                         self._drop(entry)
                         return
 
     def _drop(self, entry: _Entry) -> None:
-        entry.live = False
+        entry.queued = False
         del self._by_key[entry.key]
 
-    def take(self, room: int) -> list[Item]:
-        """What goes into one datagram with so many bytes left for items. Urgent items leave a part of it to
-        the others, so that a flood of them does not stop all else."""
-        taken: list[Item] = []
-        again: list[tuple[deque[_Entry], _Entry]] = []
-        kept = int(room * KEPT) if any(self._usual) else 0
-        for queues, left in ((self._urgent, kept), (self._usual, 0)):
+    def take(self, space: int) -> list[Item]:
+        """The items to put into one datagram that has `space` bytes left for items.
+
+        Urgent items leave part of the space to the others, so that a flood of urgent items does not block
+        all other updates.
+        """
+        selected: list[Item] = []
+        requeued: list[tuple[deque[_Entry], _Entry]] = []
+        reserved = int(space * NORMAL_SHARE) if any(self._normal) else 0
+        for queues, set_aside in ((self._urgent, reserved), (self._normal, 0)):
             for sends, queue in enumerate(queues):
                 while queue:
                     entry = queue[0]
-                    if entry.live and entry.item.size > room - left:
-                        break  # no item is much smaller: the next would rarely fit
+                    if entry.queued and entry.item.size > space - set_aside:
+                        break  # items are of similar size, so the next one would rarely fit
                     queue.popleft()
-                    if not entry.live:
+                    if not entry.queued:
                         continue
-                    room -= entry.item.size
-                    taken.append(entry.item)
-                    if sends + 1 < entry.most:
-                        again.append((queues[sends + 1], entry))
+                    space -= entry.item.size
+                    selected.append(entry.item)
+                    if sends + 1 < entry.max_sends:
+                        requeued.append((queues[sends + 1], entry))
                     else:
                         self._drop(entry)
-        for queue, entry in again:
+        for queue, entry in requeued:
             queue.append(entry)
-        return taken
+        return selected
--- a/madderwind/standalone/gossip/wire.py
+++ b/madderwind/standalone/gossip/wire.py
@@ -1,9 +1,10 @@
-"""Messages between copies as bytes: a datagram of 256 bytes at most, which tells its version and is checked.
+"""Wire format of the gossip messages: datagrams of at most 256 bytes with a version and a checksum.
 
-A datagram is a head and items. The head names who speaks, in which life, under which number, and what for;
-the sum behind it covers all the rest and the fleet's name, so that damage and another fleet's messages are
-told from ours without a look at what they hold. A kind of item that is not known is passed over by its size:
-a later version may add some. Another version of the head is not read at all.
+A datagram consists of a header and items. The header holds the sender, its incarnation, the number of the
+datagram and its purpose. The checksum at the end of the header covers the rest of the datagram and the name
+of the fleet, so that damaged messages and those of another fleet are rejected before their items are parsed.
+Items of an unknown kind are skipped by their size, since a later version may add kinds. A datagram with
+another header version is rejected.
 """
 
 from __future__ import annotations
@@ -16,43 +17,47 @@
 import msgspec
 
 MAGIC, VERSION = b"mdwg", 1
-LONGEST = 256
-_HEAD = struct.Struct(
-    "<4sBBHIIHI"
-)  # magic, version, purpose, speaker, its life, number, whom it is about, sum
-_ITEM = struct.Struct("<BBHII")  # kind, size of what follows, whom it is about, that one's life, version
-_SUM = struct.Struct("<I")
-ROOM = LONGEST - _HEAD.size  # for items
-NOBODY = 0xFFFF
-MOST_COPIES = NOBODY
+MAX_DATAGRAM_BYTES = 256
+# Magic, version, purpose, sender, its incarnation, datagram number, the copy it is about, checksum.
+_HEADER = struct.Struct("<4sBBHIIHI")
+# Kind, payload size, the copy it is about, incarnation of that copy, version.
+_ITEM = struct.Struct("<BBHII")
+_CHECKSUM = struct.Struct("<I")
+ITEM_SPACE = MAX_DATAGRAM_BYTES - _HEADER.size
+NO_MEMBER = 0xFFFF
+MAX_COPIES = NO_MEMBER
 
 
 class Purpose(IntEnum):
-    """What a datagram is for; items may ride on any."""
+    """The purpose of a datagram; a datagram of any purpose may carry items."""
 
     NEWS = 0
     PING = 1
-    ANSWER = 2  # of the copy that it is about: it lives
-    ASK = 3  # ping the copy that it is about, for the speaker
-    SILENT = 4  # the copy that it is about did not answer so far
-    SYNC = 5  # the speaker has just started: tell it what you know
+    ANSWER = 2  # the copy that it is about is alive
+    ASK = 3  # a request to ping the copy that it is about on behalf of the sender
+    SILENT = 4  # the copy that it is about has not answered the pings of the sender
+    SYNC = 5  # the sender has just started and requests the known state
 
 
 class Kind(IntEnum):
-    """What an item says of a copy: how it is, what it last said of itself, or what it saw happen."""
+    """The kind of an item: the liveness of a copy, its last published state, or an event that it observed."""
 
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
     STATE = 16
     EVENT = 17
-    VIEW = 18  # as a state, but urgent: the newest of each copy counts
-    SHARED = 19  # nobody's own: the newest of each key, its payload's first bytes, counts
+    VIEW = 18  # like a state, but urgent: the newest of each copy applies
+    SHARED = 19  # a register without an owner: the newest of each key (the first payload bytes) applies
 
 
 class Item(msgspec.Struct, frozen=True):
-    """`life` is the copy's incarnation. `version`: of a state, an event or a view, by its teller; of a
-    suspicion, the copy that suspects. Of what is shared, both are its order."""
+    """One item of a datagram.
+
+    `life` is the incarnation of the copy that the item is about. `version` is the version that the owner
+    gave to a state, an event or a view; in a suspicion it is the number of the accuser. In a shared
+    register the two together are its order.
+    """
 
     kind: int
     about: int
@@ -75,73 +80,75 @@
 
 
 class BadMessage(ValueError):
-    """A message that cannot be read; the text is one of a few reasons, to count by."""
+    """A message that cannot be decoded; the text is one of a few reasons, used as a counter name."""
 
 
 def seed_of(fleet: str) -> int:
-    """What the sum of a fleet's messages begins with."""
+    """The initial checksum value of the messages of a fleet."""
     return zlib.crc32(fleet.encode())
 
 
 def write(datagram: Datagram, seed: int) -> bytes:
-    """ValueError where the items do not fit."""
-    head = _HEAD.pack(
+    """Encode a datagram. Raises ValueError if the items do not fit."""
+    header = _HEADER.pack(
         MAGIC, VERSION, datagram.purpose, datagram.speaker, datagram.life, datagram.number, datagram.about, 0
     )
-    parts = [head[: -_SUM.size], b""]
+    parts = [header[: -_CHECKSUM.size], b""]
     for item in datagram.items:
         parts += (_ITEM.pack(item.kind, len(item.payload), item.about, item.life, item.version), item.payload)
-    whole = sum(map(len, parts)) + _SUM.size
-    if whole > LONGEST:
-        raise ValueError(f"{whole} bytes of messages, at most {LONGEST} go into a datagram")
-    parts[1] = _SUM.pack(zlib.crc32(b"".join(parts), seed))
+    total = sum(map(len, parts)) + _CHECKSUM.size
+    if total > MAX_DATAGRAM_BYTES:
+        raise ValueError(f"datagram has {total} bytes, the maximum is {MAX_DATAGRAM_BYTES}")
+    parts[1] = _CHECKSUM.pack(zlib.crc32(b"".join(parts), seed))
     return b"".join(parts)
 
 
 def read(data: bytes, seed: int) -> Datagram:
-    """BadMessage: short, long, foreign, version, damaged."""
-    if len(data) < _HEAD.size:
+    """Decode a datagram. Raises BadMessage with the reason short, long, foreign, version or damaged."""
+    if len(data) < _HEADER.size:
         raise BadMessage("short")
-    if len(data) > LONGEST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise BadMessage("long")
-    magic, version, purpose, speaker, life, number, about, said = _HEAD.unpack_from(data)
+    magic, version, purpose, speaker, life, number, about, checksum = _HEADER.unpack_from(data)
     if magic != MAGIC:
         raise BadMessage("foreign")
     if version != VERSION:
         raise BadMessage("version")
-    at = _HEAD.size
-    if zlib.crc32(data[: at - _SUM.size] + data[at:], seed) != said:
+    offset = _HEADER.size
+    if zlib.crc32(data[: offset - _CHECKSUM.size] + data[offset:], seed) != checksum:
         raise BadMessage("damaged")
     try:
-        return Datagram(Purpose(purpose), speaker, life, number, about, tuple(_items(data, at)))
+        return Datagram(Purpose(purpose), speaker, life, number, about, tuple(_items(data, offset)))
     except (ValueError, struct.error):
         raise BadMessage("damaged") from None
 
 
-def _items(data: bytes, at: int) -> Iterable[Item]:
+def _items(data: bytes, offset: int) -> Iterable[Item]:
     known = frozenset(Kind)
-    while at < len(data):
-        kind, size, about, life, version = _ITEM.unpack_from(data, at)
-        at += _ITEM.size
-        payload = data[at : at + size]
-        at += size
+    while offset < len(data):
+        kind, size, about, life, version = _ITEM.unpack_from(data, offset)
+        offset += _ITEM.size
+        payload = data[offset : offset + size]
+        offset += size
         if len(payload) < size:
-            raise ValueError("cut short")
+            raise ValueError("item payload is truncated")
         if kind in known:
             yield Item(kind, about, life, version, payload)
 
 
-class Seen:
-    """Which of ever higher numbers have come, the last 64 to the bit: guards against repeats and against old
-    numbers out of order."""
+class SequenceWindow:
+    """Detects repeated sequence numbers with a window of the last 64.
+
+    Numbers older than the window count as repeated.
+    """
 
     __slots__ = ("_bits", "_highest")
 
     def __init__(self) -> None:
         self._highest, self._bits = -1, 0
 
-    def fresh(self, number: int) -> bool:
-        """Whether this number has not come before; from now on it has."""
+    def accept(self, number: int) -> bool:
+        """Whether this number is new; records it as received."""
         ahead = number - self._highest
         if ahead > 0:
             self._bits = (self._bits << min(ahead, 64) | 1) & (1 << 64) - 1
--- a/tests/standalone/gossip/test_membership.py
+++ b/tests/standalone/gossip/test_membership.py
@@ -1,4 +1,4 @@
-"""What copies know of one another, on one clock: news, deaths, pauses, cuts, and messages that are none."""
+"""Gossip between copies on a simulated clock: updates, failures, pauses, partitions and invalid messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 from madderwind.standalone.gossip import wire
 from madderwind.standalone.gossip.members import State
 from madderwind.standalone.gossip.membership import Membership, Send
-from madderwind.standalone.gossip.wire import LONGEST, BadMessage, Datagram, Item, Kind, Purpose, Seen
+from madderwind.standalone.gossip.wire import (
+    MAX_DATAGRAM_BYTES,
+    BadMessage,
+    Datagram,
+    Item,
+    Kind,
+    Purpose,
+    SequenceWindow,
+)
 from madderwind.testing.simulation.experiment import ExperimentError, plays
 from madderwind.testing.simulation.messages import Spread, World, play, table
 from madderwind.testing.simulation.messages import read as read_spread
@@ -29,14 +37,16 @@
 
 
 @given(st.sampled_from(Purpose), st.integers(0, 0xFFFE), st.lists(ITEMS, max_size=4))
-def test_messages_read_back_as_they_were_written(purpose: Purpose, speaker: int, items: list[Item]) -> None:
+def test_encoded_messages_decode_to_the_same_datagram(
+    purpose: Purpose, speaker: int, items: list[Item]
+) -> None:
     datagram = Datagram(purpose, speaker, 7, 9, 3, tuple(items))
     data = wire.write(datagram, SEED)
-    assert len(data) <= LONGEST and wire.read(data, SEED) == datagram
+    assert len(data) <= MAX_DATAGRAM_BYTES and wire.read(data, SEED) == datagram
 
 
 @given(st.data())
-def test_damaged_cut_foreign_and_later_words_are_told_apart(data: st.DataObject) -> None:
+def test_damaged_truncated_foreign_and_later_messages_are_rejected_by_reason(data: st.DataObject) -> None:
     good = wire.write(Datagram(Purpose.PING, 1, 1, 1, 2, (Item(Kind.STATE, 1, 1, 1, b"abc"),)), SEED)
     place = data.draw(st.integers(0, len(good) - 1))
     bad = bytearray(good)
@@ -47,7 +57,7 @@
         (bytes(bad), said),
         (good[: data.draw(st.integers(22, len(good) - 1))], "damaged"),
         (good[:21], "short"),
-        (good + bytes(LONGEST), "long"),
+        (good + bytes(MAX_DATAGRAM_BYTES), "long"),
     ):
         with pytest.raises(BadMessage, match=reason):
             wire.read(raw, SEED)
@@ -57,29 +67,29 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=300))
-def test_no_words_do_harm(data: bytes) -> None:
+def test_arbitrary_bytes_have_no_effect(data: bytes) -> None:
     copy = Membership(0, 3, 1, 1, "f")
     assert copy.receive(0.0, 1, data) == []
-    checked = wire.MAGIC + data  # right up to the sum
+    checked = wire.MAGIC + data  # valid only in its magic number
     assert copy.receive(1.0, 1, checked) == []
     assert all(member.state is State.ALIVE for member in copy.members.all.values())
 
 
-def test_an_unknown_kind_is_passed_over_and_the_rest_is_read() -> None:
+def test_an_unknown_item_kind_is_skipped_and_the_rest_is_read() -> None:
     later = Item(200, 1, 1, 1, b"of a later version")
     data = wire.write(Datagram(Purpose.NEWS, 1, 1, 1, 2, (later, Item(Kind.STATE, 1, 1, 5, b"abc"))), SEED)
     assert [item.payload for item in wire.read(data, SEED).items] == [b"abc"]
 
 
-def test_a_number_counts_once_in_any_order() -> None:
-    chance, seen = random.Random(1), Seen()
-    numbers = [n + chance.randrange(20) for n in range(500)]
-    fresh = [n for n in numbers if seen.fresh(n)]
-    assert len(fresh) == len(set(fresh)) and set(numbers) - set(fresh) == set()
-    assert not seen.fresh(1)  # too old to tell
+def test_a_sequence_number_is_accepted_once_in_any_order() -> None:
+    generator, window = random.Random(1), SequenceWindow()
+    numbers = [n + generator.randrange(20) for n in range(500)]
+    accept = [n for n in numbers if window.accept(n)]
+    assert len(accept) == len(set(accept)) and set(numbers) - set(accept) == set()
+    assert not window.accept(1)  # older than the window
 
 
-def test_a_flood_and_a_strangers_number_are_passed_over() -> None:
+def test_a_flood_and_a_mismatched_sender_number_are_rejected() -> None:
     copy = Membership(0, 3, 1, 1, "f")
     messages = [wire.write(Datagram(Purpose.NEWS, 1, 1, n, 2), SEED) for n in range(200)]
     for data in messages:
@@ -89,7 +99,7 @@
 
 
 @pytest.mark.parametrize(("copies", "loss"), [(3, 0.0), (12, 0.1), (40, 0.3)])
-def test_news_is_everywhere_and_the_dead_alone_are_held_dead(copies: int, loss: float) -> None:
+def test_updates_reach_all_copies_and_only_failed_copies_are_believed_dead(copies: int, loss: float) -> None:
     spread = Spread(name="s", question="?", copies=copies, loss=loss, killed=1, for_s=30)
     record = play(spread, {}, 1)
     assert record.reached > 0.99 and record.all_ms < 1000 and record.states_known > 0.98
@@ -97,8 +107,8 @@
     assert record.sent_most_per_s <= spread.datagrams_per_s * 1.05
 
 
-def test_a_pause_is_no_death_of_the_others_and_ends() -> None:
-    """Ten seconds: the paused one may be held dead meanwhile, and holds nobody so when it wakes."""
+def test_a_paused_copy_does_not_declare_the_others_dead() -> None:
+    """Within ten seconds a paused copy may be declared dead; once resumed, it believes nobody else dead."""
     spread = Spread(name="s", question="?", copies=12, loss=0.1, killed=0, paused=2, for_s=40)
     world = World(spread, 2)
     world.run()
@@ -108,7 +118,7 @@
 
 
 class Net:
-    """Copies with links that a test may cut, one way or both."""
+    """Copies connected by links that a test may cut in one or both directions."""
 
     def __init__(self, copies: int) -> None:
         self.now = 0.0
@@ -120,18 +130,18 @@
         end_ms = self.now + for_ms
         while self.now < end_ms:
             self.now += 5.0
-            mail = [
+            in_flight = [
                 (n, action)
                 for n, copy in enumerate(self.copies)
                 if n not in self.silent and copy.due_ms <= self.now
                 for action in copy.tick(self.now)
             ]
-            while mail:
-                sender, action = mail.pop(0)
+            while in_flight:
+                sender, action = in_flight.pop(0)
                 if not isinstance(action, Send) or (sender, action.peer) in self.cut:
                     continue
                 if action.peer not in self.silent:
-                    mail += [
+                    in_flight += [
                         (action.peer, a)
                         for a in self.copies[action.peer].receive(self.now, sender, action.data)
                     ]
@@ -145,34 +155,36 @@
         }
 
 
-def test_a_one_way_link_is_no_death() -> None:
-    """Others answer for it: half of the links pass one way only."""
+def test_one_way_links_do_not_cause_false_deaths() -> None:
+    """Half of the links work in one direction only; indirect probes get through over the others."""
     net = Net(8)
     net.cut = {(a, b) for a in range(8) for b in range(8) if a < b and (a + b) % 2}
     net.run(40_000)
     assert net.held(State.DEAD) == set()
 
 
-def test_a_cut_in_two_heals() -> None:
+def test_a_partition_into_halves_heals() -> None:
     net = Net(6)
     net.run(2000)
     net.cut = {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
     net.run(30_000)
-    assert net.held(State.DEAD) == net.cut  # each side holds the other dead, and itself alive
+    assert net.held(State.DEAD) == net.cut  # each side believes the other dead and itself alive
     net.cut = set()
     net.run(20_000)
     assert net.held(State.DEAD) == net.held(State.SUSPECT) == set()
 
 
-def test_one_accuser_alone_kills_nobody_and_a_new_life_speaks_for_itself() -> None:
+def test_a_false_accuser_is_refuted_by_a_higher_incarnation() -> None:
     net = Net(5)
     net.run(2000)
     liar = net.copies[1]
-    for at in range(40):  # it calls copy 2 dead, over and over, to all
+    for at in range(40):  # repeatedly reports to all others that copy 2 is dead
         item = Item(Kind.DEAD, 2, net.copies[2].life, 1)
         for peer in (0, 3, 4, 2):
             liar._number += 1
-            data = wire.write(Datagram(Purpose.NEWS, 1, liar.life, liar._number, wire.NOBODY, (item,)), SEED)
+            data = wire.write(
+                Datagram(Purpose.NEWS, 1, liar.life, liar._number, wire.NO_MEMBER, (item,)), SEED
+            )
             net.copies[peer].receive(net.now, 1, data)
         net.run(100 + at)
     net.run(3000)
@@ -180,7 +192,7 @@
     assert net.copies[2].life > 1
 
 
-def test_a_copy_that_starts_anew_learns_what_was_told() -> None:
+def test_a_restarted_copy_receives_the_known_states() -> None:
     net = Net(6)
     for n, copy in enumerate(net.copies):
         copy.tell(net.now, bytes([n] * 3))
@@ -195,7 +207,7 @@
     assert not {pair for pair in net.held(State.DEAD) if 4 in pair}
 
 
-def test_a_spread_is_read_strictly_and_its_table_has_a_line_a_run(tmp_path: Path) -> None:
+def test_an_experiment_is_read_strictly_and_its_table_has_one_line_per_run(tmp_path: Path) -> None:
     path = tmp_path / "words.yaml"
     path.write_text("{name: w, question: q, for_s: 14, killed: 0, vary: {way: [gossip, all], copies: [3]}}")
     records = [play(*run) for run in plays(read_spread(path))]
