--- a/madderwind/standalone/program/__init__.py
+++ b/madderwind/standalone/program/__init__.py
@@ -1,1 +1,1 @@
-"""Command line, configuration, logging, signals and wiring."""
+"""The command line, configuration, log, signal handling and component setup of a balancer process."""
--- a/madderwind/standalone/program/cli.py
+++ b/madderwind/standalone/program/cli.py
@@ -1,4 +1,4 @@
-"""madderwind, a load balancer for services that call services.
+"""madderwind, a load balancer for service-to-service requests.
 
 Usage:
   madderwind serve [--config=FILE]
@@ -15,20 +15,20 @@
   madderwind version
   madderwind (-h | --help)
 
-`call` asks a balancer at its second address, such as 127.0.0.1:5900: STATUS, METRICS, SUSPEND ID, RESTORE ID,
-LEAVE ZONE, RETURN ZONE. Its exit code is 1 where the answer is no.
+`call` sends a command to the admin address of a balancer, such as 127.0.0.1:5900: STATUS, METRICS,
+SUSPEND ID, RESTORE ID, LEAVE ZONE, RETURN ZONE. Its exit code is 1 if the balancer rejects the command.
 
 Options:
-  --config=FILE  The balancer's configuration; $PROXY_CONFIG names it where this does not.
-  --out=FOLDER   Where the records of an experiment go; beside it by default.
-  --seeds=N      How many schedules of faults are played; the file says by default.
-  --beside=CHECKOUT  NAME=FOLDER, another version of the program, played in turn with this one.
-  --cores=N      How many runs at a time; one a core by default.
-  --plot=PICTURE  Also a picture of what was served in time, by second.
-  --policy=NAME  The policy whose runs are compared; madderwind by default.
+  --config=FILE  The configuration of the balancer; defaults to $PROXY_CONFIG.
+  --out=FOLDER   The folder for the records of an experiment; defaults to the folder of its file.
+  --seeds=N      The number of fault schedules to run; defaults to the number in the file.
+  --beside=CHECKOUT  NAME=FOLDER, another version of the program to run alternately with this one.
+  --cores=N      The number of concurrent runs; defaults to the number of cores.
+  --plot=PICTURE  Also write a plot of the requests served in time, by second.
+  --policy=NAME  The policy whose runs are compared; defaults to madderwind.
   --against=NAME  The policy to compare with, in the same folder or in OTHER. For check-config, the file in
-                  force: what the other would change, tighter or looser, and whether it may follow.
-  -h --help      Show this.
+                  force: lists what the new file changes, tighter or looser, and whether it may replace it.
+  -h --help      Show this help.
 """
 
 from __future__ import annotations
@@ -47,31 +47,31 @@
     Configuration,
     ConfigurationError,
     read_configuration,
-    why_no_successor,
+    successor_rejection_reason,
 )
 from madderwind.standalone.protocol.listing import read_address
 
 
-def main(words: list[str] | None = None) -> int:
-    said = docopt(__doc__ or "", argv=words)
-    if said["version"]:
+def main(arguments: list[str] | None = None) -> int:
+    options = docopt(__doc__ or "", argv=arguments)
+    if options["version"]:
         print(__version__)
         return 0
-    if said["call"]:
-        return _call(said["ADDRESS"], " ".join(filter(None, (said["WORD"], said["ID"]))))
-    if said["lab"] or said["drill"]:
-        return _laboratory(said)
-    path = said["--config"] or os.environ.get("PROXY_CONFIG")
+    if options["call"]:
+        return _call(options["ADDRESS"], " ".join(filter(None, (options["WORD"], options["ID"]))))
+    if options["lab"] or options["drill"]:
+        return _run_testing_command(options)
+    path = options["--config"] or os.environ.get("PROXY_CONFIG")
     try:
         if not path:
-            raise ConfigurationError("no configuration: give --config or set PROXY_CONFIG")
+            raise ConfigurationError("no configuration: pass --config or set PROXY_CONFIG")
         configuration = read_configuration(path, os.environ.get("PROXY_ADMIN_ADDR", ""))
     except ConfigurationError as error:
         print(f"madderwind: {error}", file=sys.stderr)
         return 1
-    if said["check-config"]:
+    if options["check-config"]:
         print(_summary(configuration))
-        return _compared(said["--against"], configuration) if said["--against"] else 0
+        return _compare(options["--against"], configuration) if options["--against"] else 0
     return _serve(configuration)
 
 
@@ -85,14 +85,14 @@
     return int(not answer or answer.startswith("NAK"))
 
 
-def _laboratory(said: dict[str, Any]) -> int:
+def _run_testing_command(options: dict[str, Any]) -> int:
     try:
         from madderwind.testing.fault_tests.command import drill
         from madderwind.testing.simulation.command import lab
     except ModuleNotFoundError as error:
         print(f"madderwind: needs {error.name}: pip install -r requirements-lab.txt", file=sys.stderr)
         return 1
-    return (lab if said["lab"] else drill)(said)
+    return (lab if options["lab"] else drill)(options)
 
 
 def _summary(configuration: Configuration) -> str:
@@ -101,29 +101,33 @@
         f"{configuration.name}: tier {settings.tier} of {settings.tiers}, {len(settings.classes)} classes, "
         f"{len(settings.tenants)} tenants, {len(configuration.known.members)} upstreams known"
         + (f", {configuration.stamp}" if configuration.stamp is not None else "")
-        + (f", words passed on among {settings.copies} copies" if configuration.fleet is not None else "")
-        + (", zones left together" if configuration.fleet is not None and configuration.fleet.leaving else "")
+        + (f", gossip among {settings.copies} copies" if configuration.fleet is not None else "")
+        + (
+            ", coordinated zone evacuation"
+            if configuration.fleet is not None and configuration.fleet.leaving
+            else ""
+        )
     )
 
 
-def _compared(path: str, new: Configuration) -> int:
-    """What the new file would change; 1 where it may not follow the one in force."""
+def _compare(path: str, new: Configuration) -> int:
+    """Print what the new file changes; returns 1 if it may not replace the one in force."""
     try:
         old = read_configuration(path)
     except ConfigurationError as error:
         print(f"madderwind: {error}", file=sys.stderr)
         return 1
     for change in changes(old.host, new.host):
-        how = {True: "tighter", False: "looser", None: "contradicts nothing"}[change.tighter]
-        print(f"  {change.at}: {change.old or 'absent'} -> {change.new or 'absent'}, {how}")
-    if why := why_no_successor(old, new):
-        print(f"madderwind: {new.path} may not follow {path}: {why}", file=sys.stderr)
+        direction = {True: "tighter", False: "looser", None: "contradicts nothing"}[change.tighter]
+        print(f"  {change.at}: {change.old or 'absent'} -> {change.new or 'absent'}, {direction}")
+    if reason := successor_rejection_reason(old, new):
+        print(f"madderwind: {new.path} may not follow {path}: {reason}", file=sys.stderr)
         return 1
     return 0
 
 
 def _serve(configuration: Configuration) -> int:
-    # Only here: the other commands need no server, and start in a third of the time without it.
+    # Imported here because the other commands need no server and start in a third of the time without it.
     from madderwind.standalone.program.log import JsonLog
     from madderwind.standalone.program.service import Service
 
@@ -134,10 +138,10 @@
     log = JsonLog(configuration.name)
     try:
         asyncio.run(run())
-    except OSError as error:  # the address is taken, or is none of this machine
+    except OSError as error:  # the address is in use or does not belong to this machine
         log.flush()
         print(f"madderwind: {error}", file=sys.stderr)
         return 1
     finally:
-        os.set_blocking(sys.stdout.fileno(), True)  # a terminal outlives the program, and is shared
+        os.set_blocking(sys.stdout.fileno(), True)  # the terminal is shared with other processes
     return 0
--- a/madderwind/standalone/program/configuration.py
+++ b/madderwind/standalone/program/configuration.py
@@ -21,7 +21,7 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration cannot be read; the text is one plain line."""
+    """The configuration is invalid or unreadable; the message is a single line."""
 
 
 class Limits(msgspec.Struct, frozen=True):
@@ -31,12 +31,12 @@
 
 
 class Fleet(FleetSettings, frozen=True, forbid_unknown_fields=True):
-    """`fleet` of the file: how copies speak with one another, and whether they leave zones together."""
+    """The `fleet` key of the file: gossip between the copies, and whether they evacuate zones together."""
 
     leaving: EvacuationSettings | None = None
 
 
-class _File(msgspec.Struct):
+class _ConfigurationFile(msgspec.Struct):
     name: str
     listen: str
     discovery: str
@@ -60,11 +60,11 @@
     limits: Limits
     known: Listing
     host: HostSettings
-    admin_given: str  # by the environment, before the file's
-    peers: tuple[tuple[str, int], ...]  # the copies of this tier by their numbers, this one among them
-    fleet: Fleet | None  # how copies speak with one another; without it each tells every other
-    parts: frozenset[str]  # what the file holds: its own keys and those of its settings
-    stamp: Stamp | None  # its version, where it says one, with the digest of what copies have alike
+    admin_given: str  # from the environment; takes precedence over the file
+    peers: tuple[tuple[str, int], ...]  # the copies of this tier by their numbers, including this one
+    fleet: Fleet | None  # gossip between the copies; without it each copy sends to every other
+    parts: frozenset[str]  # the keys of the file and those of its settings
+    stamp: Stamp | None  # the version, if given, with the digest of what the copies have in common
 
     @property
     def version(self) -> int | None:
@@ -72,20 +72,21 @@
 
 
 def read_configuration(path: str, admin_given: str = "") -> Configuration:
-    """All that one balancer is told. ConfigurationError says in one line what is wrong.
+    """Read the configuration of one balancer. Raises ConfigurationError with a one-line message.
 
-    `admin_given` is this process's own second address, where it was given one; it stands before the file's.
+    `admin_given` is the admin address that the environment gives to this process, if any; it takes
+    precedence over the one in the file.
     """
     try:
         raw = Path(path).read_bytes()
     except OSError as error:
         raise ConfigurationError(f"{path}: {error.strerror}") from None
     try:
-        file = msgspec.json.decode(raw, type=_File)
+        file = msgspec.json.decode(raw, type=_ConfigurationFile)
         known = read_listing(bytes(file.known))
         settings = msgspec.json.decode(bytes(file.settings))
         host = read_host_settings(settings)
-        whole = msgspec.json.decode(raw)
+        document = msgspec.json.decode(raw)
         seed = int(file.seed, 16)
         admin_addr = admin_given or file.admin_addr
         return Configuration(
@@ -101,51 +102,51 @@
             admin_given,
             _read_peers(file.peers, host),
             _read_fleet(file, host),
-            frozenset(whole) | {f"settings.{name}" for name in settings},
-            Stamp(file.version, digest_of(whole)) if file.version is not None else None,
+            frozenset(document) | {f"settings.{name}" for name in settings},
+            Stamp(file.version, digest_of(document)) if file.version is not None else None,
         )
     except (*UNREADABLE, ListingError, SettingsError, AreaError) as error:
         raise ConfigurationError(f"{path}: {' '.join(str(error).split())}") from None
 
 
 def _read_peers(peers: tuple[str, ...], host: HostSettings) -> tuple[tuple[str, int], ...]:
-    """Where the copies listen for one another. Guards against words under a wrong number."""
+    """The gossip addresses of the copies. The checks prevent messages sent under a wrong copy number."""
     settings = host.settings
     if peers and len(peers) != settings.copies:
-        raise SettingsError(f"peers names {len(peers)} copies, NInstances says {settings.copies}")
+        raise SettingsError(f"peers lists {len(peers)} copies, but NInstances is {settings.copies}")
     if peers and not 0 <= settings.me < len(peers):
-        raise SettingsError(f"Me is {settings.me}, peers names {len(peers)} copies")
+        raise SettingsError(f"Me is {settings.me}, but peers lists {len(peers)} copies")
     if len(set(peers)) < len(peers):
-        raise SettingsError("peers names an address twice")
+        raise SettingsError("peers lists an address twice")
     return tuple(read_address(peer, "peers") for peer in peers)
 
 
-def read_successor(before: Configuration) -> Configuration:
-    """The file of a running balancer once more, judged whole before any of it acts.
+def read_successor(current: Configuration) -> Configuration:
+    """Read the file of a running balancer again and validate it completely before any of it takes effect.
 
-    Guards against a file that was cut off at a place where it still reads as one, and against one that was
-    meant for before or after what is in force.
+    Rejects a truncated file that still parses, a version older than the one in force, and one that skips
+    a version.
     """
-    new = read_configuration(before.path, before.admin_given)
-    if why := why_no_successor(before, new):
-        raise ConfigurationError(f"{before.path}: {why}")
+    new = read_configuration(current.path, current.admin_given)
+    if reason := successor_rejection_reason(current, new):
+        raise ConfigurationError(f"{current.path}: {reason}")
     return new
 
 
-def why_no_successor(before: Configuration, new: Configuration) -> str:
-    """Why the new file may not follow the one in force; "" where it may."""
-    if lost := sorted(before.parts - new.parts):
-        return f"lacks {', '.join(lost)}, which the one in force has"
-    return why_not(before.stamp, new.stamp)
+def successor_rejection_reason(current: Configuration, new: Configuration) -> str:
+    """Why the new file may not replace the one in force; "" if it may."""
+    if missing := sorted(current.parts - new.parts):
+        return f"lacks {', '.join(missing)}, which the configuration in force has"
+    return why_not(current.stamp, new.stamp)
 
 
-def _read_fleet(file: _File, host: HostSettings) -> Fleet | None:
+def _read_fleet(file: _ConfigurationFile, host: HostSettings) -> Fleet | None:
     if file.fleet is None:
         return None
     if not file.peers:
-        raise SettingsError("fleet needs peers: it names no copies to speak with")
+        raise SettingsError("fleet needs peers: no other copies are configured")
     if file.fleet.leaving is not None:
         if not 0 <= host.settings.zone < len(host.zone_names):
-            raise SettingsError("fleet.leaving needs settings.Zones, and Zone among them")
+            raise SettingsError("fleet.leaving needs settings.Zones, and settings.Zone must be one of them")
         check_regions(file.fleet.leaving, host.zone_names)
     return file.fleet
--- a/madderwind/standalone/program/log.py
+++ b/madderwind/standalone/program/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, gathered and written a few times a second."""
+"""The log: one JSON line per event, buffered and written a few times a second."""
 
 from __future__ import annotations
 
@@ -10,82 +10,86 @@
 
 import orjson
 
-FLUSH_S = 0.2
-MOST_HELD = 64 * 1024
-# While nobody reads the log, so much of it is kept; more is dropped and counted.
-MOST_UNREAD = 1024 * 1024
+FLUSH_INTERVAL_S = 0.2
+FLUSH_THRESHOLD_BYTES = 64 * 1024
+# Of lines that the reader has not taken yet; further lines are dropped and counted.
+MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class JsonLog:
-    """Collects lines and writes them in one go: a write an event would cost more than the event.
+    """Buffers lines and writes them in batches: a write per event would cost more than the event itself.
 
-    Guards against a reader that stands still: requests do not wait for their log.
+    A reader that stalls does not block requests, since the writes do not block.
     """
 
     def __init__(self, name: str, descriptor: int = 1) -> None:
         self._name, self._descriptor = name, descriptor
         self._lines: list[bytes] = []
-        self._held, self._dropped = 0, 0
-        self._planned: asyncio.TimerHandle | None = None
+        self._buffered_bytes, self._dropped_lines = 0, 0
+        self._scheduled_flush: asyncio.TimerHandle | None = None
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        if self._held > MOST_UNREAD:
-            self._dropped += 1
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._dropped_lines += 1
             return
-        head = {"at_ms": round(time.time() * 1000, 1), "balancer": self._name, "event": event}
+        common_fields = {"at_ms": round(time.time() * 1000, 1), "balancer": self._name, "event": event}
         try:
-            line = orjson.dumps({**head, **fields}, default=repr, option=orjson.OPT_APPEND_NEWLINE)
+            line = orjson.dumps({**common_fields, **fields}, default=repr, option=orjson.OPT_APPEND_NEWLINE)
         except TypeError:
-            # Text that is no Unicode, or a number that JSON has not: no request may fail by its log.
-            line = orjson.dumps({**head, "fields": ascii(fields)}, option=orjson.OPT_APPEND_NEWLINE)
+            # Text that is not valid Unicode, or a number that JSON cannot express, must not fail a request.
+            line = orjson.dumps({**common_fields, "fields": ascii(fields)}, option=orjson.OPT_APPEND_NEWLINE)
         self._lines.append(line)
-        self._held += len(line)
-        if MOST_HELD <= self._held < MOST_HELD + len(line) or not self._plan():
+        self._buffered_bytes += len(line)
+        if (
+            FLUSH_THRESHOLD_BYTES <= self._buffered_bytes < FLUSH_THRESHOLD_BYTES + len(line)
+            or not self._schedule_flush()
+        ):
             self.flush()
 
-    def _plan(self) -> bool:
-        """Whether a flush is to come: there is none without a loop, before the start and after the end."""
-        if self._planned is None:
+    def _schedule_flush(self) -> bool:
+        """Schedule a flush; returns False if no event loop runs, as before the start and after the end."""
+        if self._scheduled_flush is None:
             with contextlib.suppress(RuntimeError):
-                self._planned = asyncio.get_running_loop().call_later(FLUSH_S, self.flush)
-        return self._planned is not None
+                self._scheduled_flush = asyncio.get_running_loop().call_later(FLUSH_INTERVAL_S, self.flush)
+        return self._scheduled_flush is not None
 
     def flush(self) -> None:
-        if self._planned is not None:
-            self._planned.cancel()
-            self._planned = None
+        if self._scheduled_flush is not None:
+            self._scheduled_flush.cancel()
+            self._scheduled_flush = None
         data = b"".join(self._lines)
         self._lines = []
         try:
             while data:
                 data = data[os.write(self._descriptor, data) :]
-        except BlockingIOError:  # its reader is slow: what is left stays for the next time
+        except BlockingIOError:  # the reader is slow: the rest is written at the next flush
             self._lines = [data]
         except OSError:
-            data = b""  # nobody reads the log any more: no reason to stop serving
-        self._held = len(data)
-        if not data and self._dropped:
-            dropped, self._dropped = self._dropped, 0
+            data = b""  # the log has no reader any more; the balancer goes on serving
+        self._buffered_bytes = len(data)
+        if not data and self._dropped_lines:
+            dropped, self._dropped_lines = self._dropped_lines, 0
             self("log_lines_dropped", count=dropped)
         elif data:
-            self._plan()
+            self._schedule_flush()
 
 
-class LibraryLog(logging.Handler):
-    """What libraries say through the standard logging, as events of this log.
+class LibraryLogHandler(logging.Handler):
+    """Forwards records of the standard logging module to this log as events.
 
-    Guards against a library that says the same thousands of times a second: each place has one line a second.
+    Each call site is limited to one line a second, because a library may repeat a record thousands of times
+    a second.
     """
 
     def __init__(self, log: JsonLog) -> None:
         super().__init__(logging.WARNING)
         self._log = log
-        self._said: dict[tuple[str, int], float] = {}
+        self._last_logged_s: dict[tuple[str, int], float] = {}
 
     def emit(self, record: logging.LogRecord) -> None:
-        place = (record.pathname, record.lineno)
-        if record.created - self._said.get(place, 0.0) < 1.0:
+        call_site = (record.pathname, record.lineno)
+        if record.created - self._last_logged_s.get(call_site, 0.0) < 1.0:
             return
-        self._said[place] = record.created
-        error = repr(record.exc_info[1])[:500] if record.exc_info else None  # may quote a caller at length
+        self._last_logged_s[call_site] = record.created
+        error = repr(record.exc_info[1])[:500] if record.exc_info else None  # may contain long client input
         self._log("library_says", logger=record.name, text=record.getMessage()[:500], error=error)
--- a/tests/standalone/program/test_discovery.py
+++ b/tests/standalone/program/test_discovery.py
@@ -386,7 +386,7 @@
 def test_it_serves_from_what_it_knew_while_discovery_is_down(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("madderwind.standalone.program.service.FIRST_WORD_S", 0.02)
+    monkeypatch.setattr("madderwind.standalone.program.service.DISCOVERY_WAIT_S", 0.02)
 
     async def mute(_: Message, __: Writer) -> None:
         pass
--- a/tests/standalone/program/test_fleet.py
+++ b/tests/standalone/program/test_fleet.py
@@ -63,7 +63,7 @@
 
     async def play(name: str, **changes: Any) -> None:
         service = Service(read_configuration(written(tmp_path, **changes)), KeptLog())
-        peers = service.speaker()
+        peers = service.create_peers()
         assert isinstance(peers, GossipPeers if changes else Peers)
         peers._transport = Transport(name)  # type: ignore[assignment]
         service.copy.peers = peers
--- a/tests/standalone/program/test_log.py
+++ b/tests/standalone/program/test_log.py
@@ -48,15 +48,15 @@
 
 def test_a_reader_that_stands_still_holds_nothing_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a full pipe that stops the program, or a log that fills its memory."""
-    monkeypatch.setattr(program_log, "MOST_UNREAD", 200_000)
+    monkeypatch.setattr(program_log, "MAX_BUFFERED_BYTES", 200_000)
     reads, writes = os.pipe()
     os.set_blocking(writes, False)
     log = JsonLog("n3", writes)
     for number in range(5000):
         log("answered", number=number, text="x" * 100)
-    assert log._held <= 201_000
+    assert log._buffered_bytes <= 201_000
     seen: list[dict[str, object]] = []
-    while log._held:
+    while log._buffered_bytes:
         seen += _whole(reads)
         log.flush()
     log.flush()
