--- a/tests/standalone/program/harness.py
+++ b/tests/standalone/program/harness.py
@@ -1,4 +1,4 @@
-"""A service in this process, with stand-ins round it."""
+"""A balancer service in the test process, with stand-ins for its upstreams and discovery."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class KeptLog(JsonLog):
-    """A log that a test can read."""
+    """A log that also records its events for assertions."""
 
     def __init__(self) -> None:
         super().__init__("n3", -1)
         self.events: list[tuple[str, dict[str, Any]]] = []
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        super().__call__(event, **fields)  # what cannot be written as JSON must fail here too
+        super().__call__(event, **fields)  # so that fields that JSON cannot express fail here too
         self.events.append((event, fields))
 
     def named(self, event: str) -> list[dict[str, Any]]:
@@ -29,22 +29,22 @@
 
 
 async def call(port: int, raw: bytes) -> str:
-    """What the second address says to these bytes, until it closes."""
+    """Send bytes to the admin address and return everything it answers until it closes."""
     reader, writer = await asyncio.open_connection(examples.HOST, port)
     try:
         writer.write(raw)
-        said: bytes = await within(reader.read())
-        return said.decode()
+        received: bytes = await within(reader.read())
+        return received.decode()
     finally:
         writer.close()
 
 
 class Running:
-    """A service that runs among these upstreams, numbered in order, and follows an agent."""
+    """A running service with these upstreams, numbered in order, and a discovery agent."""
 
-    def __init__(self, folder: Path, *upstreams: Upstream, **ceilings: Any) -> None:
-        self._folder, self._upstreams, self._ceilings = folder, upstreams, ceilings
-        self._old: list[asyncio.Task[None]] = []
+    def __init__(self, folder: Path, *upstreams: Upstream, **settings: Any) -> None:
+        self._folder, self._upstreams, self._settings = folder, upstreams, settings
+        self._old_tasks: list[asyncio.Task[None]] = []
         self.agent = Agent()
         self.log = KeptLog()
 
@@ -55,22 +55,22 @@
         members = [examples.member(f"s-{n}", u.port) for n, u in enumerate(self._upstreams)]
         path = self._folder / "config.json"
         path.write_bytes(
-            examples.configuration(examples.listing(*members), self.agent.port, **self._ceilings)
+            examples.configuration(examples.listing(*members), self.agent.port, **self._settings)
         )
         self.service, self.task = self.new()
         await within(self.service.ready.wait())
         return self
 
     def new(self) -> tuple[Service, asyncio.Task[None]]:
-        """One more process of this balancer."""
+        """Start another process of this balancer."""
         configuration = read_configuration(str(self._folder / "config.json"))
         service = Service(configuration, self.log, str(self._folder))
         return service, asyncio.create_task(service.run())
 
     async def upgrade(self) -> Service:
-        """One more process of this balancer, which serves, in the place of the one before; that one."""
+        """Start another process of this balancer, wait until it serves, and return the previous one."""
         old = self.service
-        self._old.append(self.task)
+        self._old_tasks.append(self.task)
         self.service, self.task = self.new()
         await within(self.service.ready.wait())
         return old
@@ -80,25 +80,25 @@
         return self.service.port
 
     async def call(self, line: str) -> str:
-        """An operator's call at the second address, and all that it answers."""
+        """Send an operator command to the admin address and return its answer."""
         return await call(self.service.admin_port, line.encode() + b"\n")
 
     async def figure(self, name: str) -> int:
-        """One of the figures at the second address; -1 where it is not among them."""
+        """The value of one metric at the admin address; -1 if it is absent."""
         lines = (line.rpartition(" ") for line in (await self.call("METRICS")).splitlines())
-        return next((int(value) for said, _, value in lines if said == f"svc_{name}"), -1)
+        return next((int(value) for metric, _, value in lines if metric == f"svc_{name}"), -1)
 
     @property
     def broken(self) -> dict[str, int]:
         return dict(self.service.copy.invariants.broken)
 
     async def settled(self) -> None:
-        """Until no request is open."""
+        """Wait until no request is open."""
         while self.service.copy.open:
             await asyncio.sleep(0)
 
     async def __aexit__(self, *_: object) -> None:
-        tasks = [self.task, *self._old]
+        tasks = [self.task, *self._old_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/standalone/program/test_admin.py
+++ b/tests/standalone/program/test_admin.py
@@ -1,4 +1,4 @@
-"""The second address, and what operators do by it, on a service among stand-ins."""
+"""Operator commands at the admin address of a service with stand-ins."""
 
 from __future__ import annotations
 
@@ -32,17 +32,23 @@
 )
 
 
-def test_status_and_what_is_no_call(tmp_path: Path) -> None:
+def test_status_and_invalid_commands(tmp_path: Path) -> None:
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer()))) as running:
             port = running.service.admin_port
             assert await call(port, b"STATUS\n") == "ACK ready\n"
             assert await call(port, b"STATUS\r\nand more\n") == "ACK ready\n"
-            for odd in (b"status\n", b"\n", b"\xff\xfe\n", b"STATUS" + b" x" * 10_000, b"SUSPEND nobody\n"):
-                assert (await call(port, odd)).startswith("NAK ")
+            for invalid in (
+                b"status\n",
+                b"\n",
+                b"\xff\xfe\n",
+                b"STATUS" + b" x" * 10_000,
+                b"SUSPEND nobody\n",
+            ):
+                assert (await call(port, invalid)).startswith("NAK ")
             reader, writer = await asyncio.open_connection(examples.HOST, port)
             writer.write(b"STAT")
-            writer.write_eof()  # a close in the middle
+            writer.write_eof()  # closes in the middle of a command
             assert await within(reader.read()) == b""
             running.service.end()
             assert await call(port, b"STATUS\n") == "NAK not ready\n"
@@ -50,26 +56,26 @@
     run(test())
 
 
-def test_the_command_line_asks_too(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_line_sends_operator_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer()))) as running:
             address = f"{examples.HOST}:{running.service.admin_port}"
-            for words, code, says_so in (
+            for words, code, expected in (
                 (["STATUS"], 0, "ACK ready"),
                 (["METRICS"], 0, "svc_in_progress 0"),
                 (["SUSPEND", "s-0"], 0, "ACK s-0"),
                 (["RESTORE", "nobody"], 1, "NAK nobody was never listed"),
             ):
                 assert await asyncio.to_thread(main, ["call", address, *words]) == code
-                assert says_so in capsys.readouterr().out
+                assert expected in capsys.readouterr().out
         assert await asyncio.to_thread(main, ["call", address, "STATUS"]) == 1
         assert len(capsys.readouterr().err.splitlines()) == 1
 
     run(test())
 
 
-def test_figures_follow_requests(tmp_path: Path) -> None:
-    """Served, failed, refused, and open; attempts count when they are written, with a body or without."""
+def test_metrics_follow_requests(tmp_path: Path) -> None:
+    """Served, failed, refused and open requests; attempts count once written, with or without a body."""
 
     async def test() -> None:
         upstream = Upstream(says(answer(200, b"yes")))
@@ -85,12 +91,12 @@
             caller.write()
             for _ in range(5):
                 await within(upstream.arrivals.get())
-            said = (await running.call("METRICS")).splitlines()
-            assert 'svc_handled_total{category="lookup",outcome="passed"} 1' in said
-            assert 'svc_handled_total{category="lookup",outcome="dropped"} 1' in said
-            assert 'svc_handled_total{category="charge",outcome="passed"} 1' in said
-            assert 'svc_handled_total{category="charge",outcome="bad_gateway"} 1' in said
-            assert said[-1] == "--"
+            metrics = (await running.call("METRICS")).splitlines()
+            assert 'svc_handled_total{category="lookup",outcome="passed"} 1' in metrics
+            assert 'svc_handled_total{category="lookup",outcome="dropped"} 1' in metrics
+            assert 'svc_handled_total{category="charge",outcome="passed"} 1' in metrics
+            assert 'svc_handled_total{category="charge",outcome="bad_gateway"} 1' in metrics
+            assert metrics[-1] == "--"
             assert await running.figure("in_progress") == 1
             assert await running.figure("upstream_tries_total") == 5
             caller.close()
@@ -100,11 +106,11 @@
     run(test())
 
 
-def test_the_figures_agree_with_the_log_and_with_what_is_open(tmp_path: Path) -> None:
-    """taken = ended + in progress at every moment, while requests end in every way, each with one line."""
+def test_metrics_agree_with_the_log_and_the_open_requests(tmp_path: Path) -> None:
+    """taken = ended + in progress at any time, while requests end in every way, each with one log line."""
 
     async def test() -> None:
-        ends = [
+        answers = [
             answer(200, b"yes"),
             answer(500),
             answer(503, X_Never_Ran="1"),
@@ -112,17 +118,17 @@
             b"\x00\r\n\r\n",
             b"",
         ]
-        turn = itertools.cycle(ends)
+        next_answers = itertools.cycle(answers)
 
         async def behave(_: Message, writer: Writer) -> None:
-            writer.write(said := next(turn))
-            if not said:
+            writer.write(response := next(next_answers))
+            if not response:
                 writer.transport.abort()
 
         async with Running(tmp_path, Upstream(behave), Upstream(behave)) as running:
             copy = running.service.copy
 
-            async def asks(number: int) -> None:
+            async def ask_repeatedly(number: int) -> None:
                 caller = await Caller.connect(running.port)
                 for at in range(25):
                     caller.write("POST /charge" if at % 2 else "GET /lookup", b"x" * (at % 2), wait_ms=900)
@@ -132,39 +138,43 @@
                         continue
                     caller = await Caller.connect(running.port)
 
-            crowd = [asyncio.create_task(asks(number)) for number in range(12)]
-            looks = 0
-            while not all(task.done() for task in crowd):
-                taken = sum(e.taken_ms is not None for e in copy.open.values() if isinstance(e, Exchange))
-                assert copy.tally.in_progress == taken
-                looks += 1
+            callers = [asyncio.create_task(ask_repeatedly(number)) for number in range(12)]
+            checks = 0
+            while not all(task.done() for task in callers):
+                taken_count = sum(
+                    e.taken_ms is not None for e in copy.open.values() if isinstance(e, Exchange)
+                )
+                assert copy.tally.in_progress == taken_count
+                checks += 1
                 await asyncio.sleep(0)
-            await within(asyncio.gather(*crowd))
+            await within(asyncio.gather(*callers))
             await within(running.settled())
-            said = (await running.call("METRICS")).splitlines()
+            metrics = (await running.call("METRICS")).splitlines()
             logged: Counter[str] = Counter()
             for line in running.log.named("answered"):
                 outcome = {200: "passed", 503: "dropped"}.get(line["status"], "bad_gateway")
                 logged[f'{("lookup", "charge", "checkout")[line["class_index"]]}",outcome="{outcome}'] += 1
             for key, count in logged.items():
-                assert f'svc_handled_total{{category="{key}"}} {count}' in said
-            assert len(logged) > 4 and looks > 100
-            gone = len(running.log.named("client_left"))
-            assert copy.tally.taken == logged.total() + gone == copy.tally.ended
+                assert f'svc_handled_total{{category="{key}"}} {count}' in metrics
+            assert len(logged) > 4 and checks > 100
+            departed = len(running.log.named("client_left"))
+            assert copy.tally.taken == logged.total() + departed == copy.tally.ended
             assert not running.broken
 
     run(test())
 
 
-def test_silent_callers_keep_nobody_away(tmp_path: Path) -> None:
-    """Guards against callers that hold connections by hundreds and say nothing."""
+def test_idle_admin_connections_do_not_block_others(tmp_path: Path) -> None:
+    """Guards against clients that hold hundreds of admin connections open without sending a command."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer()))) as running:
             port = running.service.admin_port
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as open_connections:
                 for _ in range(3 * MOST_CALLS):
-                    held.enter_context(contextlib.closing(socket.create_connection((examples.HOST, port))))
+                    open_connections.enter_context(
+                        contextlib.closing(socket.create_connection((examples.HOST, port)))
+                    )
                 assert await call(port, b"STATUS\n") == "ACK ready\n"
                 caller = await Caller.connect(running.port)
                 assert (await caller.ask()).status == 200
@@ -172,7 +182,7 @@
     run(test())
 
 
-def test_it_answers_when_no_descriptor_is_left(tmp_path: Path) -> None:
+def test_the_admin_address_answers_without_free_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer()))) as running:
             connection = socket.socket()
@@ -194,18 +204,18 @@
     run(test())
 
 
-def test_it_answers_while_the_loop_is_full(tmp_path: Path) -> None:
-    """Answers are owed in 1 s under any load; here forty callers ask again as soon as they are answered."""
+def test_the_admin_address_answers_under_load(tmp_path: Path) -> None:
+    """Answers are due within 1 s under any load; here forty callers send requests back to back."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer()))) as running:
 
-            async def asks() -> None:
+            async def ask_repeatedly() -> None:
                 caller = await Caller.connect(running.port)
                 while True:
                     await caller.ask(wait_ms=30_000)
 
-            crowd = [asyncio.create_task(asks()) for _ in range(40)]
+            callers = [asyncio.create_task(ask_repeatedly()) for _ in range(40)]
             loop = asyncio.get_running_loop()
             try:
                 for line in (b"STATUS\n", b"METRICS\n", b"SUSPEND s-0\n", b"RESTORE s-0\n"):
@@ -213,16 +223,16 @@
                     assert not (await call(running.service.admin_port, line)).startswith("NAK")
                     assert loop.time() - began_s < 1.0
             finally:
-                for task in crowd:
+                for task in callers:
                     task.cancel()
-                await asyncio.gather(*crowd, return_exceptions=True)
+                await asyncio.gather(*callers, return_exceptions=True)
             assert not running.broken
 
     run(test())
 
 
-def test_a_suspended_upstream_gets_nothing_until_it_is_called_back(tmp_path: Path) -> None:
-    """A ban holds through listings, a going and coming back, and repeats; one call back ends it."""
+def test_a_suspended_upstream_gets_no_requests_until_it_is_restored(tmp_path: Path) -> None:
+    """A suspension survives listings, removal and return of the upstream, and repeats; RESTORE ends it."""
 
     async def test() -> None:
         first, second = Upstream(says(answer(200, b"first"))), Upstream(says(answer(200, b"second")))
@@ -256,8 +266,8 @@
     run(test())
 
 
-def test_a_suspension_reaches_what_is_on_its_way(tmp_path: Path) -> None:
-    """The ban comes while the attempt's connection comes up: the attempt is not written."""
+def test_a_suspension_applies_to_an_attempt_that_is_connecting(tmp_path: Path) -> None:
+    """The suspension arrives while the attempt connects, so the attempt is not written."""
 
     async def test() -> None:
         upstream = Upstream(says(answer(200, b"late")))
--- a/tests/standalone/program/test_fleet.py
+++ b/tests/standalone/program/test_fleet.py
@@ -1,4 +1,4 @@
-"""`fleet` in the configuration: what it needs, and that without it nothing is other than before."""
+"""The `fleet` key of the configuration: its requirements, and unchanged behaviour without it."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 from tests.standalone.program.harness import KeptLog, Running
 from tests.standins import Caller, Upstream, answer, run, says, within
 
-BESIDE = Path(__file__).parents[3] / "deploy" / "example-beside-a-client.json"
+EXAMPLE = Path(__file__).parents[3] / "deploy" / "example-beside-a-client.json"
 
 
-def written(folder: Path, **changes: Any) -> str:
+def write_configuration(folder: Path, **changes: Any) -> str:
     path = folder / "config.json"
-    path.write_text(json.dumps({**json.loads(BESIDE.read_text()), **changes}))
+    path.write_text(json.dumps({**json.loads(EXAMPLE.read_text()), **changes}))
     return str(path)
 
 
-def test_a_fleet_is_off_unless_the_file_has_it(tmp_path: Path) -> None:
-    assert read_configuration(written(tmp_path)).fleet is None
-    assert read_configuration(written(tmp_path, fleet={"name": "app"})).fleet is not None
+def test_a_fleet_is_disabled_unless_configured(tmp_path: Path) -> None:
+    assert read_configuration(write_configuration(tmp_path)).fleet is None
+    assert read_configuration(write_configuration(tmp_path, fleet={"name": "app"})).fleet is not None
 
 
 @pytest.mark.parametrize(
-    ("changes", "said"),
+    ("changes", "message"),
     [
         ({"fleet": {"datagrams_per_s": 1}}, "5"),
         ({"fleet": {"speed": 1}}, "speed"),
@@ -43,16 +43,17 @@
         ({"fleet": {"leaving": {"regions": {"north": ["a", "x"]}}}}, "not among"),
     ],
 )
-def test_a_fleet_that_cannot_be_read_is_one_plain_line(tmp_path: Path, changes: Any, said: str) -> None:
-    with pytest.raises(ConfigurationError, match=said) as caught:
-        read_configuration(written(tmp_path, **changes))
-    assert "\n" not in str(caught.value)
+def test_an_invalid_fleet_is_reported_in_one_line(tmp_path: Path, changes: Any, message: str) -> None:
+    with pytest.raises(ConfigurationError, match=message) as error:
+        read_configuration(write_configuration(tmp_path, **changes))
+    assert "\n" not in str(error.value)
 
 
-def test_without_it_each_copy_tells_every_other_as_before(tmp_path: Path) -> None:
-    """Byte for byte, and the same events give the same actions: a fleet only carries what is told."""
+def test_without_a_fleet_messages_and_actions_are_unchanged(tmp_path: Path) -> None:
+    """Without a fleet the messages are the same byte for byte, and with one the same events give the same
+    actions: a fleet only changes how messages are transported."""
     sent: dict[str, list[tuple[bytes, Any]]] = {}
-    acted: dict[str, list[list[Any]]] = {}
+    actions: dict[str, list[list[Any]]] = {}
 
     class Transport:
         def __init__(self, name: str) -> None:
@@ -61,14 +62,14 @@
         def sendto(self, data: bytes, address: Any) -> None:
             self._sent.append((data, address))
 
-    async def play(name: str, **changes: Any) -> None:
-        service = Service(read_configuration(written(tmp_path, **changes)), KeptLog())
+    async def run_service(name: str, **changes: Any) -> None:
+        service = Service(read_configuration(write_configuration(tmp_path, **changes)), KeptLog())
         peers = service.create_peers()
         assert isinstance(peers, GossipPeers if changes else Peers)
         peers._transport = Transport(name)  # type: ignore[assignment]
         service.copy.peers = peers
         balancer = service.copy._balancer
-        acted[name] = [
+        actions[name] = [
             balancer.handle(at_ms, event)
             for at_ms, event in (
                 (1000.0, api.PeerSpoke(1, bytes([9, 1, 0]))),
@@ -78,14 +79,14 @@
         ]
         peers.tell(None, b"abc")
 
-    run(play("before"))
-    run(play("fleet", fleet={"name": "app"}))
+    run(run_service("before"))
+    run(run_service("fleet", fleet={"name": "app"}))
     assert sent["before"] == [(HEAD.pack(MARK, 0) + b"abc", ("127.0.0.1", 7001))]
-    assert acted["before"] == acted["fleet"]
+    assert actions["before"] == actions["fleet"]
 
 
-def test_figures_of_words_stand_beside_the_others_only_with_it(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_gossip_metrics_are_present_only_with_a_fleet(tmp_path: Path) -> None:
+    async def run_service() -> None:
         async with Running(tmp_path, Upstream(says(answer()))) as running:
             assert "svc_words" not in await running.call("METRICS")
             copy = running.service.copy
@@ -114,4 +115,4 @@
             assert (await within(caller.ask())).status == 200
             caller.close()
 
-    run(play())
+    run(run_service())
--- a/tests/standalone/program/test_move.py
+++ b/tests/standalone/program/test_move.py
@@ -1,4 +1,4 @@
-"""A move to another shape of deployment: the settings that come with it, and the first seconds after."""
+"""A move to another deployment layout: its settings, and the first seconds after the switch."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from tests.standalone.routing.test_peers import free_ports
 from tests.standins import Caller, Upstream, answer, run, says, tell, within
 
-YES = answer(200, b"yes")
-NEVER_RAN = answer(503, b"", X_Never_Ran="1")
+OK_ANSWER = answer(200, b"yes")
+NEVER_RAN_ANSWER = answer(503, b"", X_Never_Ran="1")
 
 
-def named(folder: Path, peers: Any, **changes: Any) -> None:
-    """The new shape: a copy beside each of three client processes, which tell one another their rates."""
+def write_moved_configuration(folder: Path, peers: Any, **changes: Any) -> None:
+    """The new layout: a copy beside each of three client processes, which send one another their rates."""
     rewrite(
         folder,
         **{"NInstances": 3, "Ceilings__SecondCopies": False, "Ceilings__MayTell": True}
@@ -39,21 +39,21 @@
     return [f"{examples.HOST}:{port}" for port in ports]
 
 
-def example(folder: Path) -> Path:
+def write_example_configuration(folder: Path) -> Path:
     path = folder / "config.json"
     path.write_bytes(examples.configuration(examples.listing(examples.member("s-0", 5000)), 8500))
     return path
 
 
-def test_without_the_new_settings_all_is_as_it_was(tmp_path: Path) -> None:
-    configuration = read_configuration(str(example(tmp_path)))
+def test_without_the_new_settings_the_defaults_apply(tmp_path: Path) -> None:
+    configuration = read_configuration(str(write_example_configuration(tmp_path)))
     settings = configuration.host.settings
     assert not settings.may_tell and not settings.warm_keys and configuration.peers == ()
 
 
 def test_the_new_settings_are_read(tmp_path: Path) -> None:
-    path = example(tmp_path)
-    named(tmp_path, peers_of([7000, 7001, 7002]))
+    path = write_example_configuration(tmp_path)
+    write_moved_configuration(tmp_path, peers_of([7000, 7001, 7002]))
     configuration = read_configuration(str(path))
     settings = configuration.host.settings
     assert settings.may_tell and settings.warm_keys and not settings.second_copies
@@ -73,23 +73,32 @@
         (peers_of([7000, 7001, 7002]), {"Profiles__0__Importance": "much"}),
     ],
 )
-def test_what_cannot_be_right_is_one_plain_line(tmp_path: Path, peers: Any, changes: dict[str, Any]) -> None:
-    path = example(tmp_path)
-    named(tmp_path, peers, **changes)
-    with pytest.raises(ConfigurationError) as told:
+def test_invalid_settings_are_reported_in_one_line(
+    tmp_path: Path, peers: Any, changes: dict[str, Any]
+) -> None:
+    path = write_example_configuration(tmp_path)
+    write_moved_configuration(tmp_path, peers, **changes)
+    with pytest.raises(ConfigurationError) as error:
         read_configuration(str(path))
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(error.value)
 
 
 def test_the_first_seconds_after_the_switch(tmp_path: Path) -> None:
-    """One upstream is dead, one has just started, one is slow: the first two mean the same after the move,
-    the third is a ratio to the usual of the shape that is left. No request is lost, no dead one is tried."""
+    """One upstream is failing, one has just started and one is slow.
+
+    The first two states remain valid after the move. The slowness does not, because it is a ratio to the
+    usual value in the old layout. No request is lost, and none goes to the failing upstream.
+    """
 
     async def test() -> None:
-        dead, cold, good = Upstream(says(NEVER_RAN)), Upstream(says(YES)), Upstream(says(YES))
-        async with Running(tmp_path, dead, cold, good) as running:
+        failing, starting, healthy = (
+            Upstream(says(NEVER_RAN_ANSWER)),
+            Upstream(says(OK_ANSWER)),
+            Upstream(says(OK_ANSWER)),
+        )
+        async with Running(tmp_path, failing, starting, healthy) as running:
             started_ms = time.time() * 1000 - 2000
-            members = [examples.member(f"s-{n}", u.port) for n, u in enumerate((dead, cold, good))]
+            members = [examples.member(f"s-{n}", u.port) for n, u in enumerate((failing, starting, healthy))]
             members[1]["up_since_ms"] = started_ms
             watch = await within(running.agent.watches.get())
             tell(watch, examples.listing(*members, revision=42))
@@ -103,42 +112,42 @@
             fleet[0].ejected_until_ms = time.time() * 1000 + 60_000
             fleet[2].slowness = 7.0
             running.service.copy._balancer._admission.room = 3.5
-            tried = len(dead.asked)
+            failing_requests = len(failing.asked)
 
             ports = free_ports(3)
-            named(tmp_path, peers_of(ports))
-            old, task = running.service, running.task
+            write_moved_configuration(tmp_path, peers_of(ports))
+            old_service, task = running.service, running.task
             await running.upgrade()
             assert running.log.named("taken_over")[-1]["same_shape"] is False
             balancer = running.service.copy._balancer
-            now = {u.entry.mark: u for u in balancer._fleet.upstreams.values()}
-            then = {u.entry.mark: u for u in old.copy._balancer._fleet.upstreams.values()}
+            upstreams_after = {u.entry.mark: u for u in balancer._fleet.upstreams.values()}
+            upstreams_before = {u.entry.mark: u for u in old_service.copy._balancer._fleet.upstreams.values()}
             marks = [u.entry.mark for u in fleet.values()]
             assert (
-                now[marks[0]].failures >= 3 and now[marks[0]].ejected_until_ms > time.time() * 1000 + 30_000
+                upstreams_after[marks[0]].failures >= 3
+                and upstreams_after[marks[0]].ejected_until_ms > time.time() * 1000 + 30_000
             )
-            assert now[marks[1]].started_ms == then[marks[1]].started_ms >= started_ms
-            assert now[marks[2]].slowness == 1.0
+            assert upstreams_after[marks[1]].started_ms == upstreams_before[marks[1]].started_ms >= started_ms
+            assert upstreams_after[marks[2]].slowness == 1.0
             assert balancer._admission.room == 8.0
-            assert balancer._quota.tokens == old.copy._balancer._quota.tokens <= 250
-
-            old.end()
-            other = await Caller.connect(running.port)
-            for _ in range(
-                30
-            ):  # unsafe ones: a second copy, on a machine that is late, has one upstream less
-                assert (await other.ask("POST /charge", b"1")).status == 200
-            assert len(dead.asked) == tried
+            assert balancer._quota.tokens == old_service.copy._balancer._quota.tokens <= 250
+
+            old_service.end()
+            second_caller = await Caller.connect(running.port)
+            # Unsafe requests are not hedged; on a slow machine a hedge would have one upstream less.
+            for _ in range(30):
+                assert (await second_caller.ask("POST /charge", b"1")).status == 200
+            assert len(failing.asked) == failing_requests
             await within(task)
-            assert (await other.ask()).status == 200
+            assert (await second_caller.ask()).status == 200
             assert not running.broken
 
     run(test())
 
 
-def test_a_plain_upgrade_keeps_all_that_was_learned(tmp_path: Path) -> None:
+def test_an_upgrade_in_the_same_layout_keeps_the_learned_state(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(says(YES)), Upstream(says(YES))) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER)), Upstream(says(OK_ANSWER))) as running:
             balancer = running.service.copy._balancer
             balancer._fleet.upstreams[1].slowness, balancer._admission.room = 3.0, 5.5
             await running.upgrade()
@@ -149,37 +158,37 @@
     run(test())
 
 
-class Peer(asyncio.DatagramProtocol):
+class FakePeer(asyncio.DatagramProtocol):
     """A stand-in for another copy."""
 
     def __init__(self) -> None:
-        self.heard: asyncio.Queue[bytes] = asyncio.Queue()
+        self.received: asyncio.Queue[bytes] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, _: Any) -> None:
-        self.heard.put_nowait(data)
+        self.received.put_nowait(data)
 
 
-def test_a_copy_tells_its_rate_and_acts_on_what_it_hears(tmp_path: Path) -> None:
+def test_a_copy_sends_its_rate_and_uses_the_received_rates(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(says(YES))) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
             ports = free_ports(3)
-            named(tmp_path, peers_of(ports))
+            write_moved_configuration(tmp_path, peers_of(ports))
             loop = asyncio.get_running_loop()
-            transport, peer = await loop.create_datagram_endpoint(Peer, (examples.HOST, ports[2]))
-            old = await running.upgrade()
-            assert old.copy.peers is None
+            transport, peer = await loop.create_datagram_endpoint(FakePeer, (examples.HOST, ports[2]))
+            old_service = await running.upgrade()
+            assert old_service.copy.peers is None
             caller = await Caller.connect(running.port)
             assert (await caller.ask()).status == 200
-            word = await within(peer.heard.get())
-            while word[HEAD.size :] == b"\0\0\0":  # told before the first request
-                word = await within(peer.heard.get())
-            assert word[: HEAD.size] == HEAD.pack(MARK, 0) and len(word) == HEAD.size + 3
+            message = await within(peer.received.get())
+            while message[HEAD.size :] == b"\0\0\0":  # sent before the first request
+                message = await within(peer.received.get())
+            assert message[: HEAD.size] == HEAD.pack(MARK, 0) and len(message) == HEAD.size + 3
             traffic = running.service.copy._balancer._traffic
             transport.sendto(HEAD.pack(MARK, 2) + (100_000).to_bytes(3, "little"), (examples.HOST, ports[0]))
             while not traffic._heard:
                 await asyncio.sleep(0.001)
             assert traffic._heard[2][0] == 1000.0 and traffic.part(time.time() * 1000) < 0.05
-            new = await running.upgrade()  # two processes are one copy: only the successor speaks on
+            new = await running.upgrade()  # both processes are one copy, and only the successor sends
             assert new.copy.peers is not None
             while not new.copy.peers.closed:
                 await asyncio.sleep(0.001)
@@ -190,24 +199,24 @@
     run(test())
 
 
-def test_where_no_peers_are_named_nothing_is_told(tmp_path: Path) -> None:
+def test_without_configured_peers_nothing_is_sent(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(says(YES)), MayTell=True) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER)), MayTell=True) as running:
             assert running.log.named("no_peers_named") == [{}]
             assert not running.service.copy.settings.may_tell
 
     run(test())
 
 
-def test_marks_are_alike_at_copies_that_hear_of_upstreams_in_another_order() -> None:
+def test_upstream_marks_do_not_depend_on_the_order_of_the_listing() -> None:
     from madderwind.standalone.protocol.listing import read_listing
     from madderwind.standalone.routing.directory import Directory
 
-    lines = [examples.member(f"s-{n}", 5000 + n) for n in range(4)]
-    seen = []
-    for order in (lines, lines[::-1]):
+    members = [examples.member(f"s-{n}", 5000 + n) for n in range(4)]
+    marks_by_order = []
+    for order in (members, members[::-1]):
         directory = Directory((), ())
         event = directory.take(read_listing(json.dumps(examples.listing(*order)).encode()))
-        seen.append({directory.name(e.upstream): e.mark for e in event.entries})
+        marks_by_order.append({directory.name(e.upstream): e.mark for e in event.entries})
         assert isinstance(event.entries[0], api.UpstreamEntry)
-    assert seen[0] == seen[1] and len(set(seen[0].values())) == 4
+    assert marks_by_order[0] == marks_by_order[1] and len(set(marks_by_order[0].values())) == 4
--- a/tests/standalone/program/test_reload.py
+++ b/tests/standalone/program/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: new settings, judged whole, on a service among stand-ins."""
+"""Reload on SIGHUP: new settings are validated as a whole, on a service with stand-ins."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 
 def rewrite(folder: Path, **changes: Any) -> dict[str, Any]:
-    """The configuration with other values at these places, a__b for settings' a.b, and what it was before."""
+    """Change settings in the configuration file, `a__b` naming `a.b`; returns the changed document."""
     path = folder / "config.json"
-    tree: dict[str, Any] = json.loads(path.read_text())
-    for place, value in changes.items():
-        *way, last = place.split("__")
-        at: Any = tree["settings"]
-        for name in way:
-            at = at[int(name) if name.isdigit() else name]
-        at[last] = value
-    path.write_text(json.dumps(tree))
-    return tree
+    document: dict[str, Any] = json.loads(path.read_text())
+    for location, value in changes.items():
+        *parents, key_name = location.split("__")
+        node: Any = document["settings"]
+        for name in parents:
+            node = node[int(name) if name.isdigit() else name]
+        node[key_name] = value
+    path.write_text(json.dumps(document))
+    return document
 
 
 def profile(name: str, effect: str = "read_like") -> dict[str, Any]:
     return {"Name": name, "Effect": effect, "DeadlineMs": 4000.0, "GoalTimeMs": 1500.0}
 
 
-BAD: dict[str, Any] = {
+INVALID_CHANGES: dict[str, Any] = {
     "empty": "",
     "cut short": None,
     "no object": "[]",
@@ -56,30 +56,30 @@
 }
 
 
-def spoil(folder: Path, how: Any) -> None:
+def corrupt_configuration(folder: Path, change: Any) -> None:
     path = folder / "config.json"
-    if how is None:
+    if change is None:
         path.write_bytes(path.read_bytes()[:-200])
-    elif isinstance(how, dict):
-        rewrite(folder, **how)
-    elif ">" in how:
-        path.write_text(path.read_text().replace(*how.split(">")))
+    elif isinstance(change, dict):
+        rewrite(folder, **change)
+    elif ">" in change:
+        path.write_text(path.read_text().replace(*change.split(">")))
     else:
-        path.write_text(how)
+        path.write_text(change)
 
 
-@pytest.mark.parametrize("how", BAD.values(), ids=list(BAD))
-def test_a_bad_file_is_turned_down_whole(tmp_path: Path, how: Any) -> None:
-    """What is in force stays to the last figure: discovery's address too, which the bad file changes."""
+@pytest.mark.parametrize("change", INVALID_CHANGES.values(), ids=list(INVALID_CHANGES))
+def test_an_invalid_file_is_rejected_as_a_whole(tmp_path: Path, change: Any) -> None:
+    """All settings in force stay, including the address of discovery, which the invalid file changes."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200, b"yes")))) as running:
             copy, path = running.service.copy, tmp_path / "config.json"
-            before = copy.host
+            host_before = copy.host
             path.write_text(path.read_text().replace(f":{running.agent.port}", ":1"))
-            spoil(tmp_path, how)
+            corrupt_configuration(tmp_path, change)
             running.service.reload()
-            assert copy.host is before
+            assert copy.host is host_before
             assert running.service._configuration.discovery[1] == running.agent.port
             assert await running.figure("load_errors_total") == 1
             assert await running.figure("loads_total") == 0
@@ -91,55 +91,57 @@
 
 @pytest.mark.parametrize("key", ["name", "listen", "discovery", "seed", "known", "settings", "limits"])
 @pytest.mark.parametrize("within_settings", [False, True])
-def test_a_lost_key_turns_a_file_down(tmp_path: Path, key: str, within_settings: bool) -> None:
+def test_a_file_with_a_missing_key_is_rejected(tmp_path: Path, key: str, within_settings: bool) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(examples.configuration(examples.listing(), 8500))
-    before = read_configuration(str(path))
-    tree = json.loads(path.read_text())
+    current = read_configuration(str(path))
+    document = json.loads(path.read_text())
     if within_settings:
         key = {"known": "Customers", "seed": "Weights", "limits": "Reporting"}.get(key, "Ceilings")
-        del tree["settings"][key]
+        del document["settings"][key]
     else:
-        del tree[key]
-    path.write_text(json.dumps(tree))
+        del document[key]
+    path.write_text(json.dumps(document))
     with pytest.raises(ConfigurationError):
-        read_successor(before)
+        read_successor(current)
 
 
-def test_classes_come_and_go(tmp_path: Path) -> None:
-    """New ones are in use at once; one that vanished is served for a deadline more, then turned away; what is
-    under way keeps its class."""
+def test_classes_are_added_and_removed(tmp_path: Path) -> None:
+    """New classes apply at once, and open requests keep their class.
+
+    A removed class is served for one more deadline and rejected afterwards.
+    """
 
     async def test() -> None:
-        go = asyncio.Event()
+        release = asyncio.Event()
 
-        async def waits(message: Message, writer: Writer) -> None:
+        async def answer_after_release(message: Message, writer: Writer) -> None:
             if "slow" in message.start:
-                await go.wait()
+                await release.wait()
             writer.write(answer(200, b"yes"))
 
-        upstream = Upstream(waits)
+        upstream = Upstream(answer_after_release)
         async with Running(tmp_path, upstream) as running:
-            caller, busy = await Caller.connect(running.port), await Caller.connect(running.port)
-            busy.write("GET /lookup/slow")
+            caller, waiting_caller = await Caller.connect(running.port), await Caller.connect(running.port)
+            waiting_caller.write("GET /lookup/slow")
             await within(upstream.arrivals.get())
             rewrite(tmp_path, Profiles=[profile("quote", "non_idempotent"), profile("charge")])
             running.service.reload()
             copy = running.service.copy
             assert copy.host.class_names == ("lookup", "charge", "checkout", "quote")
             assert (await caller.ask("POST /quote", b"x")).status == 200
-            assert (await caller.ask("GET /charge")).status == 200  # what it is now
-            assert (await caller.ask("GET /lookup")).status == 200  # from a tier that has not heard yet
+            assert (await caller.ask("GET /charge")).status == 200  # with its new definition
+            assert (await caller.ask("GET /lookup")).status == 200  # from a tier that has not reloaded yet
             copy._served_until_ms["lookup"] = 0.0
             assert (await caller.ask("GET /lookup")).status == 400
             (exchange,) = copy.open.values()
             assert isinstance(exchange, Exchange)
             assert (exchange.category, exchange.klass.effect) == ("lookup", Effect.SAFE)
-            go.set()
-            assert (await busy.read()).status == 200
-            said = await running.call("METRICS")
-            assert 'category="lookup",outcome="passed"} 2' in said
-            assert 'category="quote",outcome="passed"} 1' in said
+            release.set()
+            assert (await waiting_caller.read()).status == 200
+            metrics = await running.call("METRICS")
+            assert 'category="lookup",outcome="passed"} 2' in metrics
+            assert 'category="quote",outcome="passed"} 1' in metrics
             assert await running.figure("loads_total") == 1
             assert not running.broken
 
@@ -147,28 +149,30 @@
 
 
 def test_reloads_under_load_lose_nothing(tmp_path: Path) -> None:
-    """Good and bad files in turn, two signals at once among them, while callers ask."""
+    """Valid and invalid files in turn, with two reloads at once, while callers send requests."""
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200, b"yes")))) as running:
             statuses: list[int] = []
 
-            async def asks() -> None:
+            async def ask_repeatedly() -> None:
                 caller = await Caller.connect(running.port)
                 for _ in range(60):
                     statuses.append((await caller.ask(wait_ms=30_000)).status)
 
-            crowd = [asyncio.create_task(asks()) for _ in range(5)]
-            good = (tmp_path / "config.json").read_text()
-            for at, how in enumerate([*BAD.values(), {"Ceilings__MaxAttempts": 2}]):
-                spoil(tmp_path, how)
+            callers = [asyncio.create_task(ask_repeatedly()) for _ in range(5)]
+            valid_text = (tmp_path / "config.json").read_text()
+            for number, change in enumerate([*INVALID_CHANGES.values(), {"Ceilings__MaxAttempts": 2}]):
+                corrupt_configuration(tmp_path, change)
                 running.service.reload()
                 running.service.reload()
-                assert running.service.copy.settings.max_attempts == (2 if at == len(BAD) else 4)
-                (tmp_path / "config.json").write_text(good)
+                assert running.service.copy.settings.max_attempts == (
+                    2 if number == len(INVALID_CHANGES) else 4
+                )
+                (tmp_path / "config.json").write_text(valid_text)
                 running.service.reload()
                 await asyncio.sleep(0)
-            await within(asyncio.gather(*crowd))
+            await within(asyncio.gather(*callers))
             assert statuses == [200] * 300
             assert not running.broken
 
@@ -179,73 +183,76 @@
     return {"Name": name, "Fraction": 0.5, "QuotaPerS": 100.0}
 
 
-def test_no_tenant_is_given_the_number_of_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Removed, swapped, added, come back, and all gone: each keeps its number, by which the module counts its
-    use; who vanished is served for a deadline more, and nobody's requests use up what it had."""
+def test_no_tenant_gets_the_number_of_another(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each tenant keeps its number, by which the policy counts its use.
+
+    Tenants are removed, swapped, added, added again, and all removed. A removed tenant is served for one more
+    deadline, and no other tenant's requests count against its quota.
+    """
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200, b"yes")))) as running:
             copy = running.service.copy
-            numbers: list[int] = []
+            tenant_numbers: list[int] = []
             handle = copy._balancer.handle
 
-            def seen(now: float, event: Any) -> Any:
+            def record_arrivals(now: float, event: Any) -> Any:
                 if isinstance(event, RequestArrived):
-                    numbers.append(event.tenant_index)
+                    tenant_numbers.append(event.tenant_index)
                 return handle(now, event)
 
-            monkeypatch.setattr(copy._balancer, "handle", seen)
+            monkeypatch.setattr(copy._balancer, "handle", record_arrivals)
             caller = await Caller.connect(running.port)
 
-            async def asked_as(name: str) -> int:
-                """The number that it has; -1 where it is turned away."""
+            async def ask_as(name: str) -> int:
+                """The number of the tenant; -1 if the request is rejected."""
                 nonlocal caller
-                got = await caller.ask(X_Customer=name)
-                if got.status == 400:
+                response = await caller.ask(X_Customer=name)
+                if response.status == 400:
                     caller = await Caller.connect(running.port)
                     return -1
-                return numbers[-1]
+                return tenant_numbers[-1]
 
-            def tenants(*names: str) -> None:
+            def set_tenants(*names: str) -> None:
                 rewrite(tmp_path, Customers=[customer(name) for name in names])
                 running.service.reload()
 
-            assert [await asked_as("acme"), await asked_as("rueda, andina")] == [0, 1]
-            tenants("third", "acme")
-            assert [await asked_as(name) for name in ("acme", "third", "rueda, andina")] == [0, 2, 1]
+            assert [await ask_as("acme"), await ask_as("rueda, andina")] == [0, 1]
+            set_tenants("third", "acme")
+            assert [await ask_as(name) for name in ("acme", "third", "rueda, andina")] == [0, 2, 1]
             copy._tenants_until_ms["rueda, andina"] = 0.0
-            assert await asked_as("rueda, andina") == -1
-            tenants("rueda, andina", "third")
-            assert [await asked_as(name) for name in ("acme", "third", "rueda, andina")] == [0, 2, 1]
-            tenants()
-            assert [await asked_as(name) for name in ("acme", "nobody")] == [3, 3]
-            tenants("acme")
-            assert [await asked_as(name) for name in ("acme", "nobody")] == [0, -1]
+            assert await ask_as("rueda, andina") == -1
+            set_tenants("rueda, andina", "third")
+            assert [await ask_as(name) for name in ("acme", "third", "rueda, andina")] == [0, 2, 1]
+            set_tenants()
+            assert [await ask_as(name) for name in ("acme", "nobody")] == [3, 3]
+            set_tenants("acme")
+            assert [await ask_as(name) for name in ("acme", "nobody")] == [0, -1]
 
     run(test())
 
 
-def test_looser_settings_do_not_loosen_what_is_under_way(tmp_path: Path) -> None:
-    """One attempt was allowed when the request came, then four; its upstreams turn it away each time."""
+def test_looser_settings_do_not_apply_to_open_requests(tmp_path: Path) -> None:
+    """One attempt is allowed when the request arrives, and later four; its upstream rejects every attempt."""
 
     async def test() -> None:
-        go = asyncio.Event()
+        release = asyncio.Event()
 
-        async def waits(_: Message, writer: Writer) -> None:
-            await go.wait()
+        async def answer_after_release(_: Message, writer: Writer) -> None:
+            await release.wait()
             writer.write(answer(503, X_Never_Ran="1"))
 
-        upstream = Upstream(waits)
+        upstream = Upstream(answer_after_release)
         async with Running(tmp_path, upstream, MaxAttempts=1) as running:
             caller = await Caller.connect(running.port)
             caller.write(wait_ms=20_000)
             await within(upstream.arrivals.get())
             rewrite(tmp_path, Ceilings__MaxAttempts=4)
             running.service.reload()
-            go.set()
+            release.set()
             assert (await caller.read()).status == 503
             assert len(upstream.asked) == 1
             assert (await caller.ask(wait_ms=20_000)).status == 503
-            assert len(upstream.asked) > 2  # what comes since then may be sent again
+            assert len(upstream.asked) > 2  # later requests may be retried
 
     run(test())
