--- a/madderwind/standalone/gossip/members.py
+++ b/madderwind/standalone/gossip/members.py
@@ -150,9 +150,8 @@
         if life > member.life or (member.state is State.DEAD and life >= member.life):
             before = member.state
             changed = self._set_state(number, State.ALIVE, life, now)
-            return (
-                None if before is State.ALIVE else changed
-            )  # the member announces its new incarnation itself
+            # A living member announces its new incarnation itself.
+            return None if before is State.ALIVE else changed
         return None
 
     def apply_report(self, number: int, state: State, life: int, accuser: int, now: float) -> Changed | None:
--- a/madderwind/standalone/gossip/membership.py
+++ b/madderwind/standalone/gossip/membership.py
@@ -25,7 +25,7 @@
     Probe,
     State,
 )
-from madderwind.standalone.gossip.news import News
+from madderwind.standalone.gossip.news import UpdateQueue
 from madderwind.standalone.gossip.wire import (
     ITEM_SPACE,
     NO_MEMBER,
@@ -121,7 +121,7 @@
         self._random = random.Random(seed)
         self._checksum_seed = wire.seed_of(fleet)
         self.members = Members(me, copies, self._random)
-        self.news = News(4 * copies + MAX_EVENTS + MAX_SHARED_KEYS)
+        self.updates = UpdateQueue(4 * copies + MAX_EVENTS + MAX_SHARED_KEYS)
         self.counts: Counter[str] = Counter()
         self.states: dict[int, Item] = {}  # the newest of each copy, including this one
         self.shared: dict[bytes, Item] = {}  # the newest of each key
@@ -211,7 +211,7 @@
         self.states[self.me] = item
         if now - self._state_queued_ms >= self._min_state_interval_ms:
             self._state_queued_ms = now
-            self.news.put((Kind.STATE, self.me), item, STATE_SENDS)
+            self.updates.put((Kind.STATE, self.me), item, STATE_SENDS)
         for payload in events:
             self._version += 1
             event = self._own_item(Kind.EVENT, payload)
@@ -253,7 +253,7 @@
             return False
         self.shared[key] = item
         # Sent before the views, because it is the decision derived from them.
-        self.news.put((Kind.SHARED, key), item, self._urgent_sends(), urgent=True, first=True)
+        self.updates.put((Kind.SHARED, key), item, self._urgent_sends(), urgent=True, first=True)
         self._urgent_pending = True
         return True
 
@@ -273,7 +273,7 @@
         return URGENT_SENDS + math.ceil(math.log2(self._copies + 1))
 
     def _queue_urgent(self, key: tuple[int, ...], item: Item) -> None:
-        self.news.put(key, item, self._urgent_sends(), urgent=True)
+        self.updates.put(key, item, self._urgent_sends(), urgent=True)
 
     def _send(
         self, peer: int, purpose: Purpose, now: float, about: int = NO_MEMBER, items: tuple[Item, ...] = ()
@@ -286,7 +286,7 @@
         self._number += 1
         space = ITEM_SPACE - sum(item.size for item in items)
         datagram = Datagram(
-            purpose, self.me, self.life, self._number, about, (*items, *self.news.take(space))
+            purpose, self.me, self.life, self._number, about, (*items, *self.updates.take(space))
         )
         data = wire.write(datagram, self._checksum_seed)
         self.counts["sent"] += 1
@@ -306,9 +306,9 @@
             self._syncs_sent += 1
             for peer in self.members.sample_living(SYNC_PEERS):
                 self._send(peer, Purpose.SYNC, now)
-        elif len(self.news):
+        elif len(self.updates):
             for peer in self.members.sample_living(FANOUT):
-                if len(self.news):
+                if len(self.updates):
                     self._send(peer, Purpose.NEWS, now)
 
     def _next_step_ms(self, probe: Probe) -> float:
@@ -425,11 +425,11 @@
             if (
                 state is not State.ALIVE
                 and item.life < member.life
-                and (Kind.ALIVE, item.about) not in self.news
+                and (Kind.ALIVE, item.about) not in self.updates
             ):
                 # The accuser receives messages neither from the member nor from copies that reach it, so this
                 # copy sends the later incarnation.
-                self.news.put(
+                self.updates.put(
                     (Kind.ALIVE, item.about), self._member_item(item.about), STATE_SENDS, urgent=True
                 )
             self._report_if_changed(
@@ -439,7 +439,7 @@
             known = self.states.get(item.about)
             if known is None or (item.life, item.version) > (known.life, known.version):
                 self.states[item.about] = item
-                self.news.put((Kind.STATE, item.about), item, STATE_SENDS)
+                self.updates.put((Kind.STATE, item.about), item, STATE_SENDS)
                 self._actions.append(Heard(item.about, item.payload))
         elif item.kind == Kind.EVENT:
             life, window = self._received_events.get(item.about, (-1, SequenceWindow()))
@@ -486,5 +486,5 @@
         # Further accusers are sent less often than the first: they only shorten a suspicion that is already
         # known everywhere.
         sends = self._urgent_sends() if len(changed.accusers) < 2 else STATE_SENDS
-        self.news.put((Kind.ALIVE, changed.member), item, sends, urgent=True)
+        self.updates.put((Kind.ALIVE, changed.member), item, sends, urgent=True)
         self._actions.append(changed)
--- a/madderwind/standalone/gossip/news.py
+++ b/madderwind/standalone/gossip/news.py
@@ -19,7 +19,7 @@
         self.queued = True
 
 
-class News:
+class UpdateQueue:
     """Queued items by key: only the newest item of a key is sent, a bounded number of times.
 
     Urgent items are sent before others, and less often sent items before more often sent ones. When the
--- a/madderwind/standalone/program/cli.py
+++ b/madderwind/standalone/program/cli.py
@@ -143,5 +143,6 @@
         print(f"madderwind: {error}", file=sys.stderr)
         return 1
     finally:
-        os.set_blocking(sys.stdout.fileno(), True)  # the terminal is shared with other processes
+        # A terminal outlives this process and is shared with others.
+        os.set_blocking(sys.stdout.fileno(), True)
     return 0
--- a/madderwind/standalone/program/log.py
+++ b/madderwind/standalone/program/log.py
@@ -12,7 +12,7 @@
 
 FLUSH_INTERVAL_S = 0.2
 FLUSH_THRESHOLD_BYTES = 64 * 1024
-# Of lines that the reader has not taken yet; further lines are dropped and counted.
+# The limit for lines that the reader has not taken yet; further lines are dropped and counted.
 MAX_BUFFERED_BYTES = 1024 * 1024
 
 
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -216,9 +216,8 @@
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.end)
         loop.add_signal_handler(signal.SIGINT, self.end)
-        loop.add_signal_handler(
-            signal.SIGHUP, self.reload
-        )  # before readiness: the default action would end the process
+        # Installed before readiness, because the default action of SIGHUP would end the process.
+        loop.add_signal_handler(signal.SIGHUP, self.reload)
         configuration = self._configuration
         self.copy.listed(configuration.known, cached=True)
         if configuration.admin is not None:
--- a/tests/standalone/gossip/test_membership.py
+++ b/tests/standalone/gossip/test_membership.py
@@ -47,22 +47,22 @@
 
 @given(st.data())
 def test_damaged_truncated_foreign_and_later_messages_are_rejected_by_reason(data: st.DataObject) -> None:
-    good = wire.write(Datagram(Purpose.PING, 1, 1, 1, 2, (Item(Kind.STATE, 1, 1, 1, b"abc"),)), SEED)
-    place = data.draw(st.integers(0, len(good) - 1))
-    bad = bytearray(good)
-    bad[place] ^= data.draw(st.integers(1, 255))
+    valid = wire.write(Datagram(Purpose.PING, 1, 1, 1, 2, (Item(Kind.STATE, 1, 1, 1, b"abc"),)), SEED)
+    place = data.draw(st.integers(0, len(valid) - 1))
+    damaged = bytearray(valid)
+    damaged[place] ^= data.draw(st.integers(1, 255))
     reasons = {range(4): "foreign", range(4, 5): "version"}
-    said = next((reason for at, reason in reasons.items() if place in at), "damaged")
+    position_reason = next((reason for at, reason in reasons.items() if place in at), "damaged")
     for raw, reason in (
-        (bytes(bad), said),
-        (good[: data.draw(st.integers(22, len(good) - 1))], "damaged"),
-        (good[:21], "short"),
-        (good + bytes(MAX_DATAGRAM_BYTES), "long"),
+        (bytes(damaged), position_reason),
+        (valid[: data.draw(st.integers(22, len(valid) - 1))], "damaged"),
+        (valid[:21], "short"),
+        (valid + bytes(MAX_DATAGRAM_BYTES), "long"),
     ):
         with pytest.raises(BadMessage, match=reason):
             wire.read(raw, SEED)
     with pytest.raises(BadMessage, match="damaged"):
-        wire.read(good, wire.seed_of("another fleet"))
+        wire.read(valid, wire.seed_of("another fleet"))
 
 
 @settings(max_examples=200, deadline=None)
@@ -117,14 +117,14 @@
     assert world.false_dead == 0
 
 
-class Net:
+class FakeNetwork:
     """Copies connected by links that a test may cut in one or both directions."""
 
     def __init__(self, copies: int) -> None:
         self.now = 0.0
         self.copies = [Membership(n, copies, n, 1, "f") for n in range(copies)]
-        self.cut: set[tuple[int, int]] = set()
-        self.silent: set[int] = set()
+        self.cut_links: set[tuple[int, int]] = set()
+        self.stopped_copies: set[int] = set()
 
     def run(self, for_ms: float) -> None:
         end_ms = self.now + for_ms
@@ -133,78 +133,86 @@
             in_flight = [
                 (n, action)
                 for n, copy in enumerate(self.copies)
-                if n not in self.silent and copy.due_ms <= self.now
+                if n not in self.stopped_copies and copy.due_ms <= self.now
                 for action in copy.tick(self.now)
             ]
             while in_flight:
                 sender, action = in_flight.pop(0)
-                if not isinstance(action, Send) or (sender, action.peer) in self.cut:
+                if not isinstance(action, Send) or (sender, action.peer) in self.cut_links:
                     continue
-                if action.peer not in self.silent:
+                if action.peer not in self.stopped_copies:
                     in_flight += [
                         (action.peer, a)
                         for a in self.copies[action.peer].receive(self.now, sender, action.data)
                     ]
 
-    def held(self, state: State) -> set[tuple[int, int]]:
+    def pairs_in_state(self, state: State) -> set[tuple[int, int]]:
         return {
             (n, m)
             for n, c in enumerate(self.copies)
-            for m, held in c.members.all.items()
-            if held.state is state
+            for m, member in c.members.all.items()
+            if member.state is state
         }
 
 
 def test_one_way_links_do_not_cause_false_deaths() -> None:
     """Half of the links work in one direction only; indirect probes get through over the others."""
-    net = Net(8)
-    net.cut = {(a, b) for a in range(8) for b in range(8) if a < b and (a + b) % 2}
-    net.run(40_000)
-    assert net.held(State.DEAD) == set()
+    network = FakeNetwork(8)
+    network.cut_links = {(a, b) for a in range(8) for b in range(8) if a < b and (a + b) % 2}
+    network.run(40_000)
+    assert network.pairs_in_state(State.DEAD) == set()
 
 
 def test_a_partition_into_halves_heals() -> None:
-    net = Net(6)
-    net.run(2000)
-    net.cut = {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
-    net.run(30_000)
-    assert net.held(State.DEAD) == net.cut  # each side believes the other dead and itself alive
-    net.cut = set()
-    net.run(20_000)
-    assert net.held(State.DEAD) == net.held(State.SUSPECT) == set()
+    network = FakeNetwork(6)
+    network.run(2000)
+    network.cut_links = {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
+    network.run(30_000)
+    assert (
+        network.pairs_in_state(State.DEAD) == network.cut_links
+    )  # each side believes the other dead and itself alive
+    network.cut_links = set()
+    network.run(20_000)
+    assert network.pairs_in_state(State.DEAD) == network.pairs_in_state(State.SUSPECT) == set()
 
 
 def test_a_false_accuser_is_refuted_by_a_higher_incarnation() -> None:
-    net = Net(5)
-    net.run(2000)
-    liar = net.copies[1]
+    network = FakeNetwork(5)
+    network.run(2000)
+    liar = network.copies[1]
     for at in range(40):  # repeatedly reports to all others that copy 2 is dead
-        item = Item(Kind.DEAD, 2, net.copies[2].life, 1)
+        item = Item(Kind.DEAD, 2, network.copies[2].life, 1)
         for peer in (0, 3, 4, 2):
             liar._number += 1
             data = wire.write(
                 Datagram(Purpose.NEWS, 1, liar.life, liar._number, wire.NO_MEMBER, (item,)), SEED
             )
-            net.copies[peer].receive(net.now, 1, data)
-        net.run(100 + at)
-    net.run(3000)
-    assert {pair for pair in net.held(State.DEAD) if pair[0] != 1} == set()
-    assert net.copies[2].life > 1
+            network.copies[peer].receive(network.now, 1, data)
+        network.run(100 + at)
+    network.run(3000)
+    assert {pair for pair in network.pairs_in_state(State.DEAD) if pair[0] != 1} == set()
+    assert network.copies[2].life > 1
 
 
 def test_a_restarted_copy_receives_the_known_states() -> None:
-    net = Net(6)
-    for n, copy in enumerate(net.copies):
-        copy.tell(net.now, bytes([n] * 3))
-    net.run(5000)
-    net.silent.add(4)
-    net.run(20_000)
-    assert {m for _, m in net.held(State.DEAD)} == {4}
-    net.silent.clear()
-    net.copies[4] = Membership(4, 6, 99, 2, "f")
-    net.run(3000)
-    assert {n: item.payload[0] for n, item in net.copies[4].states.items()} == {0: 0, 1: 1, 2: 2, 3: 3, 5: 5}
-    assert not {pair for pair in net.held(State.DEAD) if 4 in pair}
+    network = FakeNetwork(6)
+    for n, copy in enumerate(network.copies):
+        copy.tell(network.now, bytes([n] * 3))
+    network.run(5000)
+    network.stopped_copies.add(4)
+    network.run(20_000)
+    assert {m for _, m in network.pairs_in_state(State.DEAD)} == {4}
+    network.stopped_copies.clear()
+    network.copies[4] = Membership(4, 6, 99, 2, "f")
+    network.run(3000)
+    assert {n: item.payload[0] for n, item in network.copies[4].states.items()} == {
+        0: 0,
+        1: 1,
+        2: 2,
+        3: 3,
+        5: 5,
+    }
+    assert not {pair for pair in network.pairs_in_state(State.DEAD) if 4 in pair}
 
 
 def test_an_experiment_is_read_strictly_and_its_table_has_one_line_per_run(tmp_path: Path) -> None:
