--- a/madderwind/testing/fault_tests/__init__.py
+++ b/madderwind/testing/fault_tests/__init__.py
@@ -1,1 +1,1 @@
-"""Drills: processes of the program under load, with relays between them that lose, cut and slow."""
+"""Fault tests (drills): the program's processes under load, with relays between them that inject faults."""
--- a/madderwind/testing/fault_tests/agents.py
+++ b/madderwind/testing/fault_tests/agents.py
@@ -1,4 +1,4 @@
-"""Discovery's agents, as a process: one a copy, each of which may be late, silent, or hold an older list."""
+"""The process of the discovery agents: one per copy, which may be late, silent, or hold an older list."""
 
 from __future__ import annotations
 
@@ -6,74 +6,74 @@
 import json
 from urllib.parse import parse_qs, urlsplit
 
-from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.part import RigProcess, play
 from madderwind.testing.fault_tests.plan import FIRST_REVISION, copy_of, member
 from madderwind.testing.fault_tests.scenario import ListFault, UpstreamFault
-from madderwind.testing.fault_tests.traces import Told
+from madderwind.testing.fault_tests.traces import ListUpdateTrace
 from madderwind.testing.fault_tests.wire import chunk, read_message
 
 KEEPALIVE_S = 2.0
 
 
-class Agents(Part):
+class Agents(RigProcess):
     async def start(self) -> None:
-        # What discovery has to say, from the drill's schedule: when, of which upstream, its phase and start.
-        news: list[tuple[float, int, str, float]] = []
+        # The changes of the discovery list in the schedule: time, upstream, phase, and start of its process.
+        changes: list[tuple[float, int, str, float]] = []
         for turn in self.turns(UpstreamFault):
             fault = self.plan.scenario.faults[turn.fault]
             assert isinstance(fault, UpstreamFault)
             for upstream in turn.upstreams:
                 if fault.kind == "restart":
-                    told_ms = turn.end_ms + fault.told_after_s * 1000
-                    news.append((told_ms, upstream, "Ready", turn.end_ms))
+                    announced_ms = turn.end_ms + fault.told_after_s * 1000
+                    changes.append((announced_ms, upstream, "Ready", turn.end_ms))
                 elif fault.kind == "drain":
-                    news.append((turn.begin_ms, upstream, "Terminating", 0.0))
-                    news.append((turn.end_ms, upstream, "Gone", 0.0))
-        self._news = sorted(news)
+                    changes.append((turn.begin_ms, upstream, "Terminating", 0.0))
+                    changes.append((turn.end_ms, upstream, "Gone", 0.0))
+        self._changes = sorted(changes)
         self._faults = self.turns(ListFault)
-        edges = {at for turn in self._faults for at in (turn.begin_ms, turn.end_ms)} | {n[0] for n in news}
+        edges = {at for turn in self._faults for at in (turn.begin_ms, turn.end_ms)} | {n[0] for n in changes}
         edges |= {
             at + f.late_ms for at in edges for f in self.plan.scenario.faults if isinstance(f, ListFault)
         }
         self._edges = sorted(edges)
-        self._moved = asyncio.Condition()
+        self._state_changed = asyncio.Condition()
         await asyncio.start_server(self._serve, *self.plan.agents)
 
     def begin(self) -> None:
         for edge_ms in self._edges:
-            self.clock.at(edge_ms + 1, self._wake)
+            self.clock.at(edge_ms + 1, self._notify_watches)
 
-    def _wake(self) -> None:
-        async def wake() -> None:
-            async with self._moved:
-                self._moved.notify_all()
+    def _notify_watches(self) -> None:
+        async def notify() -> None:
+            async with self._state_changed:
+                self._state_changed.notify_all()
 
-        asyncio.get_running_loop().create_task(wake())
+        asyncio.get_running_loop().create_task(notify())
 
-    def _has(self, copy: int) -> tuple[int, bool]:
-        """How many of the news this copy's agent has now, and whether it speaks."""
-        now_ms, late_ms, until_ms, speaks = self.clock.now_ms, 0.0, float("inf"), True
+    def _visible_changes(self, copy: int) -> tuple[int, bool]:
+        """The number of list changes that this copy's agent has now, and whether it sends at all."""
+        now_ms, late_ms, until_ms, sending = self.clock.now_ms, 0.0, float("inf"), True
         for turn in self._faults:
             fault = self.plan.scenario.faults[turn.fault]
             if not isinstance(fault, ListFault) or copy not in turn.copies or not turn.on(now_ms):
                 continue
             if fault.kind == "silent":
-                speaks = False
+                sending = False
             elif fault.kind == "late":
                 late_ms += fault.late_ms
             else:
                 until_ms = min(until_ms, turn.begin_ms)
-        return sum(at_ms <= min(now_ms - late_ms, until_ms) for at_ms, *_ in self._news), speaks
+        return sum(at_ms <= min(now_ms - late_ms, until_ms) for at_ms, *_ in self._changes), sending
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         copy = copy_of(writer.get_extra_info("peername"))
         try:
             message = await read_message(reader)
-            asked = parse_qs(urlsplit(message.start.split(" ")[1]).query)
+            query = parse_qs(urlsplit(message.start.split(" ")[1]).query)
             ended = asyncio.create_task(reader.read())
-            telling = asyncio.create_task(self._watch(copy, writer, int(asked.get("from", ["0"])[0])))
-            await asyncio.wait((ended, telling), return_when=asyncio.FIRST_COMPLETED)
-            telling.cancel()
+            watching = asyncio.create_task(self._watch(copy, writer, int(query.get("from", ["0"])[0])))
+            await asyncio.wait((ended, watching), return_when=asyncio.FIRST_COMPLETED)
+            watching.cancel()
             ended.cancel()
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             pass
@@ -81,45 +81,45 @@
             writer.close()
 
     async def _watch(self, copy: int, writer: asyncio.StreamWriter, known: int) -> None:
-        """A watch: what it lacks as changes, or the whole list to one that says that it knows more than
-        this agent has."""
-        await self._until_speaks(copy)
+        """Serve a watch: the changes after the known revision, or the complete list if the watcher's revision
+        is newer than this agent's."""
+        await self._wait_until_sending(copy)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        told = known - FIRST_REVISION
-        if not 0 <= told <= self._has(copy)[0]:
-            told = self._has(copy)[0]
-            self._tell(writer, copy, told, self._whole(told), True)
+        sent_count = known - FIRST_REVISION
+        if not 0 <= sent_count <= self._visible_changes(copy)[0]:
+            sent_count = self._visible_changes(copy)[0]
+            self._write_update(writer, copy, sent_count, self._full_list(sent_count), True)
         else:
-            self._tell(writer, copy, told, {}, False)
+            self._write_update(writer, copy, sent_count, {}, False)
         while True:
-            await self._until_speaks(copy)
-            has, _ = self._has(copy)
-            if has > told:
-                fresh = {news[1]: news for news in self._news[told:has]}
-                told = has
-                self._tell(writer, copy, told, fresh, False)
+            await self._wait_until_sending(copy)
+            visible_count, _ = self._visible_changes(copy)
+            if visible_count > sent_count:
+                latest = {change[1]: change for change in self._changes[sent_count:visible_count]}
+                sent_count = visible_count
+                self._write_update(writer, copy, sent_count, latest, False)
             try:
-                async with asyncio.timeout(KEEPALIVE_S), self._moved:
-                    await self._moved.wait()
+                async with asyncio.timeout(KEEPALIVE_S), self._state_changed:
+                    await self._state_changed.wait()
             except TimeoutError:
-                if self._has(copy)[1]:
+                if self._visible_changes(copy)[1]:
                     writer.write(chunk(b"\n"))
 
-    async def _until_speaks(self, copy: int) -> None:
-        while not self._has(copy)[1]:
-            async with self._moved:
-                await self._moved.wait()
+    async def _wait_until_sending(self, copy: int) -> None:
+        while not self._visible_changes(copy)[1]:
+            async with self._state_changed:
+                await self._state_changed.wait()
 
-    def _whole(self, has: int) -> dict[int, tuple[float, int, str, float]]:
+    def _full_list(self, visible_count: int) -> dict[int, tuple[float, int, str, float]]:
         known = {u: (0.0, u, "Ready", 0.0) for u in self.plan.upstreams()}
-        known |= {news[1]: news for news in self._news[:has]}
-        return {u: news for u, news in known.items() if news[2] != "Gone"}
+        known |= {change[1]: change for change in self._changes[:visible_count]}
+        return {u: change for u, change in known.items() if change[2] != "Gone"}
 
-    def _tell(
+    def _write_update(
         self,
         writer: asyncio.StreamWriter,
         copy: int,
-        told: int,
+        sent_count: int,
         entries: dict[int, tuple[float, int, str, float]],
         complete: bool,
     ) -> None:
@@ -128,10 +128,10 @@
             member(self.plan, copy, upstream, phase, unix_ms + up_ms if up_ms > 0 else 0.0)
             for _, upstream, phase, up_ms in entries.values()
         ]
-        line = {"revision": FIRST_REVISION + told, "complete": complete, "members": members}
+        line = {"revision": FIRST_REVISION + sent_count, "complete": complete, "members": members}
         writer.write(chunk(json.dumps(line).encode() + b"\n"))
         now_ms = self.clock.now_ms
-        self.seen.told += [Told(copy, now_ms, news[1], news[2]) for news in entries.values()]
+        self.seen.told += [ListUpdateTrace(copy, now_ms, change[1], change[2]) for change in entries.values()]
 
 
 if __name__ == "__main__":
--- a/madderwind/testing/fault_tests/command.py
+++ b/madderwind/testing/fault_tests/command.py
@@ -1,4 +1,4 @@
-"""`madderwind drill`: play drills, report on their records, compare two programs under the same schedules."""
+"""`madderwind drill`: run drills, report on their records, compare two programs under the same schedules."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 from madderwind.testing.simulation.experiment import ExperimentError
 
 
-def drill(said: dict[str, Any]) -> int:
-    """The command that docopt read; its exit code: 1 also where a rule was broken or a bound missed."""
+def drill(arguments: dict[str, Any]) -> int:
+    """Run the parsed command. Its exit code is 1 also for a broken rule or a missed bound."""
     try:
-        if said["run"]:
-            return _run(said)
-        if said["report"]:
-            return show(report, read_drills(Path(said["FOLDER"])), said["--plot"])
-        print(compare(read_drills(Path(said["A"])), read_drills(Path(said["B"]))), end="")
+        if arguments["run"]:
+            return _run(arguments)
+        if arguments["report"]:
+            return show(report, read_drills(Path(arguments["FOLDER"])), arguments["--plot"])
+        print(compare(read_drills(Path(arguments["A"])), read_drills(Path(arguments["B"]))), end="")
         return 0
     except (ExperimentError, DrillError, ValueError) as error:
         print(f"madderwind drill: {error}", file=sys.stderr)
         return 1
 
 
-def _run(said: dict[str, Any]) -> int:
-    path = Path(said["FILE"])
+def _run(arguments: dict[str, Any]) -> int:
+    path = Path(arguments["FILE"])
     scenario = read_scenario(path)
-    programs = [Program()] + [_checkout(words) for words in said["--beside"]]
-    seeds = range(1, int(said["--seeds"] or scenario.seeds) + 1)
-    out = Path(said["--out"] or f"{path.stem}-drills")
-    held = True
+    programs = [Program()] + [_checkout(argument) for argument in arguments["--beside"]]
+    seeds = range(1, int(arguments["--seeds"] or scenario.seeds) + 1)
+    out = Path(arguments["--out"] or f"{path.stem}-drills")
+    passed = True
     for record in run_all(scenario, programs, out, seeds):
-        held = held and record.held
+        passed = passed and record.held
         chosen = "".join(f" {name}={value}" for name, value in record.chosen.items())
         print(
             f"{record.program}{chosen} seed {record.seed}: {record.asked} asked, rules broken "
@@ -46,17 +46,17 @@
             flush=True,
         )
     show(report, read_drills(out), None)
-    return 0 if held else 1
+    return 0 if passed else 1
 
 
-def _checkout(words: str) -> Program:
-    """NAME=FOLDER: another checkout of the program, run by this one's interpreter."""
-    name, equals, folder = words.partition("=")
+def _checkout(argument: str) -> Program:
+    """Parse NAME=FOLDER: another checkout of the program, run with the interpreter of this one."""
+    name, equals, folder = argument.partition("=")
     if not equals or not name.isidentifier() or not (Path(folder) / "madderwind").is_dir():
-        raise DrillError(f"--beside={words}: say NAME=FOLDER, a checkout of the program")
-    ran = subprocess.run(
+        raise DrillError(f"--beside={argument}: say NAME=FOLDER, a checkout of the program")
+    version_check = subprocess.run(
         [sys.executable, "-m", "madderwind", "version"], cwd=folder, capture_output=True, check=False
     )
-    if ran.returncode:
-        raise DrillError(f"--beside={words}: the program there does not start")
+    if version_check.returncode:
+        raise DrillError(f"--beside={argument}: the program there does not start")
     return Program(name, folder=str(Path(folder).resolve()))
--- a/madderwind/testing/fault_tests/conduct.py
+++ b/madderwind/testing/fault_tests/conduct.py
@@ -1,4 +1,4 @@
-"""One drill played: the rig's processes and the copies', the schedule's faults, and what all of them saw."""
+"""Runs one drill: starts the rig and the copies, applies the scheduled faults, and collects the traces."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 from madderwind.testing.fault_tests import agents, clients, links, message_relay, traces, upstreams
 from madderwind.testing.fault_tests.fleet import Copy, DrillError, Fleet, Program, dies_with_parent
-from madderwind.testing.fault_tests.part import Clock, Go, Part
+from madderwind.testing.fault_tests.part import Clock, Go, RigProcess
 from madderwind.testing.fault_tests.plan import Plan, take_net
 from madderwind.testing.fault_tests.scenario import CopyFault, Scenario
-from madderwind.testing.fault_tests.schedule import Turn, draw
+from madderwind.testing.fault_tests.schedule import FaultOccurrence, draw
 from madderwind.testing.fault_tests.traces import Traces
 
-START_S = 30.0  # for a process of the rig
-COPIES_A_SHARD = 30
-HEAD_START_S = 0.3  # between the word to begin and the warm-up
-SETTLE_S = 0.5  # after the last answer, for what would come after it
-HERE = Path(__file__).parents[3]
+START_S = 30.0  # start timeout of a process of the rig
+COPIES_PER_SHARD = 30
+START_DELAY_S = 0.3  # between the start command and the warm-up
+SETTLE_S = 0.5  # wait after the last answer, for bytes that would wrongly follow it
+REPOSITORY = Path(__file__).parents[3]
 
 
 class _Process:
-    """A process of the rig itself."""
+    """A process of the rig, as opposed to one of the program under test."""
 
-    def __init__(self, plan: Plan, kind: type[Part], shard: int) -> None:
+    def __init__(self, plan: Plan, kind: type[RigProcess], shard: int) -> None:
         self._name, self._shard, self._plan = kind.__module__.rpartition(".")[2], shard, plan
         self.seen = Path(plan.folder) / f"seen-{kind.__name__.lower()}-{shard}.json"
 
@@ -44,7 +44,7 @@
             str(self._shard),
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
-            cwd=HERE,
+            cwd=REPOSITORY,
             preexec_fn=dies_with_parent,
         )
         assert self._process.stdout is not None
@@ -64,14 +64,14 @@
     def who(self) -> str:
         return f"rig-{self._name}-{self._shard}"
 
-    def say(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
         assert self._process.stdin is not None
         with contextlib.suppress(ConnectionError):
             self._process.stdin.write(line + b"\n")
 
     async def finish(self) -> Traces:
-        """What it saw. DrillError where it died before: a verdict without it would be none."""
-        self.say(b"end")
+        """The traces of the process. DrillError: it died early, so there can be no verdict."""
+        self.send_line(b"end")
         code = await self._process.wait()
         if code or not self.seen.exists():
             raise DrillError(f"the rig's {self._name} ended with {code} before it told what it saw")
@@ -82,20 +82,20 @@
             self._process.kill()
 
 
-def plan_of(scenario: Scenario, seed: int, net: int, folder: Path) -> Plan:
-    shards = -(-scenario.copies // COPIES_A_SHARD)
+def make_plan(scenario: Scenario, seed: int, net: int, folder: Path) -> Plan:
+    shards = -(-scenario.copies // COPIES_PER_SHARD)
     return Plan(scenario, draw(scenario, seed), net, shards, str(folder.resolve()))
 
 
 async def play(scenario: Scenario, seed: int, program: Program, folder: Path) -> tuple[Plan, Traces]:
-    """Play one drill in an empty folder, where logs and traces stay. DrillError: the rig could not."""
+    """Run one drill in an empty folder, which keeps its logs and traces. DrillError: the rig failed."""
     folder.mkdir(parents=True, exist_ok=True)
     try:
         net, lock = take_net(random.Random())
     except OSError as error:
         raise DrillError(str(error)) from None
     with lock:
-        plan = plan_of(scenario, seed, net, folder)
+        plan = make_plan(scenario, seed, net, folder)
         (folder / "plan.json").write_bytes(msgspec.json.encode(plan))
         async with _rig(plan) as rig:
             return plan, await _play(plan, program, rig)
@@ -103,7 +103,7 @@
 
 @contextlib.asynccontextmanager
 async def _rig(plan: Plan) -> AsyncIterator[list[_Process]]:
-    kinds: list[tuple[type[Part], int]] = [(links.Links, shard) for shard in range(plan.shards)]
+    kinds: list[tuple[type[RigProcess], int]] = [(links.Links, shard) for shard in range(plan.shards)]
     kinds += [
         (upstreams.UpstreamStandIns, 0),
         (agents.Agents, 0),
@@ -128,16 +128,18 @@
     fleet.measured |= {process.who: process.pid for process in rig}
     try:
         await fleet.start()
-        begin_s = time.monotonic() + HEAD_START_S + plan.scenario.warm_up_s
+        begin_s = time.monotonic() + START_DELAY_S + plan.scenario.warm_up_s
         clock.go = Go(begin_s, (time.time() + begin_s - time.monotonic()) * 1000)
         for process in rig:
-            process.say(msgspec.json.encode(clock.go))
+            process.send_line(msgspec.json.encode(clock.go))
         tasks = [asyncio.create_task(_sample(fleet))]
-        tasks += [asyncio.create_task(_strike(plan, fleet, clock, turn)) for turn in plan.schedule.turns]
+        tasks += [
+            asyncio.create_task(_play_copy_fault(plan, fleet, clock, turn)) for turn in plan.schedule.turns
+        ]
         try:
             await clock.until(plan.scenario.for_s * 1000)
-            broke = [task.exception() for task in tasks if task.done() and not task.cancelled()]
-            for error in filter(None, broke):
+            errors = [task.exception() for task in tasks if task.done() and not task.cancelled()]
+            for error in filter(None, errors):
                 raise DrillError(f"a fault could not be played: {error!r}") from error
             *others, client = rig
             seen = await client.finish()
@@ -161,16 +163,16 @@
         await asyncio.sleep(1.0)
 
 
-async def _strike(plan: Plan, fleet: Fleet, clock: Clock, turn: Turn) -> None:
-    """What a turn does to copies; the rig's other parts see to the rest themselves."""
+async def _play_copy_fault(plan: Plan, fleet: Fleet, clock: Clock, turn: FaultOccurrence) -> None:
+    """Apply a fault to the copies' processes; the rig's other processes apply the other kinds of faults."""
     fault = plan.scenario.faults[turn.fault]
     if not isinstance(fault, CopyFault):
         return
     await clock.until(turn.begin_ms)
-    await asyncio.gather(*(_do(fault, fleet.copies[copy], clock, turn) for copy in turn.copies))
+    await asyncio.gather(*(_apply_to_copy(fault, fleet.copies[copy], clock, turn) for copy in turn.copies))
 
 
-async def _do(fault: CopyFault, copy: Copy, clock: Clock, turn: Turn) -> None:
+async def _apply_to_copy(fault: CopyFault, copy: Copy, clock: Clock, turn: FaultOccurrence) -> None:
     if fault.kind == "pause":
         copy.signal(signal.SIGSTOP, "pause")
         await clock.until(turn.end_ms)
@@ -179,7 +181,7 @@
         copy.write(fault.file)
         copy.signal(signal.SIGHUP, "reload")
     elif fault.kind == "call":
-        copy.note("call" if await copy.says_yes(fault.line) else "call refused")
+        copy.record("call" if await copy.admin_acknowledges(fault.line) else "call refused")
     elif fault.kind == "upgrade":
         copy.write(fault.file)
         await copy.upgrade()
--- a/madderwind/testing/fault_tests/figures.py
+++ b/madderwind/testing/fault_tests/figures.py
@@ -11,8 +11,8 @@
 from madderwind.testing.fault_tests.judge import REFUSED, lost
 from madderwind.testing.fault_tests.plan import Plan
 from madderwind.testing.fault_tests.scenario import Figure, LinkFault, UpstreamFault
-from madderwind.testing.fault_tests.schedule import Turn
-from madderwind.testing.fault_tests.traces import Asked, Sample, Sent, Traces
+from madderwind.testing.fault_tests.schedule import FaultOccurrence
+from madderwind.testing.fault_tests.traces import AttemptTrace, RequestTrace, Sample, Traces
 from madderwind.testing.simulation.rules import Window
 from madderwind.testing.simulation.upstream import warmth
 
@@ -44,11 +44,11 @@
     least: float | None
 
 
-def fate(plan: Plan, asked: Asked) -> str:
+def fate(plan: Plan, asked: RequestTrace) -> str:
     """What a request came to for its client."""
-    klass = plan.scenario.load.classes[asked.class_index]
+    request_class = plan.scenario.load.classes[asked.class_index]
     if asked.how == "answered" and asked.status == 200:
-        return "in_time" if asked.ended_ms <= asked.intended_ms + klass.aim_ms else "late"
+        return "in_time" if asked.ended_ms <= asked.intended_ms + request_class.aim_ms else "late"
     if asked.how == "untaken" or (asked.how == "answered" and asked.status in REFUSED):
         return "refused"
     return "failed"
@@ -67,7 +67,7 @@
 
     # --- windows ---
 
-    def _turns(self, name: str) -> list[Turn]:
+    def _turns(self, name: str) -> list[FaultOccurrence]:
         return [t for t in self._plan.schedule.turns if self._scenario.faults[t.fault].name == name]
 
     def window(self, figure: Figure) -> tuple[float, float]:
@@ -113,7 +113,7 @@
 
     # --- where it was bad ---
 
-    def _bad(self, turns: list[Turn]) -> Iterator[Sent]:
+    def _bad(self, turns: list[FaultOccurrence]) -> Iterator[AttemptTrace]:
         """Attempts on links, or to upstreams, that a fault hit at the time."""
         for sent in self._seen.sent:
             for turn in turns:
@@ -226,11 +226,11 @@
         ]
         return sum(used) / max(1, len(used))
 
-    def _attempts(self, inside: list[Asked]) -> float:
+    def _attempts(self, inside: list[RequestTrace]) -> float:
         numbers = {a.number for a in inside}
         return sum(s.number in numbers for s in self._seen.sent) / max(1, len(inside))
 
-    def histogram(self, asked: list[Asked]) -> HdrHistogram:
+    def histogram(self, asked: list[RequestTrace]) -> HdrHistogram:
         """Times of what was served, in microseconds from the moment that was meant."""
         histogram = HdrHistogram(1, LONGEST_US, 3)
         for a in asked:
--- a/madderwind/testing/fault_tests/fleet.py
+++ b/madderwind/testing/fault_tests/fleet.py
@@ -1,4 +1,4 @@
-"""The copies' processes: the program under its real command line, and what a drill does to them."""
+"""The processes of the copies: the program under its real command line, and the faults applied to it."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 import msgspec
 import psutil
 
-from madderwind.testing.fault_tests.plan import Plan, file_of
-from madderwind.testing.fault_tests.traces import Life, Sample
+from madderwind.testing.fault_tests.plan import Plan, copy_configuration
+from madderwind.testing.fault_tests.traces import ProcessEvent, Sample
 from madderwind.testing.fault_tests.wire import read_message
 
-READY_S = 60.0  # for a copy to serve; a busy machine starts many at once
-END_S = 8.0  # for a copy to end after SIGTERM
-AT_ONCE = 8  # copies that start at the same time
-LOOK_S = 0.02
-# So that a process ends with its parent, whatever ends that. Linux alone has it.
+READY_TIMEOUT_S = 60.0  # until a copy serves; many start at once on a busy machine
+EXIT_TIMEOUT_S = 8.0  # until a copy exits after a signal
+PARALLEL_STARTS = 8  # limit on copies that start at the same time
+POLL_S = 0.02
+# Makes the kernel kill a process when its parent dies for any reason. Linux only.
 PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 class DrillError(Exception):
-    """The rig could not play; the text is one plain line."""
+    """The rig could not run the drill; the message is a single line."""
 
 
 def dies_with_parent() -> None:
@@ -37,7 +37,7 @@
 
 
 class Program(msgspec.Struct, frozen=True):
-    """What is played: its command line before `serve`, and where it runs."""
+    """The program under test: its command line before `serve`, and its working directory."""
 
     name: str = "now"
     words: tuple[str, ...] = (sys.executable, "-O", "-B", "-m", "madderwind")
@@ -45,7 +45,7 @@
 
 
 class Copy:
-    """One copy: its file, its folder, and its process, or two of them in an upgrade."""
+    """One copy: its configuration file, its folder, and its process, or two processes during an upgrade."""
 
     def __init__(self, fleet: Fleet, number: int) -> None:
         self._fleet, self.number = fleet, number
@@ -54,22 +54,24 @@
         self._changes = dict(fleet.plan.scenario.file)
         self._second = False
         self.process: asyncio.subprocess.Process | None = None
-        self._ends: set[asyncio.Task[None]] = set()
+        self._endings: set[asyncio.Task[None]] = set()
 
     def write(self, changes: dict[str, Any]) -> None:
-        """The file, with these put into it as well; whole at any time."""
+        """Merge these changes into the configuration file and replace it atomically."""
         self._changes |= changes
         path = self.folder / "config.json"
-        beside = path.with_suffix(".new")
-        beside.write_bytes(msgspec.json.encode(file_of(self._fleet.plan, self.number, self._changes)))
-        beside.replace(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_bytes(
+            msgspec.json.encode(copy_configuration(self._fleet.plan, self.number, self._changes))
+        )
+        temporary.replace(path)
 
-    def note(self, what: str, code: int = 0) -> None:
-        self._fleet.lives.append(Life(self.number, self._fleet.now_ms(), what, code))
+    def record(self, what: str, code: int = 0) -> None:
+        self._fleet.lives.append(ProcessEvent(self.number, self._fleet.now_ms(), what, code))
 
     async def start(self) -> None:
-        """A process of this copy, which serves. DrillError where it does not come up."""
-        self.note("start")
+        """Start a process of this copy and wait until it serves or exits, for `READY_TIMEOUT_S` at most."""
+        self.record("start")
         host, port = self._fleet.plan.admin(self.number, self._second)
         environment = {
             **os.environ,
@@ -91,22 +93,22 @@
         self.process = process
         self._fleet.measured[f"copy-{self.number}.{process.pid}"] = process.pid
         ending = asyncio.create_task(self._wait(process))
-        self._ends.add(ending)
-        ending.add_done_callback(self._ends.discard)
-        async with asyncio.timeout(READY_S):
-            while not await self._serves():
+        self._endings.add(ending)
+        ending.add_done_callback(self._endings.discard)
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._is_healthy():
                 if process.returncode is not None:
                     break
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
         if process.returncode is not None:
-            return  # its end is noted; a drill may have killed it meanwhile
-        self.note("up")
+            return  # its exit is recorded by `_wait`; the drill may have killed it during its start
+        self.record("up")
 
     async def _wait(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        self.note("ended", code)
+        self.record("ended", code)
 
-    async def _serves(self) -> bool:
+    async def _is_healthy(self) -> bool:
         try:
             reader, writer = await asyncio.open_connection(*self._fleet.plan.copy(self.number))
         except OSError:
@@ -121,61 +123,61 @@
 
     def signal(self, number: signal.Signals, what: str) -> None:
         if self.process is not None and self.process.returncode is None:
-            self.note(what)
+            self.record(what)
             self.process.send_signal(number)
 
     async def upgrade(self) -> None:
-        """A successor, and the end of the old process once that serves."""
+        """Start a successor, and terminate the old process once the successor serves."""
         old = self.process
         self._second = not self._second
         await self.start()
-        # Either answers for the balancer: the file that a successor hands over by is at the new one once
-        # it says so at its own second address.
-        async with asyncio.timeout(READY_S):
-            while not await self._says_ready():
-                await asyncio.sleep(LOOK_S)
+        # Both processes answer the health check. The successor has taken over the handover file once it
+        # reports ready at its own admin address.
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self._reports_ready():
+                await asyncio.sleep(POLL_S)
         if old is not None and old.returncode is None:
-            self.note("term")
+            self.record("term")
             old.send_signal(signal.SIGTERM)
 
-    async def _says_ready(self) -> bool:
+    async def _reports_ready(self) -> bool:
         try:
-            return await self.says_yes("STATUS")
+            return await self.admin_acknowledges("STATUS")
         except OSError:
             return self.process is None or self.process.returncode is not None
 
-    async def says_yes(self, line: str) -> bool:
-        """Whether the second address agrees. OSError: nobody listens there."""
+    async def admin_acknowledges(self, line: str) -> bool:
+        """Whether the admin address answers the line with ACK. Raises OSError if nothing listens there."""
         reader, writer = await asyncio.open_connection(*self._fleet.plan.admin(self.number, self._second))
         writer.write(f"{line}\n".encode())
-        said = await reader.read()
+        answer = await reader.read()
         writer.close()
-        return said.startswith(b"ACK")
+        return answer.startswith(b"ACK")
 
     async def end(self) -> None:
-        """At once: how a copy ends in order is what `term` is for, in the middle of a drill."""
+        """Kill the copy at once; a drill tests the orderly shutdown by a `term` fault while it runs."""
         self.signal(signal.SIGKILL, "kill")
-        if self._ends:  # the old process of an upgrade may be ending still
-            _, left = await asyncio.wait(self._ends, timeout=END_S)
+        if self._endings:  # the old process of an upgrade may still be shutting down
+            _, left = await asyncio.wait(self._endings, timeout=EXIT_TIMEOUT_S)
             if left:
                 raise DrillError(f"copy {self.number} has a process that does not end")
 
 
 class Fleet:
-    """All copies, and the figures of their processes."""
+    """All copies, and the resource usage of their processes."""
 
     def __init__(self, plan: Plan, program: Program, now_ms: Callable[[], float]) -> None:
         self.plan, self.program, self.now_ms = plan, program, now_ms
-        self.lives: list[Life] = []
+        self.lives: list[ProcessEvent] = []
         self.samples: list[Sample] = []
         self.measured: dict[str, int] = {}
         self.copies = [Copy(self, number) for number in plan.copies()]
 
     async def start(self) -> None:
-        turns = asyncio.Semaphore(AT_ONCE)
+        start_slots = asyncio.Semaphore(PARALLEL_STARTS)
 
         async def start(copy: Copy) -> None:
-            async with turns:
+            async with start_slots:
                 copy.write({})
                 await copy.start()
 
@@ -186,7 +188,7 @@
             raise DrillError(f"copy {down[0]} of {self.program.name} did not start: {log[-300:]}")
 
     def sample(self) -> None:
-        """What each process has used, and holds."""
+        """Record the CPU time used and the memory held by each process."""
         now_ms = self.now_ms()
         for who, pid in list(self.measured.items()):
             try:
--- a/madderwind/testing/fault_tests/judge.py
+++ b/madderwind/testing/fault_tests/judge.py
@@ -12,7 +12,7 @@
 from madderwind.standalone.policy.api import Outcome
 from madderwind.testing.fault_tests.plan import Plan
 from madderwind.testing.fault_tests.scenario import LinkFault
-from madderwind.testing.fault_tests.traces import ENDLESS_MS, Asked, Traces
+from madderwind.testing.fault_tests.traces import ENDLESS_MS, RequestTrace, Traces
 from madderwind.testing.simulation.rules import Break, RuleChecker
 
 # Processes note what they see so much after it was, at most: two that note one thing may differ by it.
@@ -36,7 +36,7 @@
             elif life.what == "continue" and self._pauses[life.copy]:
                 self._pauses[life.copy][-1] = self._pauses[life.copy][-1][0], life.at_ms
 
-    def excused(self, asked: Asked, slack_ms: float) -> bool:
+    def excused(self, asked: RequestTrace, slack_ms: float) -> bool:
         """Whether its copy could not have answered it, or not in time."""
         until_ms = min(asked.ended_ms, asked.deadline_ms + slack_ms) + TOLERANCE_MS
         killed = any(asked.written_ms - TOLERANCE_MS <= at <= until_ms for at in self._kills[asked.copy])
@@ -44,7 +44,7 @@
         return killed or any(begin <= until_ms and asked.written_ms <= end for begin, end in pauses)
 
 
-def lost(plan: Plan, seen: Traces) -> list[Asked]:
+def lost(plan: Plan, seen: Traces) -> list[RequestTrace]:
     """Requests that a copy took and never answered whole, where nothing excuses it."""
     excuses, slack_ms = Excuses(seen), plan.scenario.rules.answer_slack_ms
     sent = {s.number for s in seen.sent}
@@ -95,12 +95,15 @@
         if asked.how == "untaken" or crossed_unread:
             continue
         known.add(asked.number)
-        klass, copy = scenario.load.classes[asked.class_index], f"app-{asked.copy}"
+        request_class, copy = scenario.load.classes[asked.class_index], f"app-{asked.copy}"
         excused = excuses.excused(asked, slack_ms)
         deadline_ms = ENDLESS_MS if excused else asked.deadline_ms
 
         def took(
-            asked: Asked = asked, copy: str = copy, effect: str = klass.effect, until: float = deadline_ms
+            asked: RequestTrace = asked,
+            copy: str = copy,
+            effect: str = request_class.effect,
+            until: float = deadline_ms,
         ) -> None:
             window_ms = scenario.rules.window_ms + TOLERANCE_MS
             checker.took(asked.written_ms, copy, asked.number, effect, until, window_ms)
@@ -108,7 +111,7 @@
         at(asked.written_ms - TOLERANCE_MS, took)
         if asked.how == "answered":
 
-            def answer(asked: Asked = asked, copy: str = copy) -> None:
+            def answer(asked: RequestTrace = asked, copy: str = copy) -> None:
                 checker.answer(asked.ended_ms, copy, asked.number, asked.status in REFUSED)
 
             at(asked.ended_ms + TOLERANCE_MS, answer)
--- a/madderwind/testing/fault_tests/links.py
+++ b/madderwind/testing/fault_tests/links.py
@@ -5,11 +5,11 @@
 import asyncio
 import re
 
-from madderwind.testing.fault_tests.part import Part, play
-from madderwind.testing.fault_tests.plan import DISCOVERY, Address
+from madderwind.testing.fault_tests.part import RigProcess, play
+from madderwind.testing.fault_tests.plan import DISCOVERY_HOST, Address
 from madderwind.testing.fault_tests.relay import Relay, RelayedConnection
 from madderwind.testing.fault_tests.scenario import LinkFault
-from madderwind.testing.fault_tests.traces import ENDLESS_MS, Sent
+from madderwind.testing.fault_tests.traces import ENDLESS_MS, AttemptTrace
 
 TRACE_ID = re.compile(rb"\r\nx-trace-id: ([0-9a-f]+)\r\n", re.IGNORECASE)
 NEVER_RAN = re.compile(rb"\r\nx-never-ran: 1\r\n", re.IGNORECASE)
@@ -21,7 +21,7 @@
     def __init__(self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(link, reader, writer)
         self._link = link
-        self._attempt: Sent | None = None
+        self._attempt: AttemptTrace | None = None
         self._taken_ms = link.now_ms
 
     def wrote(self, piece: bytes) -> None:
@@ -57,9 +57,9 @@
     def now_ms(self) -> float:
         return self._part.clock.now_ms
 
-    def saw(self, number: int) -> Sent:
+    def saw(self, number: int) -> AttemptTrace:
         """An attempt's beginning."""
-        sent = Sent(self._copy, self._upstream, number, self.now_ms)
+        sent = AttemptTrace(self._copy, self._upstream, number, self.now_ms)
         self._part.seen.sent.append(sent)
         return sent
 
@@ -68,7 +68,7 @@
         return any(at_ms < back_ms <= self.now_ms for back_ms in self._part.restarts.get(self._upstream, ()))
 
 
-class Links(Part):
+class Links(RigProcess):
     """The links of the copies of one shard."""
 
     async def start(self) -> None:
@@ -78,7 +78,7 @@
         for copy in range(self.shard, plan.scenario.copies, plan.shards):
             for upstream in plan.upstreams():
                 self._links[copy, upstream] = Link(self, copy, upstream, plan.upstream(upstream))
-            self._links[copy, DISCOVERY] = Link(self, copy, DISCOVERY, plan.agents)
+            self._links[copy, DISCOVERY_HOST] = Link(self, copy, DISCOVERY_HOST, plan.agents)
         for link in self._links.values():
             link.listen()
 
@@ -95,7 +95,7 @@
             if not isinstance(fault, LinkFault) or not turn.on(now_ms):
                 continue
             for copy in turn.copies:
-                for end in (*turn.upstreams, *((DISCOVERY,) if fault.discovery else ())):
+                for end in (*turn.upstreams, *((DISCOVERY_HOST,) if fault.discovery else ())):
                     states[copy, end] = (fault.kind, fault.late_ms if fault.kind == "slow" else 0.0)
         for ends, link in self._links.items():
             link.be(*states.get(ends, ("", 0.0)))
--- a/madderwind/testing/fault_tests/message_relay.py
+++ b/madderwind/testing/fault_tests/message_relay.py
@@ -7,11 +7,11 @@
 import socket
 
 from madderwind.standalone.gossip.wire import BadMessage, Kind, read, seed_of
-from madderwind.testing.fault_tests.part import Part, play
-from madderwind.testing.fault_tests.plan import OWN, PKTINFO, ip
+from madderwind.testing.fault_tests.part import RigProcess, play
+from madderwind.testing.fault_tests.plan import COPY_HOST, PKTINFO, ip
 from madderwind.testing.fault_tests.scenario import MessageFault
-from madderwind.testing.fault_tests.schedule import Turn
-from madderwind.testing.fault_tests.traces import MessageCounts, News
+from madderwind.testing.fault_tests.schedule import FaultOccurrence
+from madderwind.testing.fault_tests.traces import EventTrace, MessageCounts
 
 BUFFER_BYTES = 8 << 20
 MOST_AT_ONCE = 64
@@ -19,7 +19,7 @@
 IP_PKTINFO = getattr(socket, "IP_PKTINFO", 8)  # Python names it from 3.14 on only
 
 
-class MessageRelay(Part):
+class MessageRelay(RigProcess):
     async def start(self) -> None:
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setsockopt(socket.IPPROTO_IP, IP_PKTINFO, 1)
@@ -32,10 +32,10 @@
         self._chances: dict[tuple[int, int], random.Random] = {}
         self._seconds: dict[tuple[int, int], MessageCounts] = {}
         self._hit: dict[tuple[int, int], list[MessageFault]] = {}
-        self._turns: list[Turn] = []
+        self._turns: list[FaultOccurrence] = []
         fleet = self.plan.scenario.file.get("fleet.name")
         self._fleet = None if fleet is None else seed_of(str(fleet))
-        self._news: dict[tuple[int, int, int], News] = {}
+        self._news: dict[tuple[int, int, int], EventTrace] = {}
         asyncio.get_running_loop().add_reader(self._socket, self._readable)
 
     def begin(self) -> None:
@@ -67,7 +67,7 @@
             return
         interface, _, to = PKTINFO.unpack_from(control[0][2])
         source = ip(sender_host)
-        ours = source[:2] == self._net == to[:2] and source[3] == OWN and interface == self._loopback
+        ours = source[:2] == self._net == to[:2] and source[3] == COPY_HOST and interface == self._loopback
         sender, hearer = source[2], to[3]
         if not ours or to[2] != sender or max(sender, hearer) >= self.plan.scenario.copies:
             self.seen.foreign += 1
@@ -125,7 +125,7 @@
         for item in datagram.items:
             if item.kind == Kind.EVENT:
                 key = item.about, item.life, item.version
-                news = self._news.setdefault(key, News(item.about, item.version, self.clock.now_ms))
+                news = self._news.setdefault(key, EventTrace(item.about, item.version, self.clock.now_ms))
                 news.heard_ms.setdefault(hearer, self.clock.now_ms)
 
     async def finish(self) -> None:
--- a/madderwind/testing/fault_tests/part.py
+++ b/madderwind/testing/fault_tests/part.py
@@ -1,5 +1,5 @@
-"""A process of the rig itself: told its plan, it says that it is ready, begins at a given moment, and at the
-end writes what it saw. It ends with its parent, whose end is the end of its standard input."""
+"""Base of the rig's processes. A process reads its plan, reports that it is ready, begins at a given time,
+and writes its traces at the end. It exits with its parent, when its standard input is closed."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 from madderwind.testing.fault_tests import traces
 from madderwind.testing.fault_tests.plan import Plan
-from madderwind.testing.fault_tests.schedule import Turn
+from madderwind.testing.fault_tests.schedule import FaultOccurrence
 
 
 class Go(msgspec.Struct):
-    """The moment of the drill's begin, on the machine's monotonic clock and in Unix time."""
+    """The start time of the drill, on the machine's monotonic clock and in Unix time."""
 
     monotonic_s: float
     unix_ms: float
 
 
 class Clock:
-    """Milliseconds after the drill's begin; long before it, until that is known."""
+    """Milliseconds since the start of the drill; a large negative value until the start time is known."""
 
     def __init__(self) -> None:
         self.go = Go(time.monotonic() + 3600, 0.0)
@@ -37,16 +37,16 @@
         asyncio.get_running_loop().call_later(after_ms / 1000, call)
 
     def at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """Also of what is past: at once."""
+        """Call at this time, or at once if it has passed."""
         asyncio.get_running_loop().call_at(self.go.monotonic_s + at_ms / 1000, call)
 
     async def until(self, at_ms: float) -> None:
         await asyncio.sleep(max(0.0, at_ms - self.now_ms) / 1000)
 
 
-class Part:
-    """Base of the rig's processes. `start` before it is ready, `begin` at the drill's begin, `finish` before
-    its traces are written."""
+class RigProcess:
+    """Base class of the rig's processes. `start` runs before the process reports ready, `begin` once
+    the start time is known, `finish` before its traces are written."""
 
     def __init__(self, plan: Plan, shard: int) -> None:
         self.plan, self.shard = plan, shard
@@ -57,39 +57,39 @@
         raise NotImplementedError
 
     def begin(self) -> None:
-        """Ask the clock for what is to come."""
+        """Schedule the calls for the coming faults."""
 
     async def finish(self) -> None:
-        """The last that is to be seen."""
+        """Complete the traces."""
 
-    def turns(self, *kinds: type) -> list[Turn]:
+    def turns(self, *kinds: type) -> list[FaultOccurrence]:
         faults = self.plan.scenario.faults
         return [t for t in self.plan.schedule.turns if isinstance(faults[t.fault], kinds)]
 
-    def at_edges(self, turns: list[Turn], call: Callable[[], None]) -> None:
-        """Call at each begin and end of these turns."""
+    def at_edges(self, turns: list[FaultOccurrence], call: Callable[[], None]) -> None:
+        """Call at the begin and end of each of these fault occurrences."""
         for edge_ms in sorted({edge for turn in turns for edge in (turn.begin_ms, turn.end_ms)}):
             self.clock.at(edge_ms, call)
 
 
-def play(kind: type[Part]) -> None:
-    """The main of such a process: `python -m madderwind.testing.fault_tests.KIND PLAN SHARD`."""
+def play(kind: type[RigProcess]) -> None:
+    """The entry point of such a process: `python -m madderwind.testing.fault_tests.KIND PLAN SHARD`."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
     asyncio.run(_play(kind(plan, int(sys.argv[2])), Path(sys.argv[1]).parent))
 
 
-async def _play(part: Part, folder: Path) -> None:
+async def _play(part: RigProcess, folder: Path) -> None:
     loop = asyncio.get_running_loop()
-    said = asyncio.StreamReader()
-    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(said), sys.stdin)
+    commands = asyncio.StreamReader()
+    await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
     await part.start()
     print("ready", flush=True)
-    if not (line := await said.readline()):
+    if not (line := await commands.readline()):
         return
     part.clock.go = msgspec.json.decode(line, type=Go)
     part.begin()
-    if not await said.readline():
-        return  # the parent died: nobody reads what was seen
+    if not await commands.readline():
+        return  # the parent died: nobody reads the traces
     await part.finish()
     name = type(part).__name__.lower()
     traces.write(folder / f"seen-{name}-{part.shard}.json", part.seen)
--- a/madderwind/testing/fault_tests/plan.py
+++ b/madderwind/testing/fault_tests/plan.py
@@ -1,7 +1,7 @@
-"""What every process of a rig is told: scenario, schedule and addresses; and the copies' files.
+"""The plan that every process of a rig reads (scenario, schedule, addresses), and the copies' configuration.
 
-Every process has a loopback address of its own, by who it is: nothing listens elsewhere, a copy's file names
-its relays, and the program needs no door for tests.
+Every process has its own loopback address, derived from its role and number, and listens nowhere else. The
+configuration of a copy names the addresses of its relays, so the program needs no interface for tests.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from madderwind.testing.fault_tests.schedule import Schedule, upstream_count, zone_of
 
 Address = tuple[str, int]
-# The last byte of a copy's own addresses; lower ones are its relays, by upstream or by copy.
-OWN, DISCOVERY, SOURCE = 250, 249, 253
-# The third byte, where it is no copy's.
-UPSTREAMS, AGENTS, KEEPER = 251, 252, 255
-SERVES, ADMIN, WORDS, RELAYS, LOCK = 5000, 5001, 7000, 6000, 5999
-# What the relay of words listens on, with the rig's number added: it hears for all of the rig's addresses.
-WORD_RELAY = 20_000
-NETS = range(16, 80)
+# The last byte of a copy's own addresses; lower values are its relays, by number of the upstream or copy.
+COPY_HOST, DISCOVERY_HOST, RELAY_SOURCE_HOST = 250, 249, 253
+# The third byte of addresses that belong to no copy.
+UPSTREAM_NET, AGENT_NET, LOCK_NET = 251, 252, 255
+SERVING_PORT, ADMIN_PORT, GOSSIP_PORT, RELAY_PORT, LOCK_PORT = 5000, 5001, 7000, 6000, 5999
+# The rig's second address byte is added to get the port of the message relay, which listens on all addresses.
+MESSAGE_RELAY_BASE_PORT = 20_000
+RIG_NETS = range(16, 80)
 FIRST_REVISION = 41
 
 
@@ -32,52 +32,52 @@
     scenario: Scenario
     schedule: Schedule
     net: int  # the second byte of all addresses
-    shards: int  # processes that relay connections; a copy's are all in one
+    shards: int  # number of processes that relay connections; all relays of a copy are in one process
     folder: str
 
     def at(self, third: int, last: int, port: int) -> Address:
         return f"127.{self.net}.{third}.{last}", port
 
     def copy(self, number: int) -> Address:
-        return self.at(number, OWN, SERVES)
+        return self.at(number, COPY_HOST, SERVING_PORT)
 
     def admin(self, number: int, second: bool = False) -> Address:
-        return self.at(number, OWN, ADMIN + second)
+        return self.at(number, COPY_HOST, ADMIN_PORT + second)
 
     def words(self, number: int) -> Address:
-        return self.at(number, OWN, WORDS)
+        return self.at(number, COPY_HOST, GOSSIP_PORT)
 
     def link(self, copy: int, upstream: int) -> Address:
-        """Where a copy's list says that an upstream is: a relay."""
-        return self.at(copy, upstream, RELAYS)
+        """The address of an upstream in a copy's list, which is that of a relay."""
+        return self.at(copy, upstream, RELAY_PORT)
 
     def discovery_link(self, copy: int) -> Address:
-        return self.at(copy, DISCOVERY, RELAYS)
+        return self.at(copy, DISCOVERY_HOST, RELAY_PORT)
 
     def source(self, copy: int) -> Address:
-        """From where a copy's relays connect, which tells upstreams and agents whom they serve."""
-        return self.at(copy, SOURCE, 0)
+        """The source address of a copy's relays, by which upstreams and agents identify the copy."""
+        return self.at(copy, RELAY_SOURCE_HOST, 0)
 
     def upstream(self, number: int) -> Address:
-        return self.at(UPSTREAMS, number, RELAYS)
+        return self.at(UPSTREAM_NET, number, RELAY_PORT)
 
     @property
     def agents(self) -> Address:
-        return self.at(AGENTS, 1, 8500)
+        return self.at(AGENT_NET, 1, 8500)
 
     @property
     def message_port(self) -> int:
-        return WORD_RELAY + self.net
+        return MESSAGE_RELAY_BASE_PORT + self.net
 
     def message_link(self, sender: int, hearer: int) -> Address:
-        """Where a copy's file says that another listens for it: a relay."""
+        """The address of a peer in a copy's configuration, which is that of a relay."""
         return self.at(sender, hearer, self.message_port)
 
     def upstreams(self) -> range:
         return range(upstream_count(self.scenario))
 
     def starts_ms(self) -> dict[int, list[float]]:
-        """When the schedule starts each upstream's process anew."""
+        """The times at which the schedule restarts each upstream's process."""
         found: dict[int, list[float]] = {}
         for turn in self.schedule.turns:
             fault = self.scenario.faults[turn.fault]
@@ -91,7 +91,7 @@
 
 
 def copy_of(address: Address) -> int:
-    """Whose relay connects from there."""
+    """The copy whose relay connects from this address."""
     return int(address[0].split(".")[2])
 
 
@@ -99,17 +99,17 @@
     return socket.inet_aton(text)
 
 
-# IP_PKTINFO's structure: interface, the address to send from, the address that a datagram came to.
+# The structure of IP_PKTINFO: interface index, source address to send from, destination of a datagram.
 PKTINFO = struct.Struct("=I4s4s")
 
 
 def take_net(chance: random.Random) -> tuple[int, socket.socket]:
-    """A second byte that no other rig on this machine has, and the lock that holds it. OSError: all are
-    taken."""
-    for net in chance.sample(NETS, len(NETS)):
+    """Reserve a second address byte that no other rig on this machine uses. Returns it with the bound socket
+    that serves as its lock. Raises OSError if all are taken."""
+    for net in chance.sample(RIG_NETS, len(RIG_NETS)):
         lock = socket.socket()
         try:
-            lock.bind((f"127.{net}.{KEEPER}.1", LOCK))
+            lock.bind((f"127.{net}.{LOCK_NET}.1", LOCK_PORT))
             return net, lock
         except OSError:
             lock.close()
@@ -117,7 +117,7 @@
 
 
 def member(plan: Plan, copy: int, upstream: int, phase: str, up_since_ms: float) -> dict[str, Any]:
-    """An entry of a copy's list."""
+    """An entry of a copy's discovery list."""
     host, port = plan.link(copy, upstream)
     zone = zone_of(upstream, plan.scenario)
     return {
@@ -135,8 +135,8 @@
 EFFECTS = {"safe": "read_like", "keyed": "idempotency_key", "unsafe": "non_idempotent"}
 
 
-def file_of(plan: Plan, copy: int, changes: dict[str, Any]) -> dict[str, Any]:
-    """A copy's configuration file. `changes` are places like `settings.Ceilings.MaxAttempts` and values."""
+def copy_configuration(plan: Plan, copy: int, changes: dict[str, Any]) -> dict[str, Any]:
+    """A copy's configuration. `changes` maps paths like `settings.Ceilings.MaxAttempts` to values."""
     scenario, rules = plan.scenario, plan.scenario.rules
     classes = [
         {
@@ -151,11 +151,11 @@
     ]
     tree: dict[str, Any] = {
         "name": f"app-{copy}",
-        "listen": _said(plan.copy(copy)),
-        "discovery": _said(plan.discovery_link(copy)),
+        "listen": _host_port(plan.copy(copy)),
+        "discovery": _host_port(plan.discovery_link(copy)),
         "seed": f"{random.Random(f'{plan.schedule.seed} copy {copy}').randrange(1 << 64):016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "admin_addr": _said(plan.admin(copy)),
+        "admin_addr": _host_port(plan.admin(copy)),
         "known": {
             "revision": FIRST_REVISION,
             "complete": True,
@@ -196,16 +196,16 @@
     }
     if scenario.words and scenario.copies > 1:
         tree["peers"] = [
-            _said(plan.words(n) if n == copy else plan.message_link(copy, n)) for n in plan.copies()
+            _host_port(plan.words(n) if n == copy else plan.message_link(copy, n)) for n in plan.copies()
         ]
     for place, value in changes.items():
-        *way, last = place.split(".")
+        *parents, last = place.split(".")
         inner = tree
-        for step in way:
+        for step in parents:
             inner = inner.setdefault(step, {})
         inner[last] = value
     return tree
 
 
-def _said(address: Address) -> str:
+def _host_port(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/madderwind/testing/fault_tests/schedule.py
+++ b/madderwind/testing/fault_tests/schedule.py
@@ -18,7 +18,7 @@
 )
 
 
-class Turn(msgspec.Struct, frozen=True):
+class FaultOccurrence(msgspec.Struct, frozen=True):
     """One coming of a fault, in milliseconds after the drill's begin, with those that it hits.
 
     `pairs`: of words, who is not heard as he should be by whom.
@@ -37,7 +37,7 @@
 
 class Schedule(msgspec.Struct, frozen=True):
     seed: int
-    turns: tuple[Turn, ...]  # in order of their begin
+    turns: tuple[FaultOccurrence, ...]  # in order of their begin
 
     def digest(self) -> str:
         """The same for the same schedule, on any machine."""
@@ -64,7 +64,7 @@
 
 def draw(scenario: Scenario, seed: int) -> Schedule:
     """The schedule of a seed. Each fault draws from a source of its own: one more leaves the others alone."""
-    turns: list[Turn] = []
+    turns: list[FaultOccurrence] = []
     for number, fault in enumerate(scenario.faults):
         chance = random.Random(f"{seed} fault {number}")
         at_ms = _drawn_ms(fault.at_s, chance)
@@ -82,7 +82,7 @@
 
 def _turns(
     scenario: Scenario, fault: AnyFault, number: int, begin_ms: float, end_ms: float, chance: random.Random
-) -> Iterable[Turn]:
+) -> Iterable[FaultOccurrence]:
     copies, upstreams = range(scenario.copies), range(upstream_count(scenario))
 
     def chosen(which: Which | None, among: range) -> tuple[int, ...]:
@@ -94,14 +94,14 @@
             pairs = {(a, b) for a in senders for b in hearers if a != b}
             pairs |= {(b, a) for a, b in pairs} if fault.both else set()
             hit = tuple(pair for pair in sorted(pairs) if chance.random() < fault.links)
-            yield Turn(number, begin_ms, end_ms, pairs=hit)
+            yield FaultOccurrence(number, begin_ms, end_ms, pairs=hit)
         case CopyFault():
             hit_copies = chosen(fault.copies, copies)
             for place, copy in enumerate(hit_copies):
                 later_ms = fault.spread_s * 1000 * place / len(hit_copies)
-                yield Turn(number, begin_ms + later_ms, end_ms + later_ms, copies=(copy,))
+                yield FaultOccurrence(number, begin_ms + later_ms, end_ms + later_ms, copies=(copy,))
         case _:
-            yield Turn(
+            yield FaultOccurrence(
                 number,
                 begin_ms,
                 end_ms,
--- a/madderwind/testing/fault_tests/traces.py
+++ b/madderwind/testing/fault_tests/traces.py
@@ -12,7 +12,7 @@
 ENDLESS_MS = 1e12  # JSON has no infinity
 
 
-class Asked(msgspec.Struct):
+class RequestTrace(msgspec.Struct):
     """A client's request. `written_ms`: when its last byte went out on a connection that a copy's machine
     took. `how` it ended: answered; closed (the connection ended first); none (the client stopped waiting);
     untaken (no copy took a connection); crossed (a kept connection ended with no word: asked once more, under
@@ -32,7 +32,7 @@
     extra: int = 0  # bytes that came on after the final answer
 
 
-class Sent(msgspec.Struct):
+class AttemptTrace(msgspec.Struct):
     """An attempt as a relay saw it come from a copy. `ended_ms`: its answer passed, or its connection
     ended."""
 
@@ -44,7 +44,7 @@
     turned_away: bool = False  # its answer was the proof that it never ran
 
 
-class Ran(msgspec.Struct):
+class UpstreamTrace(msgspec.Struct):
     """A request at an upstream, and how it ended there."""
 
     upstream: int
@@ -54,7 +54,7 @@
     outcome: str = ""
 
 
-class Fell(msgspec.Struct):
+class OverloadTrace(msgspec.Struct):
     upstream: int
     at_ms: float
     number: int
@@ -62,7 +62,7 @@
     can: float
 
 
-class Told(msgspec.Struct):
+class ListUpdateTrace(msgspec.Struct):
     """A line that discovery's agent wrote to a copy: an upstream's phase."""
 
     copy: int
@@ -81,7 +81,7 @@
     passed: int = 0
 
 
-class News(msgspec.Struct):
+class EventTrace(msgspec.Struct):
     """An urgent word of a fleet that passes words on: when it first left its teller, and each copy's first
     datagram with it."""
 
@@ -91,7 +91,7 @@
     heard_ms: dict[int, float] = {}
 
 
-class Life(msgspec.Struct):
+class ProcessEvent(msgspec.Struct):
     """What became of a copy's process, as its parent saw it."""
 
     copy: int
@@ -110,14 +110,14 @@
 
 
 class Traces(msgspec.Struct):
-    asked: list[Asked] = []
-    sent: list[Sent] = []
-    ran: list[Ran] = []
-    fell: list[Fell] = []
-    told: list[Told] = []
+    asked: list[RequestTrace] = []
+    sent: list[AttemptTrace] = []
+    ran: list[UpstreamTrace] = []
+    fell: list[OverloadTrace] = []
+    told: list[ListUpdateTrace] = []
     words: list[MessageCounts] = []
-    news: list[News] = []
-    lives: list[Life] = []
+    news: list[EventTrace] = []
+    lives: list[ProcessEvent] = []
     samples: list[Sample] = []
     foreign: int = 0  # datagrams that came to a relay from nobody of the rig
 
--- a/madderwind/testing/fault_tests/upstreams.py
+++ b/madderwind/testing/fault_tests/upstreams.py
@@ -5,11 +5,11 @@
 import asyncio
 
 from madderwind.standalone.policy.api import Outcome
-from madderwind.testing.fault_tests.part import Part, play
+from madderwind.testing.fault_tests.part import RigProcess, play
 from madderwind.testing.fault_tests.plan import Plan, copy_of
 from madderwind.testing.fault_tests.scenario import UpstreamFault
-from madderwind.testing.fault_tests.schedule import Turn, zone_of
-from madderwind.testing.fault_tests.traces import Fell, Ran
+from madderwind.testing.fault_tests.schedule import FaultOccurrence, zone_of
+from madderwind.testing.fault_tests.traces import OverloadTrace, UpstreamTrace
 from madderwind.testing.fault_tests.wire import Message, answer, read_message
 from madderwind.testing.simulation import experiment as lab
 from madderwind.testing.simulation.upstream import LONG_AGO_MS, Job, Upstream
@@ -23,7 +23,7 @@
 
     __slots__ = ("ran", "writer")
 
-    def __init__(self, ran: Ran, writer: asyncio.StreamWriter) -> None:
+    def __init__(self, ran: UpstreamTrace, writer: asyncio.StreamWriter) -> None:
         super().__init__(0, 0.0, self._reply)
         self.ran, self.writer = ran, writer
 
@@ -39,7 +39,7 @@
             self.writer.write(answer(STATUS[outcome], body))
 
 
-class UpstreamStandIns(Part):
+class UpstreamStandIns(RigProcess):
     """All of them; `Surroundings` of the model."""
 
     def __init__(self, plan: Plan, shard: int) -> None:
@@ -108,7 +108,7 @@
         for turn in self._steady:
             self._apply(turn, now_ms)
 
-    def _apply(self, turn: Turn, now_ms: float) -> None:
+    def _apply(self, turn: FaultOccurrence, now_ms: float) -> None:
         fault = self.plan.scenario.faults[turn.fault]
         if not isinstance(fault, UpstreamFault) or not turn.on(now_ms):
             return
@@ -134,7 +134,7 @@
 
     def _take(self, upstream: Upstream, copy: int, message: Message, writer: asyncio.StreamWriter) -> None:
         trace_id = message.header("X-Trace-Id") or "0"
-        ran = Ran(upstream.number, int(trace_id, 16), copy, self.clock.now_ms)
+        ran = UpstreamTrace(upstream.number, int(trace_id, 16), copy, self.clock.now_ms)
         self.seen.ran.append(ran)
         job = _Held(ran, writer)
         if len(self._open[upstream.number]) > self.plan.scenario.upstreams.connections:
@@ -145,7 +145,7 @@
     # --- Surroundings of the model ---
 
     def fell(self, at_ms: float, copy: str, request: int, upstream: int, got: int, can: float) -> None:
-        self.seen.fell.append(Fell(upstream, at_ms, request, got, can))
+        self.seen.fell.append(OverloadTrace(upstream, at_ms, request, got, can))
         self.clock.after(AGAIN_S * 1000, lambda: self._again(self._all[upstream]))
 
     def forget_connections(self, upstream: Upstream) -> None:
--- a/tests/testing/fault_tests/test_rig.py
+++ b/tests/testing/fault_tests/test_rig.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from madderwind.testing.fault_tests.conduct import plan_of
+from madderwind.testing.fault_tests.conduct import make_plan
 from madderwind.testing.fault_tests.links import Link, Links
 from madderwind.testing.fault_tests.plan import take_net
 from madderwind.testing.fault_tests.scenario import (
@@ -91,7 +91,7 @@
 async def _one_link(folder: Path) -> AsyncIterator[tuple[Links, Link, Upstream]]:
     """A relay between a copy and one stand-in."""
     net, lock = take_net(random.Random())
-    part = Links(plan_of(Scenario(name="s", question="?", copies=1), 1, net, folder), 0)
+    part = Links(make_plan(Scenario(name="s", question="?", copies=1), 1, net, folder), 0)
     async with Upstream(says(answer(200, b"yes"))) as stand_in:
         server = await asyncio.start_server(stand_in._serve, *part.plan.upstream(0))
         await part.start()
