--- a/madderwind/testing/fault_tests/conduct.py
+++ b/madderwind/testing/fault_tests/conduct.py
@@ -141,11 +141,11 @@
             errors = [task.exception() for task in tasks if task.done() and not task.cancelled()]
             for error in filter(None, errors):
                 raise DrillError(f"a fault could not be applied: {error!r}") from error
-            *others, client = rig
+            *observers, client = rig
             seen = await client.finish()
             await asyncio.sleep(SETTLE_S)
             fleet.sample()
-            for process in others:
+            for process in observers:
                 seen.add(await process.finish())
         finally:
             for task in tasks:
--- a/madderwind/testing/fault_tests/figures.py
+++ b/madderwind/testing/fault_tests/figures.py
@@ -46,12 +46,12 @@
     least: float | None
 
 
-def request_outcome(plan: Plan, asked: RequestTrace) -> str:
+def request_outcome(plan: Plan, request: RequestTrace) -> str:
     """The outcome of a request for its client."""
-    request_class = plan.scenario.load.classes[asked.class_index]
-    if asked.how == "answered" and asked.status == 200:
-        return "in_time" if asked.ended_ms <= asked.intended_ms + request_class.aim_ms else "late"
-    if asked.how == "untaken" or (asked.how == "answered" and asked.status in REFUSED):
+    request_class = plan.scenario.load.classes[request.class_index]
+    if request.how == "answered" and request.status == 200:
+        return "in_time" if request.ended_ms <= request.intended_ms + request_class.aim_ms else "late"
+    if request.how == "untaken" or (request.how == "answered" and request.status in REFUSED):
         return "refused"
     return "failed"
 
@@ -59,12 +59,12 @@
 class Measured:
     """Computes the figures of a drill from its traces."""
 
-    def __init__(self, plan: Plan, seen: Traces) -> None:
-        self._plan, self._seen = plan, seen
+    def __init__(self, plan: Plan, traces: Traces) -> None:
+        self._plan, self._traces = plan, traces
         self._scenario = plan.scenario
-        self.asked = [a for a in seen.asked if a.how != "crossed" and a.intended_ms >= 0]
+        self.asked = [a for a in traces.asked if a.how != "crossed" and a.intended_ms >= 0]
         self._outcomes = {a.number: request_outcome(plan, a) for a in self.asked}
-        self._lost = lost(plan, seen)
+        self._lost = lost(plan, traces)
         self._load_ratios = list(self._warm_up_loads())
 
     def _occurrences(self, name: str) -> list[FaultOccurrence]:
@@ -114,7 +114,7 @@
 
     def _attempts_under_fault(self, turns: list[FaultOccurrence]) -> Iterator[AttemptTrace]:
         """Attempts on links, or to upstreams, that a fault affected at the time."""
-        for sent in self._seen.sent:
+        for sent in self._traces.sent:
             for turn in turns:
                 fault = self._scenario.faults[turn.fault]
                 if isinstance(fault, LinkFault):
@@ -131,7 +131,7 @@
         model, rules = self._scenario.upstreams, self._scenario.rules
         starts = self._plan.starts_ms()
         windows: dict[tuple[int, float], Window] = {}
-        for ran in sorted(self._seen.ran, key=lambda r: r.at_ms):
+        for ran in sorted(self._traces.ran, key=lambda r: r.at_ms):
             started_ms = max((s for s in starts.get(ran.upstream, ()) if s <= ran.at_ms), default=None)
             if started_ms is None or ran.at_ms >= started_ms + rules.warm_after_ms:
                 continue
@@ -176,11 +176,11 @@
                 seconds[int((sent.at_ms - begin_ms) // SECOND_MS)] += 1
         return float(max(seconds.values(), default=0))
 
-    def _messages_per_s(self, what: str, begin_ms: float, end_ms: float) -> float:
+    def _messages_per_s(self, field: str, begin_ms: float, end_ms: float) -> float:
         """The mean per copy and second of this count of sent messages."""
         sums = [
-            getattr(w, what)
-            for w in self._seen.words
+            getattr(w, field)
+            for w in self._traces.words
             if begin_ms <= w.second * SECOND_MS and (w.second + 1) * SECOND_MS <= end_ms
         ]
         seconds = end_ms // SECOND_MS - -(-begin_ms // SECOND_MS)
@@ -191,26 +191,28 @@
         received within `EVENT_DEADLINE_MS`. Leaves out killed and paused copies, and events too close to the
         end of the window."""
         excluded = {
-            life.copy for life in self._seen.lives if life.what in ("kill", "pause") and life.at_ms < end_ms
+            change.copy
+            for change in self._traces.lives
+            if change.what in ("kill", "pause") and change.at_ms < end_ms
         }
         copies = [n for n in self._plan.copies() if n not in excluded]
         until_ms = min(end_ms, self._scenario.for_s * 1000 - EVENT_DEADLINE_MS)
         delays = HdrHistogram(1, MAX_LATENCY_US, 3)
-        asked = missed = 0
-        for news in self._seen.news:
-            if not begin_ms <= news.at_ms < until_ms:
+        expected = missed = 0
+        for event in self._traces.news:
+            if not begin_ms <= event.at_ms < until_ms:
                 continue
             for copy in copies:
-                heard_ms = news.heard_ms.get(copy, float("inf")) - news.at_ms
-                if copy != news.origin:
-                    asked += 1
+                heard_ms = event.heard_ms.get(copy, float("inf")) - event.at_ms
+                if copy != event.origin:
+                    expected += 1
                     missed += heard_ms > EVENT_DEADLINE_MS
                     if heard_ms <= EVENT_DEADLINE_MS:
                         delays.record_value(max(1, int(heard_ms * 1000)))
-        return float(delays.get_value_at_percentile(99)) / 1000, missed / max(1, asked)
+        return float(delays.get_value_at_percentile(99)) / 1000, missed / max(1, expected)
 
     def _copies(self, begin_ms: float, end_ms: float) -> list[Sample]:
-        inside = (s for s in self._seen.samples if begin_ms <= s.at_ms <= end_ms + SECOND_MS)
+        inside = (s for s in self._traces.samples if begin_ms <= s.at_ms <= end_ms + SECOND_MS)
         return [s for s in inside if s.who.startswith("copy-")]
 
     def _cpu(self, begin_ms: float, end_ms: float) -> float:
@@ -227,12 +229,12 @@
 
     def _attempts(self, inside: list[RequestTrace]) -> float:
         numbers = {a.number for a in inside}
-        return sum(s.number in numbers for s in self._seen.sent) / max(1, len(inside))
+        return sum(s.number in numbers for s in self._traces.sent) / max(1, len(inside))
 
-    def histogram(self, asked: list[RequestTrace]) -> HdrHistogram:
+    def histogram(self, requests: list[RequestTrace]) -> HdrHistogram:
         """Latencies of the served requests, in microseconds from the intended send time."""
         histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
-        for a in asked:
+        for a in requests:
             if self._outcomes[a.number] in ("in_time", "late"):
                 histogram.record_value(max(1, int((a.ended_ms - a.intended_ms) * 1000)))
         return histogram
@@ -259,15 +261,15 @@
     def seconds(self) -> list[Second]:
         count = int(-(-self._scenario.for_s // 1))
         seconds = [Second(could=round(self.could(n * 1000.0, (n + 1) * 1000.0), 1)) for n in range(count)]
-        for asked in self.asked:
-            second = seconds[min(count - 1, int(asked.intended_ms // 1000))]
+        for request in self.asked:
+            second = seconds[min(count - 1, int(request.intended_ms // 1000))]
             second.asked += 1
-            what = self._outcomes[asked.number]
-            setattr(second, what, getattr(second, what) + 1)
+            outcome = self._outcomes[request.number]
+            setattr(second, outcome, getattr(second, outcome) + 1)
         for sent in self._attempts_under_fault(list(self._plan.schedule.turns)):
             if 0 <= sent.at_ms < count * 1000:
                 seconds[int(sent.at_ms // 1000)].dark += 1
-        for words in self._seen.words:
-            if 0 <= words.second < count:
-                seconds[words.second].words += words.sent
+        for counts in self._traces.words:
+            if 0 <= counts.second < count:
+                seconds[counts.second].words += counts.sent
         return seconds
--- a/madderwind/testing/fault_tests/fleet.py
+++ b/madderwind/testing/fault_tests/fleet.py
@@ -40,7 +40,7 @@
     """The program under test: its command line before `serve`, and its working directory."""
 
     name: str = "now"
-    words: tuple[str, ...] = (sys.executable, "-O", "-B", "-m", "madderwind")
+    command: tuple[str, ...] = (sys.executable, "-O", "-B", "-m", "madderwind")
     folder: str = str(Path(__file__).parents[3])
 
 
@@ -81,7 +81,7 @@
         }
         with (self.folder / "log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
-                *self._fleet.program.words,
+                *self._fleet.program.command,
                 "serve",
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
--- a/madderwind/testing/fault_tests/judge.py
+++ b/madderwind/testing/fault_tests/judge.py
@@ -27,38 +27,38 @@
 class Excuses:
     """The times at which the drill killed or paused each copy's process."""
 
-    def __init__(self, seen: Traces) -> None:
+    def __init__(self, traces: Traces) -> None:
         self._kills: dict[int, list[float]] = defaultdict(list)
         self._pauses: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        for life in seen.lives:
-            if life.what == "kill":
-                self._kills[life.copy].append(life.at_ms)
-            elif life.what == "pause":
-                self._pauses[life.copy].append((life.at_ms, ENDLESS_MS))
-            elif life.what == "continue" and self._pauses[life.copy]:
-                self._pauses[life.copy][-1] = self._pauses[life.copy][-1][0], life.at_ms
-
-    def excused(self, asked: RequestTrace, slack_ms: float) -> bool:
+        for event in traces.lives:
+            if event.what == "kill":
+                self._kills[event.copy].append(event.at_ms)
+            elif event.what == "pause":
+                self._pauses[event.copy].append((event.at_ms, ENDLESS_MS))
+            elif event.what == "continue" and self._pauses[event.copy]:
+                self._pauses[event.copy][-1] = self._pauses[event.copy][-1][0], event.at_ms
+
+    def excused(self, request: RequestTrace, slack_ms: float) -> bool:
         """Whether its copy could not answer it in time because its process was killed or paused."""
-        until_ms = min(asked.ended_ms, asked.deadline_ms + slack_ms) + TOLERANCE_MS
-        killed = any(asked.written_ms - TOLERANCE_MS <= at <= until_ms for at in self._kills[asked.copy])
-        pauses = self._pauses[asked.copy]
-        return killed or any(begin <= until_ms and asked.written_ms <= end for begin, end in pauses)
+        until_ms = min(request.ended_ms, request.deadline_ms + slack_ms) + TOLERANCE_MS
+        killed = any(request.written_ms - TOLERANCE_MS <= at <= until_ms for at in self._kills[request.copy])
+        pauses = self._pauses[request.copy]
+        return killed or any(begin <= until_ms and request.written_ms <= end for begin, end in pauses)
 
 
-def lost(plan: Plan, seen: Traces) -> list[RequestTrace]:
+def lost(plan: Plan, traces: Traces) -> list[RequestTrace]:
     """Requests that a copy accepted and never answered completely, without an excuse."""
-    excuses, slack_ms = Excuses(seen), plan.scenario.rules.answer_slack_ms
-    sent = {s.number for s in seen.sent}
+    excuses, slack_ms = Excuses(traces), plan.scenario.rules.answer_slack_ms
+    sent = {s.number for s in traces.sent}
     return [
-        asked
-        for asked in seen.asked
-        if (asked.how in ("closed", "none") or (asked.how == "crossed" and asked.number in sent))
-        and not excuses.excused(asked, slack_ms)
+        request
+        for request in traces.asked
+        if (request.how in ("closed", "none") or (request.how == "crossed" and request.number in sent))
+        and not excuses.excused(request, slack_ms)
     ]
 
 
-def judge(plan: Plan, seen: Traces) -> list[Break]:
+def judge(plan: Plan, traces: Traces) -> list[Break]:
     """All violations of the rules in the traces."""
     rules = plan.scenario.rules
     checker = RuleChecker(
@@ -69,11 +69,11 @@
         rules.second_copies,
     )
     violations: list[Break] = []
-    events = _events(plan, seen, checker, violations)
+    events = _events(plan, traces, checker, violations)
     for _, _, call in sorted(events, key=lambda event: event[:2]):
         call()
     checker.finish(ENDLESS_MS / 2)
-    return sorted(checker.broken + violations + _processes(seen), key=lambda b: (b.rule, b.at_ms))[
+    return sorted(checker.broken + violations + _processes(traces), key=lambda b: (b.rule, b.at_ms))[
         : RuleChecker.MOST
     ]
 
@@ -81,54 +81,54 @@
 Event = tuple[float, int, Callable[[], None]]
 
 
-def _events(plan: Plan, seen: Traces, checker: RuleChecker, violations: list[Break]) -> list[Event]:
-    scenario, excuses = plan.scenario, Excuses(seen)
+def _events(plan: Plan, traces: Traces, checker: RuleChecker, violations: list[Break]) -> list[Event]:
+    scenario, excuses = plan.scenario, Excuses(traces)
     slack_ms = scenario.rules.answer_slack_ms
     events: list[Event] = []
 
-    def at(order_ms: float, call: Callable[[], None]) -> None:
+    def add_event(order_ms: float, call: Callable[[], None]) -> None:
         events.append((order_ms, len(events), call))
 
-    served = {(ran.number, ran.upstream) for ran in seen.ran if ran.outcome == "ok"}
-    attempted = {s.number for s in seen.sent}
+    served = {(ran.number, ran.upstream) for ran in traces.ran if ran.outcome == "ok"}
+    attempted = {s.number for s in traces.sent}
     known: set[int] = set()
-    for asked in seen.asked:
-        crossed_unread = asked.how == "crossed" and asked.number not in attempted
-        if asked.how == "untaken" or crossed_unread:
+    for request in traces.asked:
+        crossed_unread = request.how == "crossed" and request.number not in attempted
+        if request.how == "untaken" or crossed_unread:
             continue
-        known.add(asked.number)
-        request_class, copy = scenario.load.classes[asked.class_index], f"app-{asked.copy}"
-        excused = excuses.excused(asked, slack_ms)
-        deadline_ms = ENDLESS_MS if excused else asked.deadline_ms
+        known.add(request.number)
+        request_class, copy = scenario.load.classes[request.class_index], f"app-{request.copy}"
+        excused = excuses.excused(request, slack_ms)
+        deadline_ms = ENDLESS_MS if excused else request.deadline_ms
 
-        def took(
-            asked: RequestTrace = asked,
+        def accept(
+            request: RequestTrace = request,
             copy: str = copy,
             effect: str = request_class.effect,
             until: float = deadline_ms,
         ) -> None:
             window_ms = scenario.rules.window_ms + TOLERANCE_MS
-            checker.took(asked.written_ms, copy, asked.number, effect, until, window_ms)
+            checker.took(request.written_ms, copy, request.number, effect, until, window_ms)
 
-        at(asked.written_ms - TOLERANCE_MS, took)
-        if asked.how == "answered":
+        add_event(request.written_ms - TOLERANCE_MS, accept)
+        if request.how == "answered":
 
-            def answer(asked: RequestTrace = asked, copy: str = copy) -> None:
-                checker.answer(asked.ended_ms, copy, asked.number, asked.status in REFUSED)
+            def answer(request: RequestTrace = request, copy: str = copy) -> None:
+                checker.answer(request.ended_ms, copy, request.number, request.status in REFUSED)
 
-            at(asked.ended_ms + TOLERANCE_MS, answer)
-            genuine = asked.told == asked.number and (asked.number, asked.served_by) in served
-            if asked.status == 200 and not genuine:
+            add_event(request.ended_ms + TOLERANCE_MS, answer)
+            genuine = request.told == request.number and (request.number, request.served_by) in served
+            if request.status == 200 and not genuine:
                 text = "served an answer that no upstream produced for it"
-                violations.append(Break(1, asked.ended_ms, copy, asked.number, text))
-            if asked.extra:
-                text = f"{asked.extra} bytes after the final answer"
-                violations.append(Break(1, asked.ended_ms, copy, asked.number, text))
-        elif asked.how in ("closed", "crossed") and not excused:
+                violations.append(Break(1, request.ended_ms, copy, request.number, text))
+            if request.extra:
+                text = f"{request.extra} bytes after the final answer"
+                violations.append(Break(1, request.ended_ms, copy, request.number, text))
+        elif request.how in ("closed", "crossed") and not excused:
             text = "its connection ended without a complete answer"
-            violations.append(Break(1, asked.ended_ms, copy, asked.number, text))
+            violations.append(Break(1, request.ended_ms, copy, request.number, text))
     attempts: dict[int, int] = defaultdict(int)
-    for sent in sorted(seen.sent, key=lambda s: s.at_ms):
+    for sent in sorted(traces.sent, key=lambda s: s.at_ms):
         if sent.number not in known:
             violations.append(
                 Break(
@@ -148,56 +148,56 @@
         def end(number: int = sent.number, attempt: int = attempt, full: bool = sent.turned_away) -> None:
             checker.ended(number, attempt, Outcome.FULL if full else Outcome.RESET)
 
-        at(sent.at_ms, send)
+        add_event(sent.at_ms, send)
         if sent.ended_ms < ENDLESS_MS:
-            at(max(sent.at_ms, sent.ended_ms - TOLERANCE_MS), end)
+            add_event(max(sent.at_ms, sent.ended_ms - TOLERANCE_MS), end)
     discovery_faults = [
         turn
         for turn in plan.schedule.turns
         if isinstance(fault := scenario.faults[turn.fault], LinkFault) and fault.discovery
     ]
-    for told in seen.told:
+    for update in traces.told:
         broken = any(
-            told.copy in turn.copies
-            and turn.begin_ms - FAULTY_DISCOVERY_DELAY_MS <= told.at_ms <= turn.end_ms
+            update.copy in turn.copies
+            and turn.begin_ms - FAULTY_DISCOVERY_DELAY_MS <= update.at_ms <= turn.end_ms
             for turn in discovery_faults
         )
-        told_ms = told.at_ms + FAULTY_DISCOVERY_DELAY_MS * broken
+        received_ms = update.at_ms + FAULTY_DISCOVERY_DELAY_MS * broken
 
-        def tell(
-            at_ms: float = told_ms,
-            copy: str = f"app-{told.copy}",
-            u: int = told.upstream,
-            ready: bool = told.phase == "Ready",
+        def receive_update(
+            at_ms: float = received_ms,
+            copy: str = f"app-{update.copy}",
+            u: int = update.upstream,
+            ready: bool = update.phase == "Ready",
         ) -> None:
             checker.told(at_ms, copy, u, ready)
 
-        at(told_ms, tell)
-    for fell in seen.fell:
+        add_event(received_ms, receive_update)
+    for overload in traces.fell:
 
         def fall(
-            at_ms: float = fell.at_ms,
-            n: int = fell.number,
-            u: int = fell.upstream,
-            got: int = fell.got,
-            can: float = fell.can,
+            at_ms: float = overload.at_ms,
+            n: int = overload.number,
+            u: int = overload.upstream,
+            got: int = overload.got,
+            can: float = overload.can,
         ) -> None:
             checker.fell(at_ms, "all", n, u, got, can)
 
-        at(fell.at_ms, fall)
+        add_event(overload.at_ms, fall)
     return events
 
 
-def _processes(seen: Traces) -> list[Break]:
+def _processes(traces: Traces) -> list[Break]:
     """Processes that exited without a signal of the drill, or with an error code after SIGTERM."""
     signals_sent: dict[int, list[str]] = defaultdict(list)
     broken = []
-    for life in seen.lives:
-        if life.what in ("kill", "term"):
-            signals_sent[life.copy].append(life.what)
-        elif life.what == "ended":
-            how = signals_sent[life.copy].pop(0) if signals_sent[life.copy] else ""
-            if not how or (how == "term" and life.code):
-                text = f"its process ended with {life.code} after {how or 'no signal'}"
-                broken.append(Break(0, life.at_ms, f"app-{life.copy}", -1, text))
+    for event in traces.lives:
+        if event.what in ("kill", "term"):
+            signals_sent[event.copy].append(event.what)
+        elif event.what == "ended":
+            how = signals_sent[event.copy].pop(0) if signals_sent[event.copy] else ""
+            if not how or (how == "term" and event.code):
+                text = f"its process ended with {event.code} after {how or 'no signal'}"
+                broken.append(Break(0, event.at_ms, f"app-{event.copy}", -1, text))
     return broken
--- a/madderwind/testing/fault_tests/message_relay.py
+++ b/madderwind/testing/fault_tests/message_relay.py
@@ -88,19 +88,19 @@
         if faults:
             # A random source per pair: the faults on a pair's n-th message don't depend on other pairs'
             # messages.
-            chance = self._random_by_pair.setdefault(
+            rng = self._random_by_pair.setdefault(
                 (sender, receiver), random.Random(f"{self.plan.schedule.seed} words {sender} {receiver}")
             )
             for fault in faults:
-                lost, twice, damaged = (chance.random() for _ in range(3))
+                lost, twice, damaged = (rng.random() for _ in range(3))
                 if lost < fault.loss:
                     return
                 copies += twice < fault.twice
-                late_ms += chance.uniform(*fault.late_ms)
+                late_ms += rng.uniform(*fault.late_ms)
                 if damaged < fault.damaged and data:
-                    place = chance.randrange(len(data))
-                    data = data[:place] + bytes([data[place] ^ 1 << chance.randrange(8)]) + data[place + 1 :]
-                    data = data[: chance.randrange(1, len(data) + 1)] if chance.random() < 0.5 else data
+                    index = rng.randrange(len(data))
+                    data = data[:index] + bytes([data[index] ^ 1 << rng.randrange(8)]) + data[index + 1 :]
+                    data = data[: rng.randrange(1, len(data) + 1)] if rng.random() < 0.5 else data
         counts.passed += 1
         for _ in range(copies):
             if late_ms > 0:
@@ -128,8 +128,8 @@
         for item in datagram.items:
             if item.kind == Kind.EVENT:
                 key = item.about, item.life, item.version
-                news = self._events.setdefault(key, EventTrace(item.about, item.version, self.clock.now_ms))
-                news.heard_ms.setdefault(receiver, self.clock.now_ms)
+                event = self._events.setdefault(key, EventTrace(item.about, item.version, self.clock.now_ms))
+                event.heard_ms.setdefault(receiver, self.clock.now_ms)
 
     async def finish(self) -> None:
         self.seen.news = list(self._events.values())
--- a/madderwind/testing/fault_tests/plan.py
+++ b/madderwind/testing/fault_tests/plan.py
@@ -103,10 +103,10 @@
 PKTINFO = struct.Struct("=I4s4s")
 
 
-def take_net(chance: random.Random) -> tuple[int, socket.socket]:
+def take_net(rng: random.Random) -> tuple[int, socket.socket]:
     """Reserve a second address byte that no other rig on this machine uses. Returns it with the bound socket
     that serves as its lock. Raises OSError if all are taken."""
-    for net in chance.sample(RIG_NETS, len(RIG_NETS)):
+    for net in rng.sample(RIG_NETS, len(RIG_NETS)):
         lock = socket.socket()
         try:
             lock.bind((f"127.{net}.{LOCK_NET}.1", LOCK_PORT))
@@ -198,8 +198,8 @@
         tree["peers"] = [
             _host_port(plan.words(n) if n == copy else plan.message_link(copy, n)) for n in plan.copies()
         ]
-    for place, value in changes.items():
-        *parents, last = place.split(".")
+    for path, value in changes.items():
+        *parents, last = path.split(".")
         inner = tree
         for step in parents:
             inner = inner.setdefault(step, {})
--- a/madderwind/testing/fault_tests/schedule.py
+++ b/madderwind/testing/fault_tests/schedule.py
@@ -68,34 +68,34 @@
     others."""
     turns: list[FaultOccurrence] = []
     for number, fault in enumerate(scenario.faults):
-        chance = random.Random(f"{seed} fault {number}")
-        at_ms = _draw_ms(fault.at_s, chance)
+        rng = random.Random(f"{seed} fault {number}")
+        at_ms = _draw_ms(fault.at_s, rng)
         for _ in range(fault.times):
-            end_ms = at_ms + _draw_ms(fault.for_s, chance)
-            turns += _occurrences(scenario, fault, number, at_ms, end_ms, chance)
-            at_ms = end_ms + _draw_ms(fault.every_s, chance)
+            end_ms = at_ms + _draw_ms(fault.for_s, rng)
+            turns += _occurrences(scenario, fault, number, at_ms, end_ms, rng)
+            at_ms = end_ms + _draw_ms(fault.every_s, rng)
     return Schedule(seed, tuple(sorted(turns, key=lambda turn: (turn.begin_ms, turn.fault))))
 
 
-def _draw_ms(span: float | tuple[float, ...], chance: random.Random) -> float:
+def _draw_ms(span: float | tuple[float, ...], rng: random.Random) -> float:
     low_s, high_s = span if isinstance(span, tuple) else (span, span)
-    return round(chance.uniform(low_s, high_s) * 1000, 3)
+    return round(rng.uniform(low_s, high_s) * 1000, 3)
 
 
 def _occurrences(
-    scenario: Scenario, fault: AnyFault, number: int, begin_ms: float, end_ms: float, chance: random.Random
+    scenario: Scenario, fault: AnyFault, number: int, begin_ms: float, end_ms: float, rng: random.Random
 ) -> Iterable[FaultOccurrence]:
     copies, upstreams = range(scenario.copies), range(upstream_count(scenario))
 
     def select(selection: Selection | None, candidates: range) -> tuple[int, ...]:
-        return () if selection is None else _select(scenario, selection, candidates, chance)
+        return () if selection is None else _select(scenario, selection, candidates, rng)
 
     match fault:
         case MessageFault():
             senders, hearers = select(fault.senders, copies), select(fault.hearers, copies)
             pairs = {(a, b) for a in senders for b in hearers if a != b}
             pairs |= {(b, a) for a, b in pairs} if fault.both else set()
-            affected = tuple(pair for pair in sorted(pairs) if chance.random() < fault.links)
+            affected = tuple(pair for pair in sorted(pairs) if rng.random() < fault.links)
             yield FaultOccurrence(number, begin_ms, end_ms, pairs=affected)
         case CopyFault():
             targets = select(fault.copies, copies)
@@ -113,14 +113,14 @@
 
 
 def _select(
-    scenario: Scenario, selection: Selection, candidates: range, chance: random.Random
+    scenario: Scenario, selection: Selection, candidates: range, rng: random.Random
 ) -> tuple[int, ...]:
     left = [n for n in candidates if selection.zone in (None, scenario.zones[zone_of(n, scenario)])]
     left = [n for n in left if selection.numbers is None or n in selection.numbers]
     if selection.part is not None:
-        left = chance.sample(left, round(selection.part * len(left)))
+        left = rng.sample(left, round(selection.part * len(left)))
     if selection.count is not None:
-        left = chance.sample(left, min(selection.count, len(left)))
+        left = rng.sample(left, min(selection.count, len(left)))
     return tuple(sorted(left))
 
 
@@ -135,12 +135,12 @@
     shares = [c.share for c in scenario.load.classes]
     found: list[tuple[float, int, int]] = []
     for copy in range(scenario.copies):
-        chance = random.Random(f"{schedule.seed} arrivals {copy}")
+        rng = random.Random(f"{schedule.seed} arrivals {copy}")
         base_per_ms = scenario.load.per_s / 1000 * weights[copy] / sum(weights)
         at_ms = -scenario.warm_up_s * 1000
         while True:
             # The remaining wait in units of the base rate: it passes faster while the rate is higher.
-            left = chance.expovariate(1.0)
+            left = rng.expovariate(1.0)
             while left > 0:
                 factor = 1.0
                 for turn in loads:
@@ -155,6 +155,6 @@
                 at_ms += step_ms
             if at_ms >= scenario.for_s * 1000:
                 break
-            found.append((at_ms, copy, chance.choices(range(len(shares)), shares)[0]))
+            found.append((at_ms, copy, rng.choices(range(len(shares)), shares)[0]))
     found.sort()
     return [Arrival(n, at_ms, copy, index) for n, (at_ms, copy, index) in enumerate(found)]
--- a/madderwind/testing/fault_tests/upstreams.py
+++ b/madderwind/testing/fault_tests/upstreams.py
@@ -69,12 +69,12 @@
         self._open: dict[int, set[asyncio.StreamWriter]] = {u: set() for u in self.plan.upstreams()}
 
     async def start(self) -> None:
-        self._all = [
+        self._upstreams = [
             Upstream(self, 0, u, 1.0, zone_of(u, self.plan.scenario), LONG_AGO_MS)
             for u in self.plan.upstreams()
         ]
         self._servers: dict[int, asyncio.Server] = {}
-        for upstream in self._all:
+        for upstream in self._upstreams:
             await self._listen(upstream)
 
     async def _listen(self, upstream: Upstream) -> None:
@@ -91,7 +91,7 @@
             fault = self.plan.scenario.faults[turn.fault]
             assert isinstance(fault, UpstreamFault)
             for number in turn.upstreams:
-                upstream = self._all[number]
+                upstream = self._upstreams[number]
                 if fault.kind == "restart":
                     self.clock.at(turn.begin_ms, upstream.crash)
                     self.clock.at(turn.end_ms, lambda u=upstream: self._restart(u))  # type: ignore[misc]
@@ -103,7 +103,7 @@
     def _update_faults(self) -> None:
         """Set the slowdown and error rate of each upstream from the faults that are active now."""
         now_ms = self.clock.now_ms + 0.5
-        for upstream in self._all:
+        for upstream in self._upstreams:
             upstream.slow, upstream.error_part = 1.0, 0.0
         for turn in self._lasting:
             self._apply(turn, now_ms)
@@ -114,9 +114,9 @@
             return
         for number in turn.upstreams:
             if fault.kind == "slow":
-                self._all[number].slow = fault.factor
+                self._upstreams[number].slow = fault.factor
             elif fault.kind == "err":
-                self._all[number].error_part = fault.rate
+                self._upstreams[number].error_part = fault.rate
 
     async def _serve(
         self, upstream: Upstream, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -126,13 +126,15 @@
         copy = copy_of(writer.get_extra_info("peername"))
         try:
             while True:
-                self._take(upstream, copy, await read_message(reader), writer)
+                self._handle_request(upstream, copy, await read_message(reader), writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()  # its requests keep running: the upstream cannot know that nobody waits for them
         finally:
             self._open[number].discard(writer)
 
-    def _take(self, upstream: Upstream, copy: int, message: Message, writer: asyncio.StreamWriter) -> None:
+    def _handle_request(
+        self, upstream: Upstream, copy: int, message: Message, writer: asyncio.StreamWriter
+    ) -> None:
         trace_id = message.header("X-Trace-Id") or "0"
         ran = UpstreamTrace(upstream.number, int(trace_id, 16), copy, self.clock.now_ms)
         self.seen.ran.append(ran)
@@ -144,7 +146,7 @@
 
     def fell(self, at_ms: float, copy: str, request: int, upstream: int, got: int, can: float) -> None:
         self.seen.fell.append(OverloadTrace(upstream, at_ms, request, got, can))
-        self.clock.after(OVERLOAD_RESTART_S * 1000, lambda: self._restart(self._all[upstream]))
+        self.clock.after(OVERLOAD_RESTART_S * 1000, lambda: self._restart(self._upstreams[upstream]))
 
     def forget_connections(self, upstream: Upstream) -> None:
         """The upstream's process died: its connections are reset and new ones refused."""
--- a/tests/testing/fault_tests/test_drills.py
+++ b/tests/testing/fault_tests/test_drills.py
@@ -41,7 +41,7 @@
     pool = ThreadPoolExecutor(max_workers=len(NAMES))
 
     def play(name: str) -> list[DrillRecord]:
-        program = Program(words=BROKEN[name]) if name in BROKEN else Program()
+        program = Program(command=BROKEN[name]) if name in BROKEN else Program()
         return list(run_all(read_scenario(DRILLS / f"{name}.yaml"), [program], folder / name, [1]))
 
     return {name: pool.submit(play, name) for name in NAMES}
@@ -77,11 +77,11 @@
 ) -> None:
     played["short-words"].result()
     sent, passed = Counter[bool](), Counter[bool]()
-    for words in seen(folder, "short-words").words:
-        cut = 3 <= words.second < 5
-        if cut or words.second < 0:
-            sent[cut] += words.sent
-            passed[cut] += words.passed
+    for counts in seen(folder, "short-words").words:
+        cut = 3 <= counts.second < 5
+        if cut or counts.second < 0:
+            sent[cut] += counts.sent
+            passed[cut] += counts.passed
     assert passed[False] == sent[False] > 0  # no fault is active before the drill's begin
     assert 0 < passed[True] < 0.6 * sent[True]  # 3 of 5 pairs are cut, 30 % of the other messages are lost
 
@@ -92,18 +92,18 @@
     """Reads the copies' own logs, as a copy's view of its peers isn't visible outside the process."""
     played["short-fleet"].result()
     trace_folder = folder / "short-fleet" / "now" / "traces-000-1"
-    held: set[tuple[int, int]] = set()
+    considered_dead: set[tuple[int, int]] = set()
     for copy in range(1, 7):
         for line in (trace_folder / f"copy-{copy}" / "log").read_text().splitlines():
             said: dict[str, Any] = json.loads(line) if '"event":"fellow_' in line else {"event": ""}
             if said["event"] == "fellow_dead":
-                held.add((copy, said["copy"]))
+                considered_dead.add((copy, said["copy"]))
             elif said["event"] == "fellow_back":
-                held.discard((copy, said["copy"]))
-    assert {pair for pair in held if pair[1] == 0} == {(copy, 0) for copy in range(1, 7)}
-    assert {pair for pair in held if pair[1] != 0} == set()  # the paused copy is alive again
-    for words in seen(folder, "short-fleet").words:
-        assert words.sent <= 2 * 25 + 25  # a full token bucket within one second; two during an upgrade
+                considered_dead.discard((copy, said["copy"]))
+    assert {pair for pair in considered_dead if pair[1] == 0} == {(copy, 0) for copy in range(1, 7)}
+    assert {pair for pair in considered_dead if pair[1] != 0} == set()  # the paused copy is alive again
+    for counts in seen(folder, "short-fleet").words:
+        assert counts.sent <= 2 * 25 + 25  # a full token bucket within one second; two during an upgrade
 
 
 def test_reports_and_comparisons(folder: Path, played: dict[str, Future[list[DrillRecord]]]) -> None:
@@ -122,9 +122,9 @@
     """However its parent process ends, here by SIGKILL during a drill."""
 
     async def play() -> None:
-        words = ("-m", "madderwind", "drill", "run", str(DRILLS / "short-words.yaml"), f"--out={tmp_path}")
+        command = ("-m", "madderwind", "drill", "run", str(DRILLS / "short-words.yaml"), f"--out={tmp_path}")
         drill_process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, stdout=subprocess.DEVNULL, cwd=DRILLS.parent
+            sys.executable, *command, stdout=subprocess.DEVNULL, cwd=DRILLS.parent
         )
         log = tmp_path / "now" / "traces-000-1" / "copy-5" / "log"
         async with asyncio.timeout(60):
