--- a/madderwind/testing/__init__.py
+++ b/madderwind/testing/__init__.py
@@ -1,1 +1,1 @@
-"""What tests and measures: simulations, fault tests, stand-ins, local fleets, the bench's adapter."""
+"""Test and measurement tools: simulations, fault tests, emulators, local fleets and the bench adapter."""
--- a/madderwind/testing/simulation/__init__.py
+++ b/madderwind/testing/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory: many copies of the module on one clock, at sizes that sockets do not reach."""
+"""Discrete-event simulation of many policy copies on one clock, at sizes that sockets do not allow."""
--- a/madderwind/testing/simulation/command.py
+++ b/madderwind/testing/simulation/command.py
@@ -1,4 +1,4 @@
-"""`madderwind lab`: play experiments, report on their records, compare two policies or versions."""
+"""`madderwind lab`: runs experiments, reports on their records and compares two policies or versions."""
 
 from __future__ import annotations
 
@@ -14,17 +14,21 @@
 from madderwind.testing.simulation.report import FIGURES, compare
 
 
-def lab(said: dict[str, Any]) -> int:
-    """The command that docopt read; its exit code."""
+def lab(arguments: dict[str, Any]) -> int:
+    """Runs the command in the arguments that docopt parsed. Returns the exit code."""
     try:
-        if said["run"]:
-            return _run(Path(said["FILE"]), said["--out"], int(said["--cores"] or os.cpu_count() or 1))
-        if said["words"] or said["outages"]:
-            kind = messages if said["words"] else outages
-            return _table(kind, Path(said["FILE"]), int(said["--cores"] or os.cpu_count() or 1))
-        if said["report"]:
-            return show(report, read_records(Path(said["FOLDER"])), said["--plot"])
-        return _compare(said)
+        if arguments["run"]:
+            return _run(
+                Path(arguments["FILE"]), arguments["--out"], int(arguments["--cores"] or os.cpu_count() or 1)
+            )
+        if arguments["words"] or arguments["outages"]:
+            module = messages if arguments["words"] else outages
+            return _print_table(
+                module, Path(arguments["FILE"]), int(arguments["--cores"] or os.cpu_count() or 1)
+            )
+        if arguments["report"]:
+            return show(report, read_records(Path(arguments["FOLDER"])), arguments["--plot"])
+        return _compare(arguments)
     except (ExperimentError, ValueError) as error:
         print(f"madderwind lab: {error}", file=sys.stderr)
         return 1
@@ -43,31 +47,40 @@
     return show(report, read_records(folder), None)
 
 
-def _table(kind: Any, path: Path, cores: int) -> int:
-    """`kind`: a module that reads such a file, plays it, and makes a table of it."""
+def _print_table(module: Any, path: Path, cores: int) -> int:
+    """Runs the experiment file and prints its table.
+
+    `module` provides `read`, `play` and `table` for this kind of experiment.
+    """
     with ProcessPoolExecutor(max_workers=cores) as pool:
-        waits = [pool.submit(kind.play, *run) for run in plays(kind.read(path))]
-        print(kind.table([wait.result() for wait in waits]), end="")
+        futures = [pool.submit(module.play, *run) for run in plays(module.read(path))]
+        print(module.table([future.result() for future in futures]), end="")
     return 0
 
 
-def show(kind: Any, records: list[Any], picture: str | None) -> int:
-    """`kind`: a module that makes a table of such records, words what broke, and plots them."""
-    print(kind.table(records), end="")
-    print(kind.breaks(records), end="")
-    if picture:
-        kind.plot(records, Path(picture))
+def show(module: Any, records: list[Any], plot_path: str | None) -> int:
+    """Prints the table and the rule violations of the records, and plots them to `plot_path` if given.
+
+    `module` provides `table`, `breaks` and `plot` for this kind of record.
+    """
+    print(module.table(records), end="")
+    print(module.breaks(records), end="")
+    if plot_path:
+        module.plot(records, Path(plot_path))
     return 0
 
 
-def _compare(said: dict[str, Any]) -> int:
-    ours = read_records(Path(said["FOLDER"]))
-    theirs = read_records(Path(said["OTHER"])) if said["OTHER"] else ours
-    policy, other = said["--policy"] or "madderwind", said["--against"] or said["--policy"] or "madderwind"
-    if theirs is ours and policy == other:
-        raise ExperimentError("compare: name another folder, or --against another policy")
-    ours = [record for record in ours if record.policy == policy]
-    theirs = [record for record in theirs if record.policy == other]
+def _compare(arguments: dict[str, Any]) -> int:
+    first = read_records(Path(arguments["FOLDER"]))
+    second = read_records(Path(arguments["OTHER"])) if arguments["OTHER"] else first
+    policy, other_policy = (
+        arguments["--policy"] or "madderwind",
+        arguments["--against"] or arguments["--policy"] or "madderwind",
+    )
+    if second is first and policy == other_policy:
+        raise ExperimentError("compare: give a second folder, or another policy with --against")
+    first = [record for record in first if record.policy == policy]
+    second = [record for record in second if record.policy == other_policy]
     for name in FIGURES:
-        print(compare(ours, theirs, name))
+        print(compare(first, second, name))
     return 0
--- a/madderwind/testing/simulation/experiment.py
+++ b/madderwind/testing/simulation/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments as files: what is modelled, what goes wrong, which policies, and what is varied."""
+"""Experiment files: the modelled system, injected faults, compared policies and varied parameters."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class ExperimentError(ValueError):
-    """The file cannot be read as an experiment; the text is one plain line."""
+    """The file is not a valid experiment. The message is a single line."""
 
 
 class Strict(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    pass
+    """Base of the immutable file sections, which reject unknown fields."""
 
 
 class Tier(Strict, frozen=True):
-    """Upstreams of one tier. `work_ms` is the mean time that one core needs for a request."""
+    """The upstreams of one tier. `work_ms` is the mean time that one core needs for a request."""
 
     upstreams: Count
     cores: Count = 4
@@ -33,7 +33,7 @@
     work: Literal["exponential", "fixed"] = "exponential"
     queue: Annotated[int, msgspec.Meta(ge=0)] = 1_000_000
     connections: Count = 1_000_000
-    crowd: Count = 1_000_000  # requests held from which on it is slow, until half of them are left
+    crowd: Count = 1_000_000  # held requests at which an upstream becomes slow, until it holds half as many
     crowd_factor: Positive = 1.0
     error_part: Part = 0.0
     ratings: tuple[Positive, ...] = (1.0,)
@@ -41,6 +41,8 @@
 
 
 class Class(Strict, frozen=True):
+    """A request class."""
+
     name: str
     share: Positive = 1.0
     effect: Literal["safe", "keyed", "unsafe"] = "safe"
@@ -49,7 +51,10 @@
 
 
 class Load(Strict, frozen=True):
-    """Requests at random from clients that try again, so many times, after waits that double."""
+    """Poisson arrivals from clients that make up to `tries` attempts.
+
+    Before each retry a client waits a random time, whose upper bound doubles with each attempt.
+    """
 
     per_s: NotNegative
     classes: Annotated[tuple[Class, ...], msgspec.Meta(min_length=1)] = (Class(name="any"),)
@@ -58,24 +63,32 @@
 
 
 class Network(Strict, frozen=True):
+    """Delays and the connect timeout between copies and upstreams."""
+
     trip_ms: NotNegative = 1.0  # one way
     handshake_ms: NotNegative = 2.0
     connect_timeout_ms: Positive = 250.0
 
 
 class News(Strict, frozen=True):
-    """Discovery: how late each copy hears, by chance between two bounds; and reports on answers."""
+    """Discovery updates and load reports.
+
+    Each copy receives a discovery update after a uniformly random delay between `least_ms` and `most_ms`.
+    `reports` adds load reports to answers.
+    """
 
     least_ms: NotNegative = 50.0
     most_ms: NotNegative = 500.0
     silent_from_s: NotNegative = 0.0
     silent_for_s: NotNegative = 0.0
-    repeats: Part = 0.0  # the part of news that comes a second time, later
+    repeats: Part = 0.0  # fraction of the updates that are delivered a second time, later
     reports: bool = False
     report_late_ms: NotNegative = 0.0
 
 
 class Rules(Strict, frozen=True):
+    """Limits that the policy must keep, and the cold start of upstreams."""
+
     max_attempts: Count = 4
     second_copies: bool = True
     answer_slack_ms: NotNegative = 50.0
@@ -87,11 +100,15 @@
 
 
 class Trouble(Strict, frozen=True):
-    """What goes wrong at a part of one tier's upstreams, or at those of one zone.
-
-    `slow` by a factor, `err` at a rate, `silent` (takes work and says nothing), `crash` (connections are
-    refused, back cold), `vanish` (nothing comes up, back as it was), `replace` (drains, new ones come cold),
-    `surge` (the load by a factor).
+    """A fault at a fraction of one tier's upstreams, or at all upstreams of one zone.
+
+    - `slow`: processing takes `factor` times as long.
+    - `err`: requests fail at `rate`.
+    - `silent`: accepts requests and never answers.
+    - `crash`: refuses connections, then restarts cold.
+    - `vanish`: is unreachable, then returns in its previous state.
+    - `replace`: drains while a cold replacement starts.
+    - `surge`: the load is multiplied by `factor`.
     """
 
     at_s: NotNegative
@@ -105,7 +122,10 @@
 
 
 class Varied(Strict, frozen=True, kw_only=True):
-    """What a file holds whose places may take several values in turn."""
+    """Base of a file whose fields may be varied over several values.
+
+    `vary` maps the path of a field to its values.
+    """
 
     vary: dict[str, list[Any]] = {}
     seeds: Count = 1
@@ -115,11 +135,13 @@
 
 
 class Experiment(Varied, frozen=True, kw_only=True):
+    """An experiment on request routing: the simulated system, its faults and the policies to compare."""
+
     name: str
     question: str
     tiers: Annotated[tuple[Tier, ...], msgspec.Meta(min_length=1)]
     load: Load
-    copies: Count = 2  # of the first tier; every upstream has a copy of its own for the tier behind it
+    copies: Count = 2  # in front of the first tier; every upstream has its own copy for the next tier
     policies: Annotated[tuple[str, ...], msgspec.Meta(min_length=1)] = ("madderwind",)
     network: Network = Network()
     news: News = News()
@@ -130,30 +152,35 @@
 
 
 def read_experiment(path: Path) -> Experiment:
-    """The experiment of a file, with every variant checked. ExperimentError names file and place."""
+    """Reads an experiment and validates every variant of it.
+
+    Raises ExperimentError with the file and the field.
+    """
     return read_varied(path, Experiment, _check)
 
 
-def read_varied(path: Path, kind: type[V], check: Callable[[Path, V], None] = lambda *_: None) -> V:
-    """What a file describes, and that each of its variants can be read; `check` looks beyond the types.
-    ExperimentError names file and place."""
+def read_varied(path: Path, struct_type: type[V], check: Callable[[Path, V], None] = lambda *_: None) -> V:
+    """Reads a file as `struct_type` and validates every variant of it.
+
+    `check` validates what the types do not express. Raises ExperimentError with the file and the field.
+    """
 
     def read(tree: Any) -> V:
         try:
-            found = msgspec.convert(tree, kind)
+            converted = msgspec.convert(tree, struct_type)
         except msgspec.ValidationError as error:
             raise ExperimentError(f"{path}: {error}") from None
-        check(path, found)
-        return found
+        check(path, converted)
+        return converted
 
-    whole = read(read_tree(path))
-    for _, variant in variants(whole):
+    base = read(read_tree(path))
+    for _, variant in variants(base):
         read(variant)
-    return whole
+    return base
 
 
 def read_tree(path: Path) -> Any:
-    """What a YAML file holds, not yet looked at. ExperimentError names the file and what is wrong."""
+    """Parses a YAML file without validating its content. Raises ExperimentError with file and cause."""
     try:
         return yaml.safe_load(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -166,49 +193,50 @@
     from madderwind.testing.simulation.policies import POLICIES
 
     for number, trouble in enumerate(experiment.troubles):
-        at = f"{path}: troubles[{number}]"
+        field = f"{path}: troubles[{number}]"
         if trouble.tier >= len(experiment.tiers):
-            raise ExperimentError(f"{at}: there is no tier {trouble.tier}")
+            raise ExperimentError(f"{field}: there is no tier {trouble.tier}")
         if trouble.zone is not None and trouble.zone >= experiment.tiers[trouble.tier].zones:
-            raise ExperimentError(f"{at}: there is no zone {trouble.zone} in tier {trouble.tier}")
+            raise ExperimentError(f"{field}: there is no zone {trouble.zone} in tier {trouble.tier}")
     for policy in experiment.policies:
         if policy not in POLICIES:
-            raise ExperimentError(f"{path}: policies: {policy!r} is none of {', '.join(POLICIES)}")
+            raise ExperimentError(f"{path}: policies: {policy!r} is not one of {', '.join(POLICIES)}")
 
 
 def variants(experiment: Varied) -> Iterator[tuple[dict[str, Any], Any]]:
-    """Every choice of what is varied, with the experiment's tree under it."""
+    """Every combination of the varied values, with the experiment's builtin types for it."""
     for values in itertools.product(*experiment.vary.values()):
         chosen = dict(zip(experiment.vary, values, strict=True))
         yield chosen, _tree_of(experiment, chosen)
 
 
-def plays(whole: V) -> Iterator[tuple[V, dict[str, Any], int]]:
-    """Every choice of what is varied, under every seed."""
-    for chosen, _ in variants(whole):
-        for seed in range(1, whole.seeds + 1):
-            yield whole, chosen, seed
+def plays(experiment: V) -> Iterator[tuple[V, dict[str, Any], int]]:
+    """Every combination of the varied values with every seed."""
+    for chosen, _ in variants(experiment):
+        for seed in range(1, experiment.seeds + 1):
+            yield experiment, chosen, seed
 
 
 def variant_of(experiment: V, chosen: dict[str, Any]) -> V:
+    """The experiment with the chosen values in place."""
     return msgspec.convert(_tree_of(experiment, chosen), type(experiment))
 
 
 def _tree_of(experiment: Varied, chosen: dict[str, Any]) -> Any:
     tree = msgspec.to_builtins(experiment)
     for name, value in chosen.items():
-        _put(tree, name, value)
+        _set_field(tree, name, value)
     return tree
 
 
-def _put(tree: Any, place: str, value: Any) -> None:
-    """Put a value at a place like `tiers.0.upstreams`."""
-    *way, last = place.split(".")
+def _set_field(tree: Any, path: str, value: Any) -> None:
+    """Sets the field at a path like `tiers.0.upstreams`."""
+    *parents, last = path.split(".")
     try:
-        for step in way:
+        for step in parents:
             tree = tree[int(step)] if isinstance(tree, list | tuple) else tree[step]
         if last not in tree:
             raise KeyError(last)
         tree[last] = value
     except (KeyError, IndexError, ValueError, TypeError):
-        raise ExperimentError(f"vary: there is no {place}") from None
+        raise ExperimentError(f"vary: there is no {path}") from None
--- a/madderwind/testing/simulation/policies.py
+++ b/madderwind/testing/simulation/policies.py
@@ -1,7 +1,7 @@
-"""The module, and baselines to hold it against.
+"""The policy module and the baselines to compare it with.
 
-A baseline picks by one rule and retries a fixed number of times, at every tier and with no quota: what the
-paper calls multipliers.
+A baseline selects upstreams by one rule and retries a fixed number of times, at every tier and without a
+retry quota, so that retries multiply over the tiers.
 """
 
 from __future__ import annotations
@@ -17,33 +17,39 @@
 
 
 class Policy(Protocol):
+    """A routing policy: turns events into actions."""
+
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """The actions to carry out at once, in order."""
+        """Returns the actions to execute at once, in order."""
 
 
 Pick = Callable[["Baseline", Sequence[int]], int]
 
 
-def at_random(policy: Baseline, able: Sequence[int]) -> int:
-    return policy.chance.choice(able)
+def uniform_random(policy: Baseline, candidates: Sequence[int]) -> int:
+    """A uniformly random upstream."""
+    return policy.generator.choice(candidates)
 
 
-def round_robin(policy: Baseline, able: Sequence[int]) -> int:
-    policy.turn += 1
-    return able[policy.turn % len(able)]
+def round_robin(policy: Baseline, candidates: Sequence[int]) -> int:
+    """The next upstream in turn."""
+    policy.next_turn += 1
+    return candidates[policy.next_turn % len(candidates)]
 
 
-def least_in_flight(policy: Baseline, able: Sequence[int]) -> int:
-    least = min(policy.out[number] for number in able)
-    return policy.chance.choice([number for number in able if policy.out[number] == least])
+def least_in_flight(policy: Baseline, candidates: Sequence[int]) -> int:
+    """A random one of the upstreams with the fewest requests in flight."""
+    least = min(policy.in_flight[number] for number in candidates)
+    return policy.generator.choice([number for number in candidates if policy.in_flight[number] == least])
 
 
-def two_choices(policy: Baseline, able: Sequence[int]) -> int:
-    two = policy.chance.sample(able, min(2, len(able)))
-    return min(two, key=lambda number: policy.out[number])
+def two_choices(policy: Baseline, candidates: Sequence[int]) -> int:
+    """The one with fewer requests in flight out of two random upstreams."""
+    two = policy.generator.sample(candidates, min(2, len(candidates)))
+    return min(two, key=lambda number: policy.in_flight[number])
 
 
-class _Open:
+class _OpenRequest:
     def __init__(self, event: api.RequestArrived, effect: Effect) -> None:
         self.event, self.effect = event, effect
         self.tried: list[int] = []
@@ -51,15 +57,15 @@
 
 
 class Baseline:
-    """Keeps rules 1 to 3 and knows nothing of cold upstreams, slow ones, room or quota."""
+    """Keeps rules 1 to 3. Ignores cold starts, slow upstreams, capacity and retry quotas."""
 
     def __init__(self, settings: api.Settings, seed: int, pick: Pick, retries: int) -> None:
         self._settings, self._pick, self._retries = settings, pick, retries
-        self.chance = random.Random(seed)
-        self.turn = self.chance.randrange(1 << 16)
-        self.out: Counter[int] = Counter()
+        self.generator = random.Random(seed)
+        self.next_turn = self.generator.randrange(1 << 16)
+        self.in_flight: Counter[int] = Counter()
         self._ready: dict[int, None] = {}
-        self._open: dict[int, _Open] = {}
+        self._open_requests: dict[int, _OpenRequest] = {}
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         match event:
@@ -72,34 +78,39 @@
                         self._ready[entry.upstream] = None
             case api.RequestArrived():
                 effect = self._settings.classes[event.class_index].effect
-                self._open[event.request_id] = _Open(event, effect)
+                self._open_requests[event.request_id] = _OpenRequest(event, effect)
                 return self._send_or_answer(now, event.request_id)
             case api.AttemptEnded():
-                self.out[event.upstream] -= 1
-                request = self._open.get(event.request_id)
+                self.in_flight[event.upstream] -= 1
+                request = self._open_requests.get(event.request_id)
                 if request is None:
                     return []
                 if event.request_over:
-                    del self._open[event.request_id]
+                    del self._open_requests[event.request_id]
                     return []
                 request.may_have_run |= not event.outcome.never_ran
                 return self._send_or_answer(now, event.request_id)
             case api.ClientLeft():
-                self._open.pop(event.request_id, None)
+                self._open_requests.pop(event.request_id, None)
         return []
 
     def _send_or_answer(self, now: float, number: int) -> list[api.Action]:
-        request = self._open[number]
-        again = len(request.tried)
-        may = again <= min(self._retries, self._settings.max_attempts - 1) and now < request.event.deadline_ms
-        may = may and (not request.may_have_run or request.effect is not Effect.UNSAFE)
-        able = [u for u in self._ready if not request.tried or u != request.tried[-1]] or list(self._ready)
-        if may and able:
-            upstream = self._pick(self, able)
+        request = self._open_requests[number]
+        attempts = len(request.tried)
+        may_send = (
+            attempts <= min(self._retries, self._settings.max_attempts - 1)
+            and now < request.event.deadline_ms
+        )
+        may_send = may_send and (not request.may_have_run or request.effect is not Effect.UNSAFE)
+        candidates = [u for u in self._ready if not request.tried or u != request.tried[-1]] or list(
+            self._ready
+        )
+        if may_send and candidates:
+            upstream = self._pick(self, candidates)
             request.tried.append(upstream)
-            self.out[upstream] += 1
+            self.in_flight[upstream] += 1
             return [api.Send(number, upstream, 0.0)]
-        del self._open[number]
+        del self._open_requests[number]
         if request.may_have_run and request.effect is Effect.UNSAFE:
             return [api.Fail(number)]
         return [api.Refuse(number, 0.0)]
@@ -111,10 +122,10 @@
 
 POLICIES: dict[str, Callable[[api.Settings, int], Policy]] = {
     "madderwind": Balancer,
-    "random": _baseline(at_random, 0),
+    "random": _baseline(uniform_random, 0),
     "round-robin": _baseline(round_robin, 0),
     "least-in-flight": _baseline(least_in_flight, 0),
     "two-choices": _baseline(two_choices, 0),
-    "random-3-retries": _baseline(at_random, 3),
+    "random-3-retries": _baseline(uniform_random, 3),
     "least-in-flight-3-retries": _baseline(least_in_flight, 3),
 }
--- a/madderwind/testing/simulation/records.py
+++ b/madderwind/testing/simulation/records.py
@@ -1,4 +1,4 @@
-"""Runs of an experiment on several cores, and their records: one file a run, whole or not there."""
+"""Runs an experiment on several cores and stores one record file per run, each written atomically."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 from madderwind.testing.simulation.experiment import Experiment, ExperimentError, variant_of, variants
 from madderwind.testing.simulation.rules import Break
-from madderwind.testing.simulation.world import Second, World
+from madderwind.testing.simulation.world import SecondResults, World
 
 R = TypeVar("R", bound=msgspec.Struct)
 
 
 class SecondRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Results of the wishes that were first sent in one second."""
+
     asked: int
     in_time: int
     late: int
@@ -28,8 +30,11 @@
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one run came to. `goodput` is the part of wishes served in time; a wish is one client's, however
-    often it asks."""
+    """The results of one run.
+
+    A wish is one client operation, however often the client retries it. `requests` counts the requests that
+    copies received at all tiers, with client retries. `goodput` is the fraction of wishes served in time.
+    """
 
     experiment: str
     chosen: dict[str, Any]
@@ -53,12 +58,12 @@
 
 
 def play(experiment: Experiment, chosen: dict[str, Any], policy: str, seed: int) -> Record:
-    """One run. The same on any machine but for the time that it took."""
-    began_s = time.monotonic()
+    """Simulates one run. Its result is the same on any machine, except for `took_s`."""
+    started_s = time.monotonic()
     world = World(variant_of(experiment, chosen), policy, seed)
     world.run()
-    times_ms = sorted(t for second in world.seconds for t in second.times_ms)
-    sums = {
+    latencies_ms = sorted(t for second in world.seconds for t in second.times_ms)
+    totals = {
         name: sum(getattr(s, name) for s in world.seconds)
         for name in ("in_time", "late", "refused", "failed")
     }
@@ -71,23 +76,23 @@
         requests=world.requests,
         tries=world.tries,
         handshakes=world.handshakes,
-        goodput=sums["in_time"] / world.wishes if world.wishes else 0.0,
-        p50_ms=median(times_ms) if times_ms else 0.0,
-        p99_ms=quantiles(times_ms, n=100)[98] if len(times_ms) > 1 else 0.0,
-        seconds=[_of(second) for second in world.seconds],
+        goodput=totals["in_time"] / world.wishes if world.wishes else 0.0,
+        p50_ms=median(latencies_ms) if latencies_ms else 0.0,
+        p99_ms=quantiles(latencies_ms, n=100)[98] if len(latencies_ms) > 1 else 0.0,
+        seconds=[_second_record(second) for second in world.seconds],
         broken=world.checker.broken,
         events=world.timeline.events,
-        took_s=round(time.monotonic() - began_s, 3),
-        **sums,
+        took_s=round(time.monotonic() - started_s, 3),
+        **totals,
     )
 
 
-def _of(second: Second) -> SecondRecord:
+def _second_record(second: SecondResults) -> SecondRecord:
     return SecondRecord(second.asked, second.in_time, second.late, second.refused, second.failed)
 
 
 def runs(experiment: Experiment) -> Iterator[tuple[str, dict[str, Any], str, int]]:
-    """Every run of an experiment: its name, what was chosen, policy and seed."""
+    """Every run of an experiment: its name, the chosen values, the policy and the seed."""
     for number, (chosen, _) in enumerate(variants(experiment)):
         for policy in experiment.policies:
             for seed in range(1, experiment.seeds + 1):
@@ -95,37 +100,38 @@
 
 
 def play_all(experiment: Experiment, folder: Path, cores: int) -> Iterator[Record]:
-    """Play what is not recorded yet, and write each record as it comes."""
+    """Simulates the runs that have no record yet, and writes each record as its run ends."""
     folder.mkdir(parents=True, exist_ok=True)
     with ProcessPoolExecutor(max_workers=cores) as pool:
-        waits = {}
+        futures = {}
         for name, chosen, policy, seed in runs(experiment):
             path = folder / f"{name}.json"
             if not path.exists():
-                waits[path] = pool.submit(play, experiment, chosen, policy, seed)
-        for path, wait in waits.items():
-            record = wait.result()
+                futures[path] = pool.submit(play, experiment, chosen, policy, seed)
+        for path, future in futures.items():
+            record = future.result()
             write_record(path, record)
             yield record
 
 
 def write_record(path: Path, record: msgspec.Struct) -> None:
-    """In one step: a run that was cut short leaves no record that reads as whole."""
-    beside = path.with_suffix(f".{os.getpid()}")
-    beside.write_bytes(msgspec.json.encode(record) + b"\n")
-    beside.replace(path)
+    """Writes a record atomically, so that an interrupted run leaves no partial record."""
+    temporary = path.with_suffix(f".{os.getpid()}")
+    temporary.write_bytes(msgspec.json.encode(record) + b"\n")
+    temporary.replace(path)
 
 
 def read_records(folder: Path) -> list[Record]:
-    """All records of a folder, in order. ExperimentError names the file that cannot be read."""
+    """All records of a folder, by file name. Raises ExperimentError with the file that cannot be read."""
     return read_all(folder, Record)
 
 
-def read_all(folder: Path, kind: type[R]) -> list[R]:
+def read_all(folder: Path, record_type: type[R]) -> list[R]:
+    """All records of one type in a folder. Raises ExperimentError if one is unreadable or there are none."""
     records = []
     for path in sorted(folder.glob("*.json")):
         try:
-            records.append(msgspec.json.decode(path.read_bytes(), type=kind))
+            records.append(msgspec.json.decode(path.read_bytes(), type=record_type))
         except (OSError, msgspec.DecodeError, ValueError) as error:
             raise ExperimentError(f"{path}: {' '.join(str(error).split())}") from None
     if not records:
--- a/madderwind/testing/simulation/report.py
+++ b/madderwind/testing/simulation/report.py
@@ -1,4 +1,4 @@
-"""Tables, plots and comparisons of records, with intervals over seeds."""
+"""Tables, plots and comparisons of records, with confidence intervals over seeds."""
 
 from __future__ import annotations
 
@@ -24,42 +24,44 @@
     "p99 ms": lambda r: r.p99_ms,
 }
 RESAMPLES = 2000
-# Up to so many pairs every flip of signs is counted; above, so many are drawn.
+# Up to this many pairs the permutation test is exact; above it, sign permutations are sampled.
 EXACT_PAIRS = 14
 
 
 def interval(values: Sequence[float], seed: int = 1) -> tuple[float, float, float]:
-    """The mean, and where 95 of 100 means of resampled seeds lie."""
-    chance = random.Random(seed)
-    means = sorted(fmean(chance.choices(values, k=len(values))) for _ in range(RESAMPLES))
+    """The mean and its 95 % bootstrap confidence interval over the seeds."""
+    generator = random.Random(seed)
+    means = sorted(fmean(generator.choices(values, k=len(values))) for _ in range(RESAMPLES))
     return fmean(values), means[int(0.025 * RESAMPLES)], means[int(0.975 * RESAMPLES) - 1]
 
 
 def chance_of(differences: Sequence[float], seed: int = 1) -> float:
-    """How often signs by chance give a mean difference as large as this one: an exact permutation test where
-    there are few pairs."""
+    """The two-sided p-value of the mean difference under a sign permutation test.
+
+    The test is exact for up to EXACT_PAIRS pairs and sampled above that.
+    """
     if not any(differences):
         return 1.0
-    asked = abs(sum(differences)) * (1 - 1e-12)
+    observed = abs(sum(differences)) * (1 - 1e-12)
     sizes = [abs(d) for d in differences]
     if len(sizes) <= EXACT_PAIRS:
-        flips = itertools.product((-1, 1), repeat=len(sizes))
-        sums = [abs(sum(s * d for s, d in zip(signs, sizes, strict=True))) for signs in flips]
+        permutations = itertools.product((-1, 1), repeat=len(sizes))
+        sums = [abs(sum(s * d for s, d in zip(signs, sizes, strict=True))) for signs in permutations]
     else:
-        chance = random.Random(seed)
-        sums = [abs(sum(chance.choice((-1, 1)) * d for d in sizes)) for _ in range(20 * RESAMPLES)]
-    return sum(s >= asked for s in sums) / len(sums)
+        generator = random.Random(seed)
+        sums = [abs(sum(generator.choice((-1, 1)) * d for d in sizes)) for _ in range(20 * RESAMPLES)]
+    return sum(s >= observed for s in sums) / len(sums)
 
 
 def groups(records: Sequence[Record]) -> dict[tuple[str, str], list[Record]]:
-    """Records by what was chosen and by policy."""
+    """Records by chosen values and policy."""
     return grouped(records, lambda record: record.chosen, lambda record: record.policy)
 
 
 def grouped(
     records: Sequence[R], chosen: Callable[[R], dict[str, Any]], who: Callable[[R], str]
 ) -> dict[tuple[str, str], list[R]]:
-    """Records by what was chosen, as a text, and by whose they are."""
+    """Records by the text of their chosen values and by the result of `who`, such as the policy."""
     found: dict[tuple[str, str], list[R]] = {}
     for record in records:
         text = ", ".join(f"{name}={value}" for name, value in chosen(record).items()) or "-"
@@ -68,7 +70,7 @@
 
 
 def table(records: Sequence[Record]) -> str:
-    """Markdown: a line a group, each figure as its mean and interval over seeds."""
+    """A Markdown table with one row per group and each figure as its mean and interval over seeds."""
     lines = [
         "| chosen | policy | seeds | " + " | ".join(FIGURES) + " | rules broken |",
         "| --- | --- | --- |" + " --- |" * (len(FIGURES) + 1),
@@ -81,13 +83,13 @@
             cells.append(f"{mean:.{digits}f} ({low:.{digits}f} to {high:.{digits}f})")
         broken = sorted({b.rule for record in group for b in record.broken})
         runs = sum(bool(record.broken) for record in group)
-        said = f"{', '.join(map(str, broken))} in {runs} runs" if broken else "none"
-        lines.append(f"| {chosen} | {policy} | {len(group)} | {' | '.join(cells)} | {said} |")
+        violations = f"{', '.join(map(str, broken))} in {runs} runs" if broken else "none"
+        lines.append(f"| {chosen} | {policy} | {len(group)} | {' | '.join(cells)} | {violations} |")
     return "\n".join(lines) + "\n"
 
 
 def breaks(records: Sequence[Record]) -> str:
-    """The first break of each run that has one, with request, copy and time."""
+    """The first rule violation of each run that has one, with its request, copy and time."""
     return "".join(
         f"{record.policy}, seed {record.seed}: rule {first.rule} at {first.at_ms:.0f} ms, copy {first.copy}, "
         f"request {first.request}: {first.text}\n"
@@ -97,31 +99,32 @@
 
 
 def compare(ours: Sequence[Record], theirs: Sequence[Record], name: str) -> str:
-    """A line on two sets of runs of the same seeds: their difference, and whether it is more than chance."""
+    """One line on the paired difference of a figure between two sets of runs, and its significance."""
     figure = FIGURES[name]
     by_seed = [{(str(r.chosen), r.seed): figure(r) for r in records} for records in (ours, theirs)]
     return compare_pairs(name, *by_seed)
 
 
 def compare_pairs(name: str, ours: Mapping[K, float], theirs: Mapping[K, float]) -> str:
-    """The same of one figure by what was chosen and by seed."""
+    """One line on the paired difference of a figure, given by chosen values and seed."""
     differences = [value - theirs[key] for key, value in ours.items() if key in theirs]
     if not differences:
-        raise ExperimentError("compare: no seed was played by both")
+        raise ExperimentError("compare: the two sets have no seed in common")
     mean, low, high = interval(differences)
-    chance = chance_of(differences)
-    least = 2.0 ** (1 - len(differences))
-    verdict = "more than chance" if chance <= 0.05 else "within chance"
-    if least > 0.05:
+    p_value = chance_of(differences)
+    # Two of the 2**n sign permutations of n pairs always reach the observed difference.
+    smallest_p_value = 2.0 ** (1 - len(differences))
+    verdict = "more than chance" if p_value <= 0.05 else "within chance"
+    if smallest_p_value > 0.05:
         verdict = "too few seeds to tell"
     return (
         f"{name}: {mean:+.4f} ({low:+.4f} to {high:+.4f}) over {len(differences)} pairs, "
-        f"p = {chance:.3f}: {verdict}"
+        f"p = {p_value:.3f}: {verdict}"
     )
 
 
 def plot(records: Sequence[Record], path: Path) -> None:
-    """Goodput by second, a line a group, with the seeds' spread."""
+    """Plots goodput by second: one line per group, with the range over seeds as a band."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/madderwind/testing/simulation/world.py
+++ b/madderwind/testing/simulation/world.py
@@ -1,9 +1,13 @@
-"""The fleet: upstreams, copies of a policy, clients and discovery on one timeline.
+"""The simulated fleet: upstreams, policy copies, clients and discovery on one timeline.
 
-Assumptions. Trips take a fixed time. An upstream has cores and one queue; its cold start is a lower speed,
-and it falls when more comes in a window than it can bear. What it began goes on whatever its caller does. A
-request that it passes to the tier behind holds its place, and no core, meanwhile. Bytes and the balancers'
-own time cost nothing.
+Assumptions:
+
+- Network trips take a fixed time.
+- An upstream has cores and one queue. While cold it is slower, and it crashes when it receives more requests
+  in a window than it can serve.
+- An upstream completes the work that it has begun, whatever its caller does.
+- A request that an upstream passes to the next tier counts as held but occupies no core meanwhile.
+- Transferred bytes and the balancers' own processing take no time.
 """
 
 from __future__ import annotations
@@ -20,8 +24,8 @@
 from madderwind.testing.simulation.timeline import Timeline
 from madderwind.testing.simulation.upstream import LONG_AGO_MS, Job, Upstream
 
-# The lab's day begins here, so that a start at 0 is long ago.
-DAWN_MS = 1_000_000.0
+# The time at which a run begins. It is late enough that an upstream started at 0 (LONG_AGO_MS) is warm.
+START_MS = 1_000_000.0
 
 
 class _Request:
@@ -34,54 +38,52 @@
 
 
 class Attempt:
-    __slots__ = ("ended", "kept", "sent_ms", "upstream")
+    """One attempt of a request at an upstream."""
+
+    __slots__ = ("ended", "connected", "sent_ms", "upstream")
 
     def __init__(self, upstream: Upstream, sent_ms: float) -> None:
         self.upstream, self.sent_ms = upstream, sent_ms
-        self.kept = False  # whether its connection is up and may be kept
+        self.connected = False  # whether its connection is established and can be reused
         self.ended = False
 
 
 class Copy:
-    """A host for one copy of the policy: carries out its actions as the program on sockets does."""
+    """The host of one policy copy. It executes the policy's actions as the socket-based program does."""
 
     def __init__(self, world: World, name: str, tier: int, me: int, copies: int) -> None:
         self._world, self.name, self.tier = world, name, tier
         seed = random.Random(f"{world.seed} copy {name}").randrange(1 << 48)
         self._policy: Policy = POLICIES[world.policy](world.settings(tier, me, copies), seed)
         self._requests: dict[int, _Request] = {}
-        self._idle: Counter[int] = Counter()  # kept connections
+        self._idle_connections: Counter[int] = Counter()  # reusable connections by upstream
         self._ready: set[int] = set()
         self._revisions: dict[int, int] = {}
-        self._news_chance = random.Random(f"{world.seed} news {name}")
-
-    # --- what it is told ---
+        self._news_random = random.Random(f"{world.seed} news {name}")
 
-    def listed(self, kind: ListKind, entries: tuple[api.UpstreamEntry, ...], revision: int = 0) -> None:
-        """News. What is older than what it knows of an upstream is passed over, as the program does."""
-        fresh = tuple(e for e in entries if self._revisions.get(e.upstream, -1) <= revision)
-        for entry in fresh:
+    def apply_list(self, kind: ListKind, entries: tuple[api.UpstreamEntry, ...], revision: int = 0) -> None:
+        """Applies an upstream list. Ignores entries older than the known revision, as the program does."""
+        current = tuple(e for e in entries if self._revisions.get(e.upstream, -1) <= revision)
+        for entry in current:
             ready = entry.state is UpstreamState.READY
             self._revisions[entry.upstream] = revision
             self._ready.add(entry.upstream) if ready else self._ready.discard(entry.upstream)
             self._world.checker.told(self._world.timeline.now_ms, self.name, entry.upstream, ready)
-        if fresh:
-            self.decide(api.FleetListed(kind, revision, fresh))
+        if current:
+            self.decide(api.FleetListed(kind, revision, current))
 
-    def hear(self, entries: tuple[api.UpstreamEntry, ...], revision: int) -> None:
-        """A change at discovery, which comes late, after a silence, or twice."""
+    def receive_update(self, entries: tuple[api.UpstreamEntry, ...], revision: int) -> None:
+        """Schedules the delivery of a discovery update: late, after an outage of discovery, or twice."""
         news, timeline = self._world.experiment.news, self._world.timeline
-        at_ms = timeline.now_ms + self._news_chance.uniform(news.least_ms, news.most_ms)
-        silent_ms = DAWN_MS + news.silent_from_s * 1000
-        if silent_ms <= at_ms < silent_ms + news.silent_for_s * 1000:
-            at_ms = silent_ms + news.silent_for_s * 1000 + self._news_chance.uniform(0, news.most_ms)
-        timeline.at(at_ms, lambda: self.listed(ListKind.CHANGES, entries, revision))
-        if self._news_chance.random() < news.repeats:
-            timeline.at(at_ms + 2000, lambda: self.listed(ListKind.CHANGES, entries, revision))
-
-    # --- requests ---
-
-    def arrives(self, class_index: int, deadline_ms: float, on_final: Callable[[str], None]) -> None:
+        at_ms = timeline.now_ms + self._news_random.uniform(news.least_ms, news.most_ms)
+        outage_start_ms = START_MS + news.silent_from_s * 1000
+        if outage_start_ms <= at_ms < outage_start_ms + news.silent_for_s * 1000:
+            at_ms = outage_start_ms + news.silent_for_s * 1000 + self._news_random.uniform(0, news.most_ms)
+        timeline.at(at_ms, lambda: self.apply_list(ListKind.CHANGES, entries, revision))
+        if self._news_random.random() < news.repeats:
+            timeline.at(at_ms + 2000, lambda: self.apply_list(ListKind.CHANGES, entries, revision))
+
+    def accept_request(self, class_index: int, deadline_ms: float, on_final: Callable[[str], None]) -> None:
         world = self._world
         number = world.next_request()
         self._requests[number] = _Request(class_index, deadline_ms, on_final)
@@ -90,10 +92,11 @@
         self.decide(api.RequestArrived(number, class_index, 0, 0, deadline_ms, None, False, False))
 
     def call(self, job: Job, on_end: Callable[[bool], None]) -> None:
-        """A call of this copy's own upstream to the tier behind."""
-        self.arrives(job.class_index, job.deadline_ms, lambda how: on_end(how == "served"))
+        """Sends a request of this copy's own upstream to the next tier."""
+        self.accept_request(job.class_index, job.deadline_ms, lambda result: on_end(result == "served"))
 
     def decide(self, event: api.Event) -> None:
+        """Passes an event to the policy and executes its actions."""
         timeline = self._world.timeline
         for action in self._policy.handle(timeline.now_ms, event):
             match action:
@@ -106,11 +109,11 @@
                 case api.SetTimer(after_ms, token):
                     timeline.after(after_ms, lambda token=token: self.decide(api.TimerFired(token)))  # type: ignore[misc]
 
-    def _answer(self, number: int, how: str) -> None:
+    def _answer(self, number: int, result: str) -> None:
         request = self._requests[number]
-        self._world.checker.answer(self._world.timeline.now_ms, self.name, number, how == "refused")
+        self._world.checker.answer(self._world.timeline.now_ms, self.name, number, result == "refused")
         request.over = True
-        request.on_final(how)
+        request.on_final(result)
 
     def _send(self, send: api.Send) -> None:
         world, now_ms = self._world, self._world.timeline.now_ms
@@ -124,9 +127,9 @@
             self._end(send.request_id, request, index, outcome)
 
         network = world.experiment.network
-        up_ms = 0.0
-        if self._idle[upstream.number]:
-            self._idle[upstream.number] -= 1
+        connect_ms = 0.0
+        if self._idle_connections[upstream.number]:
+            self._idle_connections[upstream.number] -= 1
         elif upstream.vanished:
             world.timeline.after(network.connect_timeout_ms, lambda: end(Outcome.CONNECT_FAILED))
             return
@@ -139,19 +142,23 @@
         else:
             upstream.connections += 1
             world.handshakes += 1
-            up_ms = network.handshake_ms
+            connect_ms = network.handshake_ms
 
         def write() -> None:
             now_ms = world.timeline.now_ms
-            attempt.kept = True
-            if request.over or now_ms >= request.deadline_ms or not self._takes_new(upstream.number):
+            attempt.connected = True
+            if (
+                request.over
+                or now_ms >= request.deadline_ms
+                or not self._accepts_new_requests(upstream.number)
+            ):
                 end(Outcome.NOT_SENT)
                 return
             world.checker.written(now_ms, self.name, send.request_id, upstream.number)
             job = Job(request.class_index, request.deadline_ms, reply)
-            world.timeline.after(network.trip_ms, lambda: reaches(job))
+            world.timeline.after(network.trip_ms, lambda: deliver(job))
 
-        def reaches(job: Job) -> None:
+        def deliver(job: Job) -> None:
             if upstream.down:
                 reply(Outcome.RESET)
             elif not upstream.vanished:
@@ -160,8 +167,8 @@
         def reply(outcome: Outcome) -> None:
             world.timeline.after(network.trip_ms, lambda: end(outcome))
 
-        if up_ms:
-            world.timeline.after(up_ms, write)
+        if connect_ms:
+            world.timeline.after(connect_ms, write)
         else:
             write()
         world.timeline.at(request.deadline_ms, lambda: end(Outcome.TIMEOUT))
@@ -172,9 +179,9 @@
             return
         attempt.ended = True
         world, upstream = self._world, attempt.upstream
-        if attempt.kept and outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.NOT_SENT):
-            self._idle[upstream.number] += 1
-        elif attempt.kept and not upstream.down:
+        if attempt.connected and outcome in (Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.NOT_SENT):
+            self._idle_connections[upstream.number] += 1
+        elif attempt.connected and not upstream.down:
             upstream.connections = max(0, upstream.connections - 1)
         world.checker.ended(number, index, outcome)
         served = outcome is Outcome.OK and not request.over
@@ -187,16 +194,19 @@
         if request.over and all(a.ended for a in request.attempts):
             del self._requests[number]
 
-    def _takes_new(self, upstream: int) -> bool:
-        """The host's gate between connection and first byte."""
+    def _accepts_new_requests(self, upstream: int) -> bool:
+        """Whether the host may still write a request to an upstream once it is connected."""
         return upstream in self._ready
 
-    def forget(self, upstream: int) -> None:
-        self._idle.pop(upstream, None)
+    def drop_connections(self, upstream: int) -> None:
+        self._idle_connections.pop(upstream, None)
 
 
-class Second:
-    """What became of the wishes that were first asked in one second."""
+class SecondResults:
+    """Results of the wishes that were first sent in one second.
+
+    A wish is one client operation, however often the client retries it.
+    """
 
     def __init__(self) -> None:
         self.asked = self.in_time = self.late = self.refused = self.failed = 0
@@ -209,17 +219,17 @@
     def __init__(self, experiment: Experiment, policy: str, seed: int) -> None:
         self.experiment, self.policy, self.seed = experiment, policy, seed
         self.timeline = Timeline()
-        self.timeline.now_ms = DAWN_MS
+        self.timeline.now_ms = START_MS
         rules = experiment.rules
-        self.checker = RuleChecker(DAWN_MS, rules.answer_slack_ms, rules.drain_grace_ms, rules.max_attempts)
+        self.checker = RuleChecker(START_MS, rules.answer_slack_ms, rules.drain_grace_ms, rules.max_attempts)
         self.upstreams: dict[int, Upstream] = {}
         self.copies: dict[int, list[Copy]] = {tier: [] for tier in range(len(experiment.tiers))}
-        self.seconds = [Second() for _ in range(int(experiment.for_s) + 1)]
+        self.seconds = [SecondResults() for _ in range(int(experiment.for_s) + 1)]
         self.wishes = self.requests = self.tries = self.handshakes = 0
         self._last_request = self._revision = 0
-        self._clients = random.Random(f"{seed} clients")
-        self._again = random.Random(f"{seed} again")
-        self._troubles = random.Random(f"{seed} troubles")
+        self._client_random = random.Random(f"{seed} clients")
+        self._retry_random = random.Random(f"{seed} again")
+        self._trouble_random = random.Random(f"{seed} troubles")
         self._load_factor = 1.0
         for tier, model in enumerate(experiment.tiers):
             for _ in range(model.upstreams):
@@ -227,31 +237,29 @@
         for me in range(experiment.copies):
             self.copies[0].append(Copy(self, f"0.{me}", 0, me, experiment.copies))
         for tier in range(len(experiment.tiers) - 1):
-            for upstream in self._of(tier):
-                self._give_copy(upstream)
+            for upstream in self._upstreams_of(tier):
+                self._attach_copy(upstream)
         for tier, copies in self.copies.items():
-            entries = tuple(u.entry(UpstreamState.READY) for u in self._of(tier))
+            entries = tuple(u.entry(UpstreamState.READY) for u in self._upstreams_of(tier))
             for copy in copies:
-                copy.listed(ListKind.CACHED, entries)
-
-    # --- making the fleet ---
+                copy.apply_list(ListKind.CACHED, entries)
 
-    def _of(self, tier: int) -> list[Upstream]:
+    def _upstreams_of(self, tier: int) -> list[Upstream]:
         return [u for u in self.upstreams.values() if u.tier == tier]
 
     def _new_upstream(self, tier: int, started_ms: float) -> Upstream:
         model, number = self.experiment.tiers[tier], len(self.upstreams)
-        place = sum(u.tier == tier for u in self.upstreams.values())
-        rating = model.ratings[place % len(model.ratings)]
-        upstream = Upstream(self, tier, number, rating, place % model.zones, started_ms)
+        position = sum(u.tier == tier for u in self.upstreams.values())
+        rating = model.ratings[position % len(model.ratings)]
+        upstream = Upstream(self, tier, number, rating, position % model.zones, started_ms)
         self.upstreams[number] = upstream
         return upstream
 
-    def _give_copy(self, upstream: Upstream) -> Copy:
-        behind, of_tier = upstream.tier + 1, self.experiment.tiers[upstream.tier].upstreams
-        copy = Copy(self, f"{behind}.{upstream.number}", behind, upstream.number % of_tier, of_tier)
+    def _attach_copy(self, upstream: Upstream) -> Copy:
+        next_tier, copies = upstream.tier + 1, self.experiment.tiers[upstream.tier].upstreams
+        copy = Copy(self, f"{next_tier}.{upstream.number}", next_tier, upstream.number % copies, copies)
         upstream.copy = copy
-        self.copies[behind].append(copy)
+        self.copies[next_tier].append(copy)
         return copy
 
     def settings(self, tier: int, me: int, copies: int) -> api.Settings:
@@ -290,76 +298,77 @@
 
     def forget_connections(self, upstream: Upstream) -> None:
         for copy in self.copies[upstream.tier]:
-            copy.forget(upstream.number)
-
-    # --- clients ---
+            copy.drop_connections(upstream.number)
 
-    def _next_wish(self) -> None:
+    def _schedule_wish(self) -> None:
         load, timeline = self.experiment.load, self.timeline
         if load.per_s <= 0:
             return
-        gap_ms = self._clients.expovariate(load.per_s * self._load_factor / 1000)
-        if timeline.now_ms + gap_ms < DAWN_MS + self.experiment.for_s * 1000:
-            timeline.after(gap_ms, self._wish)
+        interval_ms = self._client_random.expovariate(load.per_s * self._load_factor / 1000)
+        if timeline.now_ms + interval_ms < START_MS + self.experiment.for_s * 1000:
+            timeline.after(interval_ms, self._start_wish)
 
-    def _wish(self) -> None:
+    def _start_wish(self) -> None:
         load = self.experiment.load
         shares = [c.share for c in load.classes]
-        index = self._clients.choices(range(len(shares)), shares)[0]
-        second = self.seconds[int((self.timeline.now_ms - DAWN_MS) / 1000)]
+        index = self._client_random.choices(range(len(shares)), shares)[0]
+        second = self.seconds[int((self.timeline.now_ms - START_MS) / 1000)]
         second.asked += 1
         self.wishes += 1
-        self._ask(index, 1, self.timeline.now_ms, second, self._clients.random())
-        self._next_wish()
+        self._send_request(index, 1, self.timeline.now_ms, second, self._client_random.random())
+        self._schedule_wish()
 
-    def _ask(self, index: int, tries: int, since_ms: float, second: Second, place: float) -> None:
+    def _send_request(
+        self, index: int, tries: int, first_sent_ms: float, second: SecondResults, copy_position: float
+    ) -> None:
         klass, timeline = self.experiment.load.classes[index], self.timeline
         asked_ms = timeline.now_ms
 
-        def final(how: str) -> None:
+        def on_final(result: str) -> None:
             took_ms = timeline.now_ms - asked_ms
-            if how == "served":
-                second.times_ms.append(timeline.now_ms - since_ms)
+            if result == "served":
+                second.times_ms.append(timeline.now_ms - first_sent_ms)
                 second.in_time += took_ms <= klass.aim_ms
                 second.late += took_ms > klass.aim_ms
-            elif tries < self.experiment.load.tries and (how == "refused" or klass.effect != "unsafe"):
-                wait_ms = self._again.random() * self.experiment.load.wait_ms * 2.0**tries
+            elif tries < self.experiment.load.tries and (result == "refused" or klass.effect != "unsafe"):
+                wait_ms = self._retry_random.random() * self.experiment.load.wait_ms * 2.0**tries
                 timeline.after(
-                    wait_ms, lambda: self._ask(index, tries + 1, since_ms, second, self._again.random())
+                    wait_ms,
+                    lambda: self._send_request(
+                        index, tries + 1, first_sent_ms, second, self._retry_random.random()
+                    ),
                 )
-            elif how == "refused":
+            elif result == "refused":
                 second.refused += 1
             else:
                 second.failed += 1
 
         copies = self.copies[0]
-        copies[int(place * len(copies))].arrives(index, asked_ms + klass.deadline_ms, final)
+        copies[int(copy_position * len(copies))].accept_request(index, asked_ms + klass.deadline_ms, on_final)
 
-    # --- troubles ---
-
-    def _tell(self, tier: int, *entries: api.UpstreamEntry) -> None:
+    def _publish_update(self, tier: int, *entries: api.UpstreamEntry) -> None:
         self._revision += 1
         for copy in self.copies[tier]:
-            copy.hear(entries, self._revision)
+            copy.receive_update(entries, self._revision)
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _inject(self, trouble: Trouble) -> None:
         timeline = self.timeline
         if trouble.kind == "surge":
             self._load_factor *= trouble.factor
-            timeline.after(trouble.for_s * 1000, lambda: self._surge_ends(trouble.factor))
+            timeline.after(trouble.for_s * 1000, lambda: self._end_surge(trouble.factor))
             return
-        able = [u for u in self._of(trouble.tier) if not u.down]
+        running = [u for u in self._upstreams_of(trouble.tier) if not u.down]
         if trouble.zone is not None:
-            struck = [u for u in able if u.zone == trouble.zone]
+            affected = [u for u in running if u.zone == trouble.zone]
         else:
-            struck = self._troubles.sample(able, round(trouble.part * len(able)))
-        for upstream in struck:
-            self._strike(upstream, trouble)
+            affected = self._trouble_random.sample(running, round(trouble.part * len(running)))
+        for upstream in affected:
+            self._apply_trouble(upstream, trouble)
 
-    def _surge_ends(self, factor: float) -> None:
+    def _end_surge(self, factor: float) -> None:
         self._load_factor /= factor
 
-    def _strike(self, upstream: Upstream, trouble: Trouble) -> None:
+    def _apply_trouble(self, upstream: Upstream, trouble: Trouble) -> None:
         after_ms, timeline = trouble.for_s * 1000, self.timeline
         match trouble.kind:
             case "slow":
@@ -376,36 +385,37 @@
                 timeline.after(after_ms, lambda: setattr(upstream, "vanished", False))
             case "crash":
                 upstream.crash()
-                self._tell(upstream.tier, upstream.entry(UpstreamState.GONE))
-                timeline.after(after_ms, lambda: self._comes_back(upstream))
+                self._publish_update(upstream.tier, upstream.entry(UpstreamState.GONE))
+                timeline.after(after_ms, lambda: self._restart_upstream(upstream))
             case "replace":
-                self._tell(upstream.tier, upstream.entry(UpstreamState.DRAINING))
-                timeline.after(after_ms, lambda: self._goes(upstream))
+                self._publish_update(upstream.tier, upstream.entry(UpstreamState.DRAINING))
+                timeline.after(after_ms, lambda: self._remove_upstream(upstream))
                 new = self._new_upstream(upstream.tier, timeline.now_ms)
                 if upstream.copy is not None:
                     entries = tuple(
-                        u.entry(UpstreamState.READY) for u in self._of(upstream.tier + 1) if not u.down
+                        u.entry(UpstreamState.READY)
+                        for u in self._upstreams_of(upstream.tier + 1)
+                        if not u.down
                     )
-                    self._give_copy(new).listed(ListKind.CACHED, entries)
-                self._tell(new.tier, new.entry(UpstreamState.READY))
+                    self._attach_copy(new).apply_list(ListKind.CACHED, entries)
+                self._publish_update(new.tier, new.entry(UpstreamState.READY))
 
-    def _comes_back(self, upstream: Upstream) -> None:
+    def _restart_upstream(self, upstream: Upstream) -> None:
         upstream.restart()
-        self._tell(upstream.tier, upstream.entry(UpstreamState.READY))
+        self._publish_update(upstream.tier, upstream.entry(UpstreamState.READY))
 
-    def _goes(self, upstream: Upstream) -> None:
-        self._tell(upstream.tier, upstream.entry(UpstreamState.GONE))
+    def _remove_upstream(self, upstream: Upstream) -> None:
+        self._publish_update(upstream.tier, upstream.entry(UpstreamState.GONE))
         upstream.crash()
 
-    # --- the run ---
-
     def run(self) -> None:
+        """Runs the experiment past the last possible deadline, then checks for missing answers."""
         for trouble in self.experiment.troubles:
-            self.timeline.at(DAWN_MS + trouble.at_s * 1000, lambda trouble=trouble: self._trouble(trouble))  # type: ignore[misc]
-        self._next_wish()
+            self.timeline.at(START_MS + trouble.at_s * 1000, lambda trouble=trouble: self._inject(trouble))  # type: ignore[misc]
+        self._schedule_wish()
         longest_ms = max(c.deadline_ms for c in self.experiment.load.classes)
         load = self.experiment.load
         waits_ms = sum(load.wait_ms * 2.0**n for n in range(1, load.tries))
-        end_ms = DAWN_MS + self.experiment.for_s * 1000 + load.tries * (longest_ms + 100) + waits_ms + 1000
+        end_ms = START_MS + self.experiment.for_s * 1000 + load.tries * (longest_ms + 100) + waits_ms + 1000
         self.timeline.run(end_ms)
         self.checker.finish(end_ms)
--- a/tests/testing/simulation/test_experiments.py
+++ b/tests/testing/simulation/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments as files, their records, and what reports and comparisons say of them."""
+"""Experiment files, run records, reports and comparisons."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 """
 
 
-def written(folder: Path, text: str) -> Path:
+def write_experiment(folder: Path, text: str) -> Path:
     path = folder / "small.yaml"
     path.write_text(text)
     return path
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "experiments").glob("*.yaml")), ids=lambda path: path.stem)
-def test_the_experiments_that_stand_here_can_be_read(path: Path) -> None:
+def test_checked_in_experiments_are_valid_and_documented(path: Path) -> None:
     experiment = read_experiment(path)
     assert experiment.name == path.stem
     assert f"## {path.stem}" in (ROOT / "docs" / "lab" / "experiments.md").read_text()
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ("upstreams: 3", "upstream: 3", "tiers"),
         ("upstreams: 3", "upstreams: 0", "$.tiers[0].upstreams"),
@@ -60,12 +60,12 @@
         ("seeds: 2", "seeds: many", "$.seeds"),
     ],
 )
-def test_a_bad_file_is_one_plain_line(tmp_path: Path, old: str, new: str, said: str) -> None:
-    path = written(tmp_path, GOOD.replace(old, new))
+def test_invalid_file_gives_a_one_line_error(tmp_path: Path, old: str, new: str, expected: str) -> None:
+    path = write_experiment(tmp_path, GOOD.replace(old, new))
     assert GOOD.replace(old, new) != GOOD
     with pytest.raises(ExperimentError) as error:
         read_experiment(path)
-    assert said in str(error.value) and len(str(error.value).splitlines()) == 1
+    assert expected in str(error.value) and len(str(error.value).splitlines()) == 1
     done = subprocess.run(
         [sys.executable, "-m", "madderwind", "lab", "run", str(path)],
         capture_output=True,
@@ -75,36 +75,36 @@
     assert (done.returncode, len(done.stderr.splitlines())) == (1, 1)
 
 
-def test_variants_and_runs(tmp_path: Path) -> None:
-    experiment = read_experiment(written(tmp_path, GOOD))
+def test_variants_and_run_names(tmp_path: Path) -> None:
+    experiment = read_experiment(write_experiment(tmp_path, GOOD))
     assert [chosen for chosen, _ in variants(experiment)] == [{"load.per_s": 20}, {"load.per_s": 40}]
     assert len({name for name, *_ in runs(experiment)}) == 8
 
 
-def test_records_come_whole_or_not_at_all(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    experiment = read_experiment(written(tmp_path, GOOD))
+def test_records_are_written_atomically(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    experiment = read_experiment(write_experiment(tmp_path, GOOD))
     folder = tmp_path / "records"
-    came = list(play_all(experiment, folder, 2))
-    assert len(came) == 8 and len(list(folder.glob("*.json"))) == 8
-    assert list(play_all(experiment, folder, 2)) == []  # what is there is not played again
-    assert sorted(map(repr, read_records(folder))) == sorted(map(repr, came))
+    played = list(play_all(experiment, folder, 2))
+    assert len(played) == 8 and len(list(folder.glob("*.json"))) == 8
+    assert list(play_all(experiment, folder, 2)) == []  # recorded runs are not repeated
+    assert sorted(map(repr, read_records(folder))) == sorted(map(repr, played))
 
-    def breaks(self: Path, _: object) -> Path:
+    def failing_replace(self: Path, _: object) -> Path:
         raise OSError("cut short")
 
-    monkeypatch.setattr(Path, "replace", breaks)
+    monkeypatch.setattr(Path, "replace", failing_replace)
     with pytest.raises(OSError, match="cut short"):
-        write_record(folder / "new.json", came[0])
+        write_record(folder / "new.json", played[0])
     monkeypatch.undo()
     assert len(read_records(folder)) == 8
-    half = sorted(folder.glob("*.json"))[0]
-    half.write_bytes(half.read_bytes()[:-50])
-    with pytest.raises(ExperimentError, match=half.name):
+    truncated = sorted(folder.glob("*.json"))[0]
+    truncated.write_bytes(truncated.read_bytes()[:-50])
+    with pytest.raises(ExperimentError, match=truncated.name):
         read_records(folder)
 
 
-def test_a_run_is_the_same_in_another_process(tmp_path: Path) -> None:
-    experiment = read_experiment(written(tmp_path, GOOD))
+def test_run_is_reproducible_in_another_process(tmp_path: Path) -> None:
+    experiment = read_experiment(write_experiment(tmp_path, GOOD))
     here = play(experiment, {"load.per_s": 40}, "madderwind", 1)
     (there,) = [
         r
@@ -114,32 +114,32 @@
     assert msgspec.structs.replace(here, took_s=0.0) == msgspec.structs.replace(there, took_s=0.0)
 
 
-def test_reports(tmp_path: Path) -> None:
-    experiment = read_experiment(written(tmp_path, GOOD))
-    kept = list(play_all(experiment, tmp_path / "r", 2))
-    said = table(kept)
-    assert said.count("\n") == 2 + 4 and "load.per_s=40" in said
-    assert breaks(kept) == ""
-    plot(kept, tmp_path / "plot.png")
+def test_report_table_plot_and_comparison(tmp_path: Path) -> None:
+    experiment = read_experiment(write_experiment(tmp_path, GOOD))
+    played = list(play_all(experiment, tmp_path / "r", 2))
+    report = table(played)
+    assert report.count("\n") == 2 + 4 and "load.per_s=40" in report
+    assert breaks(played) == ""
+    plot(played, tmp_path / "plot.png")
     assert (tmp_path / "plot.png").read_bytes().startswith(b"\x89PNG")
-    ours, theirs = ([r for r in kept if r.policy == p] for p in experiment.policies)
+    ours, theirs = ([r for r in played if r.policy == p] for p in experiment.policies)
     assert "4 pairs" in compare(ours, theirs, "goodput")
     assert compare(ours, ours, "goodput").endswith("p = 1.000: too few seeds to tell")
     with pytest.raises(ExperimentError):
         compare(ours, [], "goodput")
 
 
-def test_the_command(tmp_path: Path) -> None:
-    path = written(tmp_path, GOOD)
+def test_lab_command(tmp_path: Path) -> None:
+    path = write_experiment(tmp_path, GOOD)
     lab = [sys.executable, "-m", "madderwind", "lab"]
-    for words, says in (
+    for arguments, expected in (
         (["run", str(path), "--out", str(tmp_path / "r"), "--cores", "2"], "goodput"),
         (["report", str(tmp_path / "r"), "--plot", str(tmp_path / "p.png")], "| madderwind |"),
         (["compare", str(tmp_path / "r"), "--against", "random"], "p50 ms"),
     ):
-        done = subprocess.run([*lab, *words], capture_output=True, text=True, cwd=ROOT)
+        done = subprocess.run([*lab, *arguments], capture_output=True, text=True, cwd=ROOT)
         assert done.returncode == 0, done.stderr
-        assert says in done.stdout
+        assert expected in done.stdout
     assert (tmp_path / "p.png").exists()
     done = subprocess.run([*lab, "report", str(tmp_path / "none")], capture_output=True, text=True, cwd=ROOT)
     assert (done.returncode, len(done.stderr.splitlines())) == (1, 1)
@@ -169,8 +169,8 @@
     )
 
 
-def test_more_than_chance_or_not() -> None:
-    """Eight seeds that all gain are 2 in 256; gains and losses by turns are chance."""
+def test_comparison_distinguishes_significant_differences() -> None:
+    """If all eight seeds improve, p is 2/256. Alternating gains and losses are not significant."""
     before = [record(0.5, seed) for seed in range(8)]
     better = [record(0.5 + 0.001 * (seed + 1), seed) for seed in range(8)]
     mixed = [record(0.5 + 0.01 * (-1) ** seed, seed) for seed in range(8)]
@@ -181,12 +181,12 @@
 
 
 @given(st.lists(st.floats(-10, 10), min_size=1, max_size=20))
-def test_an_interval_holds_its_mean(values: list[float]) -> None:
+def test_interval_contains_the_mean(values: list[float]) -> None:
     mean, low, high = interval(values)
     assert min(values) - 1e-9 <= low <= high <= max(values) + 1e-9
     assert low - 1e-9 <= mean <= high + 1e-9 or len(set(values)) > 1
 
 
-def test_every_figure_is_a_number() -> None:
+def test_figures_read_a_record() -> None:
     assert {name: figure(record(0.25, 1)) for name, figure in FIGURES.items()}["goodput"] == 0.25
     assert records.SecondRecord(1, 1, 0, 0, 0).asked == 1
--- a/tests/testing/simulation/test_models.py
+++ b/tests/testing/simulation/test_models.py
@@ -1,4 +1,4 @@
-"""The emulator against what is known in closed form, and against itself."""
+"""Checks the simulation against closed-form queueing results and against itself."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from madderwind.standalone.policy import api
 from madderwind.testing.simulation.experiment import Experiment
 from madderwind.testing.simulation.timeline import Timeline
-from madderwind.testing.simulation.world import DAWN_MS, World
+from madderwind.testing.simulation.world import START_MS, World
 
-# Without trips, handshakes and second thoughts, one upstream is a queue by the book.
-BARE: dict[str, Any] = {
+# Without network delays and retries, one upstream is an M/M/c queue.
+NO_NETWORK_DELAY: dict[str, Any] = {
     "name": "bare",
     "question": "-",
     "copies": 1,
@@ -24,39 +24,39 @@
 
 
 def experiment(**more: Any) -> Experiment:
-    return msgspec.convert({**BARE, **more}, Experiment)
+    return msgspec.convert({**NO_NETWORK_DELAY, **more}, Experiment)
 
 
-def played(policy: str = "random", seed: int = 1, **more: Any) -> World:
+def run_world(policy: str = "random", seed: int = 1, **more: Any) -> World:
     world = World(experiment(**more), policy, seed)
     world.run()
     return world
 
 
-def waits_by_the_book(per_s: float, work_ms: float, cores: int) -> float:
-    """The mean time in an M/M/c queue, by Erlang's formula."""
+def erlang_mean_time(per_s: float, work_ms: float, cores: int) -> float:
+    """The mean time that a request spends in an M/M/c system, by Erlang's C formula."""
     load = per_s * work_ms / 1000
-    busy = load / cores
-    alone = sum(load**k / math.factorial(k) for k in range(cores))
-    crowd = load**cores / (math.factorial(cores) * (1 - busy))
-    return work_ms + crowd / (alone + crowd) * work_ms / (cores * (1 - busy))
+    utilization = load / cores
+    not_waiting = sum(load**k / math.factorial(k) for k in range(cores))
+    waiting = load**cores / (math.factorial(cores) * (1 - utilization))
+    return work_ms + waiting / (not_waiting + waiting) * work_ms / (cores * (1 - utilization))
 
 
 @pytest.mark.parametrize(("per_s", "cores"), [(12.0, 1), (17.5, 1), (60.0, 4), (85.0, 4)])
-def test_a_queue_is_as_long_as_erlang_says(per_s: float, cores: int) -> None:
-    """M/M/1 and M/M/c, from half load to nearly nine tenths; within an eighth over 15 minutes."""
-    world = played(
+def test_mean_time_matches_the_erlang_formula(per_s: float, cores: int) -> None:
+    """M/M/1 and M/M/c at utilizations from about 0.5 to 0.85, within an eighth over 15 simulated minutes."""
+    world = run_world(
         tiers=[{"upstreams": 1, "cores": cores, "work_ms": 40}],
         load={"per_s": per_s, "classes": [{"name": "any", "aim_ms": 1e6, "deadline_ms": 1e6}]},
         for_s=900,
     )
     times = [t for second in world.seconds for t in second.times_ms]
-    assert sum(times) / len(times) == pytest.approx(waits_by_the_book(per_s, 40, cores), rel=0.125)
+    assert sum(times) / len(times) == pytest.approx(erlang_mean_time(per_s, 40, cores), rel=0.125)
     assert world.wishes == pytest.approx(per_s * 900, rel=0.03)
 
 
-def test_littles_law_and_conservation() -> None:
-    """What is held in the mean is the rate times the time there; each wish ends once."""
+def test_littles_law_and_conservation_of_wishes() -> None:
+    """The mean number of held requests is the arrival rate times the mean time; each wish ends once."""
     held: list[int] = []
     world = World(
         experiment(
@@ -68,12 +68,12 @@
         3,
     )
 
-    def looks() -> None:
+    def sample_held() -> None:
         held.append(sum(len(u._jobs) for u in world.upstreams.values()))
-        if world.timeline.now_ms < DAWN_MS + 200_000:
-            world.timeline.after(7.0, looks)
+        if world.timeline.now_ms < START_MS + 200_000:
+            world.timeline.after(7.0, sample_held)
 
-    world.timeline.after(0.0, looks)
+    world.timeline.after(0.0, sample_held)
     world.run()
     times = [t for second in world.seconds for t in second.times_ms]
     mean_ms = sum(times) / len(times)
@@ -82,7 +82,7 @@
     assert ends == world.wishes == sum(s.asked for s in world.seconds)
 
 
-ROUGH: dict[str, Any] = {
+ALL_FAULTS: dict[str, Any] = {
     "tiers": [
         {"upstreams": 6, "cores": 2, "work_ms": 30, "zones": 2, "error_part": 0.02},
         {"upstreams": 4, "cores": 4, "work_ms": 30, "queue": 20, "connections": 30},
@@ -109,8 +109,8 @@
 
 
 @pytest.mark.parametrize("policy", ["madderwind", "random", "two-choices", "least-in-flight-3-retries"])
-def test_every_wish_ends_whatever_goes_wrong(policy: str) -> None:
-    world = played(policy, **ROUGH)
+def test_every_wish_ends_under_all_faults(policy: str) -> None:
+    world = run_world(policy, **ALL_FAULTS)
     ends = sum(s.in_time + s.late + s.refused + s.failed for s in world.seconds)
     assert ends == world.wishes > 1000
     assert world.checker.answered == world.checker.taken == world.requests
@@ -123,49 +123,49 @@
     return [(s.asked, s.in_time, s.refused, s.failed, s.times_ms) for s in world.seconds]
 
 
-def test_one_seed_is_one_result_and_pairs_policies() -> None:
-    """The same run again, to the last time; another policy meets the same wishes; another seed does not."""
-    first, again = played("madderwind", **ROUGH), played("madderwind", **ROUGH)
+def test_results_are_reproducible_and_policies_get_the_same_arrivals() -> None:
+    """A repeated run is identical. Another policy gets the same wishes; another seed gives other results."""
+    first, again = run_world("madderwind", **ALL_FAULTS), run_world("madderwind", **ALL_FAULTS)
     assert figures(first) == figures(again) and first.timeline.events == again.timeline.events
-    assert [s.asked for s in first.seconds] == [s.asked for s in played("random", **ROUGH).seconds]
-    assert figures(first) != figures(played("madderwind", seed=2, **ROUGH))
+    assert [s.asked for s in first.seconds] == [s.asked for s in run_world("random", **ALL_FAULTS).seconds]
+    assert figures(first) != figures(run_world("madderwind", seed=2, **ALL_FAULTS))
 
 
-def test_a_copy_acts_the_same_alone_as_beside_others() -> None:
-    """What one copy of the module was told and did in a fleet, told again to one that is alone."""
-    world = World(experiment(**ROUGH), "madderwind", 1)
+def test_replayed_events_give_the_same_actions() -> None:
+    """Replays the events of one policy copy in a fleet to a separate copy and compares the actions."""
+    world = World(experiment(**ALL_FAULTS), "madderwind", 1)
     copy = world.copies[0][2]
-    policy, script = copy._policy, list[tuple[float, api.Event, list[api.Action]]]()
+    policy, recorded = copy._policy, list[tuple[float, api.Event, list[api.Action]]]()
 
-    class Spy:
+    class RecordingPolicy:
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             actions = policy.handle(now, event)
-            script.append((now, event, list(actions)))
+            recorded.append((now, event, list(actions)))
             return actions
 
-    entries = tuple(u.entry(api.UpstreamState.READY) for u in world._of(0))
-    copy._policy = Spy()
+    entries = tuple(u.entry(api.UpstreamState.READY) for u in world._upstreams_of(0))
+    copy._policy = RecordingPolicy()
     world.run()
-    alone = World(experiment(**ROUGH), "madderwind", 1).copies[0][2]._policy
-    assert len(script) > 200 and len(entries) == 6
-    for now, event, actions in script:
-        assert alone.handle(now, event) == actions
+    separate = World(experiment(**ALL_FAULTS), "madderwind", 1).copies[0][2]._policy
+    assert len(recorded) > 200 and len(entries) == 6
+    for now, event, actions in recorded:
+        assert separate.handle(now, event) == actions
 
 
-def test_equal_times_come_in_the_order_they_were_asked_for() -> None:
+def test_calls_at_equal_times_run_in_scheduling_order() -> None:
     timeline, order = Timeline(), list[int]()
     for number in range(5):
         timeline.at(10.0, lambda number=number: order.append(number))  # type: ignore[misc]
-    timeline.at(5.0, lambda: timeline.at(1.0, lambda: order.append(-1)))  # never into the past
+    timeline.at(5.0, lambda: timeline.at(1.0, lambda: order.append(-1)))  # a time in the past means now
     timeline.run()
     assert order == [-1, 0, 1, 2, 3, 4] and timeline.now_ms == 10.0
 
 
-def test_four_hundred_copies_cost_in_line_with_events() -> None:
-    """A count, not a time: as many events a request at forty copies as at four hundred."""
+def test_events_per_request_do_not_grow_with_the_number_of_copies() -> None:
+    """Compares the events per request, not the run time, at 40 and at 400 copies."""
     costs = []
     for copies, upstreams in ((40, 20), (400, 200)):
-        world = played(
+        world = run_world(
             "madderwind",
             tiers=[{"upstreams": upstreams, "cores": 4, "work_ms": 40}],
             load={"per_s": upstreams * 20.0},
--- a/tests/testing/simulation/test_rules.py
+++ b/tests/testing/simulation/test_rules.py
@@ -1,4 +1,4 @@
-"""The checker catches a module broken on purpose, once for each rule, and names request, copy and time."""
+"""The rule checker detects a deliberately broken policy for each rule, with request, copy and time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from madderwind.testing.simulation.policies import POLICIES
 from madderwind.testing.simulation.world import Copy, World
 
-TREE: dict[str, Any] = {
+EXPERIMENT: dict[str, Any] = {
     "name": "broken",
     "question": "-",
     "copies": 8,
@@ -28,8 +28,8 @@
 }
 
 
-def breaks() -> set[int]:
-    world = World(msgspec.convert(TREE, Experiment), "madderwind", 1)
+def broken_rules() -> set[int]:
+    world = World(msgspec.convert(EXPERIMENT, Experiment), "madderwind", 1)
     world.run()
     for broken in world.checker.broken:
         assert broken.copy.startswith("0.") and broken.request > 0 and broken.text
@@ -37,56 +37,56 @@
     return {broken.rule for broken in world.checker.broken}
 
 
-def test_the_module_breaks_none() -> None:
-    assert breaks() == set()
+def test_the_policy_module_violates_no_rule() -> None:
+    assert broken_rules() == set()
 
 
-def test_a_second_answer_and_none_at_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Balancer._answer
+def test_duplicate_and_missing_answers_violate_rule_1(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Balancer._answer
 
-    def twice(self: Balancer, request: records.Request) -> None:
-        real(self, request)
+    def answer_twice(self: Balancer, request: records.Request) -> None:
+        original(self, request)
         self._out.append(api.Fail(request.id))
 
-    monkeypatch.setattr(Balancer, "_answer", twice)
-    assert breaks() == {1}
+    monkeypatch.setattr(Balancer, "_answer", answer_twice)
+    assert broken_rules() == {1}
     monkeypatch.setattr(Balancer, "_answer", lambda self, request: self._requests.pop(request.id))
-    assert breaks() == {1}
+    assert broken_rules() == {1}
 
 
-def test_a_second_effect(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_resending_an_unsafe_request_violates_rule_2(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(repetition, "may_be_resent", lambda *_: True)
-    assert breaks() == {2}
+    assert broken_rules() == {2}
 
 
-def test_a_refusal_of_what_may_have_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_refusing_a_request_that_may_have_run_violates_rule_2(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(repetition, "may_be_refused", lambda *_: True)
-    assert breaks() == {2}
+    assert broken_rules() == {2}
 
 
-def test_work_for_what_drains(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module's and the host's gate are both left open."""
+def test_sending_to_a_draining_upstream_violates_rule_3(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Disables both checks of upstream readiness: the policy module's and the host's."""
     listed = Fleet.listed
 
-    def only_grows(self: Fleet, kind: api.ListKind, entries: Any) -> None:
+    def list_ready_only(self: Fleet, kind: api.ListKind, entries: Any) -> None:
         listed(self, kind, tuple(e for e in entries if e.state is api.UpstreamState.READY))
 
-    monkeypatch.setattr(Fleet, "listed", only_grows)
-    monkeypatch.setattr(Copy, "_takes_new", lambda *_: True)
-    assert breaks() == {3}
+    monkeypatch.setattr(Fleet, "listed", list_ready_only)
+    monkeypatch.setattr(Copy, "_accepts_new_requests", lambda *_: True)
+    assert broken_rules() == {3}
 
 
-def test_a_cold_upstream_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    def the_coldest(self: Picker, _: object, now: float) -> Upstream:
+def test_overloading_a_cold_upstream_violates_rule_4(monkeypatch: pytest.MonkeyPatch) -> None:
+    def pick_coldest(self: Picker, _: object, now: float) -> Upstream:
         return min(self._fleet.order, key=lambda u: u.warmth(now, self._settings))
 
-    monkeypatch.setattr(Picker, "pick", the_coldest)
+    monkeypatch.setattr(Picker, "pick", pick_coldest)
     monkeypatch.setattr(Admission, "admits", lambda *_: True)
-    assert breaks() == {4}
+    assert broken_rules() == {4}
 
 
-def test_the_baselines_keep_all_rules_but_the_fourth() -> None:
+def test_the_baselines_violate_at_most_rule_4() -> None:
     for policy in POLICIES:
-        world = World(msgspec.convert(TREE, Experiment), policy, 2)
+        world = World(msgspec.convert(EXPERIMENT, Experiment), policy, 2)
         world.run()
         assert {broken.rule for broken in world.checker.broken} <= {4}
