--- a/madderwind/testing/simulation/experiment.py
+++ b/madderwind/testing/simulation/experiment.py
@@ -33,7 +33,7 @@
     work: Literal["exponential", "fixed"] = "exponential"
     queue: Annotated[int, msgspec.Meta(ge=0)] = 1_000_000
     connections: Count = 1_000_000
-    crowd: Count = 1_000_000  # held requests at which an upstream becomes slow, until it holds half as many
+    crowd: Count = 1_000_000  # requests in flight from which an upstream is slow, until half of them are left
     crowd_factor: Positive = 1.0
     error_part: Part = 0.0
     ratings: tuple[Positive, ...] = (1.0,)
@@ -70,7 +70,7 @@
     connect_timeout_ms: Positive = 250.0
 
 
-class News(Strict, frozen=True):
+class Discovery(Strict, frozen=True):
     """Discovery updates and load reports.
 
     Each copy receives a discovery update after a uniformly random delay between `least_ms` and `most_ms`.
@@ -99,7 +99,7 @@
     fall_ms: Positive = 1500.0
 
 
-class Trouble(Strict, frozen=True):
+class Fault(Strict, frozen=True):
     """A fault at a fraction of one tier's upstreams, or at all upstreams of one zone.
 
     - `slow`: processing takes `factor` times as long.
@@ -144,9 +144,9 @@
     copies: Count = 2  # in front of the first tier; every upstream has its own copy for the next tier
     policies: Annotated[tuple[str, ...], msgspec.Meta(min_length=1)] = ("madderwind",)
     network: Network = Network()
-    news: News = News()
+    news: Discovery = Discovery()
     rules: Rules = Rules()
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[Fault, ...] = ()
     for_s: Positive = 30.0
     seeds: Count = 3
 
@@ -192,12 +192,12 @@
 def _check(path: Path, experiment: Experiment) -> None:
     from madderwind.testing.simulation.policies import POLICIES
 
-    for number, trouble in enumerate(experiment.troubles):
+    for number, fault in enumerate(experiment.troubles):
         field = f"{path}: troubles[{number}]"
-        if trouble.tier >= len(experiment.tiers):
-            raise ExperimentError(f"{field}: there is no tier {trouble.tier}")
-        if trouble.zone is not None and trouble.zone >= experiment.tiers[trouble.tier].zones:
-            raise ExperimentError(f"{field}: there is no zone {trouble.zone} in tier {trouble.tier}")
+        if fault.tier >= len(experiment.tiers):
+            raise ExperimentError(f"{field}: there is no tier {fault.tier}")
+        if fault.zone is not None and fault.zone >= experiment.tiers[fault.tier].zones:
+            raise ExperimentError(f"{field}: there is no zone {fault.zone} in tier {fault.tier}")
     for policy in experiment.policies:
         if policy not in POLICIES:
             raise ExperimentError(f"{path}: policies: {policy!r} is not one of {', '.join(POLICIES)}")
--- a/madderwind/testing/simulation/upstream.py
+++ b/madderwind/testing/simulation/upstream.py
@@ -82,7 +82,8 @@
 class Upstream:
     """Cores and one queue.
 
-    A cold upstream is slower. One that holds `crowd` requests or more is slower until it holds half as many.
+    A cold upstream is slower. One with `crowd` or more requests in flight is slower
+    until half as many are left.
     """
 
     def __init__(
@@ -100,7 +101,7 @@
         self.connections = 0
         self.slow, self.error_part, self.silent = 1.0, self._model.error_part, False
         self.down, self.vanished, self._crowded = False, False, False
-        self._held_history: deque[tuple[float, int]] = deque([(0.0, 0)])
+        self._in_flight_history: deque[tuple[float, int]] = deque([(0.0, 0)])
         self.copy: NextTierClient | None = None  # sends requests to the next tier
 
     def entry(self, state: UpstreamState) -> api.UpstreamEntry:
@@ -126,7 +127,7 @@
             job.reply(Outcome.FULL)
             return
         self._jobs[job] = None
-        self._record_held()
+        self._record_in_flight()
         if len(self._jobs) >= self._model.crowd:
             self._crowded = True
         self._queue.append(job)
@@ -159,18 +160,18 @@
         if job.gone:
             return
         del self._jobs[job]
-        self._record_held()
+        self._record_in_flight()
         if len(self._jobs) <= self._model.crowd // 2:
             self._crowded = False
         if not (self.silent or self.vanished):
             job.reply(outcome)
 
     def crash(self) -> None:
-        """Stops the process: held requests are lost, connections break and new connections are refused."""
+        """Stops the process: requests in flight are lost, connections break, new ones are refused."""
         self.down, self._busy_cores, self.connections = True, 0, 0
         lost, self._jobs = list(self._jobs), {}
         self._queue.clear()
-        self._record_held()
+        self._record_in_flight()
         for job in lost:
             job.gone = True
             if not self.vanished:
@@ -183,13 +184,13 @@
         self.started_ms = self._world.timeline.now_ms
         self._window = Window(self._rules.fall_ms)
 
-    def _record_held(self) -> None:
+    def _record_in_flight(self) -> None:
         now_ms = self._world.timeline.now_ms
-        self._held_history.append((now_ms, len(self._jobs)))
+        self._in_flight_history.append((now_ms, len(self._jobs)))
         late_ms = self._world.experiment.news.report_late_ms
-        while len(self._held_history) > 1 and self._held_history[1][0] <= now_ms - late_ms:
-            self._held_history.popleft()
+        while len(self._in_flight_history) > 1 and self._in_flight_history[1][0] <= now_ms - late_ms:
+            self._in_flight_history.popleft()
 
     def report(self) -> tuple[float, ...]:
-        """The number of requests held `report_late_ms` ago, as reports arrive late."""
-        return (float(self._held_history[0][1]),) if self._world.experiment.news.reports else ()
+        """The number of requests in flight `report_late_ms` ago, as reports arrive late."""
+        return (float(self._in_flight_history[0][1]),) if self._world.experiment.news.reports else ()
--- a/madderwind/testing/simulation/world.py
+++ b/madderwind/testing/simulation/world.py
@@ -6,7 +6,7 @@
 - An upstream has cores and one queue. While cold it is slower, and it crashes when it receives more requests
   in a window than it can serve.
 - An upstream completes the work that it has begun, whatever its caller does.
-- A request that an upstream passes to the next tier counts as held but occupies no core meanwhile.
+- A request that an upstream passes to the next tier counts as in flight but occupies no core meanwhile.
 - Transferred bytes and the balancers' own processing take no time.
 """
 
@@ -18,7 +18,7 @@
 
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import Effect, Group, ListKind, Outcome, UpstreamState
-from madderwind.testing.simulation.experiment import Experiment, Trouble
+from madderwind.testing.simulation.experiment import Experiment, Fault
 from madderwind.testing.simulation.policies import POLICIES, Policy
 from madderwind.testing.simulation.rules import RuleChecker
 from madderwind.testing.simulation.timeline import Timeline
@@ -59,7 +59,7 @@
         self._idle_connections: Counter[int] = Counter()  # reusable connections by upstream
         self._ready: set[int] = set()
         self._revisions: dict[int, int] = {}
-        self._news_random = random.Random(f"{world.seed} news {name}")
+        self._discovery_random = random.Random(f"{world.seed} news {name}")
 
     def apply_list(self, kind: ListKind, entries: tuple[api.UpstreamEntry, ...], revision: int = 0) -> None:
         """Applies an upstream list. Ignores entries older than the known revision, as the program does."""
@@ -74,13 +74,17 @@
 
     def receive_update(self, entries: tuple[api.UpstreamEntry, ...], revision: int) -> None:
         """Schedules the delivery of a discovery update: late, after an outage of discovery, or twice."""
-        news, timeline = self._world.experiment.news, self._world.timeline
-        at_ms = timeline.now_ms + self._news_random.uniform(news.least_ms, news.most_ms)
-        outage_start_ms = START_MS + news.silent_from_s * 1000
-        if outage_start_ms <= at_ms < outage_start_ms + news.silent_for_s * 1000:
-            at_ms = outage_start_ms + news.silent_for_s * 1000 + self._news_random.uniform(0, news.most_ms)
+        discovery, timeline = self._world.experiment.news, self._world.timeline
+        at_ms = timeline.now_ms + self._discovery_random.uniform(discovery.least_ms, discovery.most_ms)
+        outage_start_ms = START_MS + discovery.silent_from_s * 1000
+        if outage_start_ms <= at_ms < outage_start_ms + discovery.silent_for_s * 1000:
+            at_ms = (
+                outage_start_ms
+                + discovery.silent_for_s * 1000
+                + self._discovery_random.uniform(0, discovery.most_ms)
+            )
         timeline.at(at_ms, lambda: self.apply_list(ListKind.CHANGES, entries, revision))
-        if self._news_random.random() < news.repeats:
+        if self._discovery_random.random() < discovery.repeats:
             timeline.at(at_ms + 2000, lambda: self.apply_list(ListKind.CHANGES, entries, revision))
 
     def accept_request(self, class_index: int, deadline_ms: float, on_final: Callable[[str], None]) -> None:
@@ -229,7 +233,7 @@
         self._last_request = self._revision = 0
         self._client_random = random.Random(f"{seed} clients")
         self._retry_random = random.Random(f"{seed} again")
-        self._trouble_random = random.Random(f"{seed} troubles")
+        self._fault_random = random.Random(f"{seed} troubles")
         self._load_factor = 1.0
         for tier, model in enumerate(experiment.tiers):
             for _ in range(model.upstreams):
@@ -321,16 +325,18 @@
     def _send_request(
         self, index: int, tries: int, first_sent_ms: float, second: SecondResults, copy_position: float
     ) -> None:
-        klass, timeline = self.experiment.load.classes[index], self.timeline
-        asked_ms = timeline.now_ms
+        request_class, timeline = self.experiment.load.classes[index], self.timeline
+        sent_ms = timeline.now_ms
 
         def on_final(result: str) -> None:
-            took_ms = timeline.now_ms - asked_ms
+            took_ms = timeline.now_ms - sent_ms
             if result == "served":
                 second.times_ms.append(timeline.now_ms - first_sent_ms)
-                second.in_time += took_ms <= klass.aim_ms
-                second.late += took_ms > klass.aim_ms
-            elif tries < self.experiment.load.tries and (result == "refused" or klass.effect != "unsafe"):
+                second.in_time += took_ms <= request_class.aim_ms
+                second.late += took_ms > request_class.aim_ms
+            elif tries < self.experiment.load.tries and (
+                result == "refused" or request_class.effect != "unsafe"
+            ):
                 wait_ms = self._retry_random.random() * self.experiment.load.wait_ms * 2.0**tries
                 timeline.after(
                     wait_ms,
@@ -344,38 +350,40 @@
                 second.failed += 1
 
         copies = self.copies[0]
-        copies[int(copy_position * len(copies))].accept_request(index, asked_ms + klass.deadline_ms, on_final)
+        copies[int(copy_position * len(copies))].accept_request(
+            index, sent_ms + request_class.deadline_ms, on_final
+        )
 
     def _publish_update(self, tier: int, *entries: api.UpstreamEntry) -> None:
         self._revision += 1
         for copy in self.copies[tier]:
             copy.receive_update(entries, self._revision)
 
-    def _inject(self, trouble: Trouble) -> None:
+    def _inject(self, fault: Fault) -> None:
         timeline = self.timeline
-        if trouble.kind == "surge":
-            self._load_factor *= trouble.factor
-            timeline.after(trouble.for_s * 1000, lambda: self._end_surge(trouble.factor))
+        if fault.kind == "surge":
+            self._load_factor *= fault.factor
+            timeline.after(fault.for_s * 1000, lambda: self._end_surge(fault.factor))
             return
-        running = [u for u in self._upstreams_of(trouble.tier) if not u.down]
-        if trouble.zone is not None:
-            affected = [u for u in running if u.zone == trouble.zone]
+        running = [u for u in self._upstreams_of(fault.tier) if not u.down]
+        if fault.zone is not None:
+            affected = [u for u in running if u.zone == fault.zone]
         else:
-            affected = self._trouble_random.sample(running, round(trouble.part * len(running)))
+            affected = self._fault_random.sample(running, round(fault.part * len(running)))
         for upstream in affected:
-            self._apply_trouble(upstream, trouble)
+            self._apply_fault(upstream, fault)
 
     def _end_surge(self, factor: float) -> None:
         self._load_factor /= factor
 
-    def _apply_trouble(self, upstream: Upstream, trouble: Trouble) -> None:
-        after_ms, timeline = trouble.for_s * 1000, self.timeline
-        match trouble.kind:
+    def _apply_fault(self, upstream: Upstream, fault: Fault) -> None:
+        after_ms, timeline = fault.for_s * 1000, self.timeline
+        match fault.kind:
             case "slow":
-                upstream.slow = trouble.factor
+                upstream.slow = fault.factor
                 timeline.after(after_ms, lambda: setattr(upstream, "slow", 1.0))
             case "err":
-                upstream.error_part = trouble.rate
+                upstream.error_part = fault.rate
                 timeline.after(after_ms, lambda: setattr(upstream, "error_part", 0.0))
             case "silent":
                 upstream.silent = True
@@ -410,8 +418,8 @@
 
     def run(self) -> None:
         """Runs the experiment past the last possible deadline, then checks for missing answers."""
-        for trouble in self.experiment.troubles:
-            self.timeline.at(START_MS + trouble.at_s * 1000, lambda trouble=trouble: self._inject(trouble))  # type: ignore[misc]
+        for fault in self.experiment.troubles:
+            self.timeline.at(START_MS + fault.at_s * 1000, lambda fault=fault: self._inject(fault))  # type: ignore[misc]
         self._schedule_wish()
         longest_ms = max(c.deadline_ms for c in self.experiment.load.classes)
         load = self.experiment.load
--- a/tests/testing/simulation/test_models.py
+++ b/tests/testing/simulation/test_models.py
@@ -56,8 +56,8 @@
 
 
 def test_littles_law_and_conservation_of_wishes() -> None:
-    """The mean number of held requests is the arrival rate times the mean time; each wish ends once."""
-    held: list[int] = []
+    """The mean number of requests in flight is the arrival rate times the mean time; each wish ends once."""
+    in_flight: list[int] = []
     world = World(
         experiment(
             tiers=[{"upstreams": 3, "cores": 2, "work_ms": 50}],
@@ -68,16 +68,16 @@
         3,
     )
 
-    def sample_held() -> None:
-        held.append(sum(len(u._jobs) for u in world.upstreams.values()))
+    def sample_in_flight() -> None:
+        in_flight.append(sum(len(u._jobs) for u in world.upstreams.values()))
         if world.timeline.now_ms < START_MS + 200_000:
-            world.timeline.after(7.0, sample_held)
+            world.timeline.after(7.0, sample_in_flight)
 
-    world.timeline.after(0.0, sample_held)
+    world.timeline.after(0.0, sample_in_flight)
     world.run()
     times = [t for second in world.seconds for t in second.times_ms]
     mean_ms = sum(times) / len(times)
-    assert sum(held) / len(held) == pytest.approx(80 * mean_ms / 1000, rel=0.05)
+    assert sum(in_flight) / len(in_flight) == pytest.approx(80 * mean_ms / 1000, rel=0.05)
     ends = sum(s.in_time + s.late + s.refused + s.failed for s in world.seconds)
     assert ends == world.wishes == sum(s.asked for s in world.seconds)
 
