--- a/tests/campaign/calls.py
+++ b/tests/campaign/calls.py
@@ -1,4 +1,4 @@
-"""Calls of operators and upstreams over HTTP: each ends by its answer or by the caller's patience."""
+"""HTTP calls of operators and upstreams: each ends with its answer or with the caller's timeout."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tests.campaign.links import Links
 from tests.campaign.process import Process, ProcessState
 
-PATIENCE_MS = 1_000.0
+CALLER_TIMEOUT_MS = 1_000.0
 
 Answer = TypeVar("Answer")
 Serve = Callable[[Callable[[Answer | None], None]], None]
 
 
 class HttpCall(Generic[Answer]):
-    """One call. `on_end` gets the answer, or None where there is none within the caller's patience."""
+    """One call. `on_end` receives the answer, or None if there is none before the caller's timeout."""
 
     def __init__(
         self,
@@ -31,18 +31,18 @@
         self._caller, self._server, self._serve, self._on_end = caller, server, serve, on_end
         self._has_ended = False
         self.loses_answer = False
-        self._clock.after(PATIENCE_MS, lambda: self._end(None))
+        self._clock.after(CALLER_TIMEOUT_MS, lambda: self._end(None))
 
     def start(self, rng: random.Random, answer_loss: float) -> None:
-        """Send the request; the answer is lost with that probability."""
+        """Send the request; its answer is lost with probability `answer_loss`."""
         self.loses_answer = rng.random() < answer_loss
         self._request()
 
     def _request(self) -> None:
         if self._has_ended:
             return
-        is_timed_out = self._server.state is ProcessState.NO_POWER
-        if is_timed_out or self._links.is_cut(self._caller, self._server.address):
+        has_no_power = self._server.state is ProcessState.NO_POWER
+        if has_no_power or self._links.is_cut(self._caller, self._server.address):
             self._clock.after(RETRANSMIT_MS, self._request)
             return
         self._clock.after(self._links.delay_ms(), self._arrive)
--- a/tests/campaign/chain.py
+++ b/tests/campaign/chain.py
@@ -1,4 +1,4 @@
-"""The configuration with its whole ancestry, so that what was committed is compared command by command."""
+"""The configuration with its whole command history, to compare committed state command by command."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 @attrs.frozen(eq=False)
 class Link:
-    """One command in the chain that led to a state. `place` counts from 1."""
+    """One command in the chain that led to a state. `position` counts from 1."""
 
     parent: Link | None
-    place: int
+    position: int
     command: Command
     version: int
 
 
 class Snapshots:
-    """Which link a snapshot's state ended with."""
+    """Maps each snapshot to the last link of the chain that it contains."""
 
     def __init__(self) -> None:
         self._links: dict[bytes, Link | None] = {}
 
     def remember(self, data: bytes, newest: Link | None) -> None:
-        """A snapshot was taken."""
+        """Record the last command of a snapshot that was taken."""
         self._links[hashlib.blake2b(data).digest()] = newest
 
     def newest(self, data: bytes) -> Link | None:
-        """The last command in a snapshot."""
+        """Return the last command in a snapshot."""
         return self._links[hashlib.blake2b(data).digest()]
 
 
 class ChainedHistory:
-    """A ConfigurationHistory and the chain of commands behind it."""
+    """A ConfigurationHistory together with the chain of commands that led to it."""
 
     def __init__(
         self, snapshots: Snapshots, inner: ConfigurationHistory | None = None, newest: Link | None = None
@@ -67,8 +67,8 @@
 
     def apply(self, command: Command) -> None:
         self.inner.apply(command)
-        place = self.newest.place + 1 if self.newest is not None else 1
-        self.newest = Link(self.newest, place, command, self.inner.version)
+        position = self.newest.position + 1 if self.newest is not None else 1
+        self.newest = Link(self.newest, position, command, self.inner.version)
 
     def snapshot(self) -> bytes:
         data = self.inner.snapshot()
@@ -80,5 +80,5 @@
 
     @classmethod
     def restore(cls, snapshots: Snapshots, data: bytes) -> ChainedHistory:
-        """The state in a snapshot that any replica of this fleet took."""
+        """Restore the state from a snapshot that any replica of this fleet took."""
         return cls(snapshots, ConfigurationHistory.restore(data), snapshots.newest(data))
--- a/tests/campaign/connections.py
+++ b/tests/campaign/connections.py
@@ -1,4 +1,4 @@
-"""Connections as TCP gives them: bytes in order, held up by a cut, and broken where a cut lasts."""
+"""Simulated TCP connections: ordered delivery, delayed by a partition and broken by a long one."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 from tests.campaign.process import Process, ProcessState
 
 RETRANSMIT_MS = 100.0
-# A peer that says nothing any more is noticed after so long where nothing is sent.
-PROBES_END_MS = 1000.0 * (PROBE_AFTER_S + PROBES * PROBE_INTERVAL_S)
+# Time until TCP keepalive reports an unreachable peer on an idle connection.
+KEEPALIVE_TIMEOUT_MS = 1000.0 * (PROBE_AFTER_S + PROBES * PROBE_INTERVAL_S)
 
 OnData = Callable[[bytes], None]
 OnClosed = Callable[[], None]
 
 
 class ConnectionState(Enum):
-    """Of both ends together: what one end closed carries nothing any more."""
+    """State of both ends together: after either end closes, nothing is delivered in either direction."""
 
     OPEN = "open"
     CLOSED = "closed"
 
 
 class End:
-    """One end of a connection: a life of a process, and what it does with what comes."""
+    """One end of a connection: an incarnation of a process and its handlers for received data and closing."""
 
     def __init__(self, process: Process, on_data: OnData, on_closed: OnClosed) -> None:
         self.process, self.incarnation = process, process.incarnation
         self.on_data, self.on_closed = on_data, on_closed
-        self.pending: deque[bytes] = deque()  # sent by this end, not yet on its way
+        self.pending: deque[bytes] = deque()  # sent by this end, not yet transmitted
         self.blocked_since_ms: float | None = None
         self.busy_until_ms = 0.0
 
     @property
     def is_alive(self) -> bool:
-        """Whether the life that has this end goes on."""
+        """Whether the incarnation that owns this end is still up."""
         return self.process.is_up and self.process.incarnation == self.incarnation
 
 
 class Connection:
-    """Between two processes; frames are delivered in order or not at all."""
+    """A connection between two processes; frames are delivered in order or not at all."""
 
     def __init__(self, links: Links, client: End, server: End) -> None:
         self.client, self.server = client, server
@@ -59,7 +59,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether neither end has closed it."""
+        """Whether neither end has closed the connection."""
         return self.state is ConnectionState.OPEN
 
     def send(self, sender: End, data: bytes) -> None:
@@ -71,26 +71,26 @@
             self._transmit(sender)
 
     def close(self, closer: End) -> None:
-        """One end closes; the other is told as soon as it can be reached."""
+        """Close one end; the other end is notified as soon as it is reachable."""
         if not self.is_open:
             return
         self.state = ConnectionState.CLOSED
         for end in (self.client, self.server):
             if end.is_alive:
                 end.process.end_hooks.pop(id(self), None)
-        self._tell_closed(closer, self._other(closer), self._clock.now_ms + PROBES_END_MS)
+        self._notify_closed(closer, self._other(closer), self._clock.now_ms + KEEPALIVE_TIMEOUT_MS)
 
     def reset(self) -> None:
-        """Both ends are told that the connection is broken, as far as they can be reached."""
-        self._broadcast_loss(self.client)
+        """Break the connection and notify each end that is reachable."""
+        self._report_loss(self.client)
 
     def lose_end(self, lost: End) -> None:
-        """The life of one end is over: with power, its machine resets the connection."""
+        """Handle the end of one end's process; a machine that still has power resets the connection."""
         if lost.process.state is not ProcessState.NO_POWER:
             self.close(lost)
             return
         other = self._other(lost)
-        self._clock.after(PROBES_END_MS, lambda: self._broadcast_loss(other))
+        self._clock.after(KEEPALIVE_TIMEOUT_MS, lambda: self._report_loss(other))
 
     def _other(self, end: End) -> End:
         return self.server if end is self.client else self.client
@@ -101,7 +101,7 @@
         return self._links.is_cut(sender.process.address, receiver.process.address)
 
     def _transmit(self, sender: End) -> None:
-        """Send what is pending, unless the way is blocked: then try again for a while."""
+        """Send pending frames; if the link is blocked, retry until the acknowledgement timeout."""
         if not self.is_open or not sender.is_alive:
             return
         receiver, now_ms = self._other(sender), self._clock.now_ms
@@ -109,15 +109,15 @@
             if sender.blocked_since_ms is None:
                 sender.blocked_since_ms = now_ms
             if now_ms - sender.blocked_since_ms >= ACKNOWLEDGEMENT_TIMEOUT_MS:
-                self._broadcast_loss(sender)
+                self._report_loss(sender)
             else:
                 self._clock.after(RETRANSMIT_MS, lambda: self._transmit(sender))
             return
         sender.blocked_since_ms = None
         while sender.pending:
-            self._carry(sender, receiver, sender.pending.popleft())
+            self._schedule_arrival(sender, receiver, sender.pending.popleft())
 
-    def _carry(self, sender: End, receiver: End, data: bytes) -> None:
+    def _schedule_arrival(self, sender: End, receiver: End, data: bytes) -> None:
         delay_ms = self._links.delay_ms()
         if self._links.loses_packet():
             delay_ms += RETRANSMIT_MS
@@ -134,17 +134,17 @@
             return
         receiver.process.post(receiver.incarnation, lambda: receiver.on_data(data) if self.is_open else None)
 
-    def _broadcast_loss(self, end: End) -> None:
-        """This end gives the other up; the other learns of it when it can be reached."""
+    def _report_loss(self, end: End) -> None:
+        """Report the loss to this end and close it; the other end is notified once it is reachable."""
         if self.is_open and end.is_alive:
             end.process.post(end.incarnation, end.on_closed)
             self.close(end)
 
-    def _tell_closed(self, closer: End, other: End, deadline_ms: float) -> None:
+    def _notify_closed(self, closer: End, other: End, deadline_ms: float) -> None:
         if not other.is_alive:
             return
         if self._is_blocked(closer, other) and self._clock.now_ms < deadline_ms:
-            self._clock.after(RETRANSMIT_MS, lambda: self._tell_closed(closer, other, deadline_ms))
+            self._clock.after(RETRANSMIT_MS, lambda: self._notify_closed(closer, other, deadline_ms))
             return
         self._clock.after(
             self._links.delay_ms(), lambda: other.process.post(other.incarnation, other.on_closed)
--- a/tests/campaign/control_disk.py
+++ b/tests/campaign/control_disk.py
@@ -1,4 +1,4 @@
-"""A control plane's disk: writes in order, shared syncs; it may be slow, hang, fail or be cut short."""
+"""A control plane's simulated disk: ordered writes, group syncs, and injected delays, stalls and failures."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ControlDisk:
-    """Does what DiskThread does for a life of its process; completions are handed to `report`."""
+    """Simulates DiskThread for each incarnation of its process; completions are passed to `report`."""
 
     def __init__(self, process: Process, rng: random.Random, report: Callable[[Completion], None]) -> None:
         self.memory = MemoryDisk(rng)
@@ -32,29 +32,29 @@
         self._file = RecordFile(self.memory)
         self._queue: deque[Write | Rewrite] = deque()
         self._batch: list[Write | Rewrite] = []
-        self._waits = 0  # a wait that is begun anew, as the disk no longer hangs, ends the one before
+        self._waits = 0  # the newest wait's number; one restarted after a stall replaces the last
 
     @property
     def is_in_fault(self) -> bool:
-        """Whether the disk is slow, hangs, is full or fails."""
+        """Whether the disk is slow, stalled, full or failing syncs."""
         is_stalled = self.stalled_until_ms > self._process.clock.now_ms
         return is_stalled or self.sync_ms > SYNC_MS or self.memory.is_full or self.memory.fails_syncs
 
     def recover(self) -> RecoveredFile:
-        """A process starts: what the disk holds."""
+        """Return what the disk holds when a process starts."""
         self._queue.clear()
         self._batch.clear()
         self._file = RecordFile(self.memory)
         return self._file.recover()
 
     def submit(self, job: Write | Rewrite) -> None:
-        """Have this written after all that was submitted before."""
+        """Queue a write behind all earlier ones."""
         self._queue.append(job)
         if not self._batch:
             self._begin()
 
     def repair(self) -> None:
-        """End all trouble."""
+        """End all injected faults."""
         self.sync_ms = SYNC_MS
         if self.stalled_until_ms > self._process.clock.now_ms:
             self.stalled_until_ms = self._process.clock.now_ms
@@ -63,7 +63,7 @@
         self.memory.is_full = self.memory.fails_syncs = False
 
     def interrupt(self) -> None:
-        """The process ends: the write under way is cut short; those behind it never began."""
+        """Handle the end of the process: the current write is truncated and queued writes are dropped."""
         if self._batch:
             self.memory.goes_down_next = True
             try:
@@ -76,7 +76,7 @@
         self._queue.clear()
 
     def holds(self, command: Command) -> bool:
-        """Whether the command would still be here after the worst loss of power."""
+        """Whether the command would survive a power loss that discards all unsynced data."""
         stored = stored_state(RecordFile(self.memory.synced_copy()).recover().records)
         for index in range(stored.snapshot_index + 1, stored.log.last_index + 1):
             entry = stored.log.entry(index)
--- a/tests/campaign/dialling.py
+++ b/tests/campaign/dialling.py
@@ -1,4 +1,4 @@
-"""How one process connects to another: an answer, a refusal, or silence until the dialler gives up."""
+"""Connection attempts between processes: accepted, refused, or unanswered until the client's timeout."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class DialState(Enum):
-    """Of one attempt."""
+    """State of one connection attempt."""
 
     UNDER_WAY = "under way"
     ENDED = "ended"
 
 
 class Dial:
-    """One attempt. `accept` makes the server's end of the connection, in the server's process."""
+    """One connection attempt. `accept` sets up the server's end of the connection in the server's process."""
 
     def __init__(
         self,
@@ -39,15 +39,15 @@
         self._state = DialState.UNDER_WAY
 
     def start(self, timeout_ms: float) -> None:
-        """Try for so long."""
+        """Try to connect until the timeout."""
         self._client.later(timeout_ms, self._fail)
         self._request()
 
     def _request(self) -> None:
         if self._state is DialState.ENDED or self._server is None:
             return
-        is_timed_out = self._server.state is ProcessState.NO_POWER
-        if is_timed_out or self._links.is_cut(self._client.address, self._server.address):
+        has_no_power = self._server.state is ProcessState.NO_POWER
+        if has_no_power or self._links.is_cut(self._client.address, self._server.address):
             self._clock.after(RETRANSMIT_MS, self._request)
             return
         self._clock.after(self._links.delay_ms(), lambda: self._arrive(self._server))
@@ -55,19 +55,19 @@
     def _arrive(self, server: Process | None) -> None:
         assert server is not None
         if server.state is ProcessState.ENDED:
-            self._back(server, self._fail)
+            self._respond(server, self._fail)
         server.post(server.incarnation, lambda: self._answer(server))
 
     def _answer(self, server: Process) -> None:
         server_incarnation = server.incarnation
         if self._client.incarnation == self._client_incarnation and self._client.is_up:
-            self._back(server, lambda: self._open(server, server_incarnation))
+            self._respond(server, lambda: self._open(server, server_incarnation))
 
-    def _back(self, server: Process, action: Callable[[], None]) -> None:
+    def _respond(self, server: Process, action: Callable[[], None]) -> None:
         if self._state is DialState.ENDED:
             return
         if self._links.is_cut(server.address, self._client.address):
-            self._clock.after(RETRANSMIT_MS, lambda: self._back(server, action))
+            self._clock.after(RETRANSMIT_MS, lambda: self._respond(server, action))
             return
         incarnation = self._client_incarnation
         self._clock.after(self._links.delay_ms(), lambda: self._client.post(incarnation, action))
--- a/tests/campaign/peer_link.py
+++ b/tests/campaign/peer_link.py
@@ -1,4 +1,4 @@
-"""The connection that a control plane dials to another, as its host keeps it."""
+"""The outgoing connection from one control plane to another, simulating PeerLink of the host."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class PeerLinkState(Enum):
-    """`IDLE` waits for its backoff."""
+    """State of the connection; in `IDLE` it waits for its backoff."""
 
     IDLE = "idle"
     CONNECTING = "connecting"
@@ -34,7 +34,7 @@
 
 
 class PeerLink:
-    """One peer's queue and connection."""
+    """The frame queue and connection to one peer."""
 
     def __init__(
         self, owner: Process, address: str, dial: Dial, connected: Callable[[str], None], rng: random.Random
@@ -53,7 +53,7 @@
         self._connect()
 
     def send(self, frame: bytes) -> None:
-        """Send, or queue for the connection to come; what is stale is dropped."""
+        """Send a frame, or queue it until the connection opens; stale frames are dropped."""
         if self._state is PeerLinkState.OPEN and self._connection is not None:
             self._connection.send(self._connection.client, frame)
             return
--- a/tests/campaign/process.py
+++ b/tests/campaign/process.py
@@ -1,4 +1,4 @@
-"""A process that runs, is frozen, dies and starts anew: what all parties of the fleet have in common."""
+"""Base class of the fleet's processes, which can be frozen, killed and restarted."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ProcessState(Enum):
-    """`ENDED`: the machine refuses connections; `NO_POWER`: it says nothing at all."""
+    """In `ENDED` the machine refuses connections; in `NO_POWER` it does not respond at all."""
 
     NO_POWER = "no power"
     ENDED = "ended"
@@ -19,34 +19,36 @@
 
 
 class Process:
-    """One address of the fleet. Actions are posted to a life of it, and wait while it is frozen."""
+    """One address of the fleet. Actions are posted to one incarnation and queue while it is frozen."""
 
     def __init__(self, address: str, clock: Clock) -> None:
         self.address, self.clock = address, clock
         self.incarnation = 0
         self.state = ProcessState.ENDED
         self.incarnation_ended_ms = -1e9
-        self.end_hooks: dict[int, Callable[[], None]] = {}  # by whoever asked to be told of this life's end
+        self.end_hooks: dict[
+            int, Callable[[], None]
+        ] = {}  # by id of the object to notify when this incarnation ends
         self._inbox: deque[Callable[[], None]] = deque()
 
     @property
     def is_up(self) -> bool:
-        """Whether there is a process, frozen or not."""
+        """Whether the process is running or frozen."""
         return self.state in (ProcessState.RUNNING, ProcessState.FROZEN)
 
     @property
     def is_running(self) -> bool:
-        """Whether there is a process that is not frozen."""
+        """Whether the process is running and not frozen."""
         return self.state is ProcessState.RUNNING
 
     def begin_incarnation(self) -> None:
-        """A process starts."""
+        """Start a new incarnation of the process."""
         self.incarnation += 1
         self._inbox.clear()
         self.state = ProcessState.RUNNING
 
     def end_incarnation(self, has_power: bool) -> None:
-        """The process is no more."""
+        """End the process and call the end hooks."""
         self.incarnation += 1
         self.incarnation_ended_ms = self.clock.now_ms
         self._inbox.clear()
@@ -56,12 +58,12 @@
             hook()
 
     def freeze(self) -> None:
-        """The process does not run; what comes for it is queued."""
+        """Suspend the process; actions posted to it are queued."""
         if self.state is ProcessState.RUNNING:
             self.state = ProcessState.FROZEN
 
     def thaw(self) -> None:
-        """The process goes on with what is queued."""
+        """Resume the process and run the queued actions."""
         if self.state is not ProcessState.FROZEN:
             return
         self.state = ProcessState.RUNNING
@@ -69,7 +71,7 @@
             self._inbox.popleft()()
 
     def post(self, incarnation: int, action: Callable[[], None]) -> None:
-        """Have something done by a life of this process, now or once it is thawed; dropped after its end."""
+        """Run an action in an incarnation, now or once it is thawed; dropped if the incarnation has ended."""
         if incarnation != self.incarnation or not self.is_up:
             return
         if self.state is ProcessState.FROZEN:
@@ -78,6 +80,6 @@
             action()
 
     def later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Have something done by this life later."""
+        """Run an action in the current incarnation after a delay."""
         incarnation = self.incarnation
         self.clock.after(delay_ms, lambda: self.post(incarnation, action))
