--- a/tests/campaign/control_machine.py
+++ b/tests/campaign/control_machine.py
@@ -1,4 +1,4 @@
-"""One control machine: the real core, replica and file behind the fleet's connections, calls and disk."""
+"""One control machine: the real core, replica and journal file on simulated connections, calls and disk."""
 
 from __future__ import annotations
 
@@ -44,38 +44,38 @@
 from tests.campaign.links import Links
 from tests.campaign.peer_link import CONNECT_TIMEOUT_MS, PeerLink
 from tests.campaign.process import Process, ProcessState
-from tests.campaign.registry_copy import RegistryCopy
+from tests.campaign.registry_copy import RegistrySaver
 from tests.fleet.clock import Clock
 
 MS_PER_S = 1000.0
 HEARTBEAT_MS = 1_000.0
 SYNC_MS = 1.0
 GRACE_S = Bounds().grace_s
-# What a busy core takes to read a configuration of several MiB, and how often a command is as long. Others
-# take little: no log holds more than two or three of the long ones.
-MAX_PREPARATION_MS, LONG_SHARE = 400.0, 0.05
+# The time to read a configuration of several MiB on a busy core, and the share of commands that are as long.
+# Other commands take little time: no log holds more than two or three of the long ones.
+MAX_PREPARATION_MS, LONG_PREPARATION_SHARE = 400.0, 0.05
 MAX_SHORT_PREPARATION_MS = 10.0
 UNCLEAR = CommandResult(CommandOutcome.UNKNOWN)
 
 
 class Observer(Protocol):
-    """Who is told what a control machine does."""
+    """Callbacks for what a control machine does."""
 
     def committed(self, machine: ControlMachine) -> None:
-        """Its replica takes more for committed."""
+        """Its replica's commit position advanced."""
 
     def view_known(self, machine: ControlMachine, view: View) -> None:
-        """Its replica takes a view for chosen."""
+        """Its replica learned of a chosen view."""
 
     def freshness_notified(self, machine: ControlMachine, message: Freshness) -> None:
-        """It tells data planes what is committed and how fresh that is."""
+        """It reports the committed version and its freshness to data planes."""
 
-    def command_taken(self, machine: ControlMachine, command: Command) -> None:
-        """It is about to tell an operator that the command was taken."""
+    def command_acknowledged(self, machine: ControlMachine, command: Command) -> None:
+        """It is about to acknowledge a command to an operator."""
 
 
 class ControlMachine(Process):
-    """Carries out a core's effects as ControlPlaneHost does."""
+    """Executes a core's effects, simulating ControlPlaneHost."""
 
     def __init__(
         self,
@@ -114,10 +114,10 @@
         self._committed_version = -1
         self._encoded: tuple[object, bytes] = (None, b"")
 
-    # --- what happens to it ---
+    # Lifecycle
 
     def start(self, bootstrap: bool = False) -> None:
-        """Start the process on whatever the disk holds, with the seeds that its settings name by now."""
+        """Start the process from its disk, with the seeds that its settings name at this time."""
         if self.is_up or self.is_removed:
             return
         if not bootstrap:
@@ -133,8 +133,8 @@
             CoreOptions(self.address, self.seeds, HEARTBEAT_MS, self.tolerance),
             rng,
         )
-        self._registry_copy = RegistryCopy(self, self.disk, self._registry_saved)
-        self.core.restore_upstreams(self.clock.now_ms, self._registry_copy.load())
+        self._registry_saver = RegistrySaver(self, self.disk, self._registry_saved)
+        self.core.restore_upstreams(self.clock.now_ms, self._registry_saver.load())
         self._tick(self.incarnation)
 
     def _new_replica(self, bootstrap: bool, rng: random.Random) -> Replica:
@@ -158,7 +158,7 @@
         )
 
     def kill(self, has_power: bool = True) -> None:
-        """End the process; what it wrote stays, synced or not."""
+        """End the process; its writes are kept, synced or not."""
         if self.is_up:
             self.disk.interrupt()
             self.replica, self.core = None, None
@@ -167,7 +167,7 @@
             self.state = ProcessState.NO_POWER
 
     def lose_power(self) -> None:
-        """End the process and lose what was not synced."""
+        """End the process and lose its unsynced writes."""
         self.kill(has_power=False)
         self.disk.memory.lose_power()
 
@@ -178,19 +178,19 @@
         self.disk.repair()
 
     def remove(self) -> None:
-        """The machine is taken away for good."""
+        """Remove the machine permanently."""
         self.wipe()
         self.is_removed = True
 
     def leave(self) -> None:
-        """SIGTERM: refuse new calls, hand over, end when at rest."""
+        """Shut down as on SIGTERM: refuse new calls, hand over, end when idle."""
         if not self.is_up or self.is_stopping:
             return
         self.is_stopping = True
         deadline_ms = self.clock.now_ms + (GRACE_S - SHUTDOWN_RESERVE_S) * MS_PER_S
         self.post(
             self.incarnation,
-            lambda: self._do(lambda core: core.handle_replica_event(self._now, ShutdownRequested())),
+            lambda: self._dispatch(lambda core: core.handle_replica_event(self._now, ShutdownRequested())),
         )
         self.later(SHUTDOWN_CHECK_S * MS_PER_S, lambda: self._stop_when_idle(deadline_ms))
 
@@ -202,18 +202,18 @@
             self.later(SHUTDOWN_CHECK_S * MS_PER_S, lambda: self._stop_when_idle(deadline_ms))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """The settings file names other seeds."""
+        """Reload the seeds from a changed settings file."""
         self.seeds = seeds
-        self.post(self.incarnation, lambda: self._do(lambda core: core.set_seeds(self._now, seeds)))
+        self.post(self.incarnation, lambda: self._dispatch(lambda core: core.set_seeds(self._now, seeds)))
 
-    # --- what is known of it ---
+    # Status
 
     @property
     def _now(self) -> float:
         return self.clock.now_ms
 
     def status(self) -> ReplicaStatus | None:
-        """How its replica stands; None without a process that runs."""
+        """The status of its replica; None unless the process is running."""
         return self.replica.status(self._now) if self.replica is not None and self.is_running else None
 
     @property
@@ -222,32 +222,32 @@
         assert self.replica is not None
         return cast(ChainedHistory, self.replica.committed)
 
-    # --- what callers ask ---
+    # Calls
 
     def command(self, command: Command, reply: Callable[[CommandResult | None], None]) -> None:
-        """An operator's command; None where the process is about to end."""
+        """Handle an operator's command; replies None if the process is shutting down."""
         if self.is_stopping:
             reply(None)
             return
-        call = self._draw_call()
+        call = self._next_call()
         self._commands[call] = (command, reply)
-        self._do(lambda core: core.submit(self._now, call, command))
+        self._dispatch(lambda core: core.submit(self._now, call, command))
 
     def read(self, reply: Callable[[RespondToRead | None], None]) -> None:
-        """An operator's read; None where the process is about to end."""
+        """Handle an operator's read; replies None if the process is shutting down."""
         if self.is_stopping:
             reply(None)
             return
-        call = self._draw_call()
+        call = self._next_call()
         self._reads[call] = reply
-        self._do(lambda core: core.submit(self._now, call, None))
+        self._dispatch(lambda core: core.submit(self._now, call, None))
 
     def heartbeat(self, instance: str, body: bytes, reply: Callable[[bool | None], None]) -> None:
-        """An upstream's heartbeat; None where the process is about to end."""
+        """Handle an upstream's heartbeat; replies None if the process is shutting down."""
         self._upstream_call(reply, lambda core, call: core.handle_heartbeat(self._now, call, instance, body))
 
     def deregister(self, instance: str, reply: Callable[[bool | None], None]) -> None:
-        """An upstream ends; None where the process is about to end."""
+        """Deregister an upstream; replies None if the process is shutting down."""
         self._upstream_call(reply, lambda core, call: core.deregister(self._now, call, instance))
 
     def _upstream_call(
@@ -258,14 +258,14 @@
         if self.is_stopping:
             reply(None)
             return
-        call = self._draw_call()
+        call = self._next_call()
         self._upstream_calls[call] = reply
-        self._do(lambda core: event(core, call))
+        self._dispatch(lambda core: event(core, call))
 
-    # --- connections ---
+    # Connections
 
     def accept_peer(self, connection: Connection) -> None:
-        """Another control plane connects; it sends, and nothing is sent back."""
+        """Accept a connection from another control plane; it carries frames to this machine only."""
         sender = connection.client.process.address
         older = self._peers_in.get(sender)
         if older is not None:
@@ -274,7 +274,7 @@
         connection.server.on_data = lambda data: self._peer_frame(sender, data)
 
     def accept_data_plane(self, connection: Connection) -> None:
-        """A data plane connects."""
+        """Accept a connection from a data plane."""
         self._last_subscriber += 1
         number = self._last_subscriber
         connection.server.on_data = lambda data: self._data_plane_frame(number, connection, data)
@@ -282,19 +282,19 @@
 
     def _peer_frame(self, sender: str, data: bytes) -> None:
         message: PeerFrame = peer_frames.decode(data)
-        self._do(lambda core: core.handle_peer_message(self._now, sender, message))
+        self._dispatch(lambda core: core.handle_peer_message(self._now, sender, message))
 
     def _data_plane_frame(self, number: int, connection: Connection, data: bytes) -> None:
         message = to_control_plane.decode(data)
         if isinstance(message, Subscribe):
             self._subscribers[number] = connection
-            self._do(lambda core: core.subscribe(self._now, number, message))
+            self._dispatch(lambda core: core.subscribe(self._now, number, message))
         else:
-            self._do(lambda core: core.handle_data_plane_message(self._now, number, message))
+            self._dispatch(lambda core: core.handle_data_plane_message(self._now, number, message))
 
     def _data_plane_closed(self, number: int) -> None:
         self._subscribers.pop(number, None)
-        self._do(lambda core: core.handle_data_plane_closed(self._now, number))
+        self._dispatch(lambda core: core.handle_data_plane_closed(self._now, number))
 
     def _dial(
         self,
@@ -309,48 +309,48 @@
         dial.start(CONNECT_TIMEOUT_MS)
 
     def _peer_connected(self, address: str) -> None:
-        self._do(lambda core: core.handle_peer_connected(self._now, address))
+        self._dispatch(lambda core: core.handle_peer_connected(self._now, address))
 
-    # --- inside ---
+    # Events and effects
 
-    def _draw_call(self) -> int:
+    def _next_call(self) -> int:
         self._last_call += 1
         return self._last_call
 
     def _write_ended(self, completion: Completion) -> None:
-        self._do(lambda core: core.handle_replica_event(self._now, completion))
+        self._dispatch(lambda core: core.handle_replica_event(self._now, completion))
 
     def _tick(self, incarnation: int) -> None:
         if incarnation != self.incarnation:
             return
         if self.is_running:
-            self._do(lambda core: core.tick(self._now))
+            self._dispatch(lambda core: core.tick(self._now))
             self._save_registry()
         self.clock.after(TICK_MS, lambda: self._tick(incarnation))
 
     def _save_registry(self) -> None:
         if self.core is not None:
             core = self.core
-            self._registry_copy.offer(lambda: core.upstreams(self._now))
+            self._registry_saver.save_if_due(lambda: core.upstreams(self._now))
 
     def _registry_saved(self, upstreams: Sequence[UpstreamRecord]) -> None:
-        self._do(lambda core: core.handle_checkpoint_saved(self._now, upstreams))
+        self._dispatch(lambda core: core.handle_checkpoint_saved(self._now, upstreams))
 
-    def _do(self, event: Callable[[ControlPlaneCore], list[Effect]]) -> None:
-        """Hand an event to the core and carry out what follows."""
+    def _dispatch(self, event: Callable[[ControlPlaneCore], list[Effect]]) -> None:
+        """Pass an event to the core and execute the resulting effects."""
         if self.core is None:
             return
         effects = event(self.core)
-        self._note_committed()
-        self._carry_out(effects)
+        self._report_committed()
+        self._execute(effects)
 
-    def _note_committed(self) -> None:
+    def _report_committed(self) -> None:
         if self.replica is None or self.committed.version == self._committed_version:
             return
         self._committed_version = self.committed.version
         self._observer.committed(self)
 
-    def _carry_out(self, effects: Iterable[Effect]) -> None:
+    def _execute(self, effects: Iterable[Effect]) -> None:
         for effect in effects:
             match effect:
                 case SendToPeer(address, message):
@@ -374,29 +374,31 @@
                 case RespondToUpstream(call, is_accepted):
                     self._upstream_calls.pop(call)(is_accepted)
                 case SaveCheckpoint():
-                    self._registry_copy.urge()
+                    self._registry_saver.request_save()
                     self._save_registry()
                 case LogLine():
-                    self._note_line(effect)
+                    self._handle_log_line(effect)
 
     def _prepare(self, action: Prepare) -> None:
-        """Takes its time beside the process's events; a freeze holds it up as well."""
+        """Run a preparation after a delay, concurrently with other events; a freeze delays it too."""
         completion = PreparationCompleted(action.token)
 
         def end() -> None:
             action.preparation()
-            self._do(lambda core: core.handle_replica_event(self._now, completion))
+            self._dispatch(lambda core: core.handle_replica_event(self._now, completion))
 
-        max_ms = MAX_PREPARATION_MS if self._rng.random() < LONG_SHARE else MAX_SHORT_PREPARATION_MS
+        max_ms = (
+            MAX_PREPARATION_MS if self._rng.random() < LONG_PREPARATION_SHARE else MAX_SHORT_PREPARATION_MS
+        )
         self.later(self._rng.uniform(0.0, max_ms), end)
 
     def _end_command(self, call: int, result: CommandResult) -> None:
         command, reply = self._commands.pop(call)
         if result.outcome is CommandOutcome.COMMITTED:
-            self._observer.command_taken(self, command)
+            self._observer.command_acknowledged(self, command)
         reply(result)
 
-    def _note_line(self, line: LogLine) -> None:
+    def _handle_log_line(self, line: LogLine) -> None:
         if line.event is VIEW_CHANGED and self.replica is not None and self.replica.view is not None:
             self._observer.view_known(self, self.replica.view)
 
--- a/tests/campaign/data_plane.py
+++ b/tests/campaign/data_plane.py
@@ -1,4 +1,4 @@
-"""One data plane: the real subscriber and its view of the upstreams behind the fleet's connections."""
+"""One data plane: the real subscriber and upstream registry on simulated connections."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 class DataPlaneObserver(Protocol):
-    """Who is told what a data plane does."""
+    """Callbacks for what a data plane does."""
 
-    def put_in_force(self, data_plane: DataPlane, version_before: int) -> None:
-        """Another configuration is in force."""
+    def configuration_applied(self, data_plane: DataPlane, version_before: int) -> None:
+        """A data plane applied another configuration."""
 
     def data_plane_ticked(self, data_plane: DataPlane) -> None:
-        """Time passed at a data plane."""
+        """A data plane ran its periodic tick."""
 
 
 class DataPlane(Process):
@@ -65,7 +65,7 @@
         find: Callable[[str], ControlMachine | None],
     ) -> None:
         super().__init__(address, clock)
-        self._links, self._seeds, self._wanted = links, seeds, wanted_links
+        self._links, self._seeds, self._wanted_links = links, seeds, wanted_links
         self._observer, self._find = observer, find
         self._rng = random.Random(f"{seed} {address}")
         self._start_incarnation()
@@ -74,7 +74,7 @@
         now_ms = self.clock.now_ms
         identity = Identity(self.address, f"life-{self.incarnation}", self.address, "zone")
         rng = random.Random(self._rng.getrandbits(64))
-        self.subscriber = Subscriber(now_ms, identity, self._seeds(), self._wanted, rng)
+        self.subscriber = Subscriber(now_ms, identity, self._seeds(), self._wanted_links, rng)
         self.upstreams = KnownUpstreams(HEARTBEAT_MS)
         self.started_ms = now_ms
         self.version = 0
@@ -82,7 +82,7 @@
         self._attempts: dict[str, int] = {}
 
     def start(self) -> None:
-        """A process starts, and knows nothing."""
+        """Start the process without any stored state."""
         if self.is_up:
             return
         self.begin_incarnation()
@@ -90,7 +90,7 @@
         self._tick(self.incarnation)
 
     def kill(self) -> None:
-        """The process ends."""
+        """End the process."""
         if self.is_up:
             self.end_incarnation(has_power=True)
 
@@ -104,9 +104,9 @@
 
     def _handle(self, event: Event) -> None:
         for action in self.subscriber.handle(self.clock.now_ms, event):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case Connect(address):
                 self._end(address)
@@ -118,12 +118,12 @@
                     connection.send(connection.client, to_control_plane.encode(message))
             case ApplyConfiguration(document):
                 before, self.version = self.version, document.version
-                self._observer.put_in_force(self, before)
+                self._observer.configuration_applied(self, before)
             case Deliver(message=RegistrySnapshot(records) | RegistryDelta(records)):
                 self.upstreams.merge(self.clock.now_ms, records)
 
     def _end(self, address: str) -> None:
-        """Give up what there is of a connection; it says nothing more."""
+        """Close a connection or abandon its attempt, and ignore its later events."""
         self._attempts[address] = self._attempts.get(address, 0) + 1
         if (connection := self._connections.pop(address, None)) is not None:
             connection.close(connection.client)
--- a/tests/campaign/fault_player.py
+++ b/tests/campaign/fault_player.py
@@ -1,4 +1,4 @@
-"""Plays a schedule of faults on a system, and knows which disk losses the system is to bear at a moment."""
+"""Applies a schedule of faults to a system, and delays disk losses until the tolerance allows them."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.data_plane import DataPlane
 from tests.campaign.faults import DISK_LOSSES, Fault, FaultKind, LossCount, Victim
-from tests.campaign.losses import LossLedger
+from tests.campaign.losses import LossTracker
 from tests.campaign.system import MOST_SEEDS, System
 
 RETRY_MS = 25.0
-LONGEST_RESTART_MS = 2_000.0
-LONGEST_DOWN_TOGETHER_MS = 1_000.0
-LONGEST_LEAVE_MS = 6_000.0
+MAX_RESTART_MS = 2_000.0
+MAX_DOWN_TOGETHER_MS = 1_000.0
+MAX_LEAVE_MS = 6_000.0
 SLOW_SYNC_MS = 250.0
 PACKET_LOSS = 0.4
-LEAST_SUCCESSOR_DELAY_MS = 50.0
+MIN_SUCCESSOR_DELAY_MS = 50.0
 STEP_MS = 50.0
 
 Candidate = TypeVar("Candidate")
 
 
 class FaultPlayer:
-    """Does things to a system; `heal` ends them all."""
+    """Injects faults into a system; `heal` ends them all."""
 
     def __init__(self, system: System, loss_count: LossCount) -> None:
         self._system, self._clock, self._links = system, system.clock, system.links
-        self.losses = LossLedger(system.clock, system.machines, system.plan.tolerance, loss_count)
+        self.losses = LossTracker(system.clock, system.machines, system.plan.tolerance, loss_count)
         self._round = 0
         self._replacements = 0
         self.disk_losses = 0
@@ -38,14 +38,14 @@
             FaultKind.POWER_LOSS: self._lose_power,
             FaultKind.POWER_LOSS_OF_ALL: self._lose_power_of_all,
             FaultKind.FREEZE: self._freeze,
-            FaultKind.LEAVE: self._leave,
+            FaultKind.LEAVE: self._shut_down,
             FaultKind.CUT_PAIR: self._cut_pair,
             FaultKind.CUT_ONE_WAY: self._cut_one_way,
             FaultKind.CUT_FROM_MACHINES: self._cut_from_machines,
             FaultKind.CUT_FROM_OTHERS: self._cut_from_others,
             FaultKind.ISOLATE: self._isolate,
-            FaultKind.UNRESPONSIVE: self._unresponsive,
-            FaultKind.DEAFEN: self._deafen,
+            FaultKind.UNRESPONSIVE: self._cut_outgoing,
+            FaultKind.DEAFEN: self._cut_incoming,
             FaultKind.LOSE_PACKETS: self._lose_packets,
             FaultKind.SLOW_DISK: self._slow_disk,
             FaultKind.STALL_DISK: self._stall_disk,
@@ -64,14 +64,14 @@
         }
 
     def play(self, faults: Sequence[Fault]) -> None:
-        """Have these happen from now on."""
+        """Schedule these faults, relative to the current time."""
         self._round += 1
         self.disk_losses = 0
         for fault in faults:
             self._later(fault.at_ms, lambda fault=fault: self._begin(fault))  # type: ignore[misc]
 
     def heal(self) -> None:
-        """End all faults: everything runs and is connected."""
+        """End all faults: all processes run and all links work."""
         self._round += 1
         self._links.heal()
         for machine in self._system.machines.values():
@@ -84,10 +84,10 @@
             data_plane.thaw()
             data_plane.start()
 
-    # --- when ---
+    # Scheduling
 
     def _later(self, delay_ms: float, action: Callable[[], None]) -> None:
-        """Have something happen in this round."""
+        """Schedule an action; it is dropped if the round has ended by then."""
         round_now = self._round
         self._clock.after(delay_ms, lambda: action() if self._round == round_now else None)
 
@@ -95,36 +95,36 @@
         if fault.kind not in DISK_LOSSES:
             self._actions[fault.kind](fault)
             return
-        if self.losses.bears(self._victim(fault).address):
+        if self.losses.can_lose_disk(self._victim(fault).address):
             self._later(fault.slack_ms, lambda: self._lose_disk(fault))
         else:
             self._later(RETRY_MS, lambda: self._begin(fault))
 
     def _lose_disk(self, fault: Fault) -> None:
-        """The slack may have brought other trouble: then wait on, without slack."""
-        if not self.losses.bears(self._victim(fault).address):
+        """Lose a disk; if another fault began during the slack, wait again, without slack."""
+        if not self.losses.can_lose_disk(self._victim(fault).address):
             self._later(RETRY_MS, lambda: self._lose_disk(fault))
             return
         self.disk_losses += 1
         self._system.history.disk_losses_ms.append(self._clock.now_ms)
-        self.losses.lose_disk(self._victim(fault).address)
+        self.losses.mark_disk_lost(self._victim(fault).address)
         self._actions[fault.kind](fault)
 
-    def _ends(self, duration_ms: float, action: Callable[[], object]) -> None:
-        """Have a fault end."""
+    def _schedule_end(self, duration_ms: float, action: Callable[[], object]) -> None:
+        """Schedule the end of a fault."""
         self._later(duration_ms, lambda: self._end(action))
 
     def _end(self, action: Callable[[], object]) -> None:
         self.losses.note_event()
         action()
 
-    # --- whom ---
+    # Victims
 
     def _machines(self) -> list[ControlMachine]:
         return list(self._system.machines.values())
 
     def _victim(self, fault: Fault) -> ControlMachine:
-        return _picked(self._candidates(fault.victim) or self._machines(), fault.pick)
+        return _select(self._candidates(fault.victim) or self._machines(), fault.pick)
 
     def _candidates(self, victim: Victim) -> list[ControlMachine]:
         primary = self._system.primary()
@@ -144,28 +144,28 @@
         return [other for other in self._machines() if other is not machine]
 
     def _data_plane(self, fault: Fault) -> DataPlane:
-        return _picked(self._system.data_planes, fault.pick)
+        return _select(self._system.data_planes, fault.pick)
 
-    # --- what is noted ---
+    # Loss tracking
 
-    def _lose(self, machine: ControlMachine, duration_ms: float, what: str) -> None:
-        self.losses.lose(machine.address, duration_ms, what)
+    def _mark_lost(self, machine: ControlMachine, duration_ms: float, description: str) -> None:
+        self.losses.mark_lost(machine.address, duration_ms, description)
 
-    # --- processes and power ---
+    # Processes and power
 
-    def _restart(self, machine: ControlMachine, duration_ms: float, what: str) -> None:
-        self._ends(duration_ms, machine.start)
-        self._lose(machine, duration_ms, what)
+    def _restart(self, machine: ControlMachine, duration_ms: float, description: str) -> None:
+        self._schedule_end(duration_ms, machine.start)
+        self._mark_lost(machine, duration_ms, description)
 
     def _kill(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.kill()
-        self._restart(machine, min(fault.duration_ms, LONGEST_RESTART_MS), "is killed")
+        self._restart(machine, min(fault.duration_ms, MAX_RESTART_MS), "is killed")
 
     def _kill_all(self, fault: Fault) -> None:
         for number, machine in enumerate(self._machines()):
             machine.kill()
-            self._restart(machine, _spread(fault, number), "is killed with all")
+            self._restart(machine, _restart_delay_ms(fault, number), "is killed with all")
 
     def _lose_power(self, fault: Fault) -> None:
         machine = self._victim(fault)
@@ -175,19 +175,19 @@
     def _lose_power_of_all(self, fault: Fault) -> None:
         for number, machine in enumerate(self._machines()):
             machine.lose_power()
-            self._restart(machine, _spread(fault, number), "has no power, as all")
+            self._restart(machine, _restart_delay_ms(fault, number), "has no power, as all")
 
     def _freeze(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.freeze()
-        self._ends(fault.duration_ms, machine.thaw)
-        self._lose(machine, fault.duration_ms, "is frozen")
+        self._schedule_end(fault.duration_ms, machine.thaw)
+        self._mark_lost(machine, fault.duration_ms, "is frozen")
 
-    def _leave(self, fault: Fault) -> None:
+    def _shut_down(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.leave()
-        self._lose(machine, LONGEST_LEAVE_MS, "is requested to end")
-        self._start_when_ended(machine, min(fault.duration_ms, LONGEST_RESTART_MS))
+        self._mark_lost(machine, MAX_LEAVE_MS, "is requested to end")
+        self._start_when_ended(machine, min(fault.duration_ms, MAX_RESTART_MS))
 
     def _start_when_ended(self, machine: ControlMachine, delay_ms: float) -> None:
         if machine.is_up:
@@ -195,12 +195,12 @@
         else:
             self._restart(machine, delay_ms, "has ended")
 
-    # --- links ---
+    # Links
 
     def _cut(self, links: Sequence[tuple[str, str]], duration_ms: float) -> None:
         for sender, receiver in links:
             self._links.cut(sender, receiver)
-        self._ends(duration_ms, lambda: self._join(links))
+        self._schedule_end(duration_ms, lambda: self._join(links))
 
     def _join(self, links: Sequence[tuple[str, str]]) -> None:
         for sender, receiver in links:
@@ -208,44 +208,44 @@
 
     def _cut_pair(self, fault: Fault) -> None:
         machine = self._victim(fault)
-        other = _picked(self._others(machine), fault.other)
-        self._cut(_both(machine.address, [other.address]), fault.duration_ms)
-        self._lose(machine, fault.duration_ms, f"is cut from {other.address}")
+        other = _select(self._others(machine), fault.other)
+        self._cut(_both_directions(machine.address, [other.address]), fault.duration_ms)
+        self._mark_lost(machine, fault.duration_ms, f"is cut from {other.address}")
 
     def _cut_one_way(self, fault: Fault) -> None:
         machine = self._victim(fault)
-        other = _picked(self._others(machine), fault.other)
+        other = _select(self._others(machine), fault.other)
         self._cut([(machine.address, other.address)], fault.duration_ms)
-        self._lose(machine, fault.duration_ms, f"can't send to {other.address}")
+        self._mark_lost(machine, fault.duration_ms, f"can't send to {other.address}")
 
     def _cut_from_machines(self, fault: Fault) -> None:
         machine = self._victim(fault)
         others = [other.address for other in self._others(machine)]
-        self._cut(_both(machine.address, others), fault.duration_ms)
-        self._lose(machine, fault.duration_ms, "is cut from the other machines")
+        self._cut(_both_directions(machine.address, others), fault.duration_ms)
+        self._mark_lost(machine, fault.duration_ms, "is cut from the other machines")
 
     def _cut_from_others(self, fault: Fault) -> None:
         machine = self._victim(fault)
         others = [data_plane.address for data_plane in self._system.data_planes]
-        self._cut(_both(machine.address, [*others, *self._system.callers()]), fault.duration_ms)
-        self._lose(machine, fault.duration_ms, "is cut from data planes and callers")
+        self._cut(_both_directions(machine.address, [*others, *self._system.callers()]), fault.duration_ms)
+        self._mark_lost(machine, fault.duration_ms, "is cut from data planes and callers")
 
     def _isolate(self, fault: Fault) -> None:
         machine = self._victim(fault)
-        self._cut(_both(machine.address, self._all_others(machine)), fault.duration_ms)
-        self._lose(machine, fault.duration_ms, "is isolated")
+        self._cut(_both_directions(machine.address, self._all_others(machine)), fault.duration_ms)
+        self._mark_lost(machine, fault.duration_ms, "is isolated")
 
-    def _unresponsive(self, fault: Fault) -> None:
+    def _cut_outgoing(self, fault: Fault) -> None:
         machine = self._victim(fault)
         links = [(machine.address, other) for other in self._all_others(machine)]
         self._cut(links, fault.duration_ms)
-        self._lose(machine, fault.duration_ms, "can't send")
+        self._mark_lost(machine, fault.duration_ms, "can't send")
 
-    def _deafen(self, fault: Fault) -> None:
+    def _cut_incoming(self, fault: Fault) -> None:
         machine = self._victim(fault)
         links = [(other, machine.address) for other in self._all_others(machine)]
         self._cut(links, fault.duration_ms)
-        self._lose(machine, fault.duration_ms, "can't receive")
+        self._mark_lost(machine, fault.duration_ms, "can't receive")
 
     def _all_others(self, machine: ControlMachine) -> list[str]:
         addresses = [*self._system.addresses(), *self._system.callers()]
@@ -253,11 +253,11 @@
 
     def _lose_packets(self, fault: Fault) -> None:
         self._links.loss = PACKET_LOSS * fault.other
-        self._ends(fault.duration_ms, self._carry_packets)
+        self._schedule_end(fault.duration_ms, self._end_packet_loss)
         for machine in self._machines():
-            self._lose(machine, fault.duration_ms, "loses packets")
+            self._mark_lost(machine, fault.duration_ms, "loses packets")
 
-    def _carry_packets(self) -> None:
+    def _end_packet_loss(self) -> None:
         self._links.loss = 0.0
 
     def _change_seeds(self, fault: Fault) -> None:
@@ -268,11 +268,11 @@
         machine.set_seeds(seeds)
         self.losses.note(f"{machine.address} has the seeds {', '.join(seeds)}")
 
-    # --- disks ---
+    # Disks
 
-    def _repair_later(self, machine: ControlMachine, duration_ms: float, what: str) -> None:
-        self._ends(duration_ms, machine.disk.repair)
-        self.losses.fault_disk(machine.address, duration_ms, what)
+    def _repair_later(self, machine: ControlMachine, duration_ms: float, description: str) -> None:
+        self._schedule_end(duration_ms, machine.disk.repair)
+        self.losses.mark_disk_fault(machine.address, duration_ms, description)
 
     def _slow_disk(self, fault: Fault) -> None:
         machine = self._victim(fault)
@@ -294,12 +294,12 @@
         machine.disk.memory.fails_syncs = True
         self._repair_later(machine, fault.duration_ms, "has a disk that fails syncs")
 
-    # --- lost disks ---
+    # Lost disks
 
     def _wipe(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.wipe()
-        self._restart(machine, min(fault.duration_ms, LONGEST_RESTART_MS), "is wiped")
+        self._restart(machine, min(fault.duration_ms, MAX_RESTART_MS), "is wiped")
 
     def _wipe_while_others_lose_power(self, fault: Fault) -> None:
         machine = self._victim(fault)
@@ -308,31 +308,33 @@
                 other.wipe()
             else:
                 other.lose_power()
-            self._restart(other, _spread(fault, number), f"has no power while {machine.address} is wiped")
+            self._restart(
+                other, _restart_delay_ms(fault, number), f"has no power while {machine.address} is wiped"
+            )
 
     def _replace(self, fault: Fault) -> None:
-        self._take_away(self._victim(fault), fault)
+        self._remove_and_replace(self._victim(fault), fault)
 
     def _replace_as_planned(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.leave()
-        self._lose(machine, LONGEST_LEAVE_MS, "is requested to end for good")
-        self._take_away_when_ended(machine, fault, self._clock.now_ms + LONGEST_LEAVE_MS)
+        self._mark_lost(machine, MAX_LEAVE_MS, "is requested to end for good")
+        self._replace_when_ended(machine, fault, self._clock.now_ms + MAX_LEAVE_MS)
 
-    def _take_away_when_ended(self, machine: ControlMachine, fault: Fault, deadline_ms: float) -> None:
+    def _replace_when_ended(self, machine: ControlMachine, fault: Fault, deadline_ms: float) -> None:
         if machine.is_up and self._clock.now_ms < deadline_ms:
-            self._later(STEP_MS, lambda: self._take_away_when_ended(machine, fault, deadline_ms))
+            self._later(STEP_MS, lambda: self._replace_when_ended(machine, fault, deadline_ms))
         elif not machine.is_removed:
-            self._take_away(machine, fault)
+            self._remove_and_replace(machine, fault)
 
     def _replace_in_cut(self, fault: Fault) -> None:
         machine = self._victim(fault)
-        self._cut(_both(machine.address, self._all_others(machine)), fault.duration_ms)
-        self._lose(machine, fault.duration_ms, "is isolated, to be replaced")
-        self._later(fault.other * fault.duration_ms, lambda: self._take_away(machine, fault))
+        self._cut(_both_directions(machine.address, self._all_others(machine)), fault.duration_ms)
+        self._mark_lost(machine, fault.duration_ms, "is isolated, to be replaced")
+        self._later(fault.other * fault.duration_ms, lambda: self._remove_and_replace(machine, fault))
 
-    def _take_away(self, machine: ControlMachine, fault: Fault) -> None:
-        """Remove a machine; a successor at another address starts soon after."""
+    def _remove_and_replace(self, machine: ControlMachine, fault: Fault) -> None:
+        """Remove a machine and start a successor at another address soon after."""
         if machine.is_removed:
             return
         seeds = tuple(self._system.machines)[:MOST_SEEDS]
@@ -340,50 +342,50 @@
         del self._system.machines[machine.address]
         self._replacements += 1
         successor = self._system.add_machine(f"r{self._replacements}", seeds)
-        self.losses.lose_disk(successor.address)
-        delay_ms = LEAST_SUCCESSOR_DELAY_MS + min(fault.duration_ms, LONGEST_RESTART_MS) * fault.other
+        self.losses.mark_disk_lost(successor.address)
+        delay_ms = MIN_SUCCESSOR_DELAY_MS + min(fault.duration_ms, MAX_RESTART_MS) * fault.other
         self._restart(successor, delay_ms, f"is to replace {machine.address}: starts in {delay_ms:.0f} ms;")
 
-    # --- data planes ---
+    # Data planes
 
     def _restart_data_plane(self, fault: Fault) -> None:
         data_plane = self._data_plane(fault)
         data_plane.kill()
-        duration_ms = min(fault.duration_ms, LONGEST_RESTART_MS)
-        self._ends(duration_ms, data_plane.start)
-        self.losses.hurt(data_plane.address, duration_ms, "is killed")
+        duration_ms = min(fault.duration_ms, MAX_RESTART_MS)
+        self._schedule_end(duration_ms, data_plane.start)
+        self.losses.mark_degraded(data_plane.address, duration_ms, "is killed")
 
     def _freeze_data_plane(self, fault: Fault) -> None:
         data_plane = self._data_plane(fault)
         data_plane.freeze()
-        self._ends(fault.duration_ms, data_plane.thaw)
-        self.losses.hurt(data_plane.address, fault.duration_ms, "is frozen")
+        self._schedule_end(fault.duration_ms, data_plane.thaw)
+        self.losses.mark_degraded(data_plane.address, fault.duration_ms, "is frozen")
 
     def _cut_data_plane(self, fault: Fault) -> None:
         data_plane = self._data_plane(fault)
         machines = list(self._system.machines)
-        self._cut(_both(data_plane.address, machines), fault.duration_ms)
-        self.losses.hurt(data_plane.address, fault.duration_ms, "is cut off")
+        self._cut(_both_directions(data_plane.address, machines), fault.duration_ms)
+        self.losses.mark_degraded(data_plane.address, fault.duration_ms, "is cut off")
 
     def _leave_one_source(self, fault: Fault) -> None:
-        """A data plane reaches one machine alone, and that machine reaches no other."""
+        """Cut a data plane from all machines except one, and cut that one from the other machines."""
         data_plane, source = self._data_plane(fault), self._victim(fault)
         others = [machine.address for machine in self._others(source)]
-        links = [*_both(data_plane.address, others), *_both(source.address, others)]
+        links = [*_both_directions(data_plane.address, others), *_both_directions(source.address, others)]
         self._cut(links, fault.duration_ms)
-        self.losses.hurt(data_plane.address, fault.duration_ms, "has one source")
-        self._lose(source, fault.duration_ms, f"is cut off with {data_plane.address}")
+        self.losses.mark_degraded(data_plane.address, fault.duration_ms, "has one source")
+        self._mark_lost(source, fault.duration_ms, f"is cut off with {data_plane.address}")
 
 
-def _picked(candidates: Sequence[Candidate], pick: float) -> Candidate:
+def _select(candidates: Sequence[Candidate], pick: float) -> Candidate:
     return candidates[min(int(pick * len(candidates)), len(candidates) - 1)]
 
 
-def _both(address: str, others: Sequence[str]) -> list[tuple[str, str]]:
+def _both_directions(address: str, others: Sequence[str]) -> list[tuple[str, str]]:
     return [link for other in others for link in ((address, other), (other, address))]
 
 
-def _spread(fault: Fault, number: int) -> float:
-    """Machines that went down together come back one by one, in a command that the fault tells."""
+def _restart_delay_ms(fault: Fault, number: int) -> float:
+    """Spread the restarts of machines that went down together, in an order that the fault determines."""
     share = (fault.pick + number * fault.other) % 1.0
-    return STEP_MS + share * min(fault.duration_ms, LONGEST_DOWN_TOGETHER_MS)
+    return STEP_MS + share * min(fault.duration_ms, MAX_DOWN_TOGETHER_MS)
--- a/tests/campaign/faults.py
+++ b/tests/campaign/faults.py
@@ -1,4 +1,4 @@
-"""Faults as data: what happens when, to whom, for how long. They are drawn from a seed and may be shrunk."""
+"""Fault schedules as data: kind, time, victim and duration of each fault, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FaultKind(Enum):
-    """What a fault does. Those of `DISK_LOSSES` wait until the system is to bear them."""
+    """What a fault does. Those of `DISK_LOSSES` are delayed until the tolerance allows another lost disk."""
 
     KILL = "kill"
     KILL_ALL = "kill all"
@@ -54,9 +54,11 @@
 
 
 class LossCount(Enum):
-    """Which machines count as lost, so that no more disks are lost meanwhile. `LOOSE`: one with a disk in
-    trouble does not. `PLAIN`: it does. `STRICT`: it does, and a lost disk counts until the system had time
-    to catch up with no more machines lost than it is to bear."""
+    """Which machines count as lost, which limits further disk losses in the meantime.
+
+    `LOOSE`: a machine with a disk fault does not count. `PLAIN`: it does. `STRICT`: it does, and a lost disk
+    counts until the system had time to catch up with no more machines lost than the tolerance allows.
+    """
 
     LOOSE = "loose"
     PLAIN = "plain"
@@ -64,7 +66,7 @@
 
 
 class Victim(Enum):
-    """Whom a fault hits, as things stand when it happens."""
+    """The role of the machine that a fault hits, at the time of the fault."""
 
     ANY = "any"
     PRIMARY = "primary"
@@ -74,8 +76,10 @@
 
 @attrs.frozen
 class Fault:
-    """`pick` chooses among the possible victims, `other` among further parties, both from 0 to 1. A disk loss
-    happens `slack_ms` after it is to be borne."""
+    """`pick` selects among the possible victims and `other` among further parties, both from 0 to 1.
+
+    A disk loss happens `slack_ms` after the tolerance allows it.
+    """
 
     at_ms: float
     kind: FaultKind
@@ -86,7 +90,7 @@
     slack_ms: float = 0.0
 
     def __str__(self) -> str:
-        slack = f", {self.slack_ms:.0f} ms after it is borne" if self.kind in DISK_LOSSES else ""
+        slack = f", {self.slack_ms:.0f} ms after it is tolerable" if self.kind in DISK_LOSSES else ""
         return (
             f"{self.at_ms:8.0f} ms  {self.kind.value} of {self.victim.value} ({self.pick:.2f}, "
             f"{self.other:.2f}) for {self.duration_ms:.0f} ms{slack}"
@@ -125,9 +129,9 @@
     FaultKind.REPLACE_AS_PLANNED: 2,
     FaultKind.REPLACE_IN_CUT: 1,
 }
-SHORTEST_FAULT_MS, LONGEST_FAULT_MS = 50.0, 40_000.0
-# Others have to elect and to acknowledge before a lone source is behind.
-_LEAST_DURATION_MS = {FaultKind.ONE_SOURCE: 3_500.0}
+MIN_FAULT_MS, MAX_FAULT_MS = 50.0, 40_000.0
+# The other machines have to elect a primary and acknowledge commands before a lone source is behind.
+_MIN_DURATION_MS = {FaultKind.ONE_SOURCE: 3_500.0}
 
 
 _LONG_WEIGHTS: dict[FaultKind, float] = dict.fromkeys(
@@ -148,20 +152,20 @@
     ),
     1.0,
 ) | {FaultKind.ONE_SOURCE: 4.0}
-LONG_PAUSE_MS, LEAST_LONG_FAULT_MS, MOST_LONG_FAULT_MS = 25_000.0, 8_000.0, 30_000.0
+LONG_FAULT_INTERVAL_MS, MIN_LONG_FAULT_MS, MAX_LONG_FAULT_MS = 25_000.0, 8_000.0, 30_000.0
 
 
 def draw_long_faults(rng: random.Random, length_ms: float) -> tuple[Fault, ...]:
-    """A few long faults, with time for the system to be stable beside them."""
-    drawn = _draw(rng, length_ms, LONG_PAUSE_MS, _LONG_WEIGHTS)
+    """Draw a few long faults, with time for the system to become stable while they last."""
+    drawn = _draw(rng, length_ms, LONG_FAULT_INTERVAL_MS, _LONG_WEIGHTS)
     return tuple(
-        attrs.evolve(fault, duration_ms=round(rng.uniform(LEAST_LONG_FAULT_MS, MOST_LONG_FAULT_MS)))
+        attrs.evolve(fault, duration_ms=round(rng.uniform(MIN_LONG_FAULT_MS, MAX_LONG_FAULT_MS)))
         for fault in drawn
     )
 
 
 def draw_faults(rng: random.Random, length_ms: float) -> tuple[Fault, ...]:
-    """Faults over so long a time."""
+    """Draw the faults of a round of the given length."""
     faults: list[Fault] = []
     if rng.random() < 0.85:
         interval_ms = rng.choice((250.0, 500.0, 1_000.0, 2_000.0))
@@ -179,13 +183,13 @@
     at_ms = rng.uniform(0.0, interval_ms)
     while at_ms < length_ms:
         kind = rng.choices(kinds, shares)[0]
-        victims, odds = (Victim.ANY, Victim.PRIMARY, Victim.BACKUP, Victim.LEARNER), (4, 3, 2, 1)
+        victims, victim_weights = (Victim.ANY, Victim.PRIMARY, Victim.BACKUP, Victim.LEARNER), (4, 3, 2, 1)
         faults.append(
             Fault(
                 at_ms=round(at_ms, 1),
                 kind=kind,
-                duration_ms=max(round(_draw_duration(rng, length_ms), 1), _LEAST_DURATION_MS.get(kind, 0.0)),
-                victim=rng.choices(victims, odds)[0],
+                duration_ms=max(round(_draw_duration(rng, length_ms), 1), _MIN_DURATION_MS.get(kind, 0.0)),
+                victim=rng.choices(victims, victim_weights)[0],
                 pick=round(rng.random(), 3),
                 other=round(rng.random(), 3),
                 slack_ms=round(rng.choice((0.0, 0.0, rng.uniform(0.0, 2_000.0))), 1),
@@ -196,7 +200,7 @@
 
 
 def _draw_duration(rng: random.Random, length_ms: float) -> float:
-    """From 50 ms up, most of them short."""
-    longest_ms = min(LONGEST_FAULT_MS, length_ms)
+    """Draw a duration of at least 50 ms; most are short."""
+    longest_ms = min(MAX_FAULT_MS, length_ms)
     exponent = rng.random() ** 1.3
-    return SHORTEST_FAULT_MS * math.pow(longest_ms / SHORTEST_FAULT_MS, exponent)
+    return MIN_FAULT_MS * math.pow(longest_ms / MIN_FAULT_MS, exponent)
--- a/tests/campaign/losses.py
+++ b/tests/campaign/losses.py
@@ -1,4 +1,4 @@
-"""Keeps count of machines in trouble: which count as lost, and whether one more disk may be lost now."""
+"""Tracks faulty machines: which count as lost, and whether one more disk may be lost now."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 CATCH_UP_MS = 4_000.0
 
 
-class LossLedger:
-    """A machine is hurt while its trouble lasts, and counts as lost until it had time to catch up."""
+class LossTracker:
+    """A machine is degraded while its fault lasts, and counts as lost until it had time to catch up."""
 
     def __init__(
         self, clock: Clock, machines: Mapping[str, ControlMachine], tolerance: int, loss_count: LossCount
@@ -20,61 +20,61 @@
         self._clock, self._machines = clock, machines
         self._tolerance, self._loss_count = tolerance, loss_count
         self._lost_until_ms: dict[str, float] = {}
-        self._hurt_until_ms: dict[str, float] = {}
-        self._without_disk: set[str] = set()  # addresses that are, or were once
-        self.last_event_ms = 0.0  # when something last began or ended
+        self._degraded_until_ms: dict[str, float] = {}
+        self._without_disk: set[str] = set()  # addresses whose disk is empty or was lost at some time
+        self.last_event_ms = 0.0  # when a fault last began or ended
         self.log: list[str] = []
 
     def note(self, line: str) -> None:
-        """Something began."""
+        """Log that a fault began."""
         self.note_event()
         self.log.append(f"{self._clock.now_ms:8.0f} ms  {line}")
 
     def note_event(self) -> None:
-        """Something began or ended."""
+        """Record the time at which a fault began or ended."""
         self.last_event_ms = self._clock.now_ms
 
-    def hurt(self, address: str, duration_ms: float, what: str) -> None:
-        """A machine or a data plane is in trouble for so long."""
-        self._extend(self._hurt_until_ms, address, duration_ms)
-        self.note(f"{address} {what} for {duration_ms:.0f} ms")
+    def mark_degraded(self, address: str, duration_ms: float, description: str) -> None:
+        """Mark a machine or a data plane as degraded for a duration."""
+        self._extend(self._degraded_until_ms, address, duration_ms)
+        self.note(f"{address} {description} for {duration_ms:.0f} ms")
 
-    def lose(self, address: str, duration_ms: float, what: str) -> None:
-        """A machine counts as lost for so long, and until it had time to catch up."""
+    def mark_lost(self, address: str, duration_ms: float, description: str) -> None:
+        """Count a machine as lost for a duration and the time to catch up afterwards."""
         self._extend(self._lost_until_ms, address, duration_ms + CATCH_UP_MS)
         lost = self._lost()
         if self._loss_count is LossCount.STRICT and len(lost) > self._tolerance:
             for other in lost & self._without_disk:
                 self._extend(self._lost_until_ms, other, duration_ms + CATCH_UP_MS)
-        self.hurt(address, duration_ms, what)
+        self.mark_degraded(address, duration_ms, description)
 
-    def fault_disk(self, address: str, duration_ms: float, what: str) -> None:
-        """A machine's disk is in trouble for so long: a loss or none, as losses are counted."""
+    def mark_disk_fault(self, address: str, duration_ms: float, description: str) -> None:
+        """Record a disk fault for a duration; it counts as a loss unless losses are counted loosely."""
         if self._loss_count is LossCount.LOOSE:
-            self.hurt(address, duration_ms, what)
+            self.mark_degraded(address, duration_ms, description)
         else:
-            self.lose(address, duration_ms, what)
+            self.mark_lost(address, duration_ms, description)
 
-    def lose_disk(self, address: str) -> None:
-        """A machine is without what its disk held, or begins with an empty one."""
+    def mark_disk_lost(self, address: str) -> None:
+        """Record that a machine lost its disk, or starts with an empty one."""
         self._without_disk.add(address)
 
-    def bears(self, address: str) -> bool:
+    def can_lose_disk(self, address: str) -> bool:
         """Whether this machine may lose its disk now."""
         lost = self._lost()
         if lost & self._without_disk and address in lost:
-            return False  # losses that wait don't all hit one machine at once
+            return False  # otherwise all waiting disk losses would hit one machine at once
         return len(lost | {address}) <= self._tolerance
 
     @property
     def is_within_bounds(self) -> bool:
-        """Whether no more machines are hurt, or without what their disk held, than is to be borne."""
-        hurt = {address for address in self._machines if self.is_hurt(address)}
-        return len(hurt | self._lost()) <= self._tolerance
+        """Whether the machines that are degraded or count as lost are within the tolerance."""
+        degraded = {address for address in self._machines if self.is_degraded(address)}
+        return len(degraded | self._lost()) <= self._tolerance
 
-    def is_hurt(self, address: str) -> bool:
-        """Whether a machine or a data plane is in any trouble now."""
-        return self._hurt_until_ms.get(address, 0.0) > self._clock.now_ms
+    def is_degraded(self, address: str) -> bool:
+        """Whether a machine or a data plane is affected by a fault now."""
+        return self._degraded_until_ms.get(address, 0.0) > self._clock.now_ms
 
     def _lost(self) -> set[str]:
         now_ms = self._clock.now_ms
--- a/tests/campaign/system.py
+++ b/tests/campaign/system.py
@@ -1,4 +1,4 @@
-"""The whole control side in memory: control machines, data planes, upstreams and operators on one clock."""
+"""The simulated control side: control machines, data planes, upstreams and operators on one clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Plan:
-    """What a system is made of, and how its callers work."""
+    """The size of a system and the behaviour of its callers."""
 
     seed: str
     machines: int
@@ -46,7 +46,7 @@
         addresses = [f"m{number}" for number in range(1, plan.machines + 1)]
         self.seeds = tuple(addresses[:MOST_SEEDS])
         self.machines: dict[str, ControlMachine] = {}
-        self._known: dict[str, ControlMachine] = {}  # those that were removed too
+        self._known: dict[str, ControlMachine] = {}  # includes removed machines
         self.history = History(self.clock, plan.tolerance, lambda: list(self.machines.values()))
         self._snapshots = Snapshots()
         for address in addresses:
@@ -57,7 +57,7 @@
         self.upstreams = Upstreams(self.clock, self._new_upstream, upstreams_rng)
 
     def add_machine(self, address: str, seeds: tuple[str, ...]) -> ControlMachine:
-        """A machine with an empty disk, not started."""
+        """Add a machine with an empty disk, without starting it."""
         machine = ControlMachine(
             address,
             self.clock,
@@ -74,11 +74,11 @@
         return machine
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.clock.run_until(self.clock.now_ms + duration_ms)
 
     def start(self) -> None:
-        """The very first start: machines in any order, data planes beside them, callers a little later."""
+        """Bootstrap the machines and start the data planes, each after a random delay."""
         for machine in self.machines.values():
             delay_ms = self.rng.uniform(0.0, START_SPREAD_MS)
             self.clock.after(delay_ms, lambda m=machine: m.start(bootstrap=True))  # type: ignore[misc]
@@ -86,16 +86,16 @@
             self.clock.after(self.rng.uniform(0.0, START_SPREAD_MS), data_plane.start)
 
     def addresses(self) -> list[str]:
-        """Everybody's, but the callers'."""
+        """Addresses of the machines and data planes."""
         return [*self.machines, *(data_plane.address for data_plane in self.data_planes)]
 
     def callers(self) -> list[str]:
-        """Operators and upstreams by address."""
+        """Addresses of the operators and upstreams."""
         upstreams = [upstream.instance for upstream in self.upstreams.all]
         return [*(operator.name for operator in self.operators), *upstreams]
 
     def primary(self) -> ControlMachine | None:
-        """The machine that takes itself for the primary, in the newest epoch."""
+        """The machine that considers itself the primary; of several, the one in the newest epoch."""
         primaries: list[tuple[int, str]] = []
         for machine in self.machines.values():
             status = machine.status()
