--- a/tests/campaign/__main__.py
+++ b/tests/campaign/__main__.py
@@ -1,4 +1,4 @@
-"""Campaigns by hand: `python -m tests.campaign FIRST_SEED COUNT [--processes N] [--shrink]`."""
+"""Command line of the campaigns: `python -m tests.campaign FIRST_SEED COUNT [--processes N] [--shrink]`."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 @attrs.frozen
 class Finding:
-    """What the campaign of a seed showed; `schedule` is what is left of it to show something.
+    """The result of one seed's campaign; `schedule` describes the shrunk schedule that still fails, if any.
 
-    `longest_effect_ms`: from the last sending of a command until a replica had it committed.
+    `longest_effect_ms` is the longest time from the last sending of a command until a replica committed it.
     """
 
     seed: int
@@ -31,7 +31,7 @@
     schedule: str = ""
 
 
-def find(seed: int) -> Finding:
+def run_seed(seed: int) -> Finding:
     """Run the campaign of a seed."""
     schedule = draw_schedule(seed)
     campaign = Campaign(schedule)
@@ -42,52 +42,56 @@
     return Finding(seed, schedule.loss_count, longest_effect_ms, violation)
 
 
-def find_and_shrink(seed: int) -> Finding:
-    """Run the campaign of a seed; a schedule that leads to a violation is shrunk."""
-    found = find(seed)
-    if not found.violation:
-        return found
+def run_seed_and_shrink(seed: int) -> Finding:
+    """Run the campaign of a seed; if it finds a violation, shrink its schedule."""
+    finding = run_seed(seed)
+    if not finding.violation:
+        return finding
     schedule = shrink(draw_schedule(seed))
-    return attrs.evolve(found, schedule=f"\n{schedule.describe()}\nwith which: {violation_of(schedule)}")
+    return attrs.evolve(
+        finding, schedule=f"\n{schedule.describe()}\nshrunk schedule fails with: {violation_of(schedule)}"
+    )
 
 
 def main() -> int:
-    """Run many campaigns and tell which found something; the status tells whether any did."""
+    """Run many campaigns and print the violations; the exit status is 1 if there were any."""
     parser = argparse.ArgumentParser(prog="python -m tests.campaign")
     parser.add_argument("first", type=int)
     parser.add_argument("count", type=int)
     parser.add_argument("--processes", type=int, default=2)
     parser.add_argument(
-        "--shrink", action="store_true", help="shrink what leads to a violation (a minute each)"
+        "--shrink",
+        action="store_true",
+        help="shrink the schedules that lead to a violation (about a minute each)",
     )
     arguments = parser.parse_args()
     began = time.monotonic()
-    run: Counter[LossCount] = Counter()
-    failed: Counter[LossCount] = Counter()
-    latest_effects: list[float] = []
+    campaigns: Counter[LossCount] = Counter()
+    failures: Counter[LossCount] = Counter()
+    effect_delays_ms: list[float] = []
     seeds = range(arguments.first, arguments.first + arguments.count)
-    search = find_and_shrink if arguments.shrink else find
+    run_one = run_seed_and_shrink if arguments.shrink else run_seed
     with multiprocessing.Pool(arguments.processes, initializer=gc.disable) as pool:
-        for finding in pool.imap_unordered(search, seeds, chunksize=4):
-            run[finding.loss_count] += 1
-            latest_effects.append(finding.longest_effect_ms)
+        for finding in pool.imap_unordered(run_one, seeds, chunksize=4):
+            campaigns[finding.loss_count] += 1
+            effect_delays_ms.append(finding.longest_effect_ms)
             if finding.violation:
-                failed[finding.loss_count] += 1
+                failures[finding.loss_count] += 1
                 name = f"seed {finding.seed}, losses counted {finding.loss_count.value}"
                 print(f"{name}: {finding.violation}{finding.schedule}", flush=True)
     for count in LossCount:
-        print(f"losses counted {count.value}: {run[count]} campaigns, {failed[count]} failed")
-    latest = sorted(latest_effects)
+        print(f"losses counted {count.value}: {campaigns[count]} campaigns, {failures[count]} failed")
+    delays_ms = sorted(effect_delays_ms)
     print(
-        f"latest effect of a command after its last sending: median {latest[len(latest) // 2]:.0f} ms, "
-        f"99% {latest[len(latest) * 99 // 100]:.0f} ms, longest {latest[-1]:.0f} ms"
+        f"latest effect of a command after its last sending: median {delays_ms[len(delays_ms) // 2]:.0f} ms, "
+        f"99% {delays_ms[len(delays_ms) * 99 // 100]:.0f} ms, longest {delays_ms[-1]:.0f} ms"
     )
-    print(f"{run.total()} campaigns, {failed.total()} failed, {time.monotonic() - began:.0f} s")
-    return 1 if failed else 0
+    print(f"{campaigns.total()} campaigns, {failures.total()} failed, {time.monotonic() - began:.0f} s")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
-    # Sets of strings are gone through in the same order by each process.
+    # Fixed hash seed, so that sets of strings iterate in the same order in each process.
     if os.environ.get("PYTHONHASHSEED") != "0":
         os.environ["PYTHONHASHSEED"] = "0"
         os.execv(sys.executable, [sys.executable, "-m", "tests.campaign", *sys.argv[1:]])
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -1,4 +1,4 @@
-"""A troubled life of the whole control side: rounds of faults, a calm after each, and checks of all of it."""
+"""Randomized fault campaigns on the whole control side: rounds of faults, then recovery and checks."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 APPLIED_WITHIN_MS = 2_000.0
 RETRY_MS = 50.0
 STEP_MS = 5.0
-SHORTEST_ROUND_MS, LONGEST_ROUND_MS = 4_000.0, 10_000.0
-LONG_ROUND_MS, LONG_ROUNDS = 45_000.0, 0.12
-SHORT_RETAINED, FEW_DIGESTS = 8, 40
-SHORT_FILE_BYTES = 16 * 1024
+MIN_ROUND_MS, MAX_ROUND_MS = 4_000.0, 10_000.0
+LONG_ROUND_MS, LONG_ROUND_SHARE = 45_000.0, 0.12
+SHORT_RETAINED, SHORT_RETAINED_DIGESTS = 8, 40
+SHORT_REWRITE_BYTES = 16 * 1024
 PREPARED_SHARE = 0.3
 UPSTREAMS_KNOWN_WITHIN_MS = 3_000.0
 
 
 @attrs.frozen
 class Schedule:
-    """All that a campaign follows.
+    """The complete input of a campaign.
 
     Attributes:
-        plan: Who takes part.
+        plan: The machines, data planes and callers that take part.
         rounds: The faults of each round.
         round_ms: How long a round lasts.
-        keeps_little: Whether log, commands and file are kept short.
-        loss_count: Which losses count, and until when.
-        prepares_all: Whether every command is prepared as a long one is.
+        keeps_little: Whether the retained log, command history and journal file are kept short.
+        loss_count: Which losses count against the tolerance, and for how long.
+        prepares_all: Whether every command is prepared in the background, as long ones are.
     """
 
     plan: Plan
@@ -61,7 +61,7 @@
     prepares_all: bool = False
 
     def describe(self) -> str:
-        """The schedule to be read."""
+        """Format the schedule for a reader."""
         plan = self.plan
         lines = [
             f"{plan.machines} machines, tolerance {plan.tolerance}, {plan.data_planes} data planes, "
@@ -78,7 +78,7 @@
 
 
 def draw_schedule(seed: int) -> Schedule:
-    """The schedule of a seed."""
+    """Draw the schedule of a seed."""
     rng = random.Random(f"campaign {seed}")
     machines, tolerance = rng.choice([(3, 1), (3, 1), (3, 1), (4, 1), (5, 2), (5, 1)])
     keeps_little = rng.random() < 0.4
@@ -96,11 +96,11 @@
         answer_loss=rng.choice((0.0, 0.0, 0.1, 0.3)),
     )
     rounds: tuple[tuple[Fault, ...], ...]
-    if rng.random() < LONG_ROUNDS:
+    if rng.random() < LONG_ROUND_SHARE:
         round_ms, draw = LONG_ROUND_MS, rng.choice((draw_faults, draw_long_faults, draw_long_faults))
         rounds = (draw(rng, round_ms),)
     else:
-        round_ms = rng.uniform(SHORTEST_ROUND_MS, LONGEST_ROUND_MS)
+        round_ms = rng.uniform(MIN_ROUND_MS, MAX_ROUND_MS)
         rounds = tuple(draw_faults(rng, round_ms) for _ in range(rng.randint(1, 2)))
     counts = (LossCount.STRICT, LossCount.STRICT, LossCount.PLAIN, LossCount.LOOSE)
     prepares_all = random.Random(f"preparation {seed}").random() < PREPARED_SHARE
@@ -108,7 +108,7 @@
 
 
 class Campaign:
-    """Plays one schedule; `run` raises Violation where something happened that must not."""
+    """Runs one schedule; `run` raises Violation if an invariant does not hold."""
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
@@ -125,10 +125,10 @@
         )
 
     def run(self) -> None:
-        """The whole schedule."""
+        """Run the whole schedule."""
         with contextlib.ExitStack() as conditions:
             if self.schedule.keeps_little:
-                conditions.enter_context(forgetting_commands())
+                conditions.enter_context(retaining_few_digests())
             if self.schedule.prepares_all:
                 conditions.enter_context(patch("madderwind.configuration.history.LONG_COMMAND_BYTES", 0))
             try:
@@ -163,7 +163,7 @@
             self.calm()
 
     def calm(self) -> None:
-        """Everything works again, and everything that was seen holds together."""
+        """End all faults, then check that the system recovers and that the recorded history is consistent."""
         system = self.system
         for operator in system.operators:
             operator.stop()
@@ -178,7 +178,7 @@
         self.history.check()
 
     def _command_at(self, machine: ControlMachine) -> None:
-        """A command that is sent to this machine first is acknowledged in time."""
+        """Check that a command sent to this machine first is acknowledged in time."""
         base = self.history.chain[-1].version if self.history.chain else 0
         marker = self.history.next_marker()
         command = replacement(marker, base, base + 1)
@@ -188,7 +188,7 @@
         self._wait(
             lambda: intent.acknowledged_ms is not None,
             ACKNOWLEDGED_WITHIN_MS,
-            lambda: f"a command sent to {machine.address} in calm times is not acknowledged",
+            lambda: f"a command sent to {machine.address} without faults is not acknowledged",
         )
 
     def _call(self, machine: ControlMachine, intent: Intent) -> None:
@@ -199,7 +199,7 @@
                 record.ended_ms, record.result = self._clock.now_ms, result
                 self.history.answered(record)
                 if result.outcome is not CommandOutcome.COMMITTED:
-                    raise Violation(f"a command in calm times is refused: {record}: {result}")
+                    raise Violation(f"a command sent without faults is refused: {record}: {result}")
                 return
             others = list(self.system.machines.values())
             following = others[(others.index(machine) + 1) % len(others)]
@@ -210,23 +210,27 @@
         )
         call.start(self.system.rng, 0.0)
 
-    def _wait(self, condition: Callable[[], bool], most_ms: float, complaint: Callable[[], str]) -> None:
+    def _wait(
+        self, condition: Callable[[], bool], timeout_ms: float, describe_failure: Callable[[], str]
+    ) -> None:
         began_ms = self._clock.now_ms
         while not condition():
-            if self._clock.now_ms - began_ms > most_ms:
-                raise Violation(f"{complaint()} within {most_ms:.0f} ms")
+            if self._clock.now_ms - began_ms > timeout_ms:
+                raise Violation(f"{describe_failure()} within {timeout_ms:.0f} ms")
             self.system.run(STEP_MS)
 
     def _check_everywhere(self) -> None:
-        """The newest version is in force, and known to be the newest, at every machine."""
+        """Check that all data planes and machines have the newest version and know that it is current."""
         newest = self.history.chain[-1].version
         self._wait(
-            lambda: not self._lagging(newest),
+            lambda: not self._lagging_addresses(newest),
             APPLIED_WITHIN_MS,
-            lambda: f"{newest} is not in force and current at {', '.join(self._lagging(newest))}",
+            lambda: (
+                f"version {newest} is not applied and current at {', '.join(self._lagging_addresses(newest))}"
+            ),
         )
 
-    def _lagging(self, newest: int) -> list[str]:
+    def _lagging_addresses(self, newest: int) -> list[str]:
         system = self.system
         planes = [plane.address for plane in system.data_planes if not self._is_current(plane, newest)]
         machines = [
@@ -240,23 +244,23 @@
         return data_plane.version == newest and data_plane.subscriber.is_current(self._clock.now_ms)
 
     def _check_upstreams(self) -> None:
-        """Data planes know which instances are there, and none that left passes for ready."""
+        """Check that data planes know the ready instances and consider none that left ready."""
         for instance, (state, at_ms) in self.history.final_states.items():
             for data_plane in self.system.data_planes:
                 if data_plane.upstreams.takes_new(instance):
                     self.history.note(
                         "upstreams",
-                        f"{data_plane.address} takes {instance} for ready, which was acknowledged as "
+                        f"{data_plane.address} treats {instance} as ready, which was acknowledged as "
                         f"{state.value} at {at_ms:.0f} ms",
                     )
         ready = [up.instance for up in self.system.upstreams.all if up.intention is Intention.HEARTBEAT]
         self._wait(
-            lambda: not self._unknown(ready),
+            lambda: not self._unknown_instances(ready),
             UPSTREAMS_KNOWN_WITHIN_MS,
-            lambda: f"ready and unknown are {', '.join(self._unknown(ready))}",
+            lambda: f"ready instances are unknown: {', '.join(self._unknown_instances(ready))}",
         )
 
-    def _unknown(self, ready: list[str]) -> list[str]:
+    def _unknown_instances(self, ready: list[str]) -> list[str]:
         still = {up.instance for up in self.system.upstreams.all if up.intention is Intention.HEARTBEAT}
         return [
             f"{instance} at {data_plane.address}"
@@ -275,17 +279,17 @@
 
 @contextlib.contextmanager
 def keeping_little() -> Iterator[None]:
-    """Logs and histories that let go of commands soon, and files that are rewritten often."""
+    """Patch the retention limits so that logs and histories are short and files are rewritten often."""
     with (
         patch("madderwind.replication.log.RETAINED_ENTRIES", SHORT_RETAINED),
         patch("madderwind.configuration.history.RETAINED_COMMANDS", SHORT_RETAINED),
-        patch("madderwind.replication.journal.REWRITE_FROM_BYTES", SHORT_FILE_BYTES),
+        patch("madderwind.replication.journal.REWRITE_FROM_BYTES", SHORT_REWRITE_BYTES),
     ):
         yield
 
 
 @contextlib.contextmanager
-def forgetting_commands() -> Iterator[None]:
-    """Little is kept, and few commands are known again when they are sent again."""
-    with keeping_little(), patch("madderwind.configuration.history.RETAINED_DIGESTS", FEW_DIGESTS):
+def retaining_few_digests() -> Iterator[None]:
+    """Also patch the digest limit, so that few repeated commands are recognized."""
+    with keeping_little(), patch("madderwind.configuration.history.RETAINED_DIGESTS", SHORT_RETAINED_DIGESTS):
         yield
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -1,4 +1,4 @@
-"""What operators, upstreams, control planes and data planes of a campaign saw, and whether that may be."""
+"""Records what the participants of a campaign observed, and checks it against the system's invariants."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from tests.campaign.chain import Link
 from tests.campaign.control_machine import ControlMachine
 from tests.campaign.data_plane import DataPlane
-from tests.campaign.links import MOST_DELAY_MS
+from tests.campaign.links import MAX_DELAY_MS
 from tests.campaign.records import CommandCall, Intent, marker_in
 from tests.fleet import linearizability
 from tests.fleet.clock import Clock
 from tests.fleet.history import MOST_SEEDS, Violation
 from tests.fleet.linearizability import ChainEntry, ReadCall, check_linearizable
 
-# Of a version that is acknowledged and not in force, a data plane may know nothing for so long.
-CURRENT_WITHIN_MS = CURRENT_MS + 4 * MOST_DELAY_MS
-# Between a command's commit and its acknowledgement a disk that held it may be lost.
+# A data plane may be unaware of an acknowledged version that it has not applied for this long.
+CURRENT_WITHIN_MS = CURRENT_MS + 4 * MAX_DELAY_MS
+# A disk that held a command may be lost between the command's commit and its acknowledgement.
 RECENT_LOSS_MS = 1_500.0
-# Ages are told in whole milliseconds.
-TOLD_AGE_ACCURACY_MS = 1.0
-# The disks are read at each of the first acknowledgements, and at some of the later ones.
+# Ages are reported in whole milliseconds.
+AGE_RESOLUTION_MS = 1.0
+# The disks are read at each of the first acknowledgements, then at one in CHECKED_SHARE.
 FULLY_CHECKED_ACKNOWLEDGEMENTS, CHECKED_SHARE = 40, 8
 
 
 class History:
-    """Implements the observers' protocols; raises Violation as soon as something can't be, or notes it."""
+    """Implements the observer protocols; raises Violation or adds a note when an invariant fails."""
 
     def __init__(
         self, clock: Clock, tolerance: int, machines: Callable[[], Sequence[ControlMachine]]
@@ -45,33 +45,33 @@
         self.reads: list[ReadCall] = []
         self.chain: list[Link] = []
         self.disk_losses_ms: list[float] = []
-        self.final_states: dict[str, tuple[UpstreamState, float]] = {}  # acknowledged, and when
-        self.longest_effect_ms = 0.0  # from the last sending of a command until a replica has it committed
-        self.notes: dict[str, str] = {}  # the first of each kind that may be followed by others
+        self.final_states: dict[str, tuple[UpstreamState, float]] = {}  # acknowledged state and its time
+        self.longest_effect_ms = 0.0  # from the last sending of a command until a replica committed it
+        self.notes: dict[str, str] = {}  # the first violation of each kind that does not end the campaign
         self._first_notified_ms: dict[tuple[str, UpstreamState], float] = {}
-        self._places: dict[int, int] = {0: 0}  # by version
-        self._committed: dict[tuple[str, int], int] = {}  # places, by address and life
+        self._positions: dict[int, int] = {0: 0}  # by version
+        self._committed: dict[tuple[str, int], int] = {}  # positions, by address and incarnation
         self._views: dict[int, View] = {}
         self._intents: dict[tuple[str, int, bytes], Intent] = {}
         self._newest_acknowledged: list[tuple[float, int]] = []  # time, highest version so far
 
     def note(self, kind: str, message: str) -> None:
-        """Something that must not be, after which the campaign goes on and may show more."""
+        """Record a violation without ending the campaign, which may find more."""
         self.notes.setdefault(kind, f"{kind}: {message}")
 
-    # --- commands ---
+    # Commands
 
     def next_marker(self) -> int:
-        """A number for a command that no other one has."""
+        """Return a number that identifies a new command."""
         return len(self.intents) + 1
 
     def add(self, intent: Intent) -> None:
-        """An operator is about to send a command."""
+        """Add a command that an operator is about to send."""
         self.intents.append(intent)
         self._intents[_key(intent.command)] = intent
 
-    def command_taken(self, machine: ControlMachine, command: Command) -> None:
-        """A machine is about to acknowledge a command: by now it has to be on enough disks."""
+    def command_acknowledged(self, machine: ControlMachine, command: Command) -> None:
+        """Check that a command that a machine is about to acknowledge is on enough disks."""
         intent = self._intents[_key(command)]
         if intent.acknowledged_ms is not None or not self._checks_disks():
             return
@@ -79,10 +79,12 @@
         recent_ms = self._clock.now_ms - RECENT_LOSS_MS
         lost = sum(at_ms > recent_ms for at_ms in self.disk_losses_ms)
         if len(holders) + lost <= self._tolerance:
-            raise Violation(f"{machine.address} acknowledges {intent}, on disk at {sorted(holders)} alone")
+            raise Violation(
+                f"{machine.address} acknowledges {intent}, which is on disk only at {sorted(holders)}"
+            )
 
     def answered(self, call: CommandCall) -> None:
-        """A command's call got a clear answer."""
+        """Record a call with a command that got a definite answer."""
         assert call.ended_ms is not None and call.result is not None
         self.calls.append(call)
         intent = call.intent
@@ -98,11 +100,11 @@
             self._newest_acknowledged.append((call.ended_ms, max(newest, intent.version)))
 
     def read(self, call: ReadCall) -> None:
-        """A read was answered."""
+        """Record a read that was answered."""
         self.reads.append(call)
 
     def newest_acknowledged(self, before_ms: float) -> int:
-        """The highest version acknowledged before that time."""
+        """Return the highest version acknowledged before a time."""
         index = bisect_left(self._newest_acknowledged, (before_ms, 0))
         return self._newest_acknowledged[index - 1][1] if index else 0
 
@@ -110,95 +112,101 @@
         count = len(self.acknowledged)
         return count < FULLY_CHECKED_ACKNOWLEDGEMENTS or count % CHECKED_SHARE == 0
 
-    # --- replicas ---
+    # Replicas
 
     def committed(self, machine: ControlMachine) -> None:
-        """A replica takes more for committed."""
+        """Check a replica whose commit position advanced."""
         newest = machine.committed.newest
-        place = newest.place if newest is not None else 0
+        position = newest.position if newest is not None else 0
         incarnation = (machine.address, machine.incarnation)
         checked = self._committed.get(incarnation, 0)
-        if place < checked:
-            raise Violation(f"{machine.address} went back from {checked} commands to {place}")
-        self._committed[incarnation] = place
+        if position < checked:
+            raise Violation(f"{machine.address} went back from {checked} commands to {position}")
+        self._committed[incarnation] = position
         self._compare(machine, newest, min(checked, len(self.chain)))
 
     def _compare(self, machine: ControlMachine, newest: Link | None, checked: int) -> None:
         links: list[Link] = []
-        while newest is not None and newest.place > checked:
+        while newest is not None and newest.position > checked:
             links.append(newest)
             newest = newest.parent
         for link in reversed(links):
-            if link.place > len(self.chain):
+            if link.position > len(self.chain):
                 self._extend(machine, link)
-            elif self.chain[link.place - 1].command != link.command:
-                other = self._intents[_key(self.chain[link.place - 1].command)]
+            elif self.chain[link.position - 1].command != link.command:
+                other = self._intents[_key(self.chain[link.position - 1].command)]
                 mine = self._intents[_key(link.command)]
-                raise Violation(f"{machine.address} has {mine} at {link.place}, others have {other}")
+                raise Violation(f"{machine.address} has {mine} at {link.position}, others have {other}")
 
     def _extend(self, machine: ControlMachine, link: Link) -> None:
         version_before = self.chain[-1].version if self.chain else 0
         intent = self._intents.get(_key(link.command))
-        if intent is None or not intent.is_proper:
-            raise Violation(f"{machine.address} commits {intent or 'what nobody sent'} at {link.place}")
+        if intent is None or not intent.is_applicable:
+            raise Violation(
+                f"{machine.address} commits {intent or 'a command that was never sent'} at {link.position}"
+            )
         if link.command.base_version != version_before or link.version <= version_before:
             raise Violation(f"{machine.address} commits {intent} on top of {version_before}")
         self.longest_effect_ms = max(self.longest_effect_ms, self._clock.now_ms - intent.last_sent_ms)
         self.chain.append(link)
-        self._places[link.version] = link.place
+        self._positions[link.version] = link.position
 
     def freshness_notified(self, machine: ControlMachine, message: Freshness) -> None:
-        """A machine tells data planes how fresh its version is: what was acknowledged before is no newer."""
+        """Check that a machine reports a version as fresh only if no newer one was acknowledged by then."""
         if message.age_ms is None:
             return
-        fresh_ms = self._clock.now_ms - message.age_ms - TOLD_AGE_ACCURACY_MS
+        fresh_ms = self._clock.now_ms - message.age_ms - AGE_RESOLUTION_MS
         needed = self.newest_acknowledged(fresh_ms)
         if message.version < needed:
             raise Violation(
-                f"{machine.address} calls {message.version} fresh as of {fresh_ms:.0f} ms, when {needed} was "
-                f"acknowledged"
+                f"{machine.address} reports {message.version} fresh as of {fresh_ms:.0f} ms, when {needed} "
+                f"was acknowledged"
             )
 
     def view_known(self, machine: ControlMachine, view: View) -> None:
-        """A replica takes a view for chosen."""
+        """Check a view that a replica considers chosen."""
         known = self._views.setdefault(view.epoch, view)
         if known != view:
             raise Violation(f"two views of one epoch: {known} and {view}")
         if len(view.members) > max(2 * self._tolerance + 1, MOST_SEEDS):
-            raise Violation(f"more members than are needed: {view}")
+            raise Violation(f"more members than needed: {view}")
         if len(view.in_sync) <= self._tolerance:
-            raise Violation(f"the in-sync set is smaller than what has to hold a command: {view}")
+            raise Violation(
+                f"the in-sync set is smaller than the number of replicas that have to hold a command: {view}"
+            )
 
-    # --- data planes ---
+    # Data planes
 
-    def put_in_force(self, data_plane: DataPlane, version_before: int) -> None:
-        """A data plane has another configuration in force."""
+    def configuration_applied(self, data_plane: DataPlane, version_before: int) -> None:
+        """Check the configuration that a data plane has applied."""
         version = data_plane.version
         if version <= version_before:
             raise Violation(f"{data_plane.address} goes back from {version_before} to {version}")
         marker = marker_in(data_plane.subscriber.document)
-        if version not in self._places or self._marker(self._places[version]) != marker:
-            raise Violation(f"{data_plane.address} has {version} of command {marker} in force: not committed")
+        if version not in self._positions or self._marker(self._positions[version]) != marker:
+            raise Violation(
+                f"{data_plane.address} applied {version} of command {marker}, which is not committed"
+            )
 
     def data_plane_ticked(self, data_plane: DataPlane) -> None:
-        """A data plane passes for current with what is old at most for a moment."""
+        """Check that a data plane stops considering an outdated version current in time."""
         now_ms = self._clock.now_ms
         needed = self.newest_acknowledged(now_ms - CURRENT_WITHIN_MS)
         if data_plane.version < needed and data_plane.subscriber.is_current(now_ms):
             self.note(
                 "freshness",
-                f"{data_plane.address} calls {data_plane.version} current at {now_ms:.0f} ms, "
+                f"{data_plane.address} considers {data_plane.version} current at {now_ms:.0f} ms, "
                 f"{CURRENT_WITHIN_MS:.0f} ms after {needed} was acknowledged",
             )
 
-    # --- upstreams ---
+    # Upstreams
 
     def state_notified(self, instance: str, state: UpstreamState) -> None:
-        """An upstream begins a call that tells its state."""
+        """Record that an upstream begins a call that reports its state."""
         self._first_notified_ms.setdefault((instance, state), self._clock.now_ms)
 
-    def state_held(self, machine: ControlMachine, instance: str, state: UpstreamState) -> None:
-        """A machine is about to acknowledge a state: if it is final, others have to know it too."""
+    def state_accepted(self, machine: ControlMachine, instance: str, state: UpstreamState) -> None:
+        """Check a state that is about to be acknowledged: a final one has to be known elsewhere too."""
         if state is UpstreamState.READY or self._known_final(instance) is state:
             return
         knowing = [other.address for other in self._machines() if _knows(other, instance, state)]
@@ -206,11 +214,11 @@
         ended = sum(other.incarnation_ended_ms > notified_ms for other in self._machines())
         if len(knowing) + ended <= self._tolerance:
             raise Violation(
-                f"{machine.address} acknowledges that {instance} is {state.value}: known at {knowing} alone"
+                f"{machine.address} acknowledges that {instance} is {state.value}, known only at {knowing}"
             )
 
     def state_acknowledged(self, now_ms: float, instance: str, state: UpstreamState) -> None:
-        """An upstream has the acknowledgement of a state."""
+        """Record that an upstream received the acknowledgement of a state."""
         if state is UpstreamState.READY:
             return
         known = self._known_final(instance)
@@ -221,30 +229,30 @@
         final = self.final_states.get(instance)
         return final[0] if final is not None else None
 
-    # --- all of it ---
+    # Final check
 
     def check(self) -> None:
-        """Compare what operators were told with the one chain of committed commands."""
+        """Check that the answers to operators are linearizable with the chain of committed commands."""
         chain = [self._entry(link) for link in self.chain]
-        # Calls without an answer bound nothing but the beginning of their command.
+        # An unanswered call constrains only the earliest start of its command.
         sent = [_command_call(intent, intent.began_ms) for intent in self.intents]
-        check_linearizable(chain, [*sent, *(_answered(call) for call in self.calls)], self.reads)
+        check_linearizable(chain, [*sent, *(_answered_call(call) for call in self.calls)], self.reads)
 
     def _entry(self, link: Link) -> ChainEntry:
         intent = self._intents[_key(link.command)]
         return ChainEntry(intent.marker, link.command.base_version, link.version, intent.marker)
 
-    def _marker(self, place: int) -> int:
-        return self._intents[_key(self.chain[place - 1].command)].marker if place else 0
+    def _marker(self, position: int) -> int:
+        return self._intents[_key(self.chain[position - 1].command)].marker if position else 0
 
 
 def _command_call(intent: Intent, began_ms: float) -> linearizability.CommandCall:
     return linearizability.CommandCall(
-        intent.marker, intent.command.base_version, intent.version, began_ms, is_valid=intent.is_proper
+        intent.marker, intent.command.base_version, intent.version, began_ms, is_valid=intent.is_applicable
     )
 
 
-def _answered(call: CommandCall) -> linearizability.CommandCall:
+def _answered_call(call: CommandCall) -> linearizability.CommandCall:
     assert call.result is not None and call.ended_ms is not None
     notified_version = None if call.result.outcome is CommandOutcome.COMMITTED else call.result.version
     return attrs.evolve(
--- a/tests/campaign/records.py
+++ b/tests/campaign/records.py
@@ -1,4 +1,4 @@
-"""What operators and upstreams did and were told."""
+"""Records of the commands and calls of operators."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from madderwind.replication.commands import Command, CommandKind, CommandResult
 from tests.controlplane.configurations import replacement_body, route
 
-# Routes of the configurations; the first one's timeout tells which command was the last.
+# Number of routes in each configuration; the first route's timeout holds the marker of the last command.
 ROUTES = 3
 MARKED_ROUTE = "r-0"
 
 
 @attrs.define(eq=False)
 class Intent:
-    """One command of an operator, with all its calls. `marker` is found in the document that it leads to."""
+    """One command of an operator, with all its calls. The resulting document contains `marker`."""
 
     marker: int
     command: Command
     version: int
-    is_proper: bool  # whether it is valid on top of its base
+    is_applicable: bool  # whether it is valid when applied to its base version
     began_ms: float
     acknowledged_ms: float | None = None
     last_sent_ms: float = attrs.field(
@@ -31,7 +31,7 @@
     )
 
     def __str__(self) -> str:
-        kind = "" if self.is_proper else "improper "
+        kind = "" if self.is_applicable else "invalid "
         return (
             f"{kind}{self.command.kind.value} {self.marker} ({self.command.base_version} to {self.version})"
         )
@@ -39,7 +39,7 @@
 
 @attrs.define(eq=False)
 class CommandCall:
-    """One call with a command; `result` is None where no clear answer came."""
+    """One call with a command; `result` is None if there was no definite answer."""
 
     intent: Intent
     machine: str
@@ -55,18 +55,18 @@
 
 
 def replacement(marker: int, base: int, version: int) -> Command:
-    """A whole configuration."""
+    """Build a command that replaces the whole configuration."""
     return Command(CommandKind.REPLACE, base, replacement_body(version, ROUTES, marker))
 
 
 def update(marker: int, base: int, version: int) -> Command:
-    """A change of one route."""
+    """Build a command that changes one route."""
     body = {"version": version, "upsert": {"routes": [route(0, marker)]}}
     return Command(CommandKind.UPDATE, base, json.dumps(body).encode())
 
 
-def improper(marker: int, base: int) -> Command:
-    """A configuration that no version may lead to: its number does not rise, or a service is missing."""
+def invalid_command(marker: int, base: int) -> Command:
+    """Build a command that must be refused: its version does not increase, or a service is missing."""
     if marker % 2:
         return replacement(marker, base, max(base, 1) if base else 0)
     body = {"version": base + 1, "upsert": {"routes": [route(0, marker) | {"service": "unknown"}]}}
@@ -74,7 +74,7 @@
 
 
 def marker_in(document: Document | None) -> int:
-    """Which command a document came from; 0 without a document."""
+    """Return the marker of the command that a document came from; 0 without a document."""
     if document is None:
         return 0
     routes = document.configuration.routes
@@ -82,6 +82,6 @@
 
 
 def marker_in_json(document: bytes) -> int:
-    """Which command a document's JSON came from."""
+    """Return the marker of the command that a document in JSON came from."""
     routes: list[dict[str, Any]] = json.loads(document)["routes"]
     return int(next(item["timeout_ms"] for item in routes if item["name"] == MARKED_ROUTE))
--- a/tests/campaign/shrinking.py
+++ b/tests/campaign/shrinking.py
@@ -1,4 +1,4 @@
-"""Makes a schedule that leads to a violation as short as it gets while it still does."""
+"""Shrinks a schedule that leads to a violation to a smaller one that still does."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from tests.fleet.history import Violation
 
 # Each run takes about a second.
-MOST_RUNS = 60
+MAX_RUNS = 60
 
 
 def violation_of(schedule: Schedule) -> str:
-    """What happens that must not; empty where nothing does."""
+    """Run a schedule and return its violation, or an empty string."""
     return violation_in(Campaign(schedule))
 
 
 def violation_in(campaign: Campaign) -> str:
-    """The same of a campaign that has not run yet."""
+    """Run a new campaign and return its violation, or an empty string."""
     try:
         campaign.run()
     except Violation as violation:
@@ -29,16 +29,16 @@
 
 
 def shrink(
-    schedule: Schedule, fails: Callable[[Schedule], object] = violation_of, most_runs: int = MOST_RUNS
+    schedule: Schedule, fails: Callable[[Schedule], object] = violation_of, max_runs: int = MAX_RUNS
 ) -> Schedule:
-    """The schedule without rounds and faults that a failure, whichever, can do without."""
+    """Remove rounds and faults from a schedule while it still fails, with the same failure or another."""
     runs = 0
     has_shrunk = True
     while has_shrunk:
         has_shrunk = False
-        for smaller in _smaller(schedule):
+        for smaller in _smaller_schedules(schedule):
             runs += 1
-            if runs > most_runs:
+            if runs > max_runs:
                 return schedule
             if fails(smaller):
                 schedule, has_shrunk = smaller, True
@@ -46,18 +46,18 @@
     return schedule
 
 
-def _smaller(schedule: Schedule) -> Iterator[Schedule]:
+def _smaller_schedules(schedule: Schedule) -> Iterator[Schedule]:
     rounds = schedule.rounds
     for index in range(len(rounds)):
         if len(rounds) > 1:
             yield attrs.evolve(schedule, rounds=rounds[:index] + rounds[index + 1 :])
     for index, faults in enumerate(rounds):
-        for fewer in _fewer(faults):
+        for fewer in _fault_subsets(faults):
             yield attrs.evolve(schedule, rounds=(*rounds[:index], fewer, *rounds[index + 1 :]))
 
 
-def _fewer(faults: tuple[Fault, ...]) -> Iterator[tuple[Fault, ...]]:
-    """Without a long run of them first, then without a single one."""
+def _fault_subsets(faults: tuple[Fault, ...]) -> Iterator[tuple[Fault, ...]]:
+    """Yield the faults without a contiguous part, from all of them down to single faults."""
     length = len(faults)
     while length >= 1:
         for start in range(0, len(faults), length):
--- a/tests/campaign/test_campaign.py
+++ b/tests/campaign/test_campaign.py
@@ -1,4 +1,4 @@
-"""Campaigns with fixed seeds; more are run by hand with `python -m tests.campaign`."""
+"""Campaigns with fixed seeds; to run more, use `python -m tests.campaign`."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tests.campaign.faults import Fault, FaultKind
 from tests.campaign.shrinking import shrink
 
-# Of three to five machines; short ones, so that they take a few seconds together.
+# Short campaigns with three to five machines, which take a few seconds together.
 SEEDS = (1, 2, 4, 8, 10, 12)
 
 
-class CampaignsFindNothing(unittest.TestCase):
-    def test_given_faults_from_a_seed_then_no_promise_is_broken(self) -> None:
+class FixedSeedCampaignTest(unittest.TestCase):
+    def test_given_faults_from_a_seed_then_no_invariant_is_violated(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 Campaign(draw_schedule(seed)).run()
 
-    def test_given_one_seed_twice_then_the_same_happens(self) -> None:
+    def test_given_one_seed_twice_then_both_runs_are_identical(self) -> None:
         first, second = Campaign(draw_schedule(2)), Campaign(draw_schedule(2))
         first.run()
         second.run()
@@ -28,18 +28,18 @@
         self.assertEqual(first.player.losses.log, second.player.losses.log)
 
 
-class SchedulesAreShrunk(unittest.TestCase):
-    def test_given_two_faults_that_matter_then_they_are_what_is_left(self) -> None:
+class ScheduleShrinkingTest(unittest.TestCase):
+    def test_given_two_faults_that_cause_the_failure_then_only_they_remain(self) -> None:
         seed = next(seed for seed in SEEDS if len(draw_schedule(seed).rounds) == 2)
         schedule = attrs.evolve(draw_schedule(seed), rounds=(_FAULTS, _FAULTS))
 
-        shrunk = shrink(schedule, _wipes_then_kills)
+        shrunk = shrink(schedule, _has_wipe_and_kill)
 
         self.assertEqual(shrunk.rounds, ((_FAULTS[1], _FAULTS[4]),))
 
-    def test_given_nothing_that_can_go_then_it_stays(self) -> None:
+    def test_given_only_necessary_faults_then_the_schedule_is_unchanged(self) -> None:
         schedule = attrs.evolve(draw_schedule(1), rounds=((_FAULTS[1], _FAULTS[4]),))
-        self.assertEqual(shrink(schedule, _wipes_then_kills), schedule)
+        self.assertEqual(shrink(schedule, _has_wipe_and_kill), schedule)
 
 
 _FAULTS = tuple(
@@ -57,7 +57,7 @@
 )
 
 
-def _wipes_then_kills(schedule: Schedule) -> bool:
+def _has_wipe_and_kill(schedule: Schedule) -> bool:
     return any(
         {FaultKind.WIPE, FaultKind.KILL} <= {fault.kind for fault in faults} for faults in schedule.rounds
     )
--- a/tests/campaign/upstream.py
+++ b/tests/campaign/upstream.py
@@ -1,4 +1,4 @@
-"""Upstreams that call control planes: heartbeats, a drain, an end, late and repeated heartbeats."""
+"""Upstreams that call control planes: heartbeats, draining, deregistration, and late duplicate heartbeats."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from tests.fleet.clock import Clock
 
 RETRY_MS = 100.0
-SERVE_ON_MS = 2_500.0  # after the acknowledged drain, before it deregisters
-LATE_HEARTBEATS = 0.15
-LEAST_DELAY_MS, MOST_DELAY_MS = 500.0, 6_000.0
-INCARNATION_SHARE_WITHOUT_DRAINING = 0.4
+DRAIN_MS = 2_500.0  # from the acknowledged drain until deregistration
+LATE_HEARTBEAT_SHARE = 0.15
+MIN_LATE_DELAY_MS, MAX_LATE_DELAY_MS = 500.0, 6_000.0
+NO_DRAIN_SHARE = 0.4
 SERVICE = "s"
 
 
 class Intention(Enum):
-    """What an upstream tells next."""
+    """What an upstream reports in its next calls."""
 
     HEARTBEAT = "heartbeat"
     DRAIN = "drain"
@@ -31,7 +31,7 @@
 
 
 class Upstream:
-    """One instance. It lives for a while, then leaves with or without saying that it drains."""
+    """One instance. It runs for a while, then deregisters, with or without draining first."""
 
     def __init__(
         self,
@@ -51,22 +51,22 @@
         self._answer_loss = answer_loss
         self._sequence = 0
         self._machine: ControlMachine | None = None
-        only_deregisters = rng.random() < INCARNATION_SHARE_WITHOUT_DRAINING
+        only_deregisters = rng.random() < NO_DRAIN_SHARE
         stopping = Intention.DEREGISTER if only_deregisters else Intention.DRAIN
         self._clock.after(rng.uniform(0.0, HEARTBEAT_MS), self._heartbeat)
-        self._clock.after(incarnation_ms, lambda: self._intend(stopping))
+        self._clock.after(incarnation_ms, lambda: self._set_intention(stopping))
 
     def report_to(self, machine: ControlMachine) -> None:
-        """Have its next call go to this machine first."""
+        """Send the next call to this machine."""
         self._machine = machine
 
-    def _intend(self, intention: Intention) -> None:
-        """The one place where what it tells changes."""
+    def _set_intention(self, intention: Intention) -> None:
+        """Change the intention; all changes go through this method."""
         self.intention = intention
         if intention is Intention.DRAIN:
-            self._tell(self._heartbeat_body("draining"), UpstreamState.DRAINING)
+            self._report_final_state(self._heartbeat_body("draining"), UpstreamState.DRAINING)
         elif intention is Intention.DEREGISTER:
-            self._tell(None, UpstreamState.DEREGISTERED)
+            self._report_final_state(None, UpstreamState.DEREGISTERED)
 
     def _heartbeat(self) -> None:
         if self.intention is not Intention.HEARTBEAT and self.intention is not Intention.DRAIN:
@@ -74,18 +74,18 @@
         state = "ready" if self.intention is Intention.HEARTBEAT else "draining"
         body = self._heartbeat_body(state)
         self._call(body, UpstreamState(state), lambda is_accepted: None)
-        if self._rng.random() < LATE_HEARTBEATS:
-            delay_ms = self._rng.uniform(LEAST_DELAY_MS, MOST_DELAY_MS)
-            self._clock.after(delay_ms, lambda: self._repeat(body, UpstreamState(state)))
+        if self._rng.random() < LATE_HEARTBEAT_SHARE:
+            delay_ms = self._rng.uniform(MIN_LATE_DELAY_MS, MAX_LATE_DELAY_MS)
+            self._clock.after(delay_ms, lambda: self._send_duplicate(body, UpstreamState(state)))
         self._clock.after(HEARTBEAT_MS * self._rng.uniform(0.9, 1.1), self._heartbeat)
 
-    def _repeat(self, body: bytes, state: UpstreamState) -> None:
-        """A heartbeat that was under way for long arrives, perhaps where it was not sent to at first."""
+    def _send_duplicate(self, body: bytes, state: UpstreamState) -> None:
+        """Deliver a delayed duplicate of a heartbeat, possibly to another machine."""
         self._machine = None
         self._call(body, state, lambda is_accepted: None)
 
-    def _tell(self, body: bytes | None, state: UpstreamState) -> None:
-        """Tell a final state until it is acknowledged."""
+    def _report_final_state(self, body: bytes | None, state: UpstreamState) -> None:
+        """Report a final state until it is acknowledged."""
         intention = self.intention
 
         def ended(is_accepted: bool) -> None:
@@ -93,11 +93,11 @@
                 return
             if not is_accepted:
                 self._machine = None
-                self._clock.after(RETRY_MS, lambda: self._tell(body, state))
+                self._clock.after(RETRY_MS, lambda: self._report_final_state(body, state))
             elif state is UpstreamState.DRAINING:
-                self._clock.after(SERVE_ON_MS, lambda: self._intend(Intention.DEREGISTER))
+                self._clock.after(DRAIN_MS, lambda: self._set_intention(Intention.DEREGISTER))
             else:
-                self._intend(Intention.NOTHING)
+                self._set_intention(Intention.NOTHING)
 
         self._call(body, state, ended)
 
@@ -116,15 +116,15 @@
             then(bool(is_accepted))
 
         def serve(reply: Callable[[bool | None], None]) -> None:
-            def noted(is_accepted: bool | None) -> None:
+            def replied(is_accepted: bool | None) -> None:
                 if is_accepted:
-                    self._history.state_held(machine, self.instance, state)
+                    self._history.state_accepted(machine, self.instance, state)
                 reply(is_accepted)
 
             if body is None:
-                machine.deregister(self.instance, noted)
+                machine.deregister(self.instance, replied)
             else:
-                machine.heartbeat(self.instance, body, noted)
+                machine.heartbeat(self.instance, body, replied)
 
         self._history.state_notified(self.instance, state)
         call: HttpCall[bool] = HttpCall(self._links, self.instance, machine, serve, ended)
@@ -139,7 +139,7 @@
 
 
 class Upstreams:
-    """Keeps a number of instances alive: one that has left is followed by a new one."""
+    """Keeps a number of instances running: each one that leaves is followed by a new one."""
 
     def __init__(self, clock: Clock, make: Callable[[str, float], Upstream], rng: random.Random) -> None:
         self._clock, self._make, self._rng = clock, make, rng
@@ -147,18 +147,18 @@
         self._is_active = False
 
     def start(self, count: int, incarnation_ms: float) -> None:
-        """Begin with so many; `life_ms` is the mean of their lives."""
+        """Start `count` instances; `incarnation_ms` is the mean time that an instance runs."""
         self._is_active = True
         for _ in range(count):
-            self._begin_one(incarnation_ms)
+            self._start_one(incarnation_ms)
 
     def stop(self) -> None:
-        """No new instance begins."""
+        """Start no further instances."""
         self._is_active = False
 
-    def _begin_one(self, mean_incarnation_ms: float) -> None:
+    def _start_one(self, mean_incarnation_ms: float) -> None:
         if not self._is_active:
             return
         incarnation_ms = self._rng.uniform(0.1, 1.9) * mean_incarnation_ms
         self.all.append(self._make(f"u{len(self.all) + 1}", incarnation_ms))
-        self._clock.after(incarnation_ms, lambda: self._begin_one(mean_incarnation_ms))
+        self._clock.after(incarnation_ms, lambda: self._start_one(mean_incarnation_ms))
