--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -67,9 +67,9 @@
             f"{plan.machines} machines, tolerance {plan.tolerance}, {plan.data_planes} data planes, "
             f"{plan.operators} operators, a command every {plan.command_interval_ms:.0f} ms, "
             f"{plan.answer_loss:.2f} of answers lost"
-            f"{', little is retained' if self.keeps_little else ''}"
-            f"{', all commands are prepared' if self.prepares_all else ''}"
-            f", losses are counted {self.loss_count.value}"
+            f"{', short retention' if self.keeps_little else ''}"
+            f"{', all commands are prepared in the background' if self.prepares_all else ''}"
+            f", loss count {self.loss_count.value}"
         ]
         for number, faults in enumerate(self.rounds, 1):
             lines.append(f"round {number}, {self.round_ms:.0f} ms:")
--- a/tests/campaign/fault_player.py
+++ b/tests/campaign/fault_player.py
@@ -165,7 +165,7 @@
     def _kill_all(self, fault: Fault) -> None:
         for number, machine in enumerate(self._machines()):
             machine.kill()
-            self._restart(machine, _restart_delay_ms(fault, number), "is killed with all")
+            self._restart(machine, _restart_delay_ms(fault, number), "is killed with all machines")
 
     def _lose_power(self, fault: Fault) -> None:
         machine = self._victim(fault)
@@ -175,7 +175,7 @@
     def _lose_power_of_all(self, fault: Fault) -> None:
         for number, machine in enumerate(self._machines()):
             machine.lose_power()
-            self._restart(machine, _restart_delay_ms(fault, number), "has no power, as all")
+            self._restart(machine, _restart_delay_ms(fault, number), "has no power, like all machines")
 
     def _freeze(self, fault: Fault) -> None:
         machine = self._victim(fault)
@@ -186,7 +186,7 @@
     def _shut_down(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.leave()
-        self._mark_lost(machine, MAX_LEAVE_MS, "is requested to end")
+        self._mark_lost(machine, MAX_LEAVE_MS, "is requested to shut down")
         self._start_when_ended(machine, min(fault.duration_ms, MAX_RESTART_MS))
 
     def _start_when_ended(self, machine: ControlMachine, delay_ms: float) -> None:
@@ -282,7 +282,7 @@
     def _stall_disk(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.disk.stalled_until_ms = self._clock.now_ms + fault.duration_ms
-        self._repair_later(machine, fault.duration_ms, "has a disk that hangs")
+        self._repair_later(machine, fault.duration_ms, "has a stalled disk")
 
     def _fill_disk(self, fault: Fault) -> None:
         machine = self._victim(fault)
@@ -292,7 +292,7 @@
     def _fail_syncs(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.disk.memory.fails_syncs = True
-        self._repair_later(machine, fault.duration_ms, "has a disk that fails syncs")
+        self._repair_later(machine, fault.duration_ms, "has a disk with failing syncs")
 
     # Lost disks
 
@@ -318,7 +318,7 @@
     def _replace_as_planned(self, fault: Fault) -> None:
         machine = self._victim(fault)
         machine.leave()
-        self._mark_lost(machine, MAX_LEAVE_MS, "is requested to end for good")
+        self._mark_lost(machine, MAX_LEAVE_MS, "is requested to shut down permanently")
         self._replace_when_ended(machine, fault, self._clock.now_ms + MAX_LEAVE_MS)
 
     def _replace_when_ended(self, machine: ControlMachine, fault: Fault, deadline_ms: float) -> None:
@@ -344,7 +344,7 @@
         successor = self._system.add_machine(f"r{self._replacements}", seeds)
         self.losses.mark_disk_lost(successor.address)
         delay_ms = MIN_SUCCESSOR_DELAY_MS + min(fault.duration_ms, MAX_RESTART_MS) * fault.other
-        self._restart(successor, delay_ms, f"is to replace {machine.address}: starts in {delay_ms:.0f} ms;")
+        self._restart(successor, delay_ms, f"replaces {machine.address}, starts in {delay_ms:.0f} ms, lost")
 
     # Data planes
 
@@ -373,7 +373,7 @@
         others = [machine.address for machine in self._others(source)]
         links = [*_both_directions(data_plane.address, others), *_both_directions(source.address, others)]
         self._cut(links, fault.duration_ms)
-        self.losses.mark_degraded(data_plane.address, fault.duration_ms, "has one source")
+        self.losses.mark_degraded(data_plane.address, fault.duration_ms, "is connected to one machine only")
         self._mark_lost(source, fault.duration_ms, f"is cut off with {data_plane.address}")
 
 
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -105,7 +105,7 @@
 
 
 def restart_schedule(seed: int) -> Schedule:
-    """Kill and restart backups repeatedly while the primary's disk is slow.
+    """Build a schedule that kills and restarts backups while the primary's disk is slow.
 
     Replies to calls of their earlier incarnations are in transit all the time.
     """
