--- a/tests/explore/__main__.py
+++ b/tests/explore/__main__.py
@@ -1,4 +1,4 @@
-"""Explore deeper than the share in CI: `python -m tests.explore DEPTH`, so many choices beyond that share."""
+"""Explores deeper than CI does: `python -m tests.explore DEPTH` adds DEPTH choices to each plan's depth."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Print what each exploration came to; ends with the first broken rule."""
+    """Print the outcome of each plan; the first violated invariant ends the run."""
     further_depth = int(sys.argv[1]) if len(sys.argv) > 1 else 0
     for plan in ALL_PLANS:
         print(f"{plan.allowance} {carry_out(plan, further_depth, LEAVES)}", flush=True)
--- a/tests/explore/calm.py
+++ b/tests/explore/calm.py
@@ -1,4 +1,4 @@
-"""A calm system: every message arrives, every write is done, and time passes at all machines alike."""
+"""A fault-free run: every message arrives, every write completes, and all clocks advance at the same rate."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tests.explore.steps import Violation
 
 TICK_MS = 25.0
-# Deliveries within one tick; replicas that answer each other without end would never let time pass.
-MOST_DELIVERIES_A_TICK = 5_000
+# Deliveries within one tick: replicas that answer each other endlessly would keep time from advancing.
+MAX_DELIVERIES_PER_TICK = 5_000
 
 
 class CalmRun:
-    """Runs machines on; `present` are the numbers of those that still exist."""
+    """Runs machines without faults; `present` holds the numbers of those that still exist."""
 
     def __init__(self, nodes: list[Node], in_flight: list[Sent], present: set[int] | None = None) -> None:
         self.nodes = nodes
@@ -25,30 +25,30 @@
         self._numbers = {node.address: node.number for node in nodes}
 
     def act(self, number: int, act: Callable[[Node, Output], object]) -> None:
-        """Have one machine do something."""
+        """Apply an operation to one machine and collect its output."""
         output = Output()
         act(self.nodes[number], output)
         self.in_flight += output.sent
         self.ended += output.ended
 
     def tick(self) -> None:
-        """Let a little time pass everywhere, then deliver and write until nothing is left to do."""
+        """Advance all clocks by one tick, then deliver messages and complete writes until none is left."""
         for number in sorted(self.present):
             self.act(number, lambda node, output: node.pass_time(TICK_MS, output))
         self.stabilize()
 
     def stabilize(self) -> None:
-        """Deliver and write until nothing is left to do."""
+        """Deliver messages and complete writes until none is left."""
         deliveries = 0
         while self.in_flight or any(self.nodes[number].pending for number in self.present):
             deliveries += 1
-            if deliveries > MOST_DELIVERIES_A_TICK:
-                raise Violation(f"more than {MOST_DELIVERIES_A_TICK} messages at one moment")
+            if deliveries > MAX_DELIVERIES_PER_TICK:
+                raise Violation(f"more than {MAX_DELIVERIES_PER_TICK} messages within one tick")
             if not self.deliver_next():
                 self.write_all()
 
     def deliver_next(self) -> bool:
-        """Deliver the oldest message; False where there is none."""
+        """Deliver the oldest message; False if there is none."""
         if not self.in_flight:
             return False
         sent = self.in_flight.popleft()
@@ -58,23 +58,25 @@
         return True
 
     def write_all(self) -> None:
-        """Do the oldest write of each machine."""
+        """Complete the oldest write of each machine."""
         for number in sorted(self.present):
             if self.nodes[number].pending:
                 self.act(number, lambda node, output: node.finish_write(output))
 
     def run_until(self, condition: Callable[[], bool], most_ms: float) -> float:
-        """Let time pass until something holds, at most so long; how long that took. Raises Violation."""
+        """Advance time until the condition holds and return the elapsed time.
+
+        Raises Violation if it does not hold within `most_ms`."""
         elapsed_ms = 0.0
         while not condition():
             if elapsed_ms >= most_ms:
-                raise Violation(f"not so after {most_ms:g} ms of calm")
+                raise Violation(f"the condition does not hold after {most_ms:g} ms without faults")
             self.tick()
             elapsed_ms += TICK_MS
         return elapsed_ms
 
     def primary(self) -> int | None:
-        """The machine that is primary in the newest epoch that any replica knows."""
+        """The machine that is primary in the newest epoch known to any replica."""
         statuses = {number: self.nodes[number].observe() for number in self.present}
         epochs = {number: s.view.epoch for number, s in statuses.items() if s.view is not None}
         newest = max(epochs.values(), default=0)
@@ -82,7 +84,7 @@
         return found[0] if found else None
 
     def is_whole(self) -> bool:
-        """Whether the primary's in-sync set is as large as it ever gets, and of machines that are present."""
+        """Whether the primary's in-sync set has its full size and contains only machines that are present."""
         primary = self.primary()
         if primary is None:
             return False
@@ -92,7 +94,7 @@
         return view is not None and len(view.in_sync) == min(seeds, len(here)) and set(view.in_sync) <= here
 
     def submit_and_commit(self, command: Command, most_ms: float) -> float:
-        """Send a command to whoever is primary until it is acknowledged; how long that took."""
+        """Send a command to the current primary until it is acknowledged; return the elapsed time."""
         requested: set[tuple[int, int]] = set()
 
         def is_taken() -> bool:
--- a/tests/explore/chance.py
+++ b/tests/explore/chance.py
@@ -1,4 +1,4 @@
-"""Chance taken out of a replica: the same event in the same state always leads to the same state."""
+"""Replaces a replica's randomness: the same event in the same state always leads to the same state."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class FixedChance(random.Random):
-    """Draws names that count up, and waits that are a fixed share of their range.
+    """Generates names from a counter, and delays at a fixed fraction of their range.
 
-    `prefix` tells lives apart: names of two lives of one disk, or of two disks, never meet.
+    `prefix` distinguishes process incarnations: names drawn by two incarnations on one disk, or on two disks,
+    never collide.
     """
 
     def __init__(self, prefix: int, share: float) -> None:
@@ -18,16 +19,16 @@
         self._prefix, self._share, self._drawn = prefix, share, 0
 
     def getrandbits(self, bits: int, /) -> int:
-        """The next name; what is not a name is zero."""
+        """The next name; zero for any other number of bits, as only names have NAME_BITS."""
         if bits != NAME_BITS:
             return 0
         self._drawn += 1
         return (self._prefix << 8) + self._drawn
 
     def uniform(self, a: float, b: float) -> float:
-        """The same place in every range."""
+        """The value at the same fraction of every range."""
         return a + (b - a) * self._share
 
     def random(self) -> float:
-        """The same each time."""
+        """The same value each time."""
         return self._share
--- a/tests/explore/choices.py
+++ b/tests/explore/choices.py
@@ -1,4 +1,4 @@
-"""What may happen next: the decisions that the explorer makes, and how often it may make the rare ones."""
+"""The choices of events that the explorer makes, and how often it may make the rare ones."""
 
 from __future__ import annotations
 
@@ -6,51 +6,51 @@
 
 
 class _DiskPace(msgspec.Struct, frozen=True, kw_only=True):
-    """`holds_writes`: what a machine asks of its disk stays under way; else all its writes are done before
-    anything else happens."""
+    """`holds_writes`: the machine's disk writes stay pending; otherwise all of them complete before any other
+    event."""
 
     holds_writes: bool = False
 
 
 class Choice(_DiskPace, frozen=True):
-    """The base of all choices; `node` is the number of the machine that it happens to."""
+    """The base of all choices; `node` is the number of the machine that it affects."""
 
     node: int
 
 
 class Deliver(Choice, frozen=True):
-    """A message arrives; it is named by its number. `stays`: it may arrive once more later on."""
+    """A message, given by its number, arrives. `stays`: it remains in flight and may arrive again."""
 
     message: int
     stays: bool = False
 
 
 class FinishWrite(Choice, frozen=True):
-    """The oldest write under way is on disk, the others too unless they are held."""
+    """The oldest pending write completes, and the others too unless they are held."""
 
 
 class FailWrite(Choice, frozen=True):
-    """The oldest write under way is refused."""
+    """The oldest pending write fails."""
 
 
 class PassTime(Choice, frozen=True):
-    """Time passes at one machine."""
+    """The clock of one machine advances."""
 
     duration_ms: float
 
 
 class LosePower(Choice, frozen=True):
-    """The machine goes down and comes back; so many of the writes under way had been done."""
+    """The machine loses power and restarts; the first `retained_writes` pending writes had completed."""
 
     retained_writes: int
 
 
 class Kill(Choice, frozen=True):
-    """The process is ended and started again."""
+    """The process is killed and restarted."""
 
 
 class Wipe(Choice, frozen=True):
-    """The machine comes back with an empty disk."""
+    """The machine restarts with an empty disk."""
 
 
 class Submit(Choice, frozen=True):
@@ -60,16 +60,16 @@
 
 
 class Read(Choice, frozen=True):
-    """An operator asks for the newest configuration."""
+    """An operator reads the newest configuration."""
 
 
 class Leave(Choice, frozen=True):
-    """The machine is told that it will end."""
+    """The machine receives a shutdown request."""
 
 
 class Allowance(msgspec.Struct, frozen=True):
-    """How often the rare choices may still be made; deliveries have no bound of their own. `faults` counts
-    crashes, lost disks, refused and held writes, and messages that arrive twice, all together."""
+    """How often the rare choices may still be made; deliveries have no limit of their own. `faults` is the
+    sum of crashes, lost disks, failed and held writes, and messages delivered twice."""
 
     times: int = 0
     faults: int = 0
@@ -79,7 +79,7 @@
     leaves: int = 0
 
     def after(self, choice: Choice) -> Allowance:
-        """What is left once a decision was made."""
+        """The allowance that remains after a choice."""
         cost = cost_of(choice)
         if cost == _NOTHING:
             return self
@@ -93,7 +93,7 @@
         )
 
     def bears(self, choice: Choice) -> bool:
-        """Whether that choice may still be made."""
+        """Whether the allowance covers a choice."""
         left = self.after(choice)
         counts = (left.times, left.faults, left.wipes, left.commands, left.reads, left.leaves)
         return min(counts) >= 0
@@ -113,23 +113,23 @@
 
 
 def cost_of(choice: Choice) -> Allowance:
-    """What a decision takes off the allowance."""
+    """The part of the allowance that a choice uses up."""
     cost = _COSTS.get(type(choice), _NOTHING)
     further = choice.holds_writes + (isinstance(choice, Deliver) and choice.stays)
     return msgspec.structs.replace(cost, faults=cost.faults + further) if further else cost
 
 
 def described(choice: Choice) -> str:
-    """One line for a reader."""
-    machine = f"m{choice.node + 1}" + (" (its disk is slow)" if choice.holds_writes else "")
+    """A one-line description for reports."""
+    machine = f"m{choice.node + 1}" + (" (its writes stay pending)" if choice.holds_writes else "")
     match choice:
         case Deliver(_, _, stays):
             return f"{machine}: a message arrives" + (" and stays in flight" if stays else "")
         case PassTime(_, duration_ms):
-            return f"{machine}: {duration_ms:g} ms pass"
+            return f"{machine}: the clock advances by {duration_ms:g} ms"
         case LosePower(_, retained_writes):
-            return f"{machine}: loses power, {retained_writes} of the writes under way done, and starts"
+            return f"{machine}: loses power with {retained_writes} pending writes completed, and restarts"
         case Submit(_, command):
-            return f"{machine}: command {command} comes in"
+            return f"{machine}: receives command {command}"
         case _:
             return f"{machine}: {type(choice).__name__}"
--- a/tests/explore/explorer.py
+++ b/tests/explore/explorer.py
@@ -1,5 +1,5 @@
-"""Breadth-first search over everything that may happen, to a bounded depth. The first violation found is a
-shortest one."""
+"""Breadth-first search over all possible events, to a bounded depth. The first violation found has a path of
+minimal length."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 
 class Explored(msgspec.Struct, frozen=True):
-    """`depth`: all worlds within so many choices were seen; `is_whole`: there are no others at all."""
+    """Statistics of a search. `depth`: all worlds within this number of choices were visited; `is_whole`: no
+    further worlds are reachable."""
 
     worlds: int
     depth: int
@@ -25,22 +26,22 @@
     seconds: float
 
     def __str__(self) -> str:
-        whole = ", which is all there is" if self.is_whole else ""
+        whole = ", the whole state space" if self.is_whole else ""
         return (
-            f"{self.worlds} worlds to depth {self.depth}{whole}; {self.machine_states} states of machines, "
-            f"{self.machine_steps} steps of replicas; {self.seconds:.1f} s"
+            f"{self.worlds} worlds to depth {self.depth}{whole}; {self.machine_states} machine states, "
+            f"{self.machine_steps} replica steps; {self.seconds:.1f} s"
         )
 
 
 class _Origin(msgspec.Struct, frozen=True):
-    """How a world was reached first."""
+    """The predecessor and the choice by which a world was first reached."""
 
     world: World
     choice: Choice
 
 
 class Explorer:
-    """Searches from one world or several at once. `leaves` are the worlds of the last depth."""
+    """Searches from one or more initial worlds. `leaves` are the worlds at the last depth."""
 
     def __init__(self, rules: Rules, first: Sequence[World]) -> None:
         self.rules = rules
@@ -48,7 +49,7 @@
         self.leaves: list[World] = list(self._origins)
 
     def explore(self, most_depth: int, most_worlds: int = 100_000_000) -> Explored:
-        """Search to a depth, or until so many worlds were seen. Raises BrokenRule."""
+        """Search up to `most_depth` choices or `most_worlds` worlds. Raises BrokenRule."""
         began = time.perf_counter()
         for depth in range(most_depth):
             following: list[World] = []
@@ -62,7 +63,7 @@
         return self._result(most_depth, False, began)
 
     def path(self, world: World) -> tuple[Choice, ...]:
-        """The choices that lead to a world."""
+        """The choices that lead from an initial world to the given one."""
         choices: list[Choice] = []
         origin = self._origins[world]
         while origin is not None:
@@ -71,7 +72,7 @@
         return tuple(reversed(choices))
 
     def sample(self, count: int) -> list[World]:
-        """Some of the leaves, the same ones every time."""
+        """A sample of the leaves, the same on every run."""
         return random.Random(count).sample(self.leaves, min(count, len(self.leaves)))
 
     def _new_worlds(self, world: World) -> Iterator[World]:
--- a/tests/explore/graph.py
+++ b/tests/explore/graph.py
@@ -1,7 +1,7 @@
-"""Copies of object graphs, and values that are equal where two graphs are in the same state.
+"""Copies of object graphs, and values that are equal if two graphs are in the same state.
 
-Both walk whatever a replica consists of, so that they need not be told when its classes change. Immutable
-values (frozen structs, numbers, text, functions over immutable values) are shared between copies.
+Both traverse all objects that a replica consists of, so they need no change when its classes change.
+Immutable values (frozen structs, numbers, text, functions over immutable values) are shared between copies.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 
 def clone(value: Graph) -> Graph:
-    """An independent copy; raises UnknownGraph where a function holds something that may change."""
+    """An independent copy; raises UnknownGraph if a function captures a mutable value."""
     return cast(Graph, _clone(value, {}))
 
 
 def digest(value: object) -> Hashable:
-    """A value that is equal for graphs in the same state. The order within mappings counts."""
+    """A value that is equal for graphs in the same state. The order of mapping entries is significant."""
     return _digest(value, {})
 
 
 def is_shared(value: object) -> bool:
-    """Whether copies may share this value, as nothing can change it."""
+    """Whether copies may share this value because it is immutable."""
     if isinstance(value, _ATOMS):
         return True
     if isinstance(value, msgspec.Struct):
@@ -44,7 +44,7 @@
     if isinstance(value, tuple | frozenset):
         return all(is_shared(item) for item in value)
     if isinstance(value, FunctionType):
-        return all(is_shared(held) for held in _held(value))
+        return all(is_shared(captured) for captured in _captured_values(value))
     return isinstance(value, MethodType) and is_shared(value.__self__)
 
 
@@ -54,7 +54,7 @@
     if id(value) in memo:
         return memo[id(value)]
     if isinstance(value, FunctionType):
-        raise UnknownGraph(f"{value.__qualname__} holds something that may change")
+        raise UnknownGraph(f"{value.__qualname__} captures a mutable value")
     if isinstance(value, MethodType):
         return MethodType(value.__func__, _clone(value.__self__, memo))
     if isinstance(value, tuple):
@@ -101,7 +101,7 @@
     if isinstance(value, tuple):
         return tuple([_digest(item, seen) for item in value])
     if isinstance(value, FunctionType):
-        return (value.__qualname__, *[_digest(held, seen) for held in _held(value)])
+        return (value.__qualname__, *[_digest(captured, seen) for captured in _captured_values(value)])
     if isinstance(value, MethodType):
         return (value.__func__.__qualname__, _digest(value.__self__, seen))
     if id(value) in seen:
@@ -116,7 +116,7 @@
     return (value.__class__.__name__, *[_digest(item, seen) for _, item in _fields(value)])
 
 
-def _held(function: FunctionType) -> Iterator[object]:
+def _captured_values(function: FunctionType) -> Iterator[object]:
     yield from (cell.cell_contents for cell in function.__closure__ or ())
     yield from function.__defaults__ or ()
 
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -1,7 +1,7 @@
-"""What happened so far as far as it matters for safety, and the rules that must hold after every step.
+"""The safety-relevant history of a run, and the invariants that must hold after every step.
 
-Majorities are counted here anew, from the votes on the witnesses' disks, so that a fault in how the code
-counts them shows.
+Majorities are counted here independently, from the votes on the witnesses' disks, so that a fault in how the
+code counts them is detected.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from tests.explore.node import Observation, Sent, Taken, Vote
 from tests.explore.steps import Step, Violation
 
-MOST_MEMBERS = 3
+MAX_MEMBERS = 3
 REFUSALS = (CommandOutcome.STALE_BASE, CommandOutcome.INVALID)
 
 
@@ -25,15 +25,15 @@
 
 
 class Disk(msgspec.Struct, frozen=True):
-    """One disk of a machine, from empty to lost, and the name that a replica has on it."""
+    """One disk of a machine, from empty until lost, and the incarnation name that a replica stores on it."""
 
     node: int
     number: int
     incarnation: str
 
 
-class Question(msgspec.Struct, frozen=True):
-    """A read or a command that has no answer yet: what had been acknowledged when it came."""
+class PendingRequest(msgspec.Struct, frozen=True):
+    """A read or command without a response yet, and the commands acknowledged before it was received."""
 
     node: int
     process: int
@@ -42,37 +42,38 @@
 
 
 class UsedProposalNumber(msgspec.Struct, frozen=True):
-    """A proposal number that one life of a process used."""
+    """A proposal number that one process incarnation used."""
 
     number: ProposalNumber
     node: int
     process: int
 
 
-class Reign(msgspec.Struct, frozen=True):
-    """A replica was primary in an epoch."""
+class PrimaryTerm(msgspec.Struct, frozen=True):
+    """The replica that was primary in an epoch."""
 
     epoch: int
     incarnation: str
 
 
 class History(msgspec.Struct, frozen=True):
-    """`decided`: the views of consecutive epochs, the first one given; `committed`: the longest prefix."""
+    """The history so far. `decided`: the views of consecutive epochs, starting with the initial one;
+    `committed`: the longest committed prefix known to any replica."""
 
     decided: tuple[View, ...]
     committed: tuple[Taken, ...]
     disks: frozenset[Disk]
     votes: frozenset[Vote] = frozenset()
     proposals: frozenset[Proposal] = frozenset()
-    reigns: frozenset[Reign] = frozenset()
+    primary_terms: frozenset[PrimaryTerm] = frozenset()
     acknowledged: frozenset[Taken] = frozenset()
     refused: frozenset[Taken] = frozenset()
-    questions: frozenset[Question] = frozenset()
+    pending_requests: frozenset[PendingRequest] = frozenset()
     numbers: frozenset[UsedProposalNumber] = frozenset()
 
 
 class Moment(msgspec.Struct, frozen=True):
-    """One step of one machine; `now` holds all machines after it."""
+    """One step of one machine; `now` holds the observations of all machines after it."""
 
     node: int
     before: Observation
@@ -83,29 +84,29 @@
 
 
 def history_after(history: History, moment: Moment) -> History:
-    """The history with one step more; raises Violation where that step broke a rule."""
+    """The history extended by one step; raises Violation if the step breaks an invariant."""
     if moment.step.fault:
         raise Violation(f"at a replica: {moment.step.fault}")
     if moment.step.early:
-        raise Violation(f"notified before it was on disk: {moment.step.early[0]}")
+        raise Violation(f"a response was sent before its state was on disk: {moment.step.early[0]}")
     history = _with_disk(history, moment)
     history = _with_proposal_numbers(history, moment)
     history = _with_votes(history, moment)
     history = _with_decisions(history, moment)
-    history = _with_reign(history, moment)
+    history = _with_primary_term(history, moment)
     history = _with_commits(history, moment)
     history = _with_commands(history, moment)
     _check_in_sync_hold_all(history, moment)
-    return _with_questions(history, moment)
+    return _with_pending_requests(history, moment)
 
 
 def is_notable(before: Observation, after: Observation, step: Step) -> bool:
     """Whether a step may change the history."""
     is_seen = bool(step.fault or step.ended or step.proven_reads or step.token or step.votes or step.early)
-    return is_seen or before != after or any(_is_register_word(sent) for sent in step.sent)
+    return is_seen or before != after or any(_is_register_message(sent) for sent in step.sent)
 
 
-def _is_register_word(sent: Sent) -> bool:
+def _is_register_message(sent: Sent) -> bool:
     return isinstance(sent.message, Prepare | Accept | Accepted)
 
 
@@ -126,7 +127,7 @@
             continue
         used = UsedProposalNumber(sent.message.number, moment.node, moment.after.process)
         if any(other.number == used.number and other != used for other in history.numbers):
-            raise Violation(f"two processes use one number: {used}")
+            raise Violation(f"two processes use one proposal number: {used}")
         history = msgspec.structs.replace(history, numbers=history.numbers | {used})
     return history
 
@@ -150,19 +151,19 @@
 
 def _with_decisions(history: History, moment: Moment) -> History:
     for vote in history.votes:
-        voters = {other.incarnation for other in history.votes if _is_same_choice(vote, other)}
-        history = _with_choice(history, vote.view, voters, moment.tolerance)
+        voters = {other.incarnation for other in history.votes if _is_same_vote(vote, other)}
+        history = _with_vote_count(history, vote.view, voters, moment.tolerance)
     view = moment.after.view
     if view is not None and view.epoch >= history.decided[0].epoch and view not in history.decided:
-        raise Violation(f"taken for decided without the votes of a majority: {view}")
+        raise Violation(f"considered decided without the votes of a majority: {view}")
     return history
 
 
-def _is_same_choice(vote: Vote, other: Vote) -> bool:
+def _is_same_vote(vote: Vote, other: Vote) -> bool:
     return (vote.number, vote.view) == (other.number, other.view)
 
 
-def _with_choice(history: History, view: View, voters: set[str], tolerance: int) -> History:
+def _with_vote_count(history: History, view: View, voters: set[str], tolerance: int) -> History:
     place = view.epoch - history.decided[0].epoch
     if not 0 < place <= len(history.decided):
         return history
@@ -180,33 +181,35 @@
 def _check_view(view: View, tolerance: int) -> None:
     members = {member.incarnation for member in view.members}
     if len(set(view.in_sync)) <= tolerance:
-        raise Violation(f"the in-sync set is smaller than what has to hold a command: {view}")
+        raise Violation(
+            f"the in-sync set is smaller than the number of replicas that must hold a command: {view}"
+        )
     if not {view.primary, *view.in_sync} <= members or view.primary not in view.in_sync:
         raise Violation(f"primary or in-sync replicas are not members: {view}")
-    if len(members) > MOST_MEMBERS or len({member.address for member in view.members}) < len(members):
-        raise Violation(f"more members than are needed: {view}")
+    if len(members) > MAX_MEMBERS or len({member.address for member in view.members}) < len(members):
+        raise Violation(f"more members than needed, or two at one address: {view}")
 
 
-def _with_reign(history: History, moment: Moment) -> History:
+def _with_primary_term(history: History, moment: Moment) -> History:
     before, after = moment.before, moment.after
     if not after.is_primary or after.view is None:
         return history
     is_new = not before.is_primary or before.process != after.process
     if is_new and after.disk_epoch != after.view.epoch:
         raise Violation(f"primary before the view is on its disk: {after.view}")
-    reign = Reign(after.view.epoch, after.incarnation)
-    for other in history.reigns:
-        if other.epoch == reign.epoch and other != reign:
-            raise Violation(f"two primaries of one epoch: {other} and {reign}")
+    term = PrimaryTerm(after.view.epoch, after.incarnation)
+    for other in history.primary_terms:
+        if other.epoch == term.epoch and other != term:
+            raise Violation(f"two primaries of one epoch: {other} and {term}")
     if after.view.primary != after.incarnation:
         raise Violation(f"{after.incarnation} is primary of another's view: {after.view}")
-    return msgspec.structs.replace(history, reigns=history.reigns | {reign})
+    return msgspec.structs.replace(history, primary_terms=history.primary_terms | {term})
 
 
 def _with_commits(history: History, moment: Moment) -> History:
     before, after = moment.before, moment.after
     if before.process == after.process and after.committed[: len(before.committed)] != before.committed:
-        raise Violation(f"went back from {before.committed} to {after.committed}")
+        raise Violation(f"the committed prefix went back from {before.committed} to {after.committed}")
     shared = min(len(after.committed), len(history.committed))
     if after.committed[:shared] != history.committed[:shared]:
         raise Violation(f"committed {after.committed}, elsewhere {history.committed}")
@@ -223,7 +226,7 @@
                 history = _acknowledged(history, moment, ended.taken)
             case outcome if outcome in REFUSALS:
                 if ended.taken in history.acknowledged or ended.taken in history.committed:
-                    raise Violation(f"taken and refused: {ended.taken}")
+                    raise Violation(f"committed and refused: {ended.taken}")
                 history = msgspec.structs.replace(history, refused=history.refused | {ended.taken})
     return history
 
@@ -238,33 +241,33 @@
 
 
 def _check_in_sync_hold_all(history: History, moment: Moment) -> None:
-    """Each replica of the newest in-sync set has on its disk whatever was acknowledged: any of them may be
-    the next primary."""
+    """Check that each replica of the newest in-sync set has all acknowledged commands on its disk: any of
+    them may become the next primary."""
     for machine in moment.now:
         is_in_sync = machine.disk_incarnation in history.decided[-1].in_sync
         if is_in_sync and not history.acknowledged <= machine.disk_taken:
-            raise Violation(f"in sync, and lacks what was acknowledged: {machine.disk_incarnation}")
+            raise Violation(f"an in-sync replica lacks an acknowledged command: {machine.disk_incarnation}")
 
 
-def _with_questions(history: History, moment: Moment) -> History:
-    """Whoever answers a read as the newest, or refuses a command, knows all that was acknowledged before."""
+def _with_pending_requests(history: History, moment: Moment) -> History:
+    """Check that a replica that proves a read or refuses a command knows all commands acknowledged before."""
     step, process = moment.step, moment.after.process
-    questions = set(history.questions)
+    pending_requests = set(history.pending_requests)
     if step.token:
-        questions.add(Question(moment.node, process, step.token, history.acknowledged))
+        pending_requests.add(PendingRequest(moment.node, process, step.token, history.acknowledged))
     refusals = {ended.token for ended in step.ended if ended.outcome in REFUSALS}
-    notified = {*step.proven_reads, *refusals}
-    over = {*notified, *(ended.token for ended in step.ended)}
-    for question in tuple(questions):
-        if question.node != moment.node:
+    answered = {*step.proven_reads, *refusals}
+    resolved = {*answered, *(ended.token for ended in step.ended)}
+    for request in tuple(pending_requests):
+        if request.node != moment.node:
             continue
-        is_of_process = question.process == process
+        is_of_process = request.process == process
         if (
             is_of_process
-            and question.token in notified
-            and not question.acknowledged <= set(moment.after.committed)
+            and request.token in answered
+            and not request.acknowledged <= set(moment.after.committed)
         ):
-            raise Violation(f"answered or refused without knowing what was acknowledged before: {question}")
-        if not is_of_process or question.token in over:
-            questions.discard(question)
-    return msgspec.structs.replace(history, questions=frozenset(questions))
+            raise Violation(f"answered or refused without all commands acknowledged before: {request}")
+        if not is_of_process or request.token in resolved:
+            pending_requests.discard(request)
+    return msgspec.structs.replace(history, pending_requests=frozenset(pending_requests))
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -1,4 +1,4 @@
-"""One machine of the explored model: a real replica, its disk with what is under way, and its own clock."""
+"""One machine of the explored model: a real replica, its disk with pending writes, and its own clock."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 from tests.explore.chance import FixedChance
 from tests.fleet.register import Register
 
-# Between two looks at the clock; less than what a replica takes for having been frozen.
+# Between two TimePassed events; shorter than the gap that a replica interprets as having been frozen.
 LONGEST_STEP_MS = 200.0
-# Where in a range of waits the first machine's lie, and how much later each further machine's.
+# Delays of machine N lie at N times this fraction of their range: 0 for the first machine.
 WAIT_SHARE_STEP = 0.05
 
 Taken = tuple[int, bytes]  # base version and body of one command
 
 
 class Sent(msgspec.Struct, frozen=True):
-    """A message on its way, between addresses."""
+    """A message in flight from one address to another."""
 
     sender: str
     receiver: str
@@ -51,7 +51,7 @@
 
 
 class Ended(msgspec.Struct, frozen=True):
-    """How a command ended that was submitted here."""
+    """The outcome of a command that was submitted to this machine."""
 
     taken: Taken
     outcome: CommandOutcome
@@ -59,7 +59,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What all machines are told. `addresses` of the machines; the first `seed_count` are the seeds."""
+    """Settings of all machines. `addresses` lists the machines; the first `seed_count` are the seeds."""
 
     addresses: tuple[str, ...]
     seed_count: int = 3
@@ -67,12 +67,12 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """Addresses of the machines that found the system."""
+        """Addresses of the machines that bootstrap the system."""
         return self.addresses[: self.seed_count]
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """One witness accepted a view, and has that on its disk."""
+    """A view that a witness accepted and stored on its disk."""
 
     incarnation: str
     number: ProposalNumber
@@ -80,7 +80,7 @@
 
 
 class Output:
-    """What a machine did in one step. `early`: answers of its witness that were not on disk yet."""
+    """What a machine did in one step. `early`: witness responses sent before their state was on disk."""
 
     def __init__(self) -> None:
         self.sent: list[Sent] = []
@@ -89,25 +89,25 @@
         self.votes: list[Vote] = []
         self.early: list[Sent] = []
         self.fault = ""
-        self.token = 0  # of the command or read that came in
+        self.token = 0  # of the command or read that was received
 
 
 class Observation(msgspec.Struct, frozen=True):
-    """What the checks need to know of a machine. What is on disk counts without what is under way."""
+    """What the checks need to know of a machine. The `disk_` fields don't include pending writes."""
 
     incarnation: str
-    disk_number: int  # how often the disk was replaced by an empty one
+    disk_number: int  # number of times that the disk was replaced by an empty one
     view: View | None
     is_primary: bool
     committed: tuple[Taken, ...]
     process: int
-    disk_incarnation: str  # empty as long as nothing is on disk
+    disk_incarnation: str  # empty while nothing is on disk
     disk_epoch: int
     disk_taken: frozenset[Taken]
 
 
 class Node:
-    """Carries out a replica's actions one choice at a time. Its clock is compared with no other machine's."""
+    """Carries out a replica's actions one choice at a time. Its clock is never compared with another's."""
 
     def __init__(self, number: int, settings: Settings) -> None:
         self.number, self.settings = number, settings
@@ -115,8 +115,8 @@
         self.now_ms = 0.0
         self.process = 0
         self.disk_number = 0
-        self.synced: tuple[bytes, ...] = ()  # records that outlast a loss of power
-        self.unsynced: tuple[bytes, ...] = ()  # left by a process that was killed
+        self.synced: tuple[bytes, ...] = ()  # records that survive a power loss
+        self.unsynced: tuple[bytes, ...] = ()  # written by a process that was killed before its sync
         self.pending: deque[Write | Rewrite] = deque()
         self.needs_rewrite = True
         self.is_stopping = False
@@ -124,10 +124,8 @@
         self._commands: dict[int, Taken] = {}
         self._last_token = 0
 
-    # --- what happens to it ---
-
     def start(self, output: Output, bootstrap: bool = False) -> None:
-        """Begin a life on what the disk holds."""
+        """Start a new process from the contents of the disk."""
         self.process += 1
         self.is_stopping = False
         self.needs_rewrite = True
@@ -151,16 +149,16 @@
         self._handle(TimePassed(), output)
 
     def chance(self) -> FixedChance:
-        """Chance as one life of the process has it."""
+        """The source of randomness of the current process incarnation."""
         prefix = (((self.number + 1) << 8) + self.disk_number << 8) + self.process
         return FixedChance(prefix, self.number * WAIT_SHARE_STEP)
 
     def receive(self, sent: Sent, output: Output) -> None:
-        """A message comes in."""
+        """Handle a message that arrived."""
         self._handle(MessageReceived(sent.sender, sent.message), output)
 
     def finish_write(self, output: Output) -> None:
-        """The oldest write under way is on disk, or fails where the file has to be written anew first."""
+        """Complete the oldest pending write; an append fails if the file has to be rewritten first."""
         action = self.pending.popleft()
         if isinstance(action, Write) and self.needs_rewrite:
             self._handle(WriteFailed(action.token), output)
@@ -170,20 +168,20 @@
         self._handle(WriteCompleted(action.token), output)
 
     def fail_write(self, output: Output) -> None:
-        """The disk refuses the oldest write."""
+        """Fail the oldest pending write."""
         action = self.pending.popleft()
         self.needs_rewrite = True
         self._handle(WriteFailed(action.token), output)
 
     def pass_time(self, duration_ms: float, output: Output) -> None:
-        """Time passes here, in steps as the host's timer makes them."""
+        """Advance this machine's clock in steps, as the host's timer does."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms = min(end_ms, self.now_ms + LONGEST_STEP_MS)
             self._handle(TimePassed(), output)
 
     def lose_power(self, retained_writes: int, output: Output) -> None:
-        """The machine goes down and starts again: what was not synced is lost but for the first writes."""
+        """Restart the machine after a power loss: of the unsynced data only the first writes are kept."""
         self.unsynced = ()
         for action in list(self.pending)[:retained_writes]:
             if isinstance(action, Rewrite) or not self.needs_rewrite:
@@ -191,7 +189,7 @@
         self.start(output)
 
     def kill(self, output: Output) -> None:
-        """The process ends and starts again; a later loss of power may still take what was not synced."""
+        """Kill and restart the process; a later power loss may still lose what was not synced."""
         for action in self.pending:
             if isinstance(action, Rewrite) or self.needs_rewrite:
                 break
@@ -199,31 +197,29 @@
         self.start(output)
 
     def wipe(self, output: Output) -> None:
-        """The machine comes back with an empty disk."""
+        """Restart the machine with an empty disk."""
         self.synced = self.unsynced = ()
         self.disk_number += 1
         self.start(output)
 
     def submit(self, command: Command, output: Output) -> None:
-        """An operator's command comes in."""
+        """Handle a command from an operator."""
         output.token = self._last_token = self._last_token + 1
         self._commands[output.token] = (command.base_version, command.body)
         self._handle(CommandSubmitted(output.token, command), output)
 
     def read(self, output: Output) -> None:
-        """An operator asks for the newest configuration."""
+        """Handle an operator's read of the newest configuration."""
         output.token = self._last_token = self._last_token + 1
         self._handle(ReadSubmitted(output.token), output)
 
     def leave(self, output: Output) -> None:
-        """The process is told that it will end."""
+        """Request a shutdown of the process."""
         self.is_stopping = True
         self._handle(ShutdownRequested(), output)
 
-    # --- what the checks ask ---
-
     def observe(self) -> Observation:
-        """How it stands, and what is on its disk."""
+        """The replica's status and the contents of the disk."""
         assert self.replica is not None
         stored = self._stored()
         status = self.replica.status(self.now_ms)
@@ -247,7 +243,7 @@
         )
 
     def _keep(self, action: Write | Rewrite, output: Output) -> None:
-        """What was written outlasts a loss of power from now on."""
+        """Mark the records of a write as synced: they survive a power loss from now on."""
         before = self._stored()
         if isinstance(action, Rewrite):
             self.synced, self.unsynced = (), ()
@@ -256,7 +252,7 @@
         incarnation = _name(after)
         is_same_epoch = (incarnation, _epoch(after)) == (_name(before), _epoch(before))
         if is_same_epoch and after.witness.promised < before.witness.promised:
-            output.fault = f"a promise was taken back: {before.witness} and then {after.witness}"
+            output.fault = f"a promise was revoked: {before.witness} and then {after.witness}"
         for data in action.records:
             record = stored_records.decode(data)
             if isinstance(record, WitnessRecord) and record.accepted_view is not None:
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -1,4 +1,4 @@
-"""What is explored, how deep, and how many worlds that has to come to."""
+"""The scenarios that are explored, the depth of each, and the minimum number of worlds to visit."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One exploration. `least_worlds` at the depth of the share in CI: fewer mean that it lost its way."""
+    """One exploration. `least_worlds` applies at the depth used in CI: fewer worlds mean that the
+    scenario no longer reaches the states that it is meant to cover."""
 
     scenario: Callable[[Allowance], Scenario]
     allowance: Allowance
@@ -24,13 +25,14 @@
     has_late_copies: bool = False
 
     def begin(self) -> Scenario:
-        """The scenario from its start."""
+        """Build the scenario with its initial worlds."""
         scenario = self.scenario(self.allowance)
         return late_copies(scenario) if self.has_late_copies else scenario
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """`recovered` of the sampled leaves, `slowest_ms` until the set was full; `beyond` tolerance: not run."""
+    """The outcome of one plan. `recovered`: number of sampled leaves that recovered; `slowest_ms`: the
+    longest time until the in-sync set was full; `beyond`: leaves beyond the tolerance, which are not run."""
 
     name: str
     explored: Explored
@@ -39,12 +41,12 @@
     slowest_ms: float = 0.0
 
     def __str__(self) -> str:
-        tails = f"{self.recovered} of the leaves recover, the slowest in {self.slowest_ms:g} ms of calm"
+        tails = f"{self.recovered} leaves recover, the slowest after {self.slowest_ms:g} ms without faults"
         return f"{self.name}: {self.explored}; {tails}, {self.beyond} beyond tolerance"
 
 
 def carry_out(plan: Plan, further_depth: int = 0, leaves: int = 0) -> Outcome:
-    """Explore, then let calm set in at some of the leaves, at every second one without what is in flight.
+    """Explore, then run some of the leaves on without faults; every second one loses its messages in flight.
     Raises BrokenRule or Violation."""
     scenario = plan.begin()
     rules = scenario.rules
--- a/tests/explore/scenarios.py
+++ b/tests/explore/scenarios.py
@@ -1,4 +1,4 @@
-"""Where the exploration begins: settled systems of three machines, and what befalls them."""
+"""The initial worlds of the exploration: stable systems of three or four machines, and their faults."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from tests.explore.world import Bounds, Rules, World
 from tests.fleet.register import command
 
-# The messages that concern the register of views, and those that make views known.
+# The messages of the view register, and those that announce views.
 REGISTER_MESSAGES = (JoinRequest, ViewNotice, Prepare, Promise, Accept, Accepted, AcceptedBroadcast, Rejected)
-# After which silence a follower stands, and after which one a primary gives up.
+# Silence after which a follower becomes a candidate, and after which a primary steps down.
 TIMES = ReplicationTimes()
 STAND_MS = TIMES.election_timeout_max_ms + TIMES.heartbeat_ms
 GIVE_UP_MS = max(TIMES.quorum_timeout_ms, TIMES.proposal_timeout_ms) + TIMES.heartbeat_ms
@@ -32,12 +32,12 @@
 STABILIZE_MS = 5_000.0
 
 FOUNDING_COMMANDS = (command(0, 1, "first"), command(1, 2, "second"))
-# Two operators, both on top of the second version, and one on top of the first of these.
+# Commands of two operators, both based on the second version, and one based on the first of these.
 COMMANDS = (command(2, 3, "ann"), command(2, 4, "bob"), command(3, 5, "cid"))
 
 
 class Scenario(msgspec.Struct):
-    """Rules and the worlds to begin with."""
+    """The rules and the initial worlds."""
 
     name: str
     rules: Rules
@@ -45,7 +45,7 @@
 
 
 def two_candidates(allowance: Allowance) -> Scenario:
-    """The register alone: the primary is gone for good, and both others stand, again and again."""
+    """View register only: the primary is lost permanently, and both others are candidates repeatedly."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), timed=(1, 2), removed=(0,))
     run = _stable()
     history = _history(run)
@@ -56,24 +56,24 @@
 
 
 def three_candidates(allowance: Allowance) -> Scenario:
-    """The register alone: all three machines lose touch with each other and stand; one may lose its disk."""
+    """View register only: all three machines lose contact and become candidates; one may lose its disk."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), wipeable=(0,), timed=(0, 1, 2))
     return _of_register(_from_calm("three candidates", bounds, _stable(), most_steps=0))
 
 
 def lagging_candidate(allowance: Allowance) -> Scenario:
-    """The register alone: one that is not in sync and lacks a command stands, beside one that is."""
+    """View register only: a replica out of sync that lacks a command is a candidate beside one in sync."""
     bounds = Bounds(allowance, (GIVE_UP_MS,), crashable=(1, 2), timed=(1, 2))
     run = _stable()
     run.present.discard(2)
     run.run_until(lambda: _in_sync_count(run) == 2, STABILIZE_MS)
     run.submit_and_commit(COMMANDS[0], STABILIZE_MS)
     run.in_flight.clear()
-    return _of_register(_from_calm("a candidate that lags", bounds, run, 0))
+    return _of_register(_from_calm("a lagging candidate", bounds, run, 0))
 
 
 def swap_and_candidate(allowance: Allowance) -> Scenario:
-    """The register alone: from each moment of a swap of members on, while another backup stands."""
+    """View register only: from each step of a member swap on, while another backup is a candidate."""
     bounds = Bounds(
         allowance,
         durations_ms=(GIVE_UP_MS,),
@@ -81,17 +81,17 @@
         wipeable=(1,),
         timed=(0, 1),
     )
-    return _of_register(_from_calm("a swap and a candidate", bounds, _swapping(), SWAP_STEPS))
+    return _of_register(_from_calm("a member swap and a candidate", bounds, _swapping(), SWAP_STEPS))
 
 
 def stable(allowance: Allowance) -> Scenario:
-    """The whole replica: commands, reads, silence and crashes in a settled system."""
+    """Whole replica: commands, reads, silence and crashes in a stable system."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
     return _from_calm("commands", bounds, _stable(), most_steps=0)
 
 
 def takeover(allowance: Allowance) -> Scenario:
-    """The whole replica: from each moment on after the primary's machine lost its disk."""
+    """Whole replica: from each step on after the primary's machine lost its disk."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (), (1, 2))
     run = _stable()
     history = _history(run)
@@ -102,14 +102,14 @@
 
 
 def swap(allowance: Allowance) -> Scenario:
-    """The whole replica: from each moment on in which a wiped backup comes back into the set."""
+    """Whole replica: from each step on while a wiped backup rejoins the in-sync set."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
-    return _from_calm("a swap of members", bounds, _swapping(), SWAP_STEPS)
+    return _from_calm("a member swap", bounds, _swapping(), SWAP_STEPS)
 
 
 def learner(allowance: Allowance) -> Scenario:
-    """The whole replica: a standby machine comes back with an empty disk, and a command comes once it has
-    learned everything, in the same epoch."""
+    """Whole replica: a standby machine restarts with an empty disk, and once it has caught up a command is
+    submitted in the same epoch."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 3), (3,), (0, 3))
     run = _stable(machines=4)
     run.act(3, lambda node, output: node.wipe(output))
@@ -121,34 +121,34 @@
 
 
 def replacement(allowance: Allowance) -> Scenario:
-    """The whole replica: a backup is gone for good, and a machine at another address takes its place."""
+    """Whole replica: a backup is lost permanently, and a machine at another address replaces it."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 3), (0, 1, 3), (0, 1, 3), removed=(2,))
     return _from_calm("a replacement", bounds, _replacing(), SWAP_STEPS)
 
 
 def transfer_leadership(allowance: Allowance) -> Scenario:
-    """The whole replica: from each moment on after the primary was told that it will end."""
+    """Whole replica: from each step on after the primary received a shutdown request."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (0, 1, 2), (0, 1, 2))
     run = _stable()
     history = _history(run)
     run.act(0, lambda node, output: node.leave(output))
-    return _from_calm("a hand-over", bounds, run, HAND_OVER_STEPS, history)
+    return _from_calm("a leadership transfer", bounds, run, HAND_OVER_STEPS, history)
 
 
 def cut_off(allowance: Allowance) -> Scenario:
-    """The whole replica: the primary was cut off while the others chose another and took a command. It is
-    back in touch and knows nothing of that."""
+    """Whole replica: the primary was partitioned while the others elected another and committed a command. It
+    is connected again and has not learned of either."""
     bounds = Bounds(allowance, (HEARTBEAT_MS, STAND_MS), (0, 1, 2), (), (0, 1, 2))
     run = _stable()
     run.present.discard(0)
     run.run_until(lambda: run.primary() is not None, STABILIZE_MS)
     run.submit_and_commit(COMMANDS[0], STABILIZE_MS)
     run.in_flight.clear()
-    return _from_calm("a primary cut off", bounds, run, 0)
+    return _from_calm("a partitioned primary", bounds, run, 0)
 
 
 def late_copies(scenario: Scenario) -> Scenario:
-    """The same with every message that was ever in flight on the calm way still to come once more."""
+    """The same scenario in which every message that was in flight so far may be delivered once more."""
     seen: set[int] = set()
     worlds: list[World] = []
     for world in scenario.first:
@@ -157,21 +157,21 @@
     return Scenario(f"{scenario.name}, late copies", scenario.rules, worlds)
 
 
-# How many steps of a calm system it takes until it is whole again.
+# Steps that a fault-free system takes until its in-sync set is full again.
 SWAP_STEPS = 60
 TAKEOVER_STEPS = 60
 HAND_OVER_STEPS = 60
-# And until a command is known to be committed everywhere.
+# Steps until all replicas know that a command is committed.
 ORDER_STEPS = 20
-# From a primary's loss until the others are about to stand.
+# From the loss of the primary until the others are about to become candidates.
 BEFORE_TAKEOVER_MS = 0.0
 
 
 def _stable(machines: int = 3) -> CalmRun:
-    """Three machines with two commands, and standbys beyond them. All are in sync and were started anew; the
-    first one is primary."""
+    """Three machines with two commands, and standbys beyond three. All members are in sync and were
+    restarted; the first one is primary."""
     run = _founded(machines)
-    # The first life after the commands writes a snapshot, and the log of the second one begins after it.
+    # The first restart after the commands writes a snapshot; after the second, the log begins behind it.
     for number in (2, 1, 0, 2, 1, 0):
         run.act(number, lambda node, output: node.kill(output))
         run.run_until(run.is_whole, STABILIZE_MS)
@@ -179,17 +179,17 @@
 
 
 def _swapping() -> CalmRun:
-    """The third machine comes back with an empty disk."""
+    """The third machine restarts with an empty disk."""
     run = _stable()
     run.act(2, lambda node, output: node.wipe(output))
     return run
 
 
 def _replacing() -> CalmRun:
-    """The third machine is gone for good; a fourth one has learned everything."""
+    """The third machine is lost permanently; a fourth one has caught up."""
     run = _founded(4)
     run.present.discard(2)
-    run.nodes[2].wipe(Output())  # nothing happens there any more
+    run.nodes[2].wipe(Output())  # no further events occur there
     run.run_until(lambda: _timeout_ms(run) >= REPLACED_AFTER_MS, STABILIZE_MS)
     return run
 
@@ -201,11 +201,11 @@
 
 
 def _timeout_ms(run: CalmRun) -> float:
-    """How long the third machine has stood still."""
+    """Time since the third machine stopped."""
     return run.nodes[0].now_ms - run.nodes[2].now_ms
 
 
-# Just before the primary gives a silent member's place to another.
+# Just before the primary replaces a silent member.
 REPLACED_AFTER_MS = TIMES.replica_timeout_ms - TIMES.heartbeat_ms
 
 
@@ -224,20 +224,20 @@
 def _from_calm(
     name: str, bounds: Bounds, run: CalmRun, most_steps: int, history: History | None = None
 ) -> Scenario:
-    """From each moment of a calm run on; `history` as it was before what befalls the system."""
+    """Start from each step of a fault-free run; `history` is the state before the scenario's fault."""
     rules = Rules(bounds, COMMANDS, run.nodes[0].settings.tolerance)
     first = rules.first(run.nodes, list(run.in_flight), history or _history(run))
     return Scenario(name, rules, rules.calm_path(first, most_steps))
 
 
 def _of_register(scenario: Scenario) -> Scenario:
-    """The same with no messages but those of the register."""
+    """The same scenario with only the messages of the view register."""
     scenario.first = scenario.rules.restricted(scenario.first, REGISTER_MESSAGES)
     return scenario
 
 
 def _history(run: CalmRun) -> History:
-    """Of a system that has acknowledged all that it has committed."""
+    """The history of a system that has acknowledged all committed commands."""
     primary = run.primary()
     assert primary is not None
     observed = [node.observe() for node in run.nodes]
--- a/tests/explore/steps.py
+++ b/tests/explore/steps.py
@@ -1,5 +1,5 @@
-"""Steps of single machines, each carried out once: it depends on the machine's state and the decision
-alone."""
+"""Steps of single machines, each carried out only once: the result depends only on the machine's state and
+the choice."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 class Violation(AssertionError):
-    """Something that no fleet may do."""
+    """A violated invariant of the system."""
 
 
 class Step(msgspec.Struct, frozen=True):
-    """What came of a decision at one machine: its next state and what it did. `token` of a command or
-    read that came in."""
+    """The result of a choice at one machine: its next state and its output. `token` belongs to the command or
+    read that was received."""
 
     state: int
     sent: tuple[Sent, ...]
@@ -47,7 +47,7 @@
 
 
 class Numbers(Generic[Value]):
-    """Gives equal values equal numbers, from 0 on."""
+    """Assigns consecutive numbers to distinct values, starting at 0."""
 
     def __init__(self) -> None:
         self._numbers: dict[Value, int] = {}
@@ -65,7 +65,7 @@
 
 
 class Steps:
-    """States of machines by number, and the steps between them."""
+    """The states of single machines by number, and the steps between them."""
 
     def __init__(self, commands: tuple[Command, ...], messages: Numbers[Sent]) -> None:
         self._commands, self._messages = commands, messages
@@ -76,12 +76,12 @@
 
     @property
     def state_count(self) -> int:
-        """How many states of single machines there are."""
+        """The number of distinct machine states."""
         return len(self._nodes)
 
     @property
     def step_count(self) -> int:
-        """How many steps were carried out by real replicas."""
+        """The number of steps that real replicas carried out."""
         return len(self._steps)
 
     def number(self, node: Node) -> int:
@@ -94,18 +94,18 @@
         return number
 
     def node(self, state: int) -> Node:
-        """A machine in that state; not to be changed."""
+        """A machine in the given state; callers must not modify it."""
         return self._nodes[state]
 
     def observation(self, state: int) -> Observation:
-        """What the checks see of that state."""
+        """The observation of the given state, for the checks."""
         observation = self._observations[state]
         if observation is None:
             observation = self._observations[state] = self._nodes[state].observe()
         return observation
 
     def step(self, state: int, choice: Choice) -> Step:
-        """What a machine in that state does."""
+        """The result of a choice at a machine in the given state."""
         key = (state, choice)
         step = self._steps.get(key)
         if step is None:
@@ -156,6 +156,6 @@
 
 
 def _newest(sent: list[Sent]) -> list[Sent]:
-    """Of messages of one kind to one machine in one step, the newest: the others are lost on the way."""
+    """The newest message of each type to each machine in one step: the others count as lost in transit."""
     newest = {(message.receiver, type(message.message)): message for message in sent}
     return list(newest.values())
--- a/tests/explore/tail.py
+++ b/tests/explore/tail.py
@@ -1,4 +1,5 @@
-"""What becomes of a world when calm sets in: within tolerance, it has to be whole and take commands again."""
+"""Recovery of a world once faults stop: within the tolerance, the in-sync set has to become full and commands
+have to be accepted again."""
 
 from __future__ import annotations
 
@@ -8,38 +9,38 @@
 from tests.explore.world import Rules, World
 from tests.fleet.register import change_of, command
 
-# Until the set is full again, and until a command is acknowledged then.
+# Time limits until the in-sync set is full again, and from then until a command is acknowledged.
 FULL_SET_MS = 10_000.0
 ACKNOWLEDGED_MS = 4_000.0
-# For commands that were under way to end.
+# Lets pending commands end.
 PAUSE_MS = 500.0
 
 
 def is_within_tolerance(rules: Rules, world: World) -> bool:
     """Whether a majority of the newest view, and of the one before it, still has its disks, and one of them
-    is in sync. Where more is lost the system may stand still, but must not be wrong."""
+    is in sync. If more is lost, the system may stop making progress but must stay safe."""
     here = _disks(rules, world)
     views = rules.history(world).decided[-2:]
     return all(_has_majority(view, here) for view in views) and bool(set(views[-1].in_sync) & here)
 
 
 def has_lost_the_former_majority(rules: Rules, world: World) -> bool:
-    """Whether a second disk was lost while the newest view was being told: only who knows that it was decided
-    can go on. Its own majority is still there."""
+    """Whether a second disk was lost while replicas were being notified of the newest view: only replicas
+    that know that it was decided can continue. The view's own majority still exists."""
     here = _disks(rules, world)
     newest = rules.history(world).decided[-1]
-    is_borne = _has_majority(newest, here) and bool(set(newest.in_sync) & here)
-    return is_borne and not is_within_tolerance(rules, world)
+    has_newest_majority = _has_majority(newest, here) and bool(set(newest.in_sync) & here)
+    return has_newest_majority and not is_within_tolerance(rules, world)
 
 
 def recover(rules: Rules, world: World, loses_messages: bool = False) -> float:
-    """Let calm set in, with or without what is in flight; how long it takes until the set is full. Raises
-    Violation where it takes too long, or where a command is not acknowledged in time after that."""
+    """Run without faults, with or without the messages in flight; return the time until the in-sync set is
+    full. Raises Violation if that takes too long or if a command is not acknowledged in time afterwards."""
     nodes = [clone(rules.steps.node(state)) for state in world.nodes]
     present = set(range(len(nodes))) - set(rules.bounds.removed)
     run = CalmRun(nodes, [] if loses_messages else rules.messages(world), present)
     for number in present:
-        if nodes[number].is_stopping:  # the process has ended since, and another was started
+        if nodes[number].is_stopping:  # by now the process has ended and was restarted
             run.act(number, lambda node, output: node.kill(output))
     elapsed_ms = run.run_until(run.is_whole, FULL_SET_MS)
     end_ms = nodes[min(present)].now_ms + PAUSE_MS
@@ -52,7 +53,7 @@
 
 
 def _disks(rules: Rules, world: World) -> set[str]:
-    """The incarnations whose disks are there."""
+    """The incarnations whose disks still exist."""
     removed = rules.bounds.removed
     states = [state for node, state in enumerate(world.nodes) if node not in removed]
     return {rules.steps.observation(state).disk_incarnation for state in states}
--- a/tests/explore/test_explored.py
+++ b/tests/explore/test_explored.py
@@ -1,4 +1,4 @@
-"""The share of the exploration that runs each time. Deeper by hand: `python -m tests.explore DEPTH`."""
+"""The part of the exploration that runs in CI. Run `python -m tests.explore DEPTH` to search deeper."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 LEAVES = 2
 
 
-class TheRulesHold(unittest.TestCase):
-    """The rules are those of `tests.explore.history`."""
+class InvariantsHold(unittest.TestCase):
+    """No explored world violates the invariants of `tests.explore.history`."""
 
     def assert_holds(self, plans: tuple[Plan, ...]) -> None:
-        """No rule is broken in any world, and there are as many worlds as there should be."""
+        """Check that no world violates an invariant and that enough worlds are visited."""
         for plan in plans:
             with self.subTest(plan=plan):
                 outcome = carry_out(plan, leaves=LEAVES)
@@ -35,8 +35,8 @@
         self.assert_holds(LATE_PLANS)
 
 
-class ASecondDiskIsLost(unittest.TestCase):
-    def test_while_a_swap_is_notified_then_the_system_goes_on_where_the_messages_arrive(self) -> None:
+class SecondDiskLost(unittest.TestCase):
+    def test_during_a_swap_notification_the_system_recovers_if_messages_arrive(self) -> None:
         scenario = swap(Allowance(faults=1, wipes=1))
         rules, explorer = scenario.rules, Explorer(scenario.rules, scenario.first)
         explorer.explore(1)
--- a/tests/explore/test_explorer.py
+++ b/tests/explore/test_explorer.py
@@ -1,4 +1,4 @@
-"""The explorer itself: copies of machines, worlds counted once, and a calm that may not help."""
+"""Tests of the explorer: copies of machines, deduplication of worlds, and recovery that must fail."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from tests.explore.tail import recover
 
 
-class TheExplorerItself(unittest.TestCase):
-    def test_given_a_copy_of_a_machine_then_it_is_in_the_same_state_and_goes_its_own_way(self) -> None:
+class ExplorerTest(unittest.TestCase):
+    def test_a_cloned_machine_has_the_same_state_and_changes_independently(self) -> None:
         scenario = stable(Allowance())
         node = scenario.rules.steps.node(scenario.first[0].nodes[0])
         other = clone(node)
@@ -22,16 +22,16 @@
         other.pass_time(100.0, Output())
         self.assertNotEqual(digest(node), digest(other))
 
-    def test_given_the_same_world_twice_then_it_counts_once(self) -> None:
+    def test_duplicate_worlds_are_counted_once(self) -> None:
         scenario = stable(Allowance())
         explorer = Explorer(scenario.rules, scenario.first * 2)
         self.assertEqual(1, explorer.explore(0).worlds)
 
-    def test_given_nothing_that_may_happen_then_that_is_all_there_is(self) -> None:
+    def test_without_possible_choices_the_search_is_complete(self) -> None:
         scenario = stable(Allowance())
         self.assertTrue(Explorer(scenario.rules, scenario.first).explore(5).is_whole)
 
-    def test_given_machines_that_are_all_gone_but_one_then_no_calm_helps(self) -> None:
+    def test_recovery_fails_after_all_machines_but_one_are_wiped(self) -> None:
         scenario = stable(Allowance())
         rules, world = scenario.rules, scenario.first[0]
         for node in (1, 2):
--- a/tests/explore/world.py
+++ b/tests/explore/world.py
@@ -1,4 +1,4 @@
-"""The whole system at one moment, and everything that may happen next."""
+"""The state of the whole system, and the choices that may follow it."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from tests.explore.node import Node, Sent
 from tests.explore.steps import Numbers, Step, Steps, Violation
 
-# How much time passes at once where nothing else happens; as the host's timer has it.
+# Clock advance when no write or message is pending; the interval of the host's timer.
 CALM_TICK_MS = 25.0
 
 
 class World(msgspec.Struct, frozen=True):
-    """States of all machines, messages in flight (each once) and the history, by number."""
+    """The states of all machines, the messages in flight (without duplicates) and the history, by number."""
 
     nodes: tuple[int, ...]
     in_flight: tuple[int, ...]
@@ -41,8 +41,8 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What may happen in a scenario. `durations_ms` of the time that passes at a machine in one step;
-    `wipeable`, `crashable`: the numbers of the machines that may meet that."""
+    """The events possible in a scenario. `durations_ms`: by how much a machine's clock may advance in one
+    step; `crashable`, `wipeable`, `timed`, `stopping`: numbers of the machines that each event may affect."""
 
     allowance: Allowance
     durations_ms: tuple[float, ...] = (100.0, 650.0)
@@ -50,12 +50,12 @@
     wipeable: tuple[int, ...] = ()
     timed: tuple[int, ...] = ()
     stopping: tuple[int, ...] = ()
-    removed: tuple[int, ...] = ()  # taken away for good before: nothing happens there
+    removed: tuple[int, ...] = ()  # removed permanently before the start: no events occur there
 
 
 class Move(msgspec.Struct, frozen=True):
-    """A step of one machine as the system sees it: `sent` by number; `is_notable`: it may change the
-    history."""
+    """A step of one machine as the whole system sees it. `sent`: message numbers; `is_notable`: the step may
+    change the history."""
 
     step: Step
     sent: tuple[int, ...]
@@ -64,7 +64,7 @@
 
 
 class Rules:
-    """Which steps a system can take, and what comes of each."""
+    """The steps that a system can take, and the result of each."""
 
     def __init__(self, bounds: Bounds, commands: tuple[Command, ...], tolerance: int) -> None:
         self.bounds, self.tolerance = bounds, tolerance
@@ -76,10 +76,10 @@
         self._moves: dict[tuple[int, Choice], Move] = {}
         self._choices: dict[tuple[int, int], tuple[Choice, ...]] = {}
         self._addresses: dict[str, int] = {}
-        self._kinds: tuple[type, ...] | None = None  # of messages that arrive at all; None: all
+        self._kinds: tuple[type, ...] | None = None  # of messages that are delivered; None: all
 
     def first(self, nodes: list[Node], in_flight: list[Sent], history: History) -> World:
-        """The world that a scenario begins with."""
+        """The initial world of a scenario."""
         removed = self.bounds.removed
         self._addresses = {node.address: node.number for node in nodes if node.number not in removed}
         messages = tuple(sorted(set(self._numbers_of(in_flight))))
@@ -87,11 +87,11 @@
         return World(states, messages, self.bounds.allowance, self._histories.number(history))
 
     def history(self, world: World) -> History:
-        """What happened up to this world."""
+        """The history that led to this world."""
         return self._histories[world.history]
 
     def restricted(self, worlds: list[World], kinds: tuple[type, ...]) -> list[World]:
-        """The worlds without messages of other kinds; from now on only these kinds arrive."""
+        """The worlds without messages of other kinds; from now on only these kinds are delivered."""
         self._kinds = kinds
         self._moves.clear()
         return [
@@ -100,11 +100,11 @@
         ]
 
     def messages(self, world: World) -> list[Sent]:
-        """What is in flight."""
+        """The messages in flight."""
         return [self._messages[number] for number in world.in_flight]
 
     def described(self, choice: Choice) -> str:
-        """A choice for a reader."""
+        """A one-line description of a choice, with the message that it delivers."""
         text = described(choice)
         if not isinstance(choice, Deliver):
             return text
@@ -112,7 +112,7 @@
         return f"{text} from {sent.sender}: {sent.message}"
 
     def choices(self, world: World) -> Iterator[Choice]:
-        """Everything that may happen next. A message that is lost is one that is never delivered."""
+        """All choices possible in this world. A lost message is modelled as one that is never delivered."""
         allowance = world.allowance
         for message in world.in_flight:
             target = self._targets[message]
@@ -123,7 +123,7 @@
                     yield from self._variants(allowance, state, choice)
 
     def after(self, world: World, choice: Choice) -> World | None:
-        """The world after a decision; None where nothing came of it. Raises Violation."""
+        """The world after a choice; None if the choice has no effect. Raises Violation."""
         node = choice.node
         before = world.nodes[node]
         move = self._move(before, choice)
@@ -135,7 +135,7 @@
         return World(nodes, in_flight, world.allowance.after(choice), history)
 
     def calm_path(self, world: World, most_steps: int) -> list[World]:
-        """The worlds that a calm system goes through from this one on, with the allowance as it is."""
+        """The worlds that a fault-free system passes through from here on, each with the full allowance."""
         worlds = [world]
         present = [node for node in range(len(world.nodes)) if node not in self.bounds.removed]
         ticks = 0
@@ -148,7 +148,7 @@
         return worlds
 
     def _calm_choice(self, world: World, ticking: int) -> Choice:
-        """What comes next in calm: writes, then the oldest message, then time."""
+        """The next choice without faults: pending writes, then the oldest message, then a clock advance."""
         for node, state in enumerate(world.nodes):
             if node not in self.bounds.removed and self.steps.node(state).pending:
                 return FinishWrite(node)
@@ -157,11 +157,11 @@
         return PassTime(ticking, CALM_TICK_MS)
 
     def _without_message(self, world: World, choice: Choice) -> World:
-        """The world in which a message of no effect has been delivered."""
+        """The world after delivery of a message that has no effect."""
         return msgspec.structs.replace(world, in_flight=self._in_flight_after(world.in_flight, choice, ()))
 
     def _variants(self, allowance: Allowance, state: int, choice: Choice) -> Iterator[Choice]:
-        """A choice, and the same with a message that stays or with writes that are held back."""
+        """A choice, and its variants with a message that stays in flight or with writes that stay pending."""
         yield choice
         if allowance.faults <= cost_of(choice).faults:
             return
@@ -172,7 +172,7 @@
             yield held
 
     def _own_choices(self, node: int, state: int) -> tuple[Choice, ...]:
-        """What may happen to a machine beside messages, allowance aside."""
+        """The choices at a machine other than deliveries, regardless of the allowance."""
         key = (node, state)
         choices = self._choices.get(key)
         if choices is None:
@@ -231,7 +231,7 @@
         return tuple(sorted({*in_flight, *sent})) if sent else in_flight
 
     def _numbers_of(self, messages: Iterable[Sent]) -> Iterator[int]:
-        """Numbers of the messages that arrive at all."""
+        """Numbers of the messages that can be delivered."""
         kinds = self._kinds
         for sent in messages:
             target = self._addresses.get(sent.receiver)
@@ -243,7 +243,7 @@
 
 
 class BrokenRule(Violation):
-    """A violation with the decisions that lead to it, a line each."""
+    """A violation with the choices that lead to it, one per line."""
 
     def __init__(self, what: str, lines: list[str]) -> None:
         self.lines = lines
--- a/tests/fleet/campaign.py
+++ b/tests/fleet/campaign.py
@@ -1,6 +1,6 @@
-"""Random campaigns over a fleet: chaos, calm, and a check of everything that was seen.
+"""Random campaigns over a fleet: a phase with faults, one without, and a check of all observations.
 
-By hand: `python -m tests.fleet.campaign FIRST_SEED COUNT`.
+To run many: `python -m tests.fleet.campaign FIRST_SEED COUNT`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Campaign:
-    """One fleet's troubled life; all of it follows from the seed."""
+    """A run of one fleet with random faults, determined entirely by the seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
@@ -45,7 +45,7 @@
         self.fleet.observe(self.history.note_committed, self.history.note_view)
 
     def run(self) -> None:
-        """Raises Violation where something happened that must not."""
+        """Run the campaign; raises Violation if an invariant is broken."""
         self.fleet.start()
         self.fleet.run(STABLE_MS)
         for _ in range(ROUNDS):
@@ -65,7 +65,7 @@
             self.fleet.run(DISK_LOSSES_MS)
 
     def _calm(self) -> None:
-        """In the end everything works, and everything that was seen holds together."""
+        """Heal all faults, then check that commands and reads succeed and all observations are consistent."""
         for operator in self.operators:
             operator.stop()
         self.reader.stop()
@@ -81,17 +81,17 @@
         try:
             self.fleet.submit_and_commit(base, base + 1, f"calm-{base}", ACKNOWLEDGED_WITHIN_MS)
         except TimeoutError as error:
-            raise Violation(f"no command is acknowledged in calm times: {error}") from None
+            raise Violation(f"no command is acknowledged without faults: {error}") from None
 
     def _read(self) -> Register:
         try:
             return self.fleet.read_committed(ACKNOWLEDGED_WITHIN_MS)
         except TimeoutError as error:
-            raise Violation(f"no read is proven in calm times: {error}") from None
+            raise Violation(f"no read is proven without faults: {error}") from None
 
 
 def main() -> None:
-    """Run many campaigns and tell which failed."""
+    """Run many campaigns and print the violation of each that failed."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
     began = time.monotonic()
     failed = 0
--- a/tests/fleet/disk.py
+++ b/tests/fleet/disk.py
@@ -1,4 +1,4 @@
-"""A folder in memory that forgets, tears, fills and fails as disks do."""
+"""An in-memory directory that simulates disk faults: lost, torn and failing writes, and a full disk."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class PowerLost(Exception):
-    """The machine went down in the middle of a write."""
+    """The process ended in the middle of a write."""
 
 
 class _File:
-    """A file's bytes as the process sees them, and what of it would outlast a loss of power."""
+    """The contents of a file as the process sees them, and the part that would survive a power loss."""
 
     def __init__(self) -> None:
         self.writes: list[bytes] = []  # since the last sync
         self.synced = b""
-        self.is_named = False  # the name itself would outlast a loss of power
+        self.is_named = False  # the directory entry would survive a power loss
 
     def data(self) -> bytes:
         return self.synced + b"".join(self.writes)
@@ -33,17 +33,17 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._files: dict[str, _File] = {}
-        self._removed: dict[str, _File] = {}  # until the folder is synced
+        self._removed: dict[str, _File] = {}  # until the directory is synced
         self.is_full = False
         self.fails_syncs = False
-        self.goes_down_next = False  # the next write is cut short by the end of the process
+        self.goes_down_next = False  # the process ends in the middle of the next write
 
     def names(self) -> tuple[str, ...]:
         return tuple(sorted(self._files))
 
     def read(self, name: str) -> bytes:
         if name not in self._files:
-            raise StorageError(f"{name}: there is no such file")
+            raise StorageError(f"{name}: no such file")
         return self._files[name].data()
 
     def create(self, name: str, data: bytes) -> None:
@@ -62,7 +62,7 @@
             self._removed[name] = file
 
     def synced_copy(self) -> MemoryDisk:
-        """What the worst loss of power would leave."""
+        """The contents that survive a power loss in the worst case."""
         copy = MemoryDisk(self._rng)
         for name, file in self._files.items():
             if file.is_named:
@@ -71,12 +71,12 @@
         return copy
 
     def wipe(self) -> None:
-        """The disk is replaced by an empty one."""
+        """Replace the disk by an empty one."""
         self._files.clear()
         self._removed.clear()
 
     def lose_power(self) -> None:
-        """What was not synced is kept, lost or torn, write by write; a removed name may be back."""
+        """Keep, drop or tear each unsynced write at random; a removed file may reappear."""
         keeps_nothing = self._rng.random() < 0.3
         for name, file in self._removed.items():
             if self._rng.random() < 0.5:
@@ -107,6 +107,6 @@
             case 0:
                 return write
             case 1:
-                return bytes(len(write))  # the length was set, the bytes were not written
+                return bytes(len(write))  # the length was extended, the bytes were not written
             case _:
                 return write[: self._rng.randint(0, len(write))]
--- a/tests/fleet/fleet.py
+++ b/tests/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of replicas in memory, run from one seed."""
+"""An in-memory fleet of replicas, simulated from one seed."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
         return self.machines[address]
 
     def add(self, address: str) -> Machine:
-        """A machine with an empty disk, not started. Its settings name machines of this moment as seeds."""
+        """Add a machine with an empty disk, not started. The seeds in its settings are current machines."""
         rng = random.Random(self.rng.getrandbits(64))
         seeds = self.seeds if address in self.seeds else tuple(self.machines)[: len(self.seeds)]
         machine = Machine(address, self.clock, self.network, rng, seeds, self.tolerance)
@@ -48,35 +48,35 @@
     def observe(
         self, on_committed: Callable[[Machine, Register], None], on_view: Callable[[View], None]
     ) -> None:
-        """Have what replicas take for committed and for chosen told to someone."""
+        """Set callbacks for the state that replicas consider committed and the views considered decided."""
         self._on_committed, self._on_view = on_committed, on_view
         for machine in self.machines.values():
             machine.on_committed, machine.on_view = on_committed, on_view
 
     def start(self, spread_ms: float = START_SPREAD_MS) -> None:
-        """The very first start of all machines, in any order."""
+        """Bootstrap: start all machines for the first time, in random order."""
         for machine in self.machines.values():
             self.clock.after(self.rng.uniform(0.0, spread_ms), lambda m=machine: m.start(bootstrap=True))  # type: ignore[misc]
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self.clock.run_until(self.clock.now_ms + duration_ms)
 
     def run_until(self, condition: Callable[[], bool], most_ms: float) -> float:
-        """Let time pass until something holds; how long that took. Fails after `most_ms`."""
+        """Advance the time until the condition holds and return the elapsed time. Fails after `most_ms`."""
         began_ms = self.clock.now_ms
         while not condition():
             if self.clock.now_ms - began_ms > most_ms:
-                raise TimeoutError(f"not so after {most_ms} ms")
+                raise TimeoutError(f"the condition does not hold after {most_ms} ms")
             self.run(5.0)
         return self.clock.now_ms - began_ms
 
     def running(self) -> list[Machine]:
-        """Machines with a process that runs."""
+        """Machines whose process is running."""
         return [machine for machine in self.machines.values() if machine.is_running]
 
     def primary(self) -> Machine | None:
-        """The machine that takes itself for the primary, in the newest epoch."""
+        """The machine that considers itself primary, in the newest epoch."""
         primaries = []
         for machine in self.running():
             status = machine.status()
@@ -85,7 +85,7 @@
         return self.machines[max(primaries)[1]] if primaries else None
 
     def stabilize(self, most_ms: float = 4_000.0) -> Machine:
-        """Run until there is a primary that holds its lease; that machine."""
+        """Run until a primary holds its lease, and return its machine."""
 
         def is_stable() -> bool:
             primary = self.primary()
@@ -108,7 +108,7 @@
     def submit(
         self, machine: Machine, base: int, version: int, name: str = "operator"
     ) -> list[CommandResult]:
-        """A command to one machine; its result is in the list once it is there."""
+        """Send a command to one machine; the result is appended to the returned list."""
         results: list[CommandResult] = []
         machine.submit(command(base, version, name), results.append)
         return results
@@ -116,7 +116,7 @@
     def submit_and_commit(
         self, base: int, version: int, name: str = "operator", most_ms: float = 4_000.0
     ) -> float:
-        """Send a command to whoever is primary until it is acknowledged; how long that took."""
+        """Send a command to the current primary until it is acknowledged; return the elapsed time."""
         state: list[CommandResult] = []
         began_ms = self.clock.now_ms
         while not any(result.outcome is CommandOutcome.COMMITTED for result in state):
@@ -129,7 +129,7 @@
         return self.clock.now_ms - began_ms
 
     def read_committed(self, most_ms: float = 4_000.0) -> Register:
-        """Ask whoever is primary until a read is proven."""
+        """Read at the current primary until a read is proven."""
         results: list[Register | None] = []
         began_ms = self.clock.now_ms
         while not any(result is not None for result in results):
@@ -144,11 +144,11 @@
     def submit_into(
         self, machine: Machine, base: int, version: int, name: str, results: list[CommandResult]
     ) -> None:
-        """A command to one machine, its result added to a list."""
+        """Send a command to one machine and append its result to a list."""
         machine.submit(command(base, version, name), results.append)
 
     def read(self, machine: Machine, most_ms: float = 1_500.0) -> Register | None:
-        """A read at one machine."""
+        """Read at one machine and return the result."""
         results: list[Register | None] = []
         machine.read(results.append)
         self.run_until(lambda: bool(results), most_ms)
--- a/tests/fleet/freshness.py
+++ b/tests/fleet/freshness.py
@@ -1,4 +1,4 @@
-"""Whether what machines call fresh is: looked at all the time, against what operators were confirmed."""
+"""Checks the freshness that machines claim periodically against the versions confirmed to operators."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.fleet.clock import Clock
 from tests.fleet.history import Violation
 
-LOOK_INTERVAL_MS = 5.0
+CHECK_INTERVAL_MS = 5.0
 
 
 class Watched(Protocol):
@@ -19,33 +19,33 @@
     address: str
 
     def status(self) -> ReplicaStatus | None:
-        """How its replica stands; None without a process that runs."""
+        """The status of its replica; None if its process is not running."""
 
 
 class Confirmations:
-    """The versions that operators were confirmed, and when."""
+    """The versions confirmed to operators, and the times."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._confirmed_ms: list[float] = []
-        self._newest: list[int] = []  # of the versions confirmed by then
+        self._newest: list[int] = []  # newest version confirmed by each of these times
 
     def confirm(self, version: int) -> None:
-        """An operator was confirmed a version just now."""
+        """Record that a version is confirmed to an operator now."""
         before = self._newest[-1] if self._newest else 0
         self._confirmed_ms.append(self._clock.now_ms)
         self._newest.append(max(before, version))
 
     def newest_before(self, at_ms: float) -> int:
-        """The newest version that was confirmed before; 0 where there was none."""
+        """The newest version confirmed before the given time; 0 if there is none."""
         count = bisect_left(self._confirmed_ms, at_ms)
         return self._newest[count - 1] if count else 0
 
 
 class FreshnessWatch:
-    """Compares each machine's claim with all confirmations so far, and raises Violation.
+    """Compares each machine's claim with all confirmations so far; raises Violation if it is false.
 
-    The claim "version V, fresh A ms ago" means that whatever was confirmed before then is at most V.
+    The claim "version V, fresh A ms ago" means that every version confirmed before then is at most V.
     """
 
     def __init__(
@@ -53,22 +53,22 @@
         clock: Clock,
         machines: Callable[[], Iterable[Watched]],
         newest_confirmed_before: Callable[[float], int],
-        look_interval_ms: float = LOOK_INTERVAL_MS,
+        check_interval_ms: float = CHECK_INTERVAL_MS,
     ) -> None:
         self._clock, self._machines = clock, machines
         self._newest_confirmed_before = newest_confirmed_before
-        self._look_interval_ms = look_interval_ms
+        self._check_interval_ms = check_interval_ms
         self.claims = 0
-        self._look()
+        self._check_all()
 
-    def _look(self) -> None:
+    def _check_all(self) -> None:
         for machine in self._machines():
             status = machine.status()
             if status is not None and status.fresh_age_ms is not None:
-                self._check(machine.address, status.committed_version, status.fresh_age_ms)
-        self._clock.after(self._look_interval_ms, self._look)
+                self._check_claim(machine.address, status.committed_version, status.fresh_age_ms)
+        self._clock.after(self._check_interval_ms, self._check_all)
 
-    def _check(self, address: str, version: int, age_ms: float) -> None:
+    def _check_claim(self, address: str, version: int, age_ms: float) -> None:
         self.claims += 1
         fresh_ms = self._clock.now_ms - age_ms
         newest = self._newest_confirmed_before(fresh_ms)
--- a/tests/fleet/history.py
+++ b/tests/fleet/history.py
@@ -1,4 +1,4 @@
-"""What callers and replicas of a fleet saw, and whether that may have happened."""
+"""Observations of callers and replicas of a fleet, and a check of their consistency."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from tests.fleet.machine import Machine
 from tests.fleet.register import Register, change_of
 
-# Members at the founding, whatever the tolerance.
+# Number of members at bootstrap, regardless of the tolerance.
 MOST_SEEDS = 3
 
 Taken = tuple[int, bytes]  # base version and body of one command
 
 
 class Violation(AssertionError):
-    """Something that no fleet may do."""
+    """A violated invariant of the system."""
 
 
 @attrs.define
@@ -45,7 +45,7 @@
 
 
 class History:
-    """Collects what was seen; `check` compares it with the configuration at the end."""
+    """Collects observations; `check` compares them with the final configuration."""
 
     def __init__(self, tolerance: int) -> None:
         self._tolerance = tolerance
@@ -57,7 +57,7 @@
         self._views: dict[int, View] = {}
 
     def acknowledge(self, now_ms: float, attempt: Attempt, machines: list[Machine]) -> None:
-        """A command was acknowledged: by now it has to be on enough disks."""
+        """Record an acknowledged command and check that it is on enough disks."""
         if attempt.refused_ms is not None:
             raise Violation(f"{attempt} was refused and then acknowledged")
         if attempt.acknowledged_ms is None:
@@ -68,44 +68,48 @@
                 raise Violation(f"{attempt} is acknowledged and on disk at {holders} alone")
 
     def refuse(self, now_ms: float, attempt: Attempt, outcome: CommandOutcome) -> None:
-        """A command was refused."""
+        """Record a refused command."""
         if attempt.acknowledged_ms is not None:
             raise Violation(f"{attempt} was acknowledged and then {outcome}")
         attempt.refused_ms = now_ms
 
     def note_committed(self, machine: Machine, register: Register) -> None:
-        """A replica takes something for committed."""
+        """Record and check the commands that a replica considers committed."""
         taken = tuple(register.taken)
         incarnation = (machine.address, machine.incarnation)
         before = self._committed.get(incarnation, ())
         if taken[: len(before)] != before:
-            raise Violation(f"{machine.address} went back from {_names(before)} to {_names(taken)}")
+            raise Violation(
+                f"{machine.address} went back from {_command_names(before)} to {_command_names(taken)}"
+            )
         self._committed[incarnation] = taken
         shared = min(len(taken), len(self._longest))
         if taken[:shared] != self._longest[:shared]:
-            raise Violation(f"{machine.address} has {_names(taken)}, others {_names(self._longest)}")
+            raise Violation(
+                f"{machine.address} has {_command_names(taken)}, others {_command_names(self._longest)}"
+            )
         self._longest = max(self._longest, taken, key=len)
 
     def note_view(self, view: View) -> None:
-        """A replica takes a view for chosen."""
+        """Record and check a view that a replica considers decided."""
         known = self._views.setdefault(view.epoch, view)
         if known != view:
             raise Violation(f"two views of one epoch: {known} and {view}")
         if len(view.members) > max(2 * self._tolerance + 1, MOST_SEEDS):
-            raise Violation(f"more members than are needed: {view}")
+            raise Violation(f"more members than needed: {view}")
         if len(view.in_sync) <= self._tolerance:
-            raise Violation(f"the in-sync set is smaller than what has to hold a command: {view}")
+            raise Violation(f"the in-sync set is smaller than what must hold a command: {view}")
 
     def check(self, final: Register) -> None:
-        """Compare all that was seen with what the fleet holds at the end."""
+        """Compare all observations with the final state of the fleet."""
         taken = tuple(final.taken)
         if taken[: len(self._longest)] != self._longest:
-            raise Violation(f"committed {_names(self._longest)}, at the end {_names(taken)}")
+            raise Violation(f"committed {_command_names(self._longest)}, at the end {_command_names(taken)}")
         for attempt in self.attempts:
             if attempt.acknowledged_ms is not None and attempt.taken not in taken:
                 raise Violation(f"{attempt} was acknowledged and is lost")
             if attempt.refused_ms is not None and attempt.taken in taken:
-                raise Violation(f"{attempt} was refused and is in force")
+                raise Violation(f"{attempt} was refused and is committed")
         self._check_reads(taken)
 
     def _check_reads(self, taken: tuple[Taken, ...]) -> None:
@@ -117,11 +121,13 @@
         )
         for read in self.reads:
             if read.taken != taken[: len(read.taken)]:
-                raise Violation(f"a read saw {_names(read.taken)}, at the end there is {_names(taken)}")
+                raise Violation(
+                    f"a read saw {_command_names(read.taken)}, at the end there is {_command_names(taken)}"
+                )
             needed = max((index + 1 for at_ms, index in acknowledged if at_ms < read.began_ms), default=0)
             if len(read.taken) < needed:
                 raise Violation(f"a read from {read.began_ms} on saw {len(read.taken)} of {needed} commands")
 
 
-def _names(taken: tuple[Taken, ...]) -> list[str]:
+def _command_names(taken: tuple[Taken, ...]) -> list[str]:
     return [change_of(body).name for _, body in taken[-8:]]
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -50,11 +50,11 @@
 
 
 class Machine:
-    """Carries out a replica's actions as its host does.
+    """Executes a replica's actions as the production host does.
 
     Attributes:
-        preparation_ms: How long a preparation takes beside the events.
-        processor_ms: How long the event that was just handled took; the process stands still meanwhile.
+        preparation_ms: Duration of a preparation, which runs concurrently with event handling.
+        processor_ms: Duration of the event that was just handled; the process is frozen for that time.
     """
 
     preparation_ms = 0.0
@@ -91,15 +91,13 @@
         self._last_token = 0
         network.attach(address, self._receive)
 
-    # --- what happens to it ---
-
     @property
     def is_running(self) -> bool:
-        """Whether there is a process that is not frozen."""
+        """Whether the process exists and is not frozen."""
         return self.replica is not None and not self._is_frozen
 
     def start(self, bootstrap: bool = False) -> None:
-        """Start the process on whatever the disk holds."""
+        """Start the process from the contents of the disk."""
         if self.replica is not None or self._is_removed:
             return
         self.incarnation += 1
@@ -124,11 +122,11 @@
         self._tick(self.incarnation)
 
     def replica_rng(self) -> random.Random:
-        """Chance as one life of the process has it."""
+        """The random generator of one process incarnation."""
         return random.Random(self._rng.getrandbits(64))
 
     def kill(self) -> None:
-        """End the process; what it wrote stays, synced or not."""
+        """Kill the process; its written data stays, synced or not."""
         if self.replica is None:
             return
         self._interrupt_write()
@@ -144,26 +142,26 @@
         self._reads.clear()
 
     def lose_power(self) -> None:
-        """End the process and lose what was not synced."""
+        """Kill the process and lose unsynced data."""
         self.kill()
         self.disk.lose_power()
 
     def wipe(self) -> None:
-        """End the process and lose the disk."""
+        """Kill the process and lose the disk."""
         self.kill()
         self.disk.wipe()
 
     def remove(self) -> None:
-        """The machine is taken away for good."""
+        """Remove the machine permanently."""
         self.wipe()
         self._is_removed = True
 
     def freeze(self) -> None:
-        """The process does not run; what comes for it is queued."""
+        """Suspend the process; its events are queued."""
         self._is_frozen = True
 
     def thaw(self) -> None:
-        """The process goes on with what is queued."""
+        """Resume the process and handle the queued events."""
         if not self._is_frozen:
             return
         self._is_frozen = False
@@ -171,24 +169,22 @@
             self._handle(self._inbox.popleft())
 
     def tick(self) -> None:
-        """Let the process notice what time it is, now."""
+        """Send the process a time event now."""
         self._event(TimePassed())
 
     def ask_to_leave(self) -> None:
-        """SIGTERM: the process is to hand over; when it ends is up to the caller."""
+        """SIGTERM: request a handover; the caller decides when the process ends."""
         self.is_stopping = True
         self._event(ShutdownRequested())
 
     def leave(self) -> None:
-        """SIGTERM: the process is to hand over, and ends a little later."""
+        """SIGTERM: request a handover; the process ends after a short delay."""
         self.ask_to_leave()
         incarnation = self.incarnation
         self.clock.after(300.0, lambda: self.kill() if incarnation == self.incarnation else None)
 
-    # --- what callers ask ---
-
     def submit(self, command: Command, on_result: OnCommand) -> None:
-        """An operator's command; the end may never come where the machine is frozen."""
+        """Submit an operator's command; there may be no result while the machine is frozen."""
         if self.replica is None:
             on_result(CommandResult(CommandOutcome.UNKNOWN))
             return
@@ -197,7 +193,7 @@
         self._event(CommandSubmitted(self._last_token, command))
 
     def read(self, on_result: OnRead) -> None:
-        """An operator's read: the committed state if it is the newest, else None."""
+        """Read for an operator: the committed state if it is proven to be the newest, otherwise None."""
         if self.replica is None:
             on_result(None)
             return
@@ -206,7 +202,7 @@
         self._event(ReadSubmitted(self._last_token))
 
     def status(self) -> ReplicaStatus | None:
-        """How its replica stands; None without a process that runs."""
+        """The status of its replica; None if its process is not running."""
         return self.replica.status(self.clock.now_ms) if self.replica and not self._is_frozen else None
 
     @property
@@ -218,7 +214,7 @@
         return committed
 
     def taken_on_disk(self) -> set[tuple[int, bytes]]:
-        """The commands that would still be here after a loss of power."""
+        """The commands that would survive a power loss of this machine."""
         stored = stored_state(RecordFile(self.disk.synced_copy()).recover().records)
         register = Register.restore(stored.snapshot) if stored.snapshot is not None else Register()
         taken = set(register.taken)
@@ -227,8 +223,6 @@
             taken.add((entry.base_version, entry.body))
         return taken
 
-    # --- inside ---
-
     def _tick(self, incarnation: int) -> None:
         if incarnation != self.incarnation:
             return
@@ -266,11 +260,11 @@
                 case Committed():
                     self.on_committed(self, self.register)
                 case LogLine():
-                    self._take_report(action)
+                    self._record_report(action)
         if busy_ms := self.processor_ms():
-            self._stand_still(busy_ms, self.incarnation)
+            self._freeze_while_busy(busy_ms, self.incarnation)
 
-    def _stand_still(self, busy_ms: float, incarnation: int) -> None:
+    def _freeze_while_busy(self, busy_ms: float, incarnation: int) -> None:
         self.freeze()
         self.clock.after(busy_ms, lambda: self.thaw() if incarnation == self.incarnation else None)
 
@@ -282,7 +276,7 @@
 
         self.clock.after(self.preparation_ms, end)
 
-    def _take_report(self, report: LogLine) -> None:
+    def _record_report(self, report: LogLine) -> None:
         self.reports.append((self.clock.now_ms, report))
         if report.event is VIEW_CHANGED and self.replica is not None and self.replica.view is not None:
             self.on_view(self.replica.view)
@@ -294,7 +288,9 @@
     def _end_write(self, incarnation: int) -> None:
         if incarnation != self.incarnation:
             return
-        if self.clock.now_ms < self.stalled_until_ms:  # which may be mended sooner
+        if (
+            self.clock.now_ms < self.stalled_until_ms
+        ):  # checked again each tick, as the stall may be repaired early
             self.clock.after(TICK_MS, lambda: self._end_write(incarnation))
             return
         action = self._disk_queue.popleft()
@@ -314,7 +310,7 @@
         return True
 
     def _interrupt_write(self) -> None:
-        """The write under way is cut short; those behind it never began."""
+        """Tear the write in progress; the queued ones are dropped, as they never started."""
         if not self._disk_queue:
             return
         self.disk.goes_down_next = True
--- a/tests/fleet/network.py
+++ b/tests/fleet/network.py
@@ -1,4 +1,4 @@
-"""Links between machines: delay, loss, cuts in one direction or both, and what long messages cost."""
+"""Links between machines: delay, loss, cuts in one or both directions, and the cost of long messages."""
 
 from __future__ import annotations
 
@@ -15,43 +15,43 @@
         self._clock, self._rng = clock, rng
         self._receivers: dict[str, Callable[[str, bytes], None]] = {}
         self._cuts: set[tuple[str, str]] = set()
-        self._held: dict[tuple[str, str], list[bytes]] = {}  # by links that hold what they don't carry
+        self._held: dict[tuple[str, str], list[bytes]] = {}  # messages on links that delay them until heal()
         self._busy_until: dict[tuple[str, str], float] = {}
         self.loss = 0.0
         self.reorders = False
         self.least_delay_ms, self.most_delay_ms = 0.5, 3.0
-        # Of each machine's own link, which all that it sends shares; None: without bound.
+        # Bandwidth of each machine's link, shared by all that it sends; None: unlimited.
         self.bytes_per_ms: float | None = None
-        # How long a message of so many bytes keeps its receiver from taking the next.
+        # Time per byte for which handling a message keeps its receiver from taking the next.
         self.handling_ms_per_byte = 0.0
         self._sending_until: dict[str, float] = {}
         self._handling_until: dict[str, float] = {}
 
     def attach(self, address: str, receive: Callable[[str, bytes], None]) -> None:
-        """Whoever takes what comes to an address."""
+        """Register the receiver of messages to an address."""
         self._receivers[address] = receive
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Nothing gets through in this direction."""
+        """Drop all messages in this direction."""
         self._cuts.add((sender, receiver))
 
     def cut_both(self, one: str, other: str) -> None:
-        """Nothing gets through between two."""
+        """Drop all messages between two machines."""
         self.cut(one, other)
         self.cut(other, one)
 
     def hold(self, sender: str, receiver: str) -> None:
-        """Nothing gets through in this direction until all is healed; then everything does, in order."""
+        """Hold messages in this direction until `heal`, which delivers them in order."""
         self._held.setdefault((sender, receiver), [])
 
     def isolate(self, address: str) -> None:
-        """Cut one from all others."""
+        """Cut one machine off from all others."""
         for other in self._receivers:
             if other != address:
                 self.cut_both(address, other)
 
     def heal(self) -> None:
-        """Everything gets through again."""
+        """Restore all links and send the held messages."""
         self._cuts.clear()
         self.loss = 0.0
         held, self._held = self._held, {}
@@ -60,11 +60,11 @@
                 self.send(sender, receiver, data)
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Whether nothing gets through in this direction."""
+        """Whether messages in this direction are dropped."""
         return (sender, receiver) in self._cuts
 
     def send(self, sender: str, receiver: str, data: bytes) -> None:
-        """Deliver later, if at all."""
+        """Deliver a message after a delay, unless it is dropped or held."""
         if (sender, receiver) in self._held:
             self._held[sender, receiver].append(data)
             return
@@ -79,7 +79,7 @@
         self._clock.after(arrival_ms - self._clock.now_ms, lambda: self._arrive(sender, receiver, data))
 
     def _sent_ms(self, sender: str, size: int) -> float:
-        """When the last byte has left, behind all that was sent before."""
+        """The time at which the last byte is sent, after all earlier messages."""
         if self.bytes_per_ms is None:
             return self._clock.now_ms
         began_ms = max(self._clock.now_ms, self._sending_until.get(sender, 0.0))
@@ -87,7 +87,7 @@
         return self._sending_until[sender]
 
     def _arrive(self, sender: str, receiver: str, data: bytes) -> None:
-        """Handled at once, or when what came before is."""
+        """Deliver at once, or after the earlier messages have been handled."""
         if not self.handling_ms_per_byte:
             self._deliver(sender, receiver, data)
             return
--- a/tests/fleet/operators.py
+++ b/tests/fleet/operators.py
@@ -1,4 +1,4 @@
-"""Operators who change and read the configuration, and repeat what got no clear answer."""
+"""Operators that change and read the configuration, and retry commands without a definite answer."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from tests.fleet.machine import Machine
 from tests.fleet.register import Register, command
 
-PATIENCE_MS = 1_000.0  # without an answer, before the call goes to another machine
-MOST_TRIES = 12
+ANSWER_TIMEOUT_MS = 1_000.0  # then the call is repeated at another machine
+MAX_TRIES = 12
 
 
 class Operator:
-    """Sends one command after the other, on top of the newest version that it knows."""
+    """Sends one command after another, each based on the newest version that it knows."""
 
     def __init__(self, name: str, fleet: Fleet, history: History, rng: random.Random) -> None:
         self.name, self.fleet, self.history, self._rng = name, fleet, history, rng
@@ -25,16 +25,16 @@
         self._count = 0
 
     def start(self, interval_ms: float) -> None:
-        """Go on until stopped, with pauses of about this length."""
+        """Send commands until stopped, with pauses of about `interval_ms`."""
         self.is_active = True
         self._interval_ms = interval_ms
-        self._later(self._next)
+        self._schedule(self._next)
 
     def stop(self) -> None:
         """Send no further command."""
         self.is_active = False
 
-    def _later(self, action: Callable[[], None]) -> None:
+    def _schedule(self, action: Callable[[], None]) -> None:
         self.fleet.clock.after(self._rng.uniform(0.2, 1.8) * self._interval_ms, action)
 
     def _next(self) -> None:
@@ -48,13 +48,13 @@
         name = f"{self.name}-{self._count}"
         attempt = Attempt(command(self._base, version, name), self.fleet.clock.now_ms)
         self.history.attempts.append(attempt)
-        self._send(attempt, version, MOST_TRIES)
+        self._send(attempt, version, MAX_TRIES)
 
     def _send(self, attempt: Attempt, version: int, tries: int) -> None:
-        """One call; without a clear answer in time, the same again elsewhere."""
+        """Send a command once; without a definite answer in time, retry at another machine."""
         machine = self._pick()
         if tries == 0 or machine is None:
-            self._later(self._next)
+            self._schedule(self._next)
             return
         call = _Call()
 
@@ -68,15 +68,15 @@
                 self._base = max(self._base, result.version)
             if call.end():
                 if result.outcome is CommandOutcome.UNKNOWN:
-                    self._later(lambda: self._send(attempt, version, tries - 1))
+                    self._schedule(lambda: self._send(attempt, version, tries - 1))
                 else:
-                    self._later(self._next)
+                    self._schedule(self._next)
 
         def on_timeout() -> None:
             if call.end():
                 self._send(attempt, version, tries - 1)
 
-        self.fleet.clock.after(PATIENCE_MS, on_timeout)
+        self.fleet.clock.after(ANSWER_TIMEOUT_MS, on_timeout)
         machine.submit(attempt.command, on_result)
 
     def _read(self) -> None:
@@ -90,14 +90,14 @@
                 self.history.reads.append(ProvenRead(began_ms, now_ms, tuple(register.taken)))
                 self._base = max(self._base, register.version)
             if call.end():
-                self._later(self._next)
+                self._schedule(self._next)
 
-        self.fleet.clock.after(PATIENCE_MS, lambda: self._later(self._next) if call.end() else None)
+        self.fleet.clock.after(ANSWER_TIMEOUT_MS, lambda: self._schedule(self._next) if call.end() else None)
         if machine is not None:
             machine.read(on_result)
 
     def _pick(self) -> Machine | None:
-        """Any machine, or the primary that it follows: control planes pass calls on."""
+        """A random machine, or the primary that it follows, as control planes forward calls."""
         machines = list(self.fleet.machines.values())
         if not machines:
             return None
@@ -109,19 +109,19 @@
 
 
 class Reader:
-    """Asks whoever takes itself for the primary, all the time: most of all one that is none any more."""
+    """Reads continuously at each machine that considers itself primary, in particular at former primaries."""
 
     def __init__(self, fleet: Fleet, history: History, rng: random.Random) -> None:
         self._fleet, self._history, self._rng = fleet, history, rng
         self._is_active = False
 
     def start(self) -> None:
-        """Go on until stopped."""
+        """Read until stopped."""
         self._is_active = True
         self._next()
 
     def stop(self) -> None:
-        """Read no more."""
+        """Stop reading."""
         self._is_active = False
 
     def _next(self) -> None:
@@ -145,13 +145,13 @@
 
 
 class _Call:
-    """Ends once: by its answer or by its silence."""
+    """A call that ends once: by its answer or by its timeout."""
 
     def __init__(self) -> None:
         self._has_ended = False
 
     def end(self) -> bool:
-        """Whether this is its end."""
+        """Mark the call as ended; False if it had ended before."""
         if self._has_ended:
             return False
         self._has_ended = True
--- a/tests/fleet/register.py
+++ b/tests/fleet/register.py
@@ -1,4 +1,4 @@
-"""A small replicated state machine with the operator's rules: one command on top of each version."""
+"""A small replicated state machine with the rules for operators: one command may follow each version."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """A command's body: which version it makes, and who sent it."""
+    """A command's body: the version that it produces, and its name."""
 
     version: int
     name: str
@@ -24,7 +24,7 @@
 
 
 def change_of(body: bytes) -> Change:
-    """What a command's body says."""
+    """The decoded body of a command."""
     return msgspec.msgpack.decode(body, type=Change)
 
 
