--- a/tests/explore/__main__.py
+++ b/tests/explore/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from tests.explore.plans import ALL_PLANS, carry_out
+from tests.explore.plans import ALL_PLANS, run_plan
 
 LEAVES = 50
 
@@ -13,7 +13,7 @@
     """Print the outcome of each plan; the first violated invariant ends the run."""
     further_depth = int(sys.argv[1]) if len(sys.argv) > 1 else 0
     for plan in ALL_PLANS:
-        print(f"{plan.allowance} {carry_out(plan, further_depth, LEAVES)}", flush=True)
+        print(f"{plan.allowance} {run_plan(plan, further_depth, LEAVES)}", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/explore/calm.py
+++ b/tests/explore/calm.py
@@ -14,7 +14,7 @@
 MAX_DELIVERIES_PER_TICK = 5_000
 
 
-class CalmRun:
+class FaultFreeRun:
     """Runs machines without faults; `present` holds the numbers of those that still exist."""
 
     def __init__(self, nodes: list[Node], in_flight: list[Sent], present: set[int] | None = None) -> None:
@@ -63,14 +63,14 @@
             if self.nodes[number].pending:
                 self.act(number, lambda node, output: node.finish_write(output))
 
-    def run_until(self, condition: Callable[[], bool], most_ms: float) -> float:
+    def run_until(self, condition: Callable[[], bool], max_ms: float) -> float:
         """Advance time until the condition holds and return the elapsed time.
 
-        Raises Violation if it does not hold within `most_ms`."""
+        Raises Violation if it does not hold within `max_ms`."""
         elapsed_ms = 0.0
         while not condition():
-            if elapsed_ms >= most_ms:
-                raise Violation(f"the condition does not hold after {most_ms:g} ms without faults")
+            if elapsed_ms >= max_ms:
+                raise Violation(f"the condition does not hold after {max_ms:g} ms without faults")
             self.tick()
             elapsed_ms += TICK_MS
         return elapsed_ms
@@ -83,21 +83,25 @@
         found = [number for number, s in statuses.items() if s.is_primary and epochs.get(number) == newest]
         return found[0] if found else None
 
-    def is_whole(self) -> bool:
+    def has_full_in_sync_set(self) -> bool:
         """Whether the primary's in-sync set has its full size and contains only machines that are present."""
         primary = self.primary()
         if primary is None:
             return False
         view = self.nodes[primary].observe().view
-        here = {self.nodes[number].observe().incarnation for number in self.present}
+        existing = {self.nodes[number].observe().incarnation for number in self.present}
         seeds = self.nodes[primary].settings.seed_count
-        return view is not None and len(view.in_sync) == min(seeds, len(here)) and set(view.in_sync) <= here
+        return (
+            view is not None
+            and len(view.in_sync) == min(seeds, len(existing))
+            and set(view.in_sync) <= existing
+        )
 
-    def submit_and_commit(self, command: Command, most_ms: float) -> float:
+    def submit_and_commit(self, command: Command, max_ms: float) -> float:
         """Send a command to the current primary until it is acknowledged; return the elapsed time."""
         requested: set[tuple[int, int]] = set()
 
-        def is_taken() -> bool:
+        def is_committed() -> bool:
             primary = self.primary()
             if primary is not None and (primary, len(self.ended)) not in requested:
                 requested.add((primary, len(self.ended)))
@@ -108,4 +112,4 @@
                 for ended in self.ended
             )
 
-        return self.run_until(is_taken, most_ms)
+        return self.run_until(is_committed, max_ms)
--- a/tests/explore/choices.py
+++ b/tests/explore/choices.py
@@ -5,14 +5,14 @@
 import msgspec
 
 
-class _DiskPace(msgspec.Struct, frozen=True, kw_only=True):
+class _WriteTiming(msgspec.Struct, frozen=True, kw_only=True):
     """`holds_writes`: the machine's disk writes stay pending; otherwise all of them complete before any other
     event."""
 
     holds_writes: bool = False
 
 
-class Choice(_DiskPace, frozen=True):
+class Choice(_WriteTiming, frozen=True):
     """The base of all choices; `node` is the number of the machine that it affects."""
 
     node: int
@@ -92,7 +92,7 @@
             self.leaves - cost.leaves,
         )
 
-    def bears(self, choice: Choice) -> bool:
+    def covers(self, choice: Choice) -> bool:
         """Whether the allowance covers a choice."""
         left = self.after(choice)
         counts = (left.times, left.faults, left.wipes, left.commands, left.reads, left.leaves)
@@ -115,11 +115,11 @@
 def cost_of(choice: Choice) -> Allowance:
     """The part of the allowance that a choice uses up."""
     cost = _COSTS.get(type(choice), _NOTHING)
-    further = choice.holds_writes + (isinstance(choice, Deliver) and choice.stays)
-    return msgspec.structs.replace(cost, faults=cost.faults + further) if further else cost
+    extra_faults = choice.holds_writes + (isinstance(choice, Deliver) and choice.stays)
+    return msgspec.structs.replace(cost, faults=cost.faults + extra_faults) if extra_faults else cost
 
 
-def described(choice: Choice) -> str:
+def describe(choice: Choice) -> str:
     """A one-line description for reports."""
     machine = f"m{choice.node + 1}" + (" (its writes stay pending)" if choice.holds_writes else "")
     match choice:
--- a/tests/explore/explorer.py
+++ b/tests/explore/explorer.py
@@ -14,21 +14,22 @@
 from tests.explore.world import BrokenRule, Rules, World
 
 
-class Explored(msgspec.Struct, frozen=True):
-    """Statistics of a search. `depth`: all worlds within this number of choices were visited; `is_whole`: no
-    further worlds are reachable."""
+class SearchResult(msgspec.Struct, frozen=True):
+    """Statistics of a search. `depth`: all worlds within this number of choices were visited; `is_complete`:
+    no further worlds are reachable."""
 
     worlds: int
     depth: int
-    is_whole: bool
+    is_complete: bool
     machine_states: int
     machine_steps: int
     seconds: float
 
     def __str__(self) -> str:
-        whole = ", the whole state space" if self.is_whole else ""
+        completeness = ", the whole state space" if self.is_complete else ""
         return (
-            f"{self.worlds} worlds to depth {self.depth}{whole}; {self.machine_states} machine states, "
+            f"{self.worlds} worlds to depth {self.depth}{completeness}; "
+            f"{self.machine_states} machine states, "
             f"{self.machine_steps} replica steps; {self.seconds:.1f} s"
         )
 
@@ -48,19 +49,19 @@
         self._origins: dict[World, _Origin | None] = dict.fromkeys(first)
         self.leaves: list[World] = list(self._origins)
 
-    def explore(self, most_depth: int, most_worlds: int = 100_000_000) -> Explored:
-        """Search up to `most_depth` choices or `most_worlds` worlds. Raises BrokenRule."""
+    def explore(self, max_depth: int, max_worlds: int = 100_000_000) -> SearchResult:
+        """Search up to `max_depth` choices or `max_worlds` worlds. Raises BrokenRule."""
         began = time.perf_counter()
-        for depth in range(most_depth):
+        for depth in range(max_depth):
             following: list[World] = []
             for world in self.leaves:
-                if len(self._origins) >= most_worlds:
+                if len(self._origins) >= max_worlds:
                     return self._result(depth, False, began)
                 following += self._new_worlds(world)
             if not following:
                 return self._result(depth, True, began)
             self.leaves = following
-        return self._result(most_depth, False, began)
+        return self._result(max_depth, False, began)
 
     def path(self, world: World) -> tuple[Choice, ...]:
         """The choices that lead from an initial world to the given one."""
@@ -81,12 +82,14 @@
                 following = self.rules.after(world, choice)
             except Violation as violation:
                 choices = (*self.path(world), choice)
-                raise BrokenRule(str(violation), [self.rules.described(each) for each in choices]) from None
+                raise BrokenRule(str(violation), [self.rules.describe(each) for each in choices]) from None
             if following is not None and following not in self._origins:
                 self._origins[following] = _Origin(world, choice)
                 yield following
 
-    def _result(self, depth: int, is_whole: bool, began: float) -> Explored:
+    def _result(self, depth: int, is_complete: bool, began: float) -> SearchResult:
         steps = self.rules.steps
         seconds = time.perf_counter() - began
-        return Explored(len(self._origins), depth, is_whole, steps.state_count, steps.step_count, seconds)
+        return SearchResult(
+            len(self._origins), depth, is_complete, steps.state_count, steps.step_count, seconds
+        )
--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -72,7 +72,7 @@
     numbers: frozenset[UsedProposalNumber] = frozenset()
 
 
-class Moment(msgspec.Struct, frozen=True):
+class Transition(msgspec.Struct, frozen=True):
     """One step of one machine; `now` holds the observations of all machines after it."""
 
     node: int
@@ -83,21 +83,21 @@
     tolerance: int
 
 
-def history_after(history: History, moment: Moment) -> History:
+def history_after(history: History, transition: Transition) -> History:
     """The history extended by one step; raises Violation if the step breaks an invariant."""
-    if moment.step.fault:
-        raise Violation(f"at a replica: {moment.step.fault}")
-    if moment.step.early:
-        raise Violation(f"a response was sent before its state was on disk: {moment.step.early[0]}")
-    history = _with_disk(history, moment)
-    history = _with_proposal_numbers(history, moment)
-    history = _with_votes(history, moment)
-    history = _with_decisions(history, moment)
-    history = _with_primary_term(history, moment)
-    history = _with_commits(history, moment)
-    history = _with_commands(history, moment)
-    _check_in_sync_hold_all(history, moment)
-    return _with_pending_requests(history, moment)
+    if transition.step.fault:
+        raise Violation(f"replica fault: {transition.step.fault}")
+    if transition.step.early:
+        raise Violation(f"a response was sent before its state was on disk: {transition.step.early[0]}")
+    history = _with_disk(history, transition)
+    history = _with_proposal_numbers(history, transition)
+    history = _with_votes(history, transition)
+    history = _with_decisions(history, transition)
+    history = _with_primary_term(history, transition)
+    history = _with_commits(history, transition)
+    history = _with_commands(history, transition)
+    _check_in_sync_hold_all(history, transition)
+    return _with_pending_requests(history, transition)
 
 
 def is_notable(before: Observation, after: Observation, step: Step) -> bool:
@@ -110,9 +110,9 @@
     return isinstance(sent.message, Prepare | Accept | Accepted)
 
 
-def _with_disk(history: History, moment: Moment) -> History:
-    after = moment.after
-    disk = Disk(moment.node, after.disk_number, after.disk_incarnation)
+def _with_disk(history: History, transition: Transition) -> History:
+    after = transition.after
+    disk = Disk(transition.node, after.disk_number, after.disk_incarnation)
     if disk in history.disks or not disk.incarnation:
         return history
     for other in history.disks:
@@ -121,41 +121,41 @@
     return msgspec.structs.replace(history, disks=history.disks | {disk})
 
 
-def _with_proposal_numbers(history: History, moment: Moment) -> History:
-    for sent in moment.step.sent:
+def _with_proposal_numbers(history: History, transition: Transition) -> History:
+    for sent in transition.step.sent:
         if not isinstance(sent.message, Prepare):
             continue
-        used = UsedProposalNumber(sent.message.number, moment.node, moment.after.process)
+        used = UsedProposalNumber(sent.message.number, transition.node, transition.after.process)
         if any(other.number == used.number and other != used for other in history.numbers):
             raise Violation(f"two processes use one proposal number: {used}")
         history = msgspec.structs.replace(history, numbers=history.numbers | {used})
     return history
 
 
-def _with_votes(history: History, moment: Moment) -> History:
+def _with_votes(history: History, transition: Transition) -> History:
     proposals, votes = set(history.proposals), set(history.votes)
-    for sent in moment.step.sent:
+    for sent in transition.step.sent:
         if isinstance(sent.message, Accept):
             proposals.add(Proposal(sent.message.number, sent.message.view))
     views = {proposal.number: proposal.view for proposal in proposals}
     if len(views) < len(proposals):
         raise Violation("two views were proposed under one proposal number")
-    for sent in moment.step.sent:
+    for sent in transition.step.sent:
         if isinstance(sent.message, Accepted) and sent.message.number in views:
             votes.add(Vote(sent.message.sender, sent.message.number, views[sent.message.number]))
-    votes.update(moment.step.votes)
+    votes.update(transition.step.votes)
     if len(votes) == len(history.votes) and len(proposals) == len(history.proposals):
         return history
     return msgspec.structs.replace(history, proposals=frozenset(proposals), votes=frozenset(votes))
 
 
-def _with_decisions(history: History, moment: Moment) -> History:
+def _with_decisions(history: History, transition: Transition) -> History:
     for vote in history.votes:
         voters = {other.incarnation for other in history.votes if _is_same_vote(vote, other)}
-        history = _with_vote_count(history, vote.view, voters, moment.tolerance)
-    view = moment.after.view
+        history = _with_vote_count(history, vote.view, voters, transition.tolerance)
+    view = transition.after.view
     if view is not None and view.epoch >= history.decided[0].epoch and view not in history.decided:
-        raise Violation(f"considered decided without the votes of a majority: {view}")
+        raise Violation(f"a view is considered decided without the votes of a majority: {view}")
     return history
 
 
@@ -181,17 +181,15 @@
 def _check_view(view: View, tolerance: int) -> None:
     members = {member.incarnation for member in view.members}
     if len(set(view.in_sync)) <= tolerance:
-        raise Violation(
-            f"the in-sync set is smaller than the number of replicas that must hold a command: {view}"
-        )
+        raise Violation(f"the in-sync set has too few replicas to hold a command: {view}")
     if not {view.primary, *view.in_sync} <= members or view.primary not in view.in_sync:
         raise Violation(f"primary or in-sync replicas are not members: {view}")
     if len(members) > MAX_MEMBERS or len({member.address for member in view.members}) < len(members):
         raise Violation(f"more members than needed, or two at one address: {view}")
 
 
-def _with_primary_term(history: History, moment: Moment) -> History:
-    before, after = moment.before, moment.after
+def _with_primary_term(history: History, transition: Transition) -> History:
+    before, after = transition.before, transition.after
     if not after.is_primary or after.view is None:
         return history
     is_new = not before.is_primary or before.process != after.process
@@ -206,24 +204,24 @@
     return msgspec.structs.replace(history, primary_terms=history.primary_terms | {term})
 
 
-def _with_commits(history: History, moment: Moment) -> History:
-    before, after = moment.before, moment.after
+def _with_commits(history: History, transition: Transition) -> History:
+    before, after = transition.before, transition.after
     if before.process == after.process and after.committed[: len(before.committed)] != before.committed:
         raise Violation(f"the committed prefix went back from {before.committed} to {after.committed}")
     shared = min(len(after.committed), len(history.committed))
     if after.committed[:shared] != history.committed[:shared]:
-        raise Violation(f"committed {after.committed}, elsewhere {history.committed}")
+        raise Violation(f"committed {after.committed}, but another replica {history.committed}")
     if history.refused & set(after.committed):
         raise Violation(f"refused and committed: {after.committed}")
     longest = max(history.committed, after.committed, key=len)
     return msgspec.structs.replace(history, committed=longest)
 
 
-def _with_commands(history: History, moment: Moment) -> History:
-    for ended in moment.step.ended:
+def _with_commands(history: History, transition: Transition) -> History:
+    for ended in transition.step.ended:
         match ended.outcome:
             case CommandOutcome.COMMITTED:
-                history = _acknowledged(history, moment, ended.taken)
+                history = _acknowledged(history, transition, ended.taken)
             case outcome if outcome in REFUSALS:
                 if ended.taken in history.acknowledged or ended.taken in history.committed:
                     raise Violation(f"committed and refused: {ended.taken}")
@@ -231,41 +229,41 @@
     return history
 
 
-def _acknowledged(history: History, moment: Moment, taken: Taken) -> History:
-    holders = [number for number, machine in enumerate(moment.now) if taken in machine.disk_taken]
-    if len(holders) <= moment.tolerance:
+def _acknowledged(history: History, transition: Transition, taken: Taken) -> History:
+    holders = [number for number, machine in enumerate(transition.now) if taken in machine.disk_taken]
+    if len(holders) <= transition.tolerance:
         raise Violation(f"{taken} is acknowledged and on disk at machines {holders} alone")
     if taken in history.refused:
         raise Violation(f"refused and acknowledged: {taken}")
     return msgspec.structs.replace(history, acknowledged=history.acknowledged | {taken})
 
 
-def _check_in_sync_hold_all(history: History, moment: Moment) -> None:
+def _check_in_sync_hold_all(history: History, transition: Transition) -> None:
     """Check that each replica of the newest in-sync set has all acknowledged commands on its disk: any of
     them may become the next primary."""
-    for machine in moment.now:
+    for machine in transition.now:
         is_in_sync = machine.disk_incarnation in history.decided[-1].in_sync
         if is_in_sync and not history.acknowledged <= machine.disk_taken:
             raise Violation(f"an in-sync replica lacks an acknowledged command: {machine.disk_incarnation}")
 
 
-def _with_pending_requests(history: History, moment: Moment) -> History:
+def _with_pending_requests(history: History, transition: Transition) -> History:
     """Check that a replica that proves a read or refuses a command knows all commands acknowledged before."""
-    step, process = moment.step, moment.after.process
+    step, process = transition.step, transition.after.process
     pending_requests = set(history.pending_requests)
     if step.token:
-        pending_requests.add(PendingRequest(moment.node, process, step.token, history.acknowledged))
+        pending_requests.add(PendingRequest(transition.node, process, step.token, history.acknowledged))
     refusals = {ended.token for ended in step.ended if ended.outcome in REFUSALS}
     answered = {*step.proven_reads, *refusals}
     resolved = {*answered, *(ended.token for ended in step.ended)}
     for request in tuple(pending_requests):
-        if request.node != moment.node:
+        if request.node != transition.node:
             continue
         is_of_process = request.process == process
         if (
             is_of_process
             and request.token in answered
-            and not request.acknowledged <= set(moment.after.committed)
+            and not request.acknowledged <= set(transition.after.committed)
         ):
             raise Violation(f"answered or refused without all commands acknowledged before: {request}")
         if not is_of_process or request.token in resolved:
--- a/tests/explore/node.py
+++ b/tests/explore/node.py
@@ -31,13 +31,13 @@
 from madderwind.replication.store import StateFactory
 from madderwind.replication.times import ReplicationTimes
 from madderwind.storage.record_file import RecoveredFile
-from tests.explore.chance import FixedChance
+from tests.explore.chance import DeterministicRandom
 from tests.fleet.register import Register
 
 # Between two TimePassed events; shorter than the gap that a replica interprets as having been frozen.
 LONGEST_STEP_MS = 200.0
 # Delays of machine N lie at N times this fraction of their range: 0 for the first machine.
-WAIT_SHARE_STEP = 0.05
+DELAY_FRACTION_STEP = 0.05
 
 Taken = tuple[int, bytes]  # base version and body of one command
 
@@ -143,15 +143,15 @@
             ),
             RecoveredFile(self.synced + self.unsynced),
             StateFactory(Register, Register.restore),
-            self.chance(),
+            self.replica_rng(),
             self.now_ms,
         )
         self._handle(TimePassed(), output)
 
-    def chance(self) -> FixedChance:
+    def replica_rng(self) -> DeterministicRandom:
         """The source of randomness of the current process incarnation."""
         prefix = (((self.number + 1) << 8) + self.disk_number << 8) + self.process
-        return FixedChance(prefix, self.number * WAIT_SHARE_STEP)
+        return DeterministicRandom(prefix, self.number * DELAY_FRACTION_STEP)
 
     def receive(self, sent: Sent, output: Output) -> None:
         """Handle a message that arrived."""
@@ -237,8 +237,8 @@
             status.is_primary,
             tuple(committed.taken),
             self.process,
-            _name(stored),
-            _epoch(stored),
+            _stored_incarnation(stored),
+            _stored_epoch(stored),
             frozenset(taken),
         )
 
@@ -249,8 +249,11 @@
             self.synced, self.unsynced = (), ()
         self.synced += action.records
         after = self._stored()
-        incarnation = _name(after)
-        is_same_epoch = (incarnation, _epoch(after)) == (_name(before), _epoch(before))
+        incarnation = _stored_incarnation(after)
+        is_same_epoch = (incarnation, _stored_epoch(after)) == (
+            _stored_incarnation(before),
+            _stored_epoch(before),
+        )
         if is_same_epoch and after.witness.promised < before.witness.promised:
             output.fault = f"a promise was revoked: {before.witness} and then {after.witness}"
         for data in action.records:
@@ -268,8 +271,8 @@
 
     def _check_on_disk(self, sent: Sent, epoch: int, number: ProposalNumber, output: Output) -> None:
         stored = self._stored()
-        is_on_disk = stored.witness.promised >= number or _epoch(stored) >= epoch
-        if not is_on_disk or sent.message.sender != _name(stored):
+        is_on_disk = stored.witness.promised >= number or _stored_epoch(stored) >= epoch
+        if not is_on_disk or sent.message.sender != _stored_incarnation(stored):
             output.early.append(sent)
 
     def _stored(self) -> StoredState:
@@ -290,9 +293,9 @@
                         output.proven_reads.append(token)
 
 
-def _name(stored: StoredState) -> str:
+def _stored_incarnation(stored: StoredState) -> str:
     return stored.identity.incarnation if stored.identity is not None else ""
 
 
-def _epoch(stored: StoredState) -> int:
+def _stored_epoch(stored: StoredState) -> int:
     return stored.view.epoch if stored.view is not None else 0
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -8,20 +8,20 @@
 
 from tests.explore import scenarios
 from tests.explore.choices import Allowance
-from tests.explore.explorer import Explored, Explorer
+from tests.explore.explorer import Explorer, SearchResult
 from tests.explore.scenarios import Scenario, late_copies
 from tests.explore.steps import Violation
 from tests.explore.tail import is_within_tolerance, recover
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One exploration. `least_worlds` applies at the depth used in CI: fewer worlds mean that the
+    """One exploration. `min_worlds` applies at the depth used in CI: fewer worlds mean that the
     scenario no longer reaches the states that it is meant to cover."""
 
     scenario: Callable[[Allowance], Scenario]
     allowance: Allowance
     depth: int
-    least_worlds: int
+    min_worlds: int
     has_late_copies: bool = False
 
     def begin(self) -> Scenario:
@@ -35,7 +35,7 @@
     longest time until the in-sync set was full; `beyond`: leaves beyond the tolerance, which are not run."""
 
     name: str
-    explored: Explored
+    explored: SearchResult
     recovered: int = 0
     beyond: int = 0
     slowest_ms: float = 0.0
@@ -45,7 +45,7 @@
         return f"{self.name}: {self.explored}; {tails}, {self.beyond} beyond tolerance"
 
 
-def carry_out(plan: Plan, further_depth: int = 0, leaves: int = 0) -> Outcome:
+def run_plan(plan: Plan, further_depth: int = 0, leaves: int = 0) -> Outcome:
     """Explore, then run some of the leaves on without faults; every second one loses its messages in flight.
     Raises BrokenRule or Violation."""
     scenario = plan.begin()
@@ -59,7 +59,7 @@
         try:
             durations_ms.append(recover(rules, world, loses_messages=place % 2 == 1))
         except Violation as violation:
-            lines = "\n".join(rules.described(choice) for choice in explorer.path(world))
+            lines = "\n".join(rules.describe(choice) for choice in explorer.path(world))
             raise Violation(f"{scenario.name}: {violation}\nafter:\n{lines}") from None
     beyond = len(sample) - len(within)
     return Outcome(scenario.name, explored, len(within), beyond, max(durations_ms))
--- a/tests/explore/steps.py
+++ b/tests/explore/steps.py
@@ -109,10 +109,10 @@
         key = (state, choice)
         step = self._steps.get(key)
         if step is None:
-            step = self._steps[key] = self._carry_out(state, choice)
+            step = self._steps[key] = self._execute(state, choice)
         return step
 
-    def _carry_out(self, state: int, choice: Choice) -> Step:
+    def _execute(self, state: int, choice: Choice) -> Step:
         node, output = clone(self._nodes[state]), Output()
         try:
             self._apply(node, choice, output)
--- a/tests/explore/test_explored.py
+++ b/tests/explore/test_explored.py
@@ -6,9 +6,9 @@
 
 from tests.explore.choices import Allowance
 from tests.explore.explorer import Explorer
-from tests.explore.plans import LATE_PLANS, REGISTER_PLANS, REPLICA_PLANS, Plan, carry_out
+from tests.explore.plans import LATE_PLANS, REGISTER_PLANS, REPLICA_PLANS, Plan, run_plan
 from tests.explore.scenarios import swap
-from tests.explore.tail import has_lost_the_former_majority, recover
+from tests.explore.tail import has_lost_previous_majority, recover
 
 LEAVES = 2
 
@@ -20,15 +20,15 @@
         """Check that no world violates an invariant and that enough worlds are visited."""
         for plan in plans:
             with self.subTest(plan=plan):
-                outcome = carry_out(plan, leaves=LEAVES)
-                self.assertGreaterEqual(outcome.explored.worlds, plan.least_worlds)
+                outcome = run_plan(plan, leaves=LEAVES)
+                self.assertGreaterEqual(outcome.explored.worlds, plan.min_worlds)
                 self.assertEqual(LEAVES, outcome.recovered + outcome.beyond)
                 self.assertGreater(outcome.recovered, 0)
 
-    def test_in_the_register_of_views(self) -> None:
+    def test_in_the_view_register(self) -> None:
         self.assert_holds(REGISTER_PLANS)
 
-    def test_in_the_whole_replica(self) -> None:
+    def test_in_the_complete_replica(self) -> None:
         self.assert_holds(REPLICA_PLANS)
 
     def test_with_late_copies_of_all_messages(self) -> None:
@@ -40,7 +40,7 @@
         scenario = swap(Allowance(faults=1, wipes=1))
         rules, explorer = scenario.rules, Explorer(scenario.rules, scenario.first)
         explorer.explore(1)
-        lost = [world for world in explorer.leaves if has_lost_the_former_majority(rules, world)]
+        lost = [world for world in explorer.leaves if has_lost_previous_majority(rules, world)]
         self.assertGreater(len(lost), 20)
         for world in lost[::4]:
             recover(rules, world)
--- a/tests/explore/test_explorer.py
+++ b/tests/explore/test_explorer.py
@@ -29,7 +29,7 @@
 
     def test_without_possible_choices_the_search_is_complete(self) -> None:
         scenario = stable(Allowance())
-        self.assertTrue(Explorer(scenario.rules, scenario.first).explore(5).is_whole)
+        self.assertTrue(Explorer(scenario.rules, scenario.first).explore(5).is_complete)
 
     def test_recovery_fails_after_all_machines_but_one_are_wiped(self) -> None:
         scenario = stable(Allowance())
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -27,10 +27,10 @@
 from madderwind.replication.view_planner import ViewPlanner
 from madderwind.replication.view_register import ViewRegister
 from tests.explore import scenarios, test_explored
-from tests.explore.chance import NAME_BITS, FixedChance
+from tests.explore.chance import NAME_BITS, DeterministicRandom
 from tests.explore.choices import Allowance
-from tests.explore.node import WAIT_SHARE_STEP, Node
-from tests.explore.plans import Plan, carry_out
+from tests.explore.node import DELAY_FRACTION_STEP, Node
+from tests.explore.plans import Plan, run_plan
 from tests.explore.steps import Violation
 
 original_handle_promise = Proposer.handle_promise
@@ -85,7 +85,7 @@
     follower._record_match(message.index)
 
 
-def read_without_a_fence(primary: Primary, now_ms: float, token: int) -> None:
+def answer_read_without_quorum_round(primary: Primary, now_ms: float, token: int) -> None:
     primary._outbox.add(ReadResolved(token, is_newest=True))
 
 
@@ -105,21 +105,21 @@
     return broadcast.view.epoch == base.epoch + 1
 
 
-class SingleName(FixedChance):
+class SingleName(DeterministicRandom):
     """Gives all process incarnations with one prefix the same name."""
 
     def getrandbits(self, bits: int, /) -> int:
         return self._prefix if bits == NAME_BITS else 0
 
 
-def chance_by_address(node: Node) -> FixedChance:
+def rng_by_address(node: Node) -> DeterministicRandom:
     """Randomness by which a machine with a new disk draws its former name again."""
-    return FixedChance(node.number + 1, node.number * WAIT_SHARE_STEP)
+    return DeterministicRandom(node.number + 1, node.number * DELAY_FRACTION_STEP)
 
 
-def chance_by_disk(node: Node) -> FixedChance:
+def rng_by_disk(node: Node) -> DeterministicRandom:
     """Randomness by which all process incarnations on one disk draw the same name."""
-    return SingleName((node.number + 1 << 8) + node.disk_number, node.number * WAIT_SHARE_STEP)
+    return SingleName((node.number + 1 << 8) + node.disk_number, node.number * DELAY_FRACTION_STEP)
 
 
 class MutantsAreDetected(unittest.TestCase):
@@ -127,7 +127,7 @@
         """Check that one of the explorations raises a violation."""
         for plan in plans:
             try:
-                carry_out(plan, leaves=leaves)
+                run_plan(plan, leaves=leaves)
             except Violation:
                 return
         self.fail("no exploration detected the mutant")
@@ -175,11 +175,11 @@
         self.assertTrue(result.errors + result.failures)
 
     def test_a_wiped_machine_that_keeps_its_name(self) -> None:
-        with patch.object(Node, "chance", chance_by_address):
+        with patch.object(Node, "replica_rng", rng_by_address):
             self.assert_found(Plan(scenarios.three_candidates, Allowance(faults=1, wipes=1), 2, 0))
 
     def test_a_proposal_number_used_by_two_process_incarnations(self) -> None:
-        with patch.object(Node, "chance", chance_by_disk):
+        with patch.object(Node, "replica_rng", rng_by_disk):
             self.assert_found(Plan(scenarios.two_candidates, Allowance(times=3, faults=2), 3, 0))
 
     def test_a_primary_before_its_view_is_on_disk(self) -> None:
@@ -210,11 +210,11 @@
         with patch.object(Follower, "handle_snapshot", install_any_snapshot):
             self.assert_found(Plan(scenarios.learner, Allowance(), 1, 0, has_late_copies=True))
 
-    def test_a_read_without_a_fence(self) -> None:
-        with patch.object(Primary, "read", read_without_a_fence):
+    def test_a_read_without_a_quorum_round(self) -> None:
+        with patch.object(Primary, "read", answer_read_without_quorum_round):
             self.assert_found(Plan(scenarios.cut_off, Allowance(reads=1), 1, 0))
 
-    def test_a_refusal_without_a_fence(self) -> None:
+    def test_a_refusal_without_a_quorum_round(self) -> None:
         with patch.object(Primary, "_round_from_now", return_value=0):
             self.assert_found(Plan(scenarios.cut_off, Allowance(commands=1), 1, 0))
 
--- a/tests/explore/world.py
+++ b/tests/explore/world.py
@@ -21,14 +21,14 @@
     Submit,
     Wipe,
     cost_of,
-    described,
+    describe,
 )
-from tests.explore.history import History, Moment, history_after, is_notable
+from tests.explore.history import History, Transition, history_after, is_notable
 from tests.explore.node import Node, Sent
 from tests.explore.steps import Numbers, Step, Steps, Violation
 
 # Clock advance when no write or message is pending; the interval of the host's timer.
-CALM_TICK_MS = 25.0
+IDLE_TICK_MS = 25.0
 
 
 class World(msgspec.Struct, frozen=True):
@@ -103,9 +103,9 @@
         """The messages in flight."""
         return [self._messages[number] for number in world.in_flight]
 
-    def described(self, choice: Choice) -> str:
+    def describe(self, choice: Choice) -> str:
         """A one-line description of a choice, with the message that it delivers."""
-        text = described(choice)
+        text = describe(choice)
         if not isinstance(choice, Deliver):
             return text
         sent = self._messages[choice.message]
@@ -119,7 +119,7 @@
             yield from self._variants(allowance, world.nodes[target], Deliver(target, message))
         for node, state in enumerate(world.nodes):
             for choice in self._own_choices(node, state):
-                if allowance.bears(choice):
+                if allowance.covers(choice):
                     yield from self._variants(allowance, state, choice)
 
     def after(self, world: World, choice: Choice) -> World | None:
@@ -134,27 +134,27 @@
         in_flight = self._in_flight_after(world.in_flight, choice, move.sent)
         return World(nodes, in_flight, world.allowance.after(choice), history)
 
-    def calm_path(self, world: World, most_steps: int) -> list[World]:
+    def fault_free_path(self, world: World, max_steps: int) -> list[World]:
         """The worlds that a fault-free system passes through from here on, each with the full allowance."""
         worlds = [world]
         present = [node for node in range(len(world.nodes)) if node not in self.bounds.removed]
         ticks = 0
-        for _ in range(most_steps):
-            choice = self._calm_choice(world, present[ticks % len(present)])
+        for _ in range(max_steps):
+            choice = self._fault_free_choice(world, present[ticks % len(present)])
             ticks += isinstance(choice, PassTime)
             following = self.after(world, choice) or self._without_message(world, choice)
             world = msgspec.structs.replace(following, allowance=self.bounds.allowance)
             worlds.append(world)
         return worlds
 
-    def _calm_choice(self, world: World, ticking: int) -> Choice:
+    def _fault_free_choice(self, world: World, ticking: int) -> Choice:
         """The next choice without faults: pending writes, then the oldest message, then a clock advance."""
         for node, state in enumerate(world.nodes):
             if node not in self.bounds.removed and self.steps.node(state).pending:
                 return FinishWrite(node)
         for message in world.in_flight:
             return Deliver(self._targets[message], message)
-        return PassTime(ticking, CALM_TICK_MS)
+        return PassTime(ticking, IDLE_TICK_MS)
 
     def _without_message(self, world: World, choice: Choice) -> World:
         """The world after delivery of a message that has no effect."""
@@ -220,8 +220,8 @@
         node = choice.node
         before, after = self.steps.observation(world.nodes[node]), self.steps.observation(step.state)
         now = tuple(self.steps.observation(state) for state in nodes)
-        moment = Moment(node, before, after, now, step, self.tolerance)
-        return self._histories.number(history_after(self.history(world), moment))
+        transition = Transition(node, before, after, now, step, self.tolerance)
+        return self._histories.number(history_after(self.history(world), transition))
 
     def _in_flight_after(
         self, in_flight: tuple[int, ...], choice: Choice, sent: tuple[int, ...]
--- a/tests/fleet/campaign.py
+++ b/tests/fleet/campaign.py
@@ -16,8 +16,8 @@
 from tests.fleet.operators import Operator, Reader
 from tests.fleet.register import Register, change_of
 
-CHAOS_MS = 8_000.0
-DISK_LOSSES_MS = 20_000.0
+FAULT_PHASE_MS = 8_000.0
+DISK_LOSS_PHASE_MS = 20_000.0
 STABLE_MS = 3_000.0
 ACKNOWLEDGED_WITHIN_MS = 4_000.0
 ROUNDS = 3
@@ -49,22 +49,22 @@
         self.fleet.start()
         self.fleet.run(STABLE_MS)
         for _ in range(ROUNDS):
-            self._chaos()
-            self._calm()
+            self._run_with_faults()
+            self._run_without_faults()
 
-    def _chaos(self) -> None:
+    def _run_with_faults(self) -> None:
         for operator in self.operators:
             operator.start(self._rng.uniform(50.0, 400.0))
         self.reader.start()
         if self._rng.random() < 0.5:
             self.faults.start(self._rng.uniform(200.0, 1_500.0))
-            self.fleet.run(CHAOS_MS)
+            self.fleet.run(FAULT_PHASE_MS)
         else:
             self.fleet.run(CATCH_UP_MS)
             self.faults.start_disk_losses()
-            self.fleet.run(DISK_LOSSES_MS)
+            self.fleet.run(DISK_LOSS_PHASE_MS)
 
-    def _calm(self) -> None:
+    def _run_without_faults(self) -> None:
         """Heal all faults, then check that commands and reads succeed and all observations are consistent."""
         for operator in self.operators:
             operator.stop()
--- a/tests/fleet/history.py
+++ b/tests/fleet/history.py
@@ -98,7 +98,7 @@
         if len(view.members) > max(2 * self._tolerance + 1, MOST_SEEDS):
             raise Violation(f"more members than needed: {view}")
         if len(view.in_sync) <= self._tolerance:
-            raise Violation(f"the in-sync set is smaller than what must hold a command: {view}")
+            raise Violation(f"the in-sync set has too few replicas to hold a command: {view}")
 
     def check(self, final: Register) -> None:
         """Compare all observations with the final state of the fleet."""
--- a/tests/fleet/linearizability.py
+++ b/tests/fleet/linearizability.py
@@ -17,8 +17,8 @@
 
 Beyond linearizability, the rules for operators are checked: a command is in the chain at most once, and a
 command that was ever refused is not in it. A command whose base does not exist yet, which no operator can
-know, is an exception: its refusal names a version below its base and is correct at that time. A delayed call of
-it may be committed once its base exists, so the command takes effect after that refusal began.
+know, is an exception: its refusal names a version below its base and is correct at that time. A delayed call
+of it may be committed once its base exists, so the command takes effect after that refusal began.
 """
 
 from __future__ import annotations
@@ -236,7 +236,7 @@
         return earliest
 
     def _apply_doubtful_refusals(self, earliest: list[_Bound]) -> bool:
-        """Raise the lower bounds of bases where no later version explains a refusal; returns whether any rose."""
+        """Raise lower bounds of bases where no later version explains a refusal; return whether any rose."""
         is_raised = False
         for doubtful in self._doubtful:
             place, call = doubtful.place, doubtful.call
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -288,9 +288,8 @@
     def _end_write(self, incarnation: int) -> None:
         if incarnation != self.incarnation:
             return
-        if (
-            self.clock.now_ms < self.stalled_until_ms
-        ):  # checked again each tick, as the stall may be repaired early
+        # Checked again at each tick, as a stall may be repaired early.
+        if self.clock.now_ms < self.stalled_until_ms:
             self.clock.after(TICK_MS, lambda: self._end_write(incarnation))
             return
         action = self._disk_queue.popleft()
--- a/tests/fleet/register.py
+++ b/tests/fleet/register.py
@@ -10,7 +10,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """A command's body: the version that it produces, and its name."""
+    """A command's body: the version that it produces, and a name that identifies the sender."""
 
     version: int
     name: str
