--- a/tests/explore/history.py
+++ b/tests/explore/history.py
@@ -152,7 +152,7 @@
 def _with_decisions(history: History, transition: Transition) -> History:
     for vote in history.votes:
         voters = {other.incarnation for other in history.votes if _is_same_vote(vote, other)}
-        history = _with_vote_count(history, vote.view, voters, transition.tolerance)
+        history = _with_view_if_decided(history, vote.view, voters, transition.tolerance)
     view = transition.after.view
     if view is not None and view.epoch >= history.decided[0].epoch and view not in history.decided:
         raise Violation(f"a view is considered decided without the votes of a majority: {view}")
@@ -163,18 +163,18 @@
     return (vote.number, vote.view) == (other.number, other.view)
 
 
-def _with_vote_count(history: History, view: View, voters: set[str], tolerance: int) -> History:
-    place = view.epoch - history.decided[0].epoch
-    if not 0 < place <= len(history.decided):
+def _with_view_if_decided(history: History, view: View, voters: set[str], tolerance: int) -> History:
+    index = view.epoch - history.decided[0].epoch
+    if not 0 < index <= len(history.decided):
         return history
-    electors = {member.incarnation for member in history.decided[place - 1].members}
-    if 2 * len(voters & electors) <= len(electors):
+    voting_members = {member.incarnation for member in history.decided[index - 1].members}
+    if 2 * len(voters & voting_members) <= len(voting_members):
         return history
-    if place == len(history.decided):
+    if index == len(history.decided):
         _check_view(view, tolerance)
         return msgspec.structs.replace(history, decided=(*history.decided, view))
-    if history.decided[place] != view:
-        raise Violation(f"two views of one epoch: {history.decided[place]} and {view}")
+    if history.decided[index] != view:
+        raise Violation(f"two views of one epoch: {history.decided[index]} and {view}")
     return history
 
 
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -55,9 +55,9 @@
     sample = explorer.sample(leaves)
     within = [world for world in sample if is_within_tolerance(rules, world)]
     durations_ms = [0.0]
-    for place, world in enumerate(within):
+    for index, world in enumerate(within):
         try:
-            durations_ms.append(recover(rules, world, loses_messages=place % 2 == 1))
+            durations_ms.append(recover(rules, world, loses_messages=index % 2 == 1))
         except Violation as violation:
             lines = "\n".join(rules.describe(choice) for choice in explorer.path(world))
             raise Violation(f"{scenario.name}: {violation}\nafter:\n{lines}") from None
--- a/tests/fleet/freshness.py
+++ b/tests/fleet/freshness.py
@@ -13,7 +13,7 @@
 CHECK_INTERVAL_MS = 5.0
 
 
-class Watched(Protocol):
+class ObservedMachine(Protocol):
     """A machine with a replica."""
 
     address: str
@@ -51,7 +51,7 @@
     def __init__(
         self,
         clock: Clock,
-        machines: Callable[[], Iterable[Watched]],
+        machines: Callable[[], Iterable[ObservedMachine]],
         newest_confirmed_before: Callable[[float], int],
         check_interval_ms: float = CHECK_INTERVAL_MS,
     ) -> None:
--- a/tests/fleet/history.py
+++ b/tests/fleet/history.py
@@ -113,9 +113,9 @@
         self._check_reads(taken)
 
     def _check_reads(self, taken: tuple[Taken, ...]) -> None:
-        place = {entry: index for index, entry in enumerate(taken)}
+        index_of = {entry: index for index, entry in enumerate(taken)}
         acknowledged = sorted(
-            (attempt.acknowledged_ms, place[attempt.taken])
+            (attempt.acknowledged_ms, index_of[attempt.taken])
             for attempt in self.attempts
             if attempt.acknowledged_ms is not None
         )
--- a/tests/fleet/linearizability.py
+++ b/tests/fleet/linearizability.py
@@ -84,7 +84,7 @@
 
 @attrs.frozen
 class _Bound:
-    """A bound on the time at which a place of the chain takes effect, and the call that implies it."""
+    """A bound on the time at which a position of the chain takes effect, and the call that implies it."""
 
     at_ms: float
     reason: str
@@ -92,9 +92,9 @@
 
 @attrs.frozen
 class _DoubtfulRefusal:
-    """A refusal that is consistent unless the version at `place` was current throughout the call."""
+    """A refusal that is consistent unless the version at `position` was current throughout the call."""
 
-    place: int
+    position: int
     call: CommandCall
 
 
@@ -116,27 +116,27 @@
 
 
 class _EffectTimes:
-    """The bounds on the times at which the places of the chain take effect; place 0 is version 0."""
+    """The bounds on the times at which the positions of the chain take effect; position 0 is version 0."""
 
     def __init__(self, chain: Sequence[ChainEntry]) -> None:
         self._chain = chain
-        self._place_of_version = {0: 0}
-        self._place_of_command: dict[Hashable, int] = {}
-        for place, entry in enumerate(chain, start=1):
-            self._add_entry(place, entry)
+        self._position_of_version = {0: 0}
+        self._position_of_command: dict[Hashable, int] = {}
+        for position, entry in enumerate(chain, start=1):
+            self._add_entry(position, entry)
         self._first_call_ms: dict[Hashable, float] = {}
         self._lower = [_NEVER] * (len(chain) + 1)
         self._upper = [_ALWAYS] * (len(chain) + 1)
         self._doubtful: list[_DoubtfulRefusal] = []
 
-    def _add_entry(self, place: int, entry: ChainEntry) -> None:
-        before = self._chain[place - 2].version if place > 1 else 0
+    def _add_entry(self, position: int, entry: ChainEntry) -> None:
+        before = self._chain[position - 2].version if position > 1 else 0
         if entry.base_version != before or entry.version <= before:
             raise NotLinearizable(f"{entry} was committed on top of version {before}")
-        if entry.identity in self._place_of_command:
+        if entry.identity in self._position_of_command:
             raise NotLinearizable(f"{entry} was committed twice")
-        self._place_of_version[entry.version] = place
-        self._place_of_command[entry.identity] = place
+        self._position_of_version[entry.version] = position
+        self._position_of_command[entry.identity] = position
 
     def add_command(self, call: CommandCall) -> None:
         """Add the bounds that a call with a command implies."""
@@ -153,77 +153,79 @@
 
     def add_read(self, read: ReadCall) -> None:
         """Add the bounds that a read implies."""
-        place = self._add_current_version(read.version, read.start_ms, read.end_ms, str(read))
-        document = self._chain[place - 1].document if place else None
+        position = self._add_current_version(read.version, read.start_ms, read.end_ms, str(read))
+        document = self._chain[position - 1].document if position else None
         if None not in (document, read.document) and document != read.document:
             raise NotLinearizable(f"{read} saw another document than the one committed under its version")
 
     def _add_confirmation(self, call: CommandCall) -> None:
-        place = self._place_of_command.get(call.identity)
-        if place is None:
+        position = self._position_of_command.get(call.identity)
+        if position is None:
             raise NotLinearizable(f"{call} was confirmed and is lost")
-        self._not_after(place, _Bound(call.end_ms, str(call)))
-        if call.notified_version is not None and call.notified_version < self._chain[place - 1].version:
+        self._not_after(position, _Bound(call.end_ms, str(call)))
+        if call.notified_version is not None and call.notified_version < self._chain[position - 1].version:
             raise NotLinearizable(f"{call} was confirmed under an older version than its own")
 
     def _add_refusal(self, call: CommandCall) -> None:
-        place = self._place_of_command.get(call.identity)
-        if place is not None:
+        position = self._position_of_command.get(call.identity)
+        if position is not None:
             if not call.waits_for_its_base:
                 raise NotLinearizable(f"{call} was refused and is committed")
-            self._not_before(place, _Bound(call.start_ms, str(call)))
+            self._not_before(position, _Bound(call.start_ms, str(call)))
         if call.outcome is CommandOutcome.INVALID:
             self._add_invalid_refusal(call)
         elif call.notified_version == call.base_version:
             raise NotLinearizable(f"{call} was refused while its base version was current")
         elif call.notified_version is None and call.is_valid:
-            place = self._place_of_version.get(call.base_version)
-            if place is not None:
-                self._doubtful.append(_DoubtfulRefusal(place, call))
+            position = self._position_of_version.get(call.base_version)
+            if position is not None:
+                self._doubtful.append(_DoubtfulRefusal(position, call))
 
     def _add_invalid_refusal(self, call: CommandCall) -> None:
         """A valid command may be rejected as invalid only if its version is not above the current one."""
         if not call.is_valid:
             return
-        later = [place for version, place in self._place_of_version.items() if version >= call.version]
+        later = [
+            position for version, position in self._position_of_version.items() if version >= call.version
+        ]
         if not later:
             raise NotLinearizable(f"{call} is valid and was rejected as invalid")
         self._not_after(min(later), _Bound(call.end_ms, str(call)))
 
     def _add_current_version(self, version: int, start_ms: float, end_ms: float, reason: str) -> int:
-        """Add the bounds of a version that was current at some time during a call; returns its place."""
-        place = self._place_of_version.get(version)
-        if place is None:
+        """Add the bounds of a version that was current at some time during a call; returns its position."""
+        position = self._position_of_version.get(version)
+        if position is None:
             raise NotLinearizable(f"{reason} saw version {version}, which was never committed")
-        self._not_after(place, _Bound(end_ms, reason))
-        if place < len(self._chain):
-            self._not_before(place + 1, _Bound(start_ms, reason))
-        return place
+        self._not_after(position, _Bound(end_ms, reason))
+        if position < len(self._chain):
+            self._not_before(position + 1, _Bound(start_ms, reason))
+        return position
 
     def check(self) -> None:
         """Raises NotLinearizable if no times satisfy all bounds."""
-        for place, entry in enumerate(self._chain, start=1):
+        for position, entry in enumerate(self._chain, start=1):
             first_ms = self._first_call_ms.get(entry.identity)
             if first_ms is None:
                 raise NotLinearizable(f"{entry} was committed and never sent")
-            self._not_before(place, _Bound(first_ms, f"it was sent at {first_ms}"))
+            self._not_before(position, _Bound(first_ms, f"it was sent at {first_ms}"))
         earliest = self._earliest()
         while self._apply_doubtful_refusals(earliest):
             earliest = self._earliest()
-        for place, lower in enumerate(earliest):
-            if lower.at_ms > self._upper[place].at_ms:
-                upper = self._upper[place]
+        for position, lower in enumerate(earliest):
+            if lower.at_ms > self._upper[position].at_ms:
+                upper = self._upper[position]
                 raise NotLinearizable(
-                    f"place {place} took effect no earlier than {lower.at_ms} ({lower.reason})"
+                    f"position {position} took effect no earlier than {lower.at_ms} ({lower.reason})"
                     f" and no later than {upper.at_ms} ({upper.reason})"
                 )
 
-    def _not_before(self, place: int, bound: _Bound) -> None:
-        self._lower[place] = max(self._lower[place], bound, key=lambda each: each.at_ms)
+    def _not_before(self, position: int, bound: _Bound) -> None:
+        self._lower[position] = max(self._lower[position], bound, key=lambda each: each.at_ms)
 
-    def _not_after(self, place: int, bound: _Bound) -> None:
-        """Add an upper bound; it applies to all earlier places, too."""
-        for earlier in range(place, -1, -1):
+    def _not_after(self, position: int, bound: _Bound) -> None:
+        """Add an upper bound; it applies to all earlier positions, too."""
+        for earlier in range(position, -1, -1):
             if self._upper[earlier].at_ms <= bound.at_ms:
                 return
             self._upper[earlier] = bound
@@ -239,12 +241,12 @@
         """Raise lower bounds of bases where no later version explains a refusal; return whether any rose."""
         is_raised = False
         for doubtful in self._doubtful:
-            place, call = doubtful.place, doubtful.call
-            is_superseded = place < len(self._chain) and earliest[place + 1].at_ms <= call.end_ms
-            if is_superseded or earliest[place].at_ms >= call.start_ms:
+            position, call = doubtful.position, doubtful.call
+            is_superseded = position < len(self._chain) and earliest[position + 1].at_ms <= call.end_ms
+            if is_superseded or earliest[position].at_ms >= call.start_ms:
                 continue
-            if place == 0:
+            if position == 0:
                 raise NotLinearizable(f"{call} was refused before any command was committed")
-            self._not_before(place, _Bound(call.start_ms, f"{call} was refused"))
+            self._not_before(position, _Bound(call.start_ms, f"{call} was refused"))
             is_raised = True
         return is_raised
--- a/tests/fleet/operators.py
+++ b/tests/fleet/operators.py
@@ -12,7 +12,7 @@
 from tests.fleet.register import Register, command
 
 ANSWER_TIMEOUT_MS = 1_000.0  # then the call is repeated at another machine
-MAX_TRIES = 12
+MAX_ATTEMPTS = 12
 
 
 class Operator:
@@ -48,12 +48,12 @@
         name = f"{self.name}-{self._count}"
         attempt = Attempt(command(self._base, version, name), self.fleet.clock.now_ms)
         self.history.attempts.append(attempt)
-        self._send(attempt, version, MAX_TRIES)
+        self._send(attempt, version, MAX_ATTEMPTS)
 
-    def _send(self, attempt: Attempt, version: int, tries: int) -> None:
+    def _send(self, attempt: Attempt, version: int, attempts_left: int) -> None:
         """Send a command once; without a definite answer in time, retry at another machine."""
         machine = self._pick()
-        if tries == 0 or machine is None:
+        if attempts_left == 0 or machine is None:
             self._schedule(self._next)
             return
         call = _Call()
@@ -68,13 +68,13 @@
                 self._base = max(self._base, result.version)
             if call.end():
                 if result.outcome is CommandOutcome.UNKNOWN:
-                    self._schedule(lambda: self._send(attempt, version, tries - 1))
+                    self._schedule(lambda: self._send(attempt, version, attempts_left - 1))
                 else:
                     self._schedule(self._next)
 
         def on_timeout() -> None:
             if call.end():
-                self._send(attempt, version, tries - 1)
+                self._send(attempt, version, attempts_left - 1)
 
         self.fleet.clock.after(ANSWER_TIMEOUT_MS, on_timeout)
         machine.submit(attempt.command, on_result)
--- a/tests/fleet/test_linearizability.py
+++ b/tests/fleet/test_linearizability.py
@@ -182,7 +182,9 @@
 
 def _random_history(rng: random.Random) -> tuple[list[ChainEntry], list[CommandCall], list[ReadCall]]:
     """A chain of up to three commands with their calls, up to two refusals and two reads, at random times."""
-    chain = [ChainEntry(f"o{place}", place - 1, place) for place in range(1, rng.randint(1, 3) + 1)]
+    chain = [
+        ChainEntry(f"o{position}", position - 1, position) for position in range(1, rng.randint(1, 3) + 1)
+    ]
     commands = []
     for each in chain:
         start, end = sorted(rng.sample(range(12), 2))
