--- a/tests/explore/explorer.py
+++ b/tests/explore/explorer.py
@@ -1,5 +1,5 @@
-"""Breadth-first search over everything that may happen, to a bounded depth. The first violation found is a
-shortest one."""
+"""Breadth-first search over all possible events, to a bounded depth. The first violation found has a path of
+minimal length."""
 
 from __future__ import annotations
 
@@ -14,55 +14,57 @@
 from tests.explore.world import BrokenRule, Rules, World
 
 
-class Explored(msgspec.Struct, frozen=True):
-    """`depth`: all worlds within so many choices were seen; `is_whole`: there are no others at all."""
+class SearchResult(msgspec.Struct, frozen=True):
+    """Statistics of a search. `depth`: all worlds within this number of choices were visited; `is_complete`:
+    no further worlds are reachable."""
 
     worlds: int
     depth: int
-    is_whole: bool
+    is_complete: bool
     machine_states: int
     machine_steps: int
     seconds: float
 
     def __str__(self) -> str:
-        whole = ", which is all there is" if self.is_whole else ""
+        completeness = ", the whole state space" if self.is_complete else ""
         return (
-            f"{self.worlds} worlds to depth {self.depth}{whole}; {self.machine_states} states of machines, "
-            f"{self.machine_steps} steps of replicas; {self.seconds:.1f} s"
+            f"{self.worlds} worlds to depth {self.depth}{completeness}; "
+            f"{self.machine_states} machine states, "
+            f"{self.machine_steps} replica steps; {self.seconds:.1f} s"
         )
 
 
 class _Origin(msgspec.Struct, frozen=True):
-    """How a world was reached first."""
+    """The predecessor and the choice by which a world was first reached."""
 
     world: World
     choice: Choice
 
 
 class Explorer:
-    """Searches from one world or several at once. `leaves` are the worlds of the last depth."""
+    """Searches from one or more initial worlds. `leaves` are the worlds at the last depth."""
 
     def __init__(self, rules: Rules, first: Sequence[World]) -> None:
         self.rules = rules
         self._origins: dict[World, _Origin | None] = dict.fromkeys(first)
         self.leaves: list[World] = list(self._origins)
 
-    def explore(self, most_depth: int, most_worlds: int = 100_000_000) -> Explored:
-        """Search to a depth, or until so many worlds were seen. Raises BrokenRule."""
+    def explore(self, max_depth: int, max_worlds: int = 100_000_000) -> SearchResult:
+        """Search up to `max_depth` choices or `max_worlds` worlds. Raises BrokenRule."""
         began = time.perf_counter()
-        for depth in range(most_depth):
+        for depth in range(max_depth):
             following: list[World] = []
             for world in self.leaves:
-                if len(self._origins) >= most_worlds:
+                if len(self._origins) >= max_worlds:
                     return self._result(depth, False, began)
                 following += self._new_worlds(world)
             if not following:
                 return self._result(depth, True, began)
             self.leaves = following
-        return self._result(most_depth, False, began)
+        return self._result(max_depth, False, began)
 
     def path(self, world: World) -> tuple[Choice, ...]:
-        """The choices that lead to a world."""
+        """The choices that lead from an initial world to the given one."""
         choices: list[Choice] = []
         origin = self._origins[world]
         while origin is not None:
@@ -71,7 +73,7 @@
         return tuple(reversed(choices))
 
     def sample(self, count: int) -> list[World]:
-        """Some of the leaves, the same ones every time."""
+        """A sample of the leaves, the same on every run."""
         return random.Random(count).sample(self.leaves, min(count, len(self.leaves)))
 
     def _new_worlds(self, world: World) -> Iterator[World]:
@@ -80,12 +82,14 @@
                 following = self.rules.after(world, choice)
             except Violation as violation:
                 choices = (*self.path(world), choice)
-                raise BrokenRule(str(violation), [self.rules.described(each) for each in choices]) from None
+                raise BrokenRule(str(violation), [self.rules.describe(each) for each in choices]) from None
             if following is not None and following not in self._origins:
                 self._origins[following] = _Origin(world, choice)
                 yield following
 
-    def _result(self, depth: int, is_whole: bool, began: float) -> Explored:
+    def _result(self, depth: int, is_complete: bool, began: float) -> SearchResult:
         steps = self.rules.steps
         seconds = time.perf_counter() - began
-        return Explored(len(self._origins), depth, is_whole, steps.state_count, steps.step_count, seconds)
+        return SearchResult(
+            len(self._origins), depth, is_complete, steps.state_count, steps.step_count, seconds
+        )
--- a/tests/explore/plans.py
+++ b/tests/explore/plans.py
@@ -1,4 +1,4 @@
-"""What is explored, how deep, and how many worlds that has to come to."""
+"""The scenarios that are explored, the depth of each, and the minimum number of worlds to visit."""
 
 from __future__ import annotations
 
@@ -8,43 +8,45 @@
 
 from tests.explore import scenarios
 from tests.explore.choices import Allowance
-from tests.explore.explorer import Explored, Explorer
+from tests.explore.explorer import Explorer, SearchResult
 from tests.explore.scenarios import Scenario, late_copies
 from tests.explore.steps import Violation
 from tests.explore.tail import is_within_tolerance, recover
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One exploration. `least_worlds` at the depth of the share in CI: fewer mean that it lost its way."""
+    """One exploration. `min_worlds` applies at the depth used in CI: fewer worlds mean that the
+    scenario no longer reaches the states that it is meant to cover."""
 
     scenario: Callable[[Allowance], Scenario]
     allowance: Allowance
     depth: int
-    least_worlds: int
+    min_worlds: int
     has_late_copies: bool = False
 
     def begin(self) -> Scenario:
-        """The scenario from its start."""
+        """Build the scenario with its initial worlds."""
         scenario = self.scenario(self.allowance)
         return late_copies(scenario) if self.has_late_copies else scenario
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """`recovered` of the sampled leaves, `slowest_ms` until the set was full; `beyond` tolerance: not run."""
+    """The outcome of one plan. `recovered`: number of sampled leaves that recovered; `slowest_ms`: the
+    longest time until the in-sync set was full; `beyond`: leaves beyond the tolerance, which are not run."""
 
     name: str
-    explored: Explored
+    explored: SearchResult
     recovered: int = 0
     beyond: int = 0
     slowest_ms: float = 0.0
 
     def __str__(self) -> str:
-        tails = f"{self.recovered} of the leaves recover, the slowest in {self.slowest_ms:g} ms of calm"
+        tails = f"{self.recovered} leaves recover, the slowest after {self.slowest_ms:g} ms without faults"
         return f"{self.name}: {self.explored}; {tails}, {self.beyond} beyond tolerance"
 
 
-def carry_out(plan: Plan, further_depth: int = 0, leaves: int = 0) -> Outcome:
-    """Explore, then let calm set in at some of the leaves, at every second one without what is in flight.
+def run_plan(plan: Plan, further_depth: int = 0, leaves: int = 0) -> Outcome:
+    """Explore, then run some of the leaves on without faults; every second one loses its messages in flight.
     Raises BrokenRule or Violation."""
     scenario = plan.begin()
     rules = scenario.rules
@@ -53,11 +55,11 @@
     sample = explorer.sample(leaves)
     within = [world for world in sample if is_within_tolerance(rules, world)]
     durations_ms = [0.0]
-    for place, world in enumerate(within):
+    for index, world in enumerate(within):
         try:
-            durations_ms.append(recover(rules, world, loses_messages=place % 2 == 1))
+            durations_ms.append(recover(rules, world, loses_messages=index % 2 == 1))
         except Violation as violation:
-            lines = "\n".join(rules.described(choice) for choice in explorer.path(world))
+            lines = "\n".join(rules.describe(choice) for choice in explorer.path(world))
             raise Violation(f"{scenario.name}: {violation}\nafter:\n{lines}") from None
     beyond = len(sample) - len(within)
     return Outcome(scenario.name, explored, len(within), beyond, max(durations_ms))
