--- a/madderwind/configuration/command_preparation.py
+++ b/madderwind/configuration/command_preparation.py
@@ -80,9 +80,7 @@
     """The document that results from the command; raises ConfigurationError."""
     if command.kind is CommandKind.UPDATE:
         if base is None:
-            raise ConfigurationError(
-                "document", "an update needs an existing configuration, and there is none yet"
-            )
+            raise ConfigurationError("document", "there is no configuration yet that could be updated")
         return base.updated(command.body)
     document = read_document(command.body, base)
     if base is not None and document.version <= base.version:
--- a/madderwind/configuration/documents.py
+++ b/madderwind/configuration/documents.py
@@ -91,9 +91,9 @@
         _require_non_negative("gap_aim_ms", self.gap_aim_ms)
         if self.backends:
             if math.fsum(backend.weight for backend in self.backends) <= 0:
-                raise ConfigurationError("backends", "the sum of the weights must be above 0")
+                raise ConfigurationError("backends", "the weights sum to 0")
         elif not self.service:
-            raise ConfigurationError("service", "is required if there are no backends")
+            raise ConfigurationError("service", "names neither a service nor backends with a weight")
 
     @property
     def service_names(self) -> tuple[str, ...]:
--- a/madderwind/configuration/json_parts.py
+++ b/madderwind/configuration/json_parts.py
@@ -41,7 +41,7 @@
     try:
         data.decode()
     except UnicodeDecodeError as error:
-        raise ConfigurationError(path, f"is not valid JSON: {error}") from None
+        raise ConfigurationError(path, f"is no JSON: {error}") from None
 
 
 def encode_json(value: object) -> bytes:
@@ -57,4 +57,4 @@
     except msgspec.ValidationError:
         raise ConfigurationError(path, reason) from None
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
-        raise ConfigurationError(path, f"is not valid JSON: {error}") from None
+        raise ConfigurationError(path, f"is no JSON: {error}") from None
--- a/madderwind/configuration/reading.py
+++ b/madderwind/configuration/reading.py
@@ -162,7 +162,7 @@
             return index.changed(change)
         except ConflictingPartsError:
             check_consistency(self.configuration)
-            raise ConfigurationError(ENTIRE_DOCUMENT, "its sections are inconsistent") from None
+            raise ConfigurationError(ENTIRE_DOCUMENT, "its parts do not fit together") from None
 
 
 def read_document(body: bytes, previous: Document | None = None) -> Document:
@@ -205,7 +205,7 @@
         self._delete = _optional_object(members, "delete")
         for name in (*_ITEM_TYPES, LIMITS):
             if name in members:
-                raise ConfigurationError(name, "an update must list this under upsert or delete")
+                raise ConfigurationError(name, "in an update this stands under upsert or delete")
 
     def applied_to(self, document: Document) -> Document:
         if self.version <= document.version:
@@ -214,7 +214,7 @@
         changes = {}
         for name in dict.fromkeys((*self._upsert, *self._delete)):
             if name == "version":
-                raise ConfigurationError("upsert.version", "is not a list of named items")
+                raise ConfigurationError("upsert.version", "is no list of named items")
             if name == LIMITS:
                 members[LIMITS] = self._changed_limits(members)
             else:
--- a/madderwind/configuration/sections.py
+++ b/madderwind/configuration/sections.py
@@ -85,7 +85,7 @@
         read = self._read(upsert, path, self)
         for name in delete:
             if name in read:
-                raise ConfigurationError(path, f"{name!r} is both upserted and deleted")
+                raise ConfigurationError(path, f"{name!r} is to be both upserted and deleted")
         before = {name: item for name in (*read, *delete) if (item := self.get(name)) is not None}
         after = self._with_changes(read, [name for name in dict.fromkeys(delete) if name in before])
         return SectionChange(
@@ -169,7 +169,7 @@
             else:
                 item = self._read_item(raw, field, before)
             if item.name in read:
-                raise ConfigurationError(f"{field}.name", f"{item.name!r} is duplicated")
+                raise ConfigurationError(f"{field}.name", f"{item.name!r} is there twice")
             read[item.name] = item
         return read
 
--- a/madderwind/configuration/structuring.py
+++ b/madderwind/configuration/structuring.py
@@ -53,7 +53,7 @@
     try:
         return _name_decoder.decode(raw).name
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise ConfigurationError(f"{path}.name", "is required and must be a string") from None
+        raise ConfigurationError(f"{path}.name", "must be there, as a string") from None
 
 
 class _NameOnly(msgspec.Struct):
--- a/madderwind/registry/heartbeats.py
+++ b/madderwind/registry/heartbeats.py
@@ -46,15 +46,15 @@
         HeartbeatError: The body is too long, is not valid JSON of this form, or has no service or address.
     """
     if not 0 < len(instance) <= MAX_INSTANCE_CHARACTERS:
-        raise HeartbeatError("the instance ID is empty or too long")
+        raise HeartbeatError("the instance's id is empty or too long")
     if len(body) > MAX_HEARTBEAT_BYTES:
-        raise HeartbeatError(f"the body is longer than {MAX_HEARTBEAT_BYTES} bytes")
+        raise HeartbeatError(f"more than {MAX_HEARTBEAT_BYTES} bytes")
     try:
         heartbeat = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise HeartbeatError(str(error)) from None
     if not heartbeat.service or not _is_address(heartbeat.address):
-        raise HeartbeatError("the service is missing, or the address is not ip:port")
+        raise HeartbeatError("no service, or an address that is not ip:port")
     return heartbeat
 
 
--- a/madderwind/standalone/evacuation/evacuation.py
+++ b/madderwind/standalone/evacuation/evacuation.py
@@ -141,7 +141,7 @@
             if area is not None and mark == area.mark and state.is_evacuated
         ]
         if area is None or not scopes:
-            return [], f"{name} is not evacuated"
+            return [], f"{name} is not left"
         for scope in scopes:  # a new episode, as a coordinator may renew the old one at the same time
             self._register.publish(now, area, scope, step=1, episode=1)
         self._withholding.update(now)
--- a/madderwind/standalone/protocol/requests.py
+++ b/madderwind/standalone/protocol/requests.py
@@ -84,18 +84,18 @@
         _check_utf8(target, headers)
         trace_id = headers.get(TRACE_ID, "")
         if not trace_id:
-            raise BadRequest(f"{TRACE_ID} is missing")
+            raise BadRequest(f"no {TRACE_ID}")
         if len(trace_id) > MAX_ID_LENGTH:
-            raise BadRequest(f"{TRACE_ID} has {len(trace_id)} characters")
+            raise BadRequest(f"{TRACE_ID} of {len(trace_id)} characters")
         name = target.partition("?")[0].removeprefix("/").partition("/")[0]
         class_index = self._classes.get(name)
         if class_index is None or now_ms > self._served_until_ms.get(name, now_ms):
             raise BadRequest(f"unknown class {name[:60]!r}")
         effect = self._effects[class_index]
         if method != METHODS[effect]:
-            raise BadRequest(f"method {method[:20]!r} for a class that requires {METHODS[effect]}")
+            raise BadRequest(f"method {method[:20]!r} for a class that takes {METHODS[effect]}")
         if (effect is Effect.KEYED) != bool(headers.get(KEY)):
-            raise BadRequest(f"{KEY} is required for keyed classes and not allowed for others")
+            raise BadRequest(f"{KEY} goes with keyed classes, and only with those")
         # Without tenants in force, the index is past the last one, so that a request doesn't use the quota of
         # a removed tenant.
         tenant_index = len(self._tenants)
@@ -140,7 +140,7 @@
             try:
                 text.encode()
             except UnicodeEncodeError:
-                raise BadRequest("request target or header is not valid UTF-8") from None
+                raise BadRequest("its target or a header is no UTF-8 text") from None
 
 
 def _parse_wait_ms(text: str) -> float:
