--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -112,7 +112,7 @@
         self.chooser = UpstreamChooser(
             rng, self.upstreams, self.placement, settings.zone, self._has_capacity, self.pool.keeps
         )
-        self.quota = TenantQuota(bounds, rng, is_founding=settings.bootstrap)
+        self.quota = TenantQuota(bounds, rng, is_first_start=settings.bootstrap)
         self.budget = FleetRetryBudget(
             bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s * MS_PER_S
         )
--- a/madderwind/limits/quota.py
+++ b/madderwind/limits/quota.py
@@ -105,10 +105,10 @@
     starts with a low level, as it can't know what was spent.
     """
 
-    def __init__(self, bounds: Bounds, rng: random.Random, *, is_founding: bool = False) -> None:
+    def __init__(self, bounds: Bounds, rng: random.Random, *, is_first_start: bool = False) -> None:
         self._bounds = bounds
         self._rng = rng
-        self._new_tenants_start_full = is_founding
+        self._new_tenants_start_full = is_first_start
         self._tenants: dict[str, _TenantState] = {}
         self._data_planes = 1
         self._is_connected = False
--- a/tests/limits/test_quota_fleet.py
+++ b/tests/limits/test_quota_fleet.py
@@ -21,7 +21,7 @@
     def run_scenario(
         self, data_planes: int, scenario: Scenario, until_s: float, *, is_founding: bool = True
     ) -> list[QuotaFleet]:
-        fleets = [QuotaFleet(data_planes, seed, is_founding=is_founding) for seed in SEEDS]
+        fleets = [QuotaFleet(data_planes, seed, is_first_start=is_founding) for seed in SEEDS]
         for fleet in fleets:
             scenario(fleet)
             fleet.run(until_s)
