--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from madderwind.balancing.idle_first import IdleFirstPick
+from madderwind.balancing.idle_first import IdleFirstSelector
 from madderwind.configuration.documents import Service
 from madderwind.dataplane.stream_timeouts import StreamTimeouts
 from madderwind.dataplane.upstream_health import UpstreamHealth
@@ -41,7 +41,7 @@
         self.placement = placement
         self.health = UpstreamHealth(rng)
         self.streams = StreamTimeouts()
-        self._idle_first = IdleFirstPick(rng)
+        self._idle_first = IdleFirstSelector(rng)
 
     def configure(self, services: Iterable[Service]) -> None:
         """Apply the services' engine settings to the placement."""
@@ -98,7 +98,7 @@
         avoid: frozenset[str],
     ) -> str | None:
         if generation is None:
-            return self._idle_first.pick(self._cheapest_idle(candidates, avoid), avoid)
+            return self._idle_first.select(self._cheapest_idle(candidates, avoid), avoid)
         selection = self.placement.choose(now_ms, generation, candidates, avoid)
         return None if selection is None else selection.instance
 
@@ -115,7 +115,7 @@
 
     def began(self, now_ms: float, key: str, generation: Generation | None, instance: str) -> None:
         """Record that the attempt `key` is sent to this upstream."""
-        self._idle_first.began(instance)
+        self._idle_first.record_start(instance)
         self.health.began(instance)
         if generation is not None:
             self.placement.sent(now_ms, key, generation, instance)
@@ -131,7 +131,7 @@
 
     def record_answer(self, instance: str) -> None:
         """Record that the upstream responded, with whatever result."""
-        self._idle_first.heard(instance)
+        self._idle_first.record_response(instance)
         self.health.succeeded(instance)
         self._upstreams.mark_answered(instance)
 
@@ -139,7 +139,7 @@
         self, now_ms: float, key: str, generation: Generation | None, instance: str, served: bool
     ) -> None:
         """Record the end of an attempt."""
-        self._idle_first.ended(instance)
+        self._idle_first.record_end(instance)
         self.health.ended(instance)
         if generation is not None:
             self.placement.ended(now_ms, key, served)
