--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -59,7 +59,7 @@
                 self._idle_first.forget(instance)
                 self.health.forget(instance)
             else:
-                self.placement.locate(now_ms, instance, known.zone)
+                self.placement.set_location(now_ms, instance, known.zone)
 
     def choose(
         self, now_ms: float, service: str, generation: Generation | None, tried: frozenset[str]
@@ -99,7 +99,7 @@
     ) -> str | None:
         if generation is None:
             return self._idle_first.select(self._cheapest_idle(candidates, avoid), avoid)
-        selection = self.placement.choose(now_ms, generation, candidates, avoid)
+        selection = self.placement.select_upstream(now_ms, generation, candidates, avoid)
         return None if selection is None else selection.instance
 
     def _cheapest_idle(self, candidates: tuple[str, ...], avoid: frozenset[str]) -> tuple[str, ...]:
@@ -118,7 +118,7 @@
         self._idle_first.record_start(instance)
         self.health.began(instance)
         if generation is not None:
-            self.placement.sent(now_ms, key, generation, instance)
+            self.placement.record_sent(now_ms, key, generation, instance)
 
     def urgency(self, key: str, generation: Generation | None, rank: int) -> int:
         """The `Priority` header of the attempt `key`; `rank` is the priority of its route or tenant."""
@@ -127,7 +127,7 @@
     def stream_began(self, now_ms: float, key: str, instance: str) -> None:
         """Record that the first event of a stream arrived."""
         self.streams.began(now_ms, instance)
-        self.placement.event(now_ms, key, True)
+        self.placement.record_event(now_ms, key, True)
 
     def record_answer(self, instance: str) -> None:
         """Record that the upstream responded, with whatever result."""
@@ -142,4 +142,4 @@
         self._idle_first.record_end(instance)
         self.health.ended(instance)
         if generation is not None:
-            self.placement.ended(now_ms, key, served)
+            self.placement.record_end(now_ms, key, served)
--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -71,13 +71,13 @@
         """Apply the configured engine properties of a service."""
         self._table.service(service).configure(slots, kv_tokens, stride)
 
-    def locate(self, now_ms: float, instance: str, zone: str, identity: str = "") -> None:
+    def set_location(self, now_ms: float, instance: str, zone: str, identity: str = "") -> None:
         """Set the zone of an upstream and, if it isn't hashed by its id, its identity for hashing."""
         self._table.locate(now_ms, instance, zone, identity)
 
-    def set_data_planes(self, balancers: int) -> None:
+    def set_data_planes(self, data_planes: int) -> None:
         """Set the number of balancers that share the upstreams."""
-        self._table.data_planes = max(balancers, 1)
+        self._table.data_planes = max(data_planes, 1)
 
     def handle_peer_load(self, now_ms: float, load: Mapping[str, tuple[float, float, float]]) -> None:
         """Apply the total load of all other balancers at each upstream."""
@@ -107,7 +107,7 @@
         self._unreported.clear()
         return prompts
 
-    def choose(
+    def select_upstream(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
         """Select the candidate of lowest cost outside `avoid`; None if there is none."""
@@ -133,7 +133,7 @@
                 best, lowest = Selection(instance, first_ms), cost
         return best
 
-    def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
+    def record_sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
         """Record that the request was sent to this upstream."""
         self._table.advance(now_ms)
         service = self._table.service(generation.service)
@@ -202,7 +202,7 @@
             reason=request.reason,
         )
 
-    def event(self, now_ms: float, key: str, first: bool) -> None:
+    def record_event(self, now_ms: float, key: str, first: bool) -> None:
         """Record an event of the response; the first one updates the latency estimates."""
         if not first:
             return
@@ -219,7 +219,7 @@
         if self._ablation.learned_first_event:
             model.observe(tokens, elapsed_ms / upstream.slowness)
 
-    def ended(self, now_ms: float, key: str, served: bool) -> None:
+    def record_end(self, now_ms: float, key: str, served: bool) -> None:
         """Record the end of the request at its upstream."""
         self._table.advance(now_ms)
         upstream = self._table.known_upstream(self._requests.pop(key, ""))
--- a/madderwind/testing/engine_emulator/whole_knowledge.py
+++ b/madderwind/testing/engine_emulator/whole_knowledge.py
@@ -30,7 +30,7 @@
         """Set the engines to read; the caller adds to the mapping when upstreams start."""
         self._engines = engines
 
-    def choose(
+    def select_upstream(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
         """Return the upstream with the lowest cost."""
@@ -42,7 +42,7 @@
                     lowest = cost, first_ms, instance
         return None if lowest is None else Selection(lowest[2], lowest[1])
 
-    def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
+    def record_sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
         """Record the request's priority at the chosen upstream."""
         self._urgencies[key] = self._urgency(generation, self._engines[instance])
 
@@ -50,7 +50,7 @@
         """The recorded priority: short prefills rank above long ones, as in the placement."""
         return self._urgencies.pop(key, rank)
 
-    def ended(self, now_ms: float, key: str, served: bool) -> None:
+    def record_end(self, now_ms: float, key: str, served: bool) -> None:
         """Discard the recorded priority."""
         self._urgencies.pop(key, None)
 
