--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -32,7 +32,7 @@
 # Prefills up to the first bound are short, those beyond the last are long, the others in between.
 PREFILL_BOUNDS_MS = (120.0, 480.0)
 # The number of distinct priority ranks of routes and tenants.
-RANKS = 3
+PRIORITY_RANKS = 3
 
 
 class Selection(msgspec.Struct, frozen=True):
@@ -178,7 +178,7 @@
             prefill_ms = request.uncached * model.ms_per_token
         bounds_ms = PREFILL_BOUNDS_MS if self._ablation.prefill_priority else ()
         length_class = sum(prefill_ms > bound_ms for bound_ms in bounds_ms)
-        return length_class * RANKS + min(max(rank, 0), RANKS - 1)
+        return length_class * PRIORITY_RANKS + min(max(rank, 0), PRIORITY_RANKS - 1)
 
     def attempt_record(self, key: str) -> AttemptRecord | None:
         """The record of an attempt that has not ended; None if there is no such attempt."""
--- a/madderwind/testing/engine_emulator/whole_knowledge.py
+++ b/madderwind/testing/engine_emulator/whole_knowledge.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 
 from madderwind.placement.costs import PlacementCosts
-from madderwind.placement.placement import PREFILL_BOUNDS_MS, RANKS, Selection
+from madderwind.placement.placement import PREFILL_BOUNDS_MS, PRIORITY_RANKS, Selection
 from madderwind.placement.prompts import Generation
 from madderwind.testing.engine_emulator.engine import Engine
 from madderwind.testing.engine_emulator.policies import LocalRequestCounts
@@ -71,7 +71,7 @@
         uncached = sum(part.tokens for part in generation.parts[cached:])
         prefill_ms = uncached * self._ms_per_token(engine, generation)
         length_class = sum(prefill_ms > bound_ms for bound_ms in PREFILL_BOUNDS_MS)
-        return length_class * RANKS + min(max(generation.priority, 0), RANKS - 1)
+        return length_class * PRIORITY_RANKS + min(max(generation.priority, 0), PRIORITY_RANKS - 1)
 
     def _ms_per_token(self, engine: Engine, generation: Generation) -> float:
         """Step time divided by the tokens that the step prefills, at half of this prompt's context."""
