--- a/madderwind/standalone/policy/admission.py
+++ b/madderwind/standalone/policy/admission.py
@@ -80,8 +80,8 @@
     def record_answer(self, elapsed_ms: float, answer_times: Mean, aim_ms: float, now: float) -> None:
         """Adjust the limit by an answer's time, compared with the answer times of its class."""
         # This factor moves the target from a third to two thirds of the way.
-        aim_ms *= aim_ms / answer_times.best if self.short else 1.0
-        self._pressure.add(min(MAX_PRESSURE, elapsed_ms / (answer_times.best**2 * aim_ms) ** (1 / 3)))
+        aim_ms *= aim_ms / answer_times.lowest_mean if self.short else 1.0
+        self._pressure.add(min(MAX_PRESSURE, elapsed_ms / (answer_times.lowest_mean**2 * aim_ms) ** (1 / 3)))
         if self._pressure.mean > 1:
             if now - self._shrunk_ms >= answer_times.mean:
                 self.room, self._shrunk_ms = max(MIN_LIMIT, self.room * LIMIT_SHRINK), now
--- a/madderwind/standalone/policy/balancer.py
+++ b/madderwind/standalone/policy/balancer.py
@@ -103,7 +103,7 @@
             self._out.append(api.Fail(event.request_id))  # whether a retry is harmless is unknown
             return
         request = self._requests[event.request_id] = Request.from_arrival(event, self._settings, now)
-        self._traffic.arrivals.arrived(now)
+        self._traffic.arrivals.record_arrival(now)
         admitted = True
         if self._is_front:  # in an inner tier, a refusal would waste work already done
             self._update_credit(now, other_requests := self._count_open() - 1)
@@ -141,7 +141,7 @@
         request.attempts.append(Attempt(upstream.entry, now, cost))
         upstream.in_flight_since_ms[request.id, number] = now
         self._out.append(api.Send(request.id, upstream.entry.upstream, 0.0))
-        if self._is_front and answer_times.seen > 1 and request.request_class.effect is not Effect.UNSAFE:
+        if self._is_front and answer_times.count > 1 and request.request_class.effect is not Effect.UNSAFE:
             overdue_ms = answer_times.mean + OVERDUE_DEVIATIONS * answer_times.deviation
             if now + overdue_ms + answer_times.mean < request.useful_until_ms:
                 self._set_timer(Timer(TimerKind.OVERDUE, request.id, number), overdue_ms)
--- a/madderwind/standalone/policy/picker.py
+++ b/madderwind/standalone/policy/picker.py
@@ -162,7 +162,7 @@
 
         The latter shows that it is slow before any attempt has ended."""
         silent_ms = self._now - max(u.last_answer_ms, next(iter(u.in_flight_since_ms.values()), self._now))
-        return max(u.slowness, silent_ms / self.answer_times.mean if self.answer_times.seen else 0.0)
+        return max(u.slowness, silent_ms / self.answer_times.mean if self.answer_times.count else 0.0)
 
     def _cold_accepts(self, u: Upstream, any_warm: bool) -> bool:
         """Whether a cold upstream may get an attempt: by its credit or, if all are cold, one at a time."""
