--- a/madderwind/standalone/policy/balancer.py
+++ b/madderwind/standalone/policy/balancer.py
@@ -214,7 +214,7 @@
 
     def _retry_or_answer(self, now: float, request: Request, outcome: Outcome) -> None:
         """Schedule a retry within the quota, or answer. Inner tiers retry only what provably never ran."""
-        cost, base_ms = retry_quota.FULL if outcome is Outcome.FULL else retry_quota.TRANSIENT
+        cost, base_ms = retry_quota.FULL_RETRY if outcome is Outcome.FULL else retry_quota.TRANSIENT_RETRY
         wait_ms = self._quota.wait_ms(base_ms, len(request.attempts) - 1)
         if (
             (self._is_front or outcome.never_ran)
