--- a/tests/standalone/program/test_discovery.py
+++ b/tests/standalone/program/test_discovery.py
@@ -210,7 +210,7 @@
 ) -> None:
     """Guards against the delays of the policy, up to twenty seconds, during which drains would be missed."""
     monkeypatch.setattr(discovery, "MOST_UNASKED", 0.003)
-    monkeypatch.setattr(Balancer, "_ask_after", lambda *_: None)
+    monkeypatch.setattr(Balancer, "_subscribe_after", lambda *_: None)
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(silent), discovery="on_request") as running:
--- a/tests/standalone/program/test_move.py
+++ b/tests/standalone/program/test_move.py
@@ -111,7 +111,7 @@
                 fleet[0].ejected_until_ms = min(fleet[0].ejected_until_ms, time.time() * 1000)
             fleet[0].ejected_until_ms = time.time() * 1000 + 60_000
             fleet[2].slowness = 7.0
-            running.service.copy._balancer._admission.room = 3.5
+            running.service.copy._balancer._admission.limit_per_upstream = 3.5
             failing_requests = len(failing.asked)
 
             ports = free_ports(3)
@@ -129,7 +129,7 @@
             )
             assert upstreams_after[marks[1]].started_ms == upstreams_before[marks[1]].started_ms >= started_ms
             assert upstreams_after[marks[2]].slowness == 1.0
-            assert balancer._admission.room == 8.0
+            assert balancer._admission.limit_per_upstream == 8.0
             assert balancer._quota.tokens == old_service.copy._balancer._quota.tokens <= 250
 
             old_service.end()
@@ -149,11 +149,13 @@
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(OK_ANSWER)), Upstream(says(OK_ANSWER))) as running:
             balancer = running.service.copy._balancer
-            balancer._fleet.upstreams[1].slowness, balancer._admission.room = 3.0, 5.5
+            balancer._fleet.upstreams[1].slowness, balancer._admission.limit_per_upstream = 3.0, 5.5
             await running.upgrade()
             assert running.log.named("taken_over")[-1]["same_shape"] is True
             balancer = running.service.copy._balancer
-            assert balancer._fleet.upstreams[1].slowness == 3.0 and balancer._admission.room == 5.5
+            assert (
+                balancer._fleet.upstreams[1].slowness == 3.0 and balancer._admission.limit_per_upstream == 5.5
+            )
 
     run(test())
 
@@ -185,9 +187,9 @@
             assert message[: HEAD.size] == HEAD.pack(MARK, 0) and len(message) == HEAD.size + 3
             traffic = running.service.copy._balancer._traffic
             transport.sendto(HEAD.pack(MARK, 2) + (100_000).to_bytes(3, "little"), (examples.HOST, ports[0]))
-            while not traffic._heard:
+            while not traffic._peer_rates:
                 await asyncio.sleep(0.001)
-            assert traffic._heard[2][0] == 1000.0 and traffic.part(time.time() * 1000) < 0.05
+            assert traffic._peer_rates[2][0] == 1000.0 and traffic.traffic_share(time.time() * 1000) < 0.05
             new = await running.upgrade()  # both processes are one copy, and only the successor sends
             assert new.copy.peers is not None
             while not new.copy.peers.closed:
