--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -261,7 +261,7 @@
     def _commit(self, now_ms: float) -> None:
         """Commit the entries that are durable in this epoch at all in-sync and all joining replicas."""
         in_sync = self.view.in_sync
-        if len(in_sync) < self._rules.smallest_in_sync:
+        if len(in_sync) < self._rules.min_in_sync:
             return
         index = min(self._synced_by(incarnation) for incarnation in {*in_sync, *self.planner.joining})
         if index <= self._store.committed_index:
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -187,7 +187,7 @@
             self.assert_found(Plan(scenarios.takeover, Allowance(faults=1), 1, 0))
 
     def test_an_in_sync_set_below_the_required_size(self) -> None:
-        with patch.object(MembershipRules, "smallest_in_sync", PropertyMock(return_value=1)):
+        with patch.object(MembershipRules, "min_in_sync", PropertyMock(return_value=1)):
             self.assert_found(Plan(scenarios.lagging_candidate, Allowance(times=3), 5, 0))
 
     def test_a_candidate_that_is_not_in_sync(self) -> None:
--- a/tests/replication/test_leaving_with_a_large_state.py
+++ b/tests/replication/test_leaving_with_a_large_state.py
@@ -74,7 +74,7 @@
         self.assertEqual(scenario.version, scenario.fleet.read_committed().version)
 
     def test_leaving_without_a_second_replica_is_detected(self) -> None:
-        with patch.object(MembershipRules, "smallest_in_sync", 1), self.assertRaises(AssertionError):
+        with patch.object(MembershipRules, "min_in_sync", 1), self.assertRaises(AssertionError):
             self.run_leave(LINKS_BYTES_PER_MS[0])
 
 
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -88,7 +88,7 @@
             self.assert_found(likely_seed=9)
 
     def test_an_in_sync_set_too_small_to_acknowledge(self) -> None:
-        with patch.object(MembershipRules, "smallest_in_sync", PropertyMock(return_value=1)):
+        with patch.object(MembershipRules, "min_in_sync", PropertyMock(return_value=1)):
             self.assert_found()
 
     def test_a_commit_that_does_not_wait_for_other_replicas(self) -> None:
