--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -94,7 +94,7 @@
         most_current = max(healthy, key=lambda peer: (peer.match_index, peer.last_received_ms), default=None)
         return most_current.member if most_current is not None else None
 
-    def can_be_followed(self, now_ms: float) -> bool:
+    def can_be_succeeded(self, now_ms: float) -> bool:
         """Whether a majority of the members can store their promises, so that another primary can be elected.
 
         If not, giving up the role would gain nothing.
@@ -108,7 +108,7 @@
         ]
         return len(voters) + self._store.is_disk_healthy(now_ms) >= self.view.majority()
 
-    def give_up(self) -> None:
+    def resolve_pending_as_unknown(self) -> None:
         """End the role: all waiting requests end with an unknown outcome."""
         self._store.log.needed_after = None
         self._outbox.extend(self._submitted.abort_all())
