--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -57,7 +57,7 @@
         """Whether a message of the newest view's primary arrived within the given time."""
         return self.last_received_ms is not None and now_ms - self.last_received_ms < within_ms
 
-    def forget_primary(self) -> None:
+    def clear_primary_contact(self) -> None:
         """Record that the primary gave up its role or is permanently lost."""
         self.last_received_ms = None
 
--- a/madderwind/replication/role_machine.py
+++ b/madderwind/replication/role_machine.py
@@ -244,7 +244,7 @@
         view = self._store.view
         if view is None or view.epoch != message.epoch or view.primary != message.sender:
             return
-        self._follower.forget_primary()
+        self._follower.clear_primary_contact()
         self.election.accept_transfer(now_ms, message.epoch)
 
     def _begin_epoch(self, epoch: int) -> None:
