--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -20,7 +20,7 @@
 )
 from madderwind.registry.heartbeats import read_heartbeat
 from madderwind.registry.registry import Registry
-from madderwind.registry.states import UpstreamState, furthest, state_named
+from madderwind.registry.states import UpstreamState, later_state, parse_state
 
 LIVENESS_INTERVAL_MS = 1_000.0
 TIMEOUT_CHECK_INTERVAL_MS = 250.0
@@ -79,7 +79,7 @@
 
     def handle_saved(self, records: Sequence[UpstreamRecord]) -> list[Effect]:
         """Handle that a checkpoint with these records is on disk: confirm the states that waited for it."""
-        states = {record.instance: state_named(record.state) for record in records}
+        states = {record.instance: parse_state(record.state) for record in records}
         self._saved_states = {
             name: state for name, state in states.items() if state is not UpstreamState.READY
         }
@@ -121,7 +121,7 @@
             case FinalStateNotice(upstream):
                 return self._handle_final_state(now_ms, sender, upstream)
             case FinalStateConfirmed(instance, state):
-                return [*self._drains.confirm(sender, instance, state_named(state))]
+                return [*self._drains.confirm(sender, instance, parse_state(state))]
             case RegistryRequest():
                 return self._send_registry_again(now_ms, sender)
             case _:
@@ -168,13 +168,13 @@
         effects: list[Effect] = [*self._to_peers(outcome)]
         if not self._is_saved(record):
             return [*effects, SaveCheckpoint()]
-        state = state_named(record.state)
+        state = parse_state(record.state)
         return [*effects, *self._drains.confirm(self._own_address, instance, state)]
 
     def _is_saved(self, record: UpstreamRecord) -> bool:
         """Whether the saved checkpoint contains the record's state or a later one."""
         saved = self._saved_states.get(record.instance, UpstreamState.READY)
-        return furthest(saved, state_named(record.state)) is saved
+        return later_state(saved, parse_state(record.state)) is saved
 
     def _is_known_to_peers(self, instance: str) -> bool:
         """Whether a ready instance is known to a peer, or peers can be reached and will learn of it.
@@ -197,10 +197,10 @@
     def _handle_final_state(self, now_ms: float, sender: str, record: UpstreamRecord) -> list[Effect]:
         """Publish the state, and confirm it to the sender once it is on the own disk."""
         published = self._publish(self._registry.merge(now_ms, (record,)))
-        if state_named(record.state) is UpstreamState.READY:
+        if parse_state(record.state) is UpstreamState.READY:
             return [*published]
         if self._is_saved(record):
-            confirmation = _confirmation(record.instance, state_named(record.state))
+            confirmation = _confirmation(record.instance, parse_state(record.state))
             return [*published, SendToPeer(sender, confirmation)]
         self._unconfirmed.add((sender, record.instance))
         return [*published, SaveCheckpoint()]
--- a/madderwind/registry/known_upstreams.py
+++ b/madderwind/registry/known_upstreams.py
@@ -12,7 +12,7 @@
 
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.registry.registry import HEARTBEAT_TIMEOUT_INTERVALS
-from madderwind.registry.states import UpstreamState, furthest, state_named
+from madderwind.registry.states import UpstreamState, later_state, parse_state
 
 # How long a deregistered instance is remembered: until then, a control plane that was partitioned may still
 # publish it as ready.
@@ -131,7 +131,7 @@
         if record.instance in self._deregistered_ms:
             return False
         known = self._known.get(record.instance)
-        state = state_named(record.state)
+        state = parse_state(record.state)
         if state is UpstreamState.DEREGISTERED:
             return self._set_deregistered(now_ms, record.instance)
         if known is None:
@@ -180,7 +180,7 @@
 
     def _advance_state(self, known: KnownUpstream, state: UpstreamState) -> bool:
         """Advance to a state; no other method changes the state of a registered instance."""
-        state = furthest(known.state, state)
+        state = later_state(known.state, state)
         if state is known.state:
             return False
         known.state = state
--- a/madderwind/registry/registry.py
+++ b/madderwind/registry/registry.py
@@ -17,7 +17,7 @@
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.messages.peering import Liveness
 from madderwind.registry.heartbeats import Heartbeat
-from madderwind.registry.states import UpstreamState, furthest, state_named
+from madderwind.registry.states import UpstreamState, later_state, parse_state
 
 # An upstream counts as timed out after this many heartbeat intervals without a heartbeat.
 HEARTBEAT_TIMEOUT_INTERVALS = 3.5
@@ -70,7 +70,7 @@
 
     def advance_to(self, state: UpstreamState) -> bool:
         """Advance to a state; False if the instance is already in it or in a later one."""
-        state = furthest(self.state, state)
+        state = later_state(self.state, state)
         if state is self.state:
             return False
         self.state = state
@@ -232,7 +232,7 @@
     def _merge_record(self, now_ms: float, record: UpstreamRecord) -> bool:
         """Merge one record; returns whether peers and data planes have to be notified."""
         entry = self._entries.get(record.instance)
-        state = state_named(record.state)
+        state = parse_state(record.state)
         if entry is None:
             return self._add(now_ms, record, state)
         entry.last_heartbeat_ms = max(entry.last_heartbeat_ms, now_ms - record.heartbeat_age_ms)
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -10,7 +10,7 @@
 from madderwind.distribution.subscriber import CURRENT_MS
 from madderwind.messages.distribution import Freshness
 from madderwind.messages.replication import View
-from madderwind.registry.states import UpstreamState, furthest, state_named
+from madderwind.registry.states import UpstreamState, later_state, parse_state
 from madderwind.replication.commands import Command, CommandOutcome
 from tests.campaign.chain import Link
 from tests.campaign.control_machine import ControlMachine
@@ -222,7 +222,7 @@
         if state is UpstreamState.READY:
             return
         known = self._known_final(instance)
-        if known is None or furthest(known, state) is not known:
+        if known is None or later_state(known, state) is not known:
             self.final_states[instance] = (state, now_ms)
 
     def _known_final(self, instance: str) -> UpstreamState | None:
@@ -272,6 +272,6 @@
         return False
     for record in machine.core.upstreams(machine.clock.now_ms):
         if record.instance == instance:
-            known = state_named(record.state)
-            return furthest(known, state) is known
+            known = parse_state(record.state)
+            return later_state(known, state) is known
     return False
