--- a/madderwind/dataplane/attempt_exchange.py
+++ b/madderwind/dataplane/attempt_exchange.py
@@ -109,7 +109,7 @@
 
     def _may_write(self) -> bool:
         """Whether the request should still be sent once the connection is established."""
-        if not self._parts.upstreams.takes_new(self._attempt.instance):
+        if not self._parts.upstreams.accepts_new_requests(self._attempt.instance):
             return False
         if self._now_ms() >= self._admitted.until_ms or has_left(self._client_request.request.transport):
             return False
--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -65,7 +65,7 @@
         self, now_ms: float, service: str, generation: Generation | None, tried: frozenset[str]
     ) -> str | None:
         """The upstream to send to; None if none accepts requests."""
-        candidates = self._upstreams.ready_of_service(service)
+        candidates = self._upstreams.ready_instances(service)
         if not candidates:
             return None
         full = frozenset(instance for instance in candidates if not self._has_capacity(instance, service))
@@ -133,7 +133,7 @@
         """Record that the upstream responded, with whatever result."""
         self._idle_first.record_response(instance)
         self.health.succeeded(instance)
-        self._upstreams.mark_answered(instance)
+        self._upstreams.clear_timeout(instance)
 
     def ended(
         self, now_ms: float, key: str, generation: Generation | None, instance: str, served: bool
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -241,7 +241,7 @@
                 changed = self.upstreams.merge(now_ms, upstreams)
                 self.chooser.changed(now_ms, changed)
                 for instance in changed:
-                    if not self.upstreams.takes_new(instance):
+                    if not self.upstreams.accepts_new_requests(instance):
                         self.pool.forget(instance)
             case PeerUsage(used, asked):
                 self.quota.handle_peer_usage(now_ms, used, asked)
--- a/madderwind/registry/known_upstreams.py
+++ b/madderwind/registry/known_upstreams.py
@@ -76,7 +76,7 @@
         self._ready_by_service.clear()
         return self._set_deregistered(now_ms, instance)
 
-    def mark_answered(self, instance: str) -> None:
+    def clear_timeout(self, instance: str) -> None:
         """Clear the time-out of an instance that responded to this data plane."""
         if (known := self._known.get(instance)) is not None:
             known.timed_out = False
@@ -85,7 +85,7 @@
         """The instance, unless it is unknown or deregistered."""
         return self._known.get(instance)
 
-    def takes_new(self, instance: str) -> bool:
+    def accepts_new_requests(self, instance: str) -> bool:
         """Whether new requests may be sent to it: it is known and neither draining nor deregistered."""
         known = self._known.get(instance)
         return known is not None and known.state is UpstreamState.READY
@@ -114,7 +114,7 @@
         """The service's upstreams that are not deregistered, including draining ones."""
         return list(self._upstreams_by_service.get(service, {}).values())
 
-    def ready_of_service(self, service: str) -> tuple[str, ...]:
+    def ready_instances(self, service: str) -> tuple[str, ...]:
         """The instances of a service that accept new requests; the same tuple object until a change."""
         ready = self._ready_by_service.get(service)
         if ready is None:
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -247,7 +247,7 @@
         """Check that data planes know the ready instances and consider none that left ready."""
         for instance, (state, at_ms) in self.history.final_states.items():
             for data_plane in self.system.data_planes:
-                if data_plane.upstreams.takes_new(instance):
+                if data_plane.upstreams.accepts_new_requests(instance):
                     self.history.note(
                         "upstreams",
                         f"{data_plane.address} treats {instance} as ready, which was acknowledged as "
@@ -266,7 +266,7 @@
             f"{instance} at {data_plane.address}"
             for instance in ready
             for data_plane in self.system.data_planes
-            if instance in still and not data_plane.upstreams.takes_new(instance)
+            if instance in still and not data_plane.upstreams.accepts_new_requests(instance)
         ]
 
 
--- a/tests/dataplane/chaos.py
+++ b/tests/dataplane/chaos.py
@@ -161,7 +161,7 @@
             upstream = self._rng.choice(self._fleet.upstreams)
             state = self._rng.choice(("draining", "gone"))
             await self._fleet.control.register(record(upstream, leaving, state, 5))
-            while self._fleet.plane.upstreams.takes_new(leaving):
+            while self._fleet.plane.upstreams.accepts_new_requests(leaving):
                 await asyncio.sleep(0.001)
                 if self._is_shut_down():
                     return
--- a/tests/dataplane/fleet.py
+++ b/tests/dataplane/fleet.py
@@ -233,7 +233,7 @@
             await upstream.__aexit__()
 
     def ready_instances(self) -> Sequence[str]:
-        return self.plane.upstreams.ready_of_service("app")
+        return self.plane.upstreams.ready_instances("app")
 
     def _record_event(self, event: str, /, **fields: object) -> None:
         self.log.append((event, fields))
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -55,7 +55,7 @@
         return {record.state for each in self.registries for record in each.snapshot(self.now_ms)}
 
     def takes_new(self) -> bool:
-        return self.data_plane.takes_new(INSTANCE)
+        return self.data_plane.accepts_new_requests(INSTANCE)
 
     def _publish(self, number: int, record: UpstreamRecord | None) -> None:
         if record is None:
