--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -136,7 +136,7 @@
             effects += self._publish(changed)
         if now_ms >= self._liveness_due_ms:
             self._liveness_due_ms = now_ms + LIVENESS_INTERVAL_MS
-            effects += self._to_peers(LivenessReport(self._registry.take_liveness(now_ms)))
+            effects += self._to_peers(LivenessReport(self._registry.collect_liveness_reports(now_ms)))
             self._drop_unknown()
         effects += self._drains.reject_expired(now_ms)
         for notice in self._drains.due_notices(now_ms):
@@ -181,11 +181,11 @@
 
         Otherwise it must call another control plane, although its state is stored here as well.
         """
-        if not self._tolerance or self._registry.is_known_elsewhere(instance):
+        if not self._tolerance or self._registry.is_known_to_peer(instance):
             return True
         if not self._is_connected():
             return False
-        self._registry.mark_known_elsewhere(instance)
+        self._registry.mark_known_to_peer(instance)
         return True
 
     def _handle_liveness(self, now_ms: float, sender: str, message: LivenessReport) -> list[Effect]:
--- a/madderwind/registry/registry.py
+++ b/madderwind/registry/registry.py
@@ -115,7 +115,7 @@
         for record in records:
             if self._merge_record(now_ms, record):
                 changed.append(record.instance)
-            self.mark_known_elsewhere(record.instance)
+            self.mark_known_to_peer(record.instance)
         return tuple(self._record(now_ms, instance) for instance in changed)
 
     def merge_liveness(self, now_ms: float, reports: Iterable[Liveness]) -> bool:
@@ -159,12 +159,12 @@
             age_ms = 0.0
         return msgspec.structs.replace(record, heartbeat_age_ms=age_ms)
 
-    def mark_known_elsewhere(self, instance: str) -> None:
+    def mark_known_to_peer(self, instance: str) -> None:
         """Record that another control plane knows the instance, or is reachable and being notified of it."""
         if (entry := self._entries.get(instance)) is not None:
             entry.known_elsewhere = True
 
-    def is_known_elsewhere(self, instance: str) -> bool:
+    def is_known_to_peer(self, instance: str) -> bool:
         """Whether another control plane is assumed to know the instance."""
         entry = self._entries.get(instance)
         return entry is not None and entry.known_elsewhere
@@ -176,7 +176,7 @@
             return None
         return self._record(now_ms, instance)
 
-    def take_liveness(self, now_ms: float) -> tuple[Liveness, ...]:
+    def collect_liveness_reports(self, now_ms: float) -> tuple[Liveness, ...]:
         """The heartbeats received here since the last call, to be reported to the other control planes."""
         reports = []
         for instance, entry in self._entries.items():
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -138,7 +138,7 @@
         """A peer's liveness report may arrive first if the message with the new description was lost."""
         first, second, _ = self.control_planes.registries
         first.handle_heartbeat(10.0, INSTANCE, read_heartbeat(INSTANCE, body(7, address="10.0.0.7:80")))
-        second.merge_liveness(11.0, first.take_liveness(11.0))
+        second.merge_liveness(11.0, first.collect_liveness_reports(11.0))
         second.merge(12.0, first.snapshot(12.0))
         self.assertEqual(second.snapshot(12.0)[0].address, "10.0.0.7:80")
 
