--- a/madderwind/dataplane/admission.py
+++ b/madderwind/dataplane/admission.py
@@ -139,7 +139,7 @@
                 else self._retryable_rejection("no such route yet")
             )
         key = headers.get(KEY)
-        tenant = table.tenant_of(key) if key else None
+        tenant = table.tenant_for_key(key) if key else None
         if tenant is None and table.has_tenants and not route.public:
             return (
                 Rejected(401, "no such key")
--- a/tests/configuration/test_incremental.py
+++ b/tests/configuration/test_incremental.py
@@ -129,7 +129,7 @@
             )
     tenants_by_key = {key: each for each in configuration.tenants for key in each.api_keys}
     for number in range(12):
-        assert routing.tenant_of(f"k{number}") == tenants_by_key.get(f"k{number}")
+        assert routing.tenant_for_key(f"k{number}") == tenants_by_key.get(f"k{number}")
     for each in configuration.services:
         assert routing.service(each.name) == each
 
