--- a/madderwind/distribution/reading_ahead.py
+++ b/madderwind/distribution/reading_ahead.py
@@ -41,7 +41,7 @@
         if command.kind == CommandKind.REPLACE.value or document is None:
             document = read_document(command.body, document)
         else:
-            document = document.updated(command.body)
+            document = document.apply_update(command.body)
     if document is None or document.version != message.version:
         raise ConfigurationError(
             "version", f"the commands of the delta do not result in version {message.version}"
--- a/tests/configuration/test_incremental.py
+++ b/tests/configuration/test_incremental.py
@@ -93,7 +93,7 @@
 
 def _apply_update(before: Document, body: bytes) -> Document | None:
     try:
-        return before.updated(body)
+        return before.apply_update(body)
     except ConfigurationError:
         return None
 
@@ -159,7 +159,7 @@
 
     def update(self, latest: Document, upsert: list[dict[str, Any]], delete: list[str]) -> Document:
         body = {"version": latest.version + 1, "upsert": {"routes": upsert}, "delete": {"routes": delete}}
-        return latest.updated(encoded(body))
+        return latest.apply_update(encoded(body))
 
     def test_update_of_one_route_shares_all_other_chunks(self) -> None:
         after = self.update(self.before, [route("r300", timeout_ms=5)], [])
