--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -244,7 +244,7 @@
     def _usage_deliveries(self) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
-            if (usage := self._exchanges.usage.owed(session.participant)) is not None:
+            if (usage := self._exchanges.usage.take_update(session.participant)) is not None:
                 deliveries.append(SendTo(connection, usage))
         return deliveries
 
@@ -266,7 +266,7 @@
     def _dispatch_deliveries(self, now_ms: float) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
-            dispatches = self._exchanges.dispatches.owed(now_ms, session.participant)
+            dispatches = self._exchanges.dispatches.take_update(now_ms, session.participant)
             if dispatches is not None:
                 deliveries.append(SendTo(connection, dispatches))
         return deliveries
@@ -274,7 +274,7 @@
     def _load_deliveries(self) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
-            if (load := self._exchanges.load.owed(session.participant)) is not None:
+            if (load := self._exchanges.load.take_update(session.participant)) is not None:
                 deliveries.append(SendTo(connection, load))
         return deliveries
 
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -218,7 +218,7 @@
                 self._send_peer_usage(data_plane)
 
     def _send_peer_usage(self, data_plane: DataPlane) -> None:
-        peer_usage = self._exchange.owed(data_plane.participant)
+        peer_usage = self._exchange.take_update(data_plane.participant)
         if peer_usage is None:
             return
         quota = data_plane.quota
