--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -12,7 +12,7 @@
 MAX_PENDING_COMMANDS = 64
 
 
-class Proof(msgspec.Struct, frozen=True):
+class ResultCondition(msgspec.Struct, frozen=True):
     """Precondition of a result: a committed entry and a confirmed heartbeat round.
 
     Attributes:
@@ -25,7 +25,7 @@
     round: int
     deadline_ms: float
 
-    def is_given(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
+    def is_met(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
         """Whether the entry is committed and the round confirmed."""
         return self.index <= committed_index and self.round <= rounds.last_confirmed
 
@@ -33,12 +33,12 @@
 class _PendingCommand(msgspec.Struct, frozen=True):
     token: int
     result: CommandResult
-    proof: Proof
+    proof: ResultCondition
 
 
 class _PendingRead(msgspec.Struct, frozen=True):
     token: int
-    proof: Proof
+    proof: ResultCondition
 
 
 class PendingRequests:
@@ -60,11 +60,11 @@
         of_reads = max((read.proof.round for read in self._reads), default=0)
         return max(of_commands, of_reads)
 
-    def add_command(self, token: int, result: CommandResult, proof: Proof) -> None:
+    def add_command(self, token: int, result: CommandResult, proof: ResultCondition) -> None:
         """Add a command whose result is valid once the proof holds."""
         self._commands.append(_PendingCommand(token, result, proof))
 
-    def add_read(self, token: int, proof: Proof) -> None:
+    def add_read(self, token: int, proof: ResultCondition) -> None:
         """Add a read, whose state is confirmed as the newest once the proof holds."""
         self._reads.append(_PendingRead(token, proof))
 
@@ -86,7 +86,7 @@
         resolved: list[Action] = []
         pending: list[_PendingCommand] = []
         for command in self._commands:
-            if command.proof.is_given(committed_index, rounds):
+            if command.proof.is_met(committed_index, rounds):
                 resolved.append(CommandResolved(command.token, command.result))
             elif now_ms >= command.proof.deadline_ms:
                 resolved.append(CommandResolved(command.token, UNKNOWN_RESULT))
@@ -99,7 +99,7 @@
         resolved: list[Action] = []
         pending: list[_PendingRead] = []
         for read in self._reads:
-            if read.proof.is_given(committed_index, rounds):
+            if read.proof.is_met(committed_index, rounds):
                 resolved.append(ReadResolved(read.token, is_newest=True))
             elif now_ms >= read.proof.deadline_ms:
                 resolved.append(ReadResolved(read.token, is_newest=False))
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -27,7 +27,7 @@
 from madderwind.replication.membership import MembershipRules
 from madderwind.replication.peer import Peer, Progress
 from madderwind.replication.peer_table import PeerTable
-from madderwind.replication.pending_requests import PendingRequests, Proof
+from madderwind.replication.pending_requests import PendingRequests, ResultCondition
 from madderwind.replication.submitted_commands import SubmittedCommands
 from madderwind.replication.view_planner import ViewPlanner
 
@@ -140,7 +140,7 @@
             needed_round = self._round_from_now()
         # A result describes committed state, so the entries that it depends on must be committed.
         deadline_ms = now_ms + self._times.command_timeout_ms
-        proof = Proof(self._store.log.last_index, needed_round, deadline_ms)
+        proof = ResultCondition(self._store.log.last_index, needed_round, deadline_ms)
         self._requests.add_command(token, result, proof)
 
     def read(self, now_ms: float, token: int) -> None:
@@ -149,7 +149,7 @@
             self._outbox.add(ReadResolved(token, is_newest=False))
             return
         deadline_ms = now_ms + self._times.read_timeout_ms
-        proof = Proof(self.lease.inherited_index, self._round_from_now(), deadline_ms)
+        proof = ResultCondition(self.lease.inherited_index, self._round_from_now(), deadline_ms)
         self._requests.add_read(token, proof)
 
     def handle_join_request(self, now_ms: float, request: JoinRequest) -> None:
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from madderwind.replication.commands import CommandResult
-from madderwind.replication.pending_requests import PendingRequests, Proof
+from madderwind.replication.pending_requests import PendingRequests, ResultCondition
 from tests.controlplane.cut_scenarios import Cut, CutKind, CutScenario, Role
 from tests.fleet.history import Violation
 
@@ -66,13 +66,13 @@
 
 
 def add_command_without_fencing(
-    requests: PendingRequests, token: int, result: CommandResult, proof: Proof
+    requests: PendingRequests, token: int, result: CommandResult, proof: ResultCondition
 ) -> None:
-    add_command(requests, token, result, Proof(proof.index, 0, proof.deadline_ms))
+    add_command(requests, token, result, ResultCondition(proof.index, 0, proof.deadline_ms))
 
 
-def add_read_without_fencing(requests: PendingRequests, token: int, proof: Proof) -> None:
-    add_read(requests, token, Proof(proof.index, 0, proof.deadline_ms))
+def add_read_without_fencing(requests: PendingRequests, token: int, proof: ResultCondition) -> None:
+    add_read(requests, token, ResultCondition(proof.index, 0, proof.deadline_ms))
 
 
 class Mutants(unittest.TestCase):
