--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -65,7 +65,7 @@
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1000.0
 MAX_BACKOFF_DOUBLINGS = 8
 # A version published as fresh counts as current for this long after the primary last held its lease.
-CURRENT_MS = 600.0
+FRESHNESS_LIMIT_MS = 600.0
 # Without a control plane for this long since startup, a configuration from another source would count.
 ISOLATED_AFTER_MS = 3000.0
 
@@ -143,7 +143,7 @@
         if link.freshness is None or not link.freshness.is_primary:
             return False
         age_ms = link.age_ms(now_ms)
-        return age_ms is not None and age_ms < CURRENT_MS
+        return age_ms is not None and age_ms < FRESHNESS_LIMIT_MS
 
     @property
     def open_links(self) -> list[str]:
@@ -247,7 +247,7 @@
         age_ms = link.age_ms(now_ms)
         if age_ms is None or link.state is not LinkState.OPEN or self.document is None:
             return False
-        return age_ms < CURRENT_MS and link.published_version() <= self.version
+        return age_ms < FRESHNESS_LIMIT_MS and link.published_version() <= self.version
 
     def _apply_configuration(
         self,
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -10,7 +10,7 @@
 import attrs
 
 from madderwind.controlplane.core import TICK_MS
-from madderwind.distribution.subscriber import CURRENT_MS
+from madderwind.distribution.subscriber import FRESHNESS_LIMIT_MS
 from madderwind.errors import MadderwindError
 from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
@@ -274,7 +274,7 @@
     status = machine.status()
     if status is None or status.committed_version != newest:
         return False
-    return status.fresh_age_ms is not None and status.fresh_age_ms < CURRENT_MS
+    return status.fresh_age_ms is not None and status.fresh_age_ms < FRESHNESS_LIMIT_MS
 
 
 @contextlib.contextmanager
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from madderwind.distribution.subscriber import CURRENT_MS
+from madderwind.distribution.subscriber import FRESHNESS_LIMIT_MS
 from madderwind.messages.distribution import Freshness
 from madderwind.messages.replication import View
 from madderwind.registry.states import UpstreamState, later_state, parse_state
@@ -23,7 +23,7 @@
 from tests.fleet.linearizability import ChainEntry, ReadCall, check_linearizable
 
 # A data plane may be unaware of an acknowledged version that it has not applied for this long.
-CURRENT_WITHIN_MS = CURRENT_MS + 4 * MAX_DELAY_MS
+CURRENT_WITHIN_MS = FRESHNESS_LIMIT_MS + 4 * MAX_DELAY_MS
 # A disk that held a command may be lost between the command's commit and its acknowledgement.
 RECENT_LOSS_MS = 1_500.0
 # Ages are reported in whole milliseconds.
