--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -10,15 +10,15 @@
 
 from madderwind.distribution.reading_ahead import (
     ConfigurationMessage,
-    ReadAhead,
-    document_after,
-    is_long,
+    ParsedConfiguration,
+    apply_message,
+    needs_offloading,
 )
 from madderwind.distribution.subscriber import Subscriber
 from madderwind.distribution.subscriber_events import (
     Action,
     ApplyConfiguration,
-    ConfigurationArrived,
+    ConfigurationReceived,
     Connect,
     Deliver,
     Disconnect,
@@ -147,7 +147,7 @@
                 if frame.type is not aiohttp.WSMsgType.BINARY:
                     break
                 message = to_data_plane.decode(frame.data)
-                if isinstance(message, ConfigurationMessage) and is_long(message):
+                if isinstance(message, ConfigurationMessage) and needs_offloading(message):
                     await self._handle_long_configuration(address, message)
                 else:
                     self.handle(MessageReceived(address, message))
@@ -160,11 +160,11 @@
 
         Later messages on this connection wait for it.
         """
-        self.handle(ConfigurationArrived(address))
+        self.handle(ConfigurationReceived(address))
         base = self._subscriber.document
         read_ahead = None
         with contextlib.suppress(ConfigurationError):  # the subscriber detects and reports the same error
-            read_ahead = ReadAhead(base, await asyncio.to_thread(document_after, base, message))
+            read_ahead = ParsedConfiguration(base, await asyncio.to_thread(apply_message, base, message))
         self.handle(MessageReceived(address, message, read_ahead))
 
 
--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -16,11 +16,11 @@
 
 from madderwind.configuration.reading import Document
 from madderwind.distribution.link import ControlPlaneLink, LinkState
-from madderwind.distribution.reading_ahead import ConfigurationMessage, ReadAhead, document_after
+from madderwind.distribution.reading_ahead import ConfigurationMessage, ParsedConfiguration, apply_message
 from madderwind.distribution.subscriber_events import (
     Action,
     ApplyConfiguration,
-    ConfigurationArrived,
+    ConfigurationReceived,
     Connect,
     Deliver,
     Disconnect,
@@ -59,7 +59,7 @@
 # Without a response for this long, the configuration is fetched from another control plane.
 FETCH_TIMEOUT_MS = 300.0
 # Timeout for parsing a response that has been received.
-READING_TIMEOUT_MS = 3000.0
+PARSE_TIMEOUT_MS = 3000.0
 # The backoff before the next connection attempt to an address doubles from the initial to the maximum value,
 # less a random part.
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1000.0
@@ -160,7 +160,7 @@
                 self._handle_link_closed(now_ms, address, actions)
             case MessageReceived(address):
                 self._handle_message(now_ms, address, event, actions)
-            case ConfigurationArrived(address):
+            case ConfigurationReceived(address):
                 self._handle_configuration_arrival(now_ms, address)
             case SeedsChanged(addresses):
                 self._seeds = addresses
@@ -254,7 +254,7 @@
         now_ms: float,
         address: str,
         message: ConfigurationMessage,
-        read_ahead: ReadAhead | None,
+        read_ahead: ParsedConfiguration | None,
         actions: list[Action],
     ) -> None:
         """Put a newer configuration in force. The version never decreases during the life of the process."""
@@ -268,7 +268,7 @@
             if read_ahead is not None and read_ahead.base is self.document:
                 document = read_ahead.document
             else:
-                document = document_after(self.document, message)
+                document = apply_message(self.document, message)
         except ConfigurationError as error:
             actions.append(CONFIGURATION_UNUSABLE.line(address=address, error=str(error)))
             actions.append(Send(address, FetchConfiguration(0)))
@@ -287,7 +287,7 @@
         if self._fetch is not None:
             link = self._links.get(self._fetch.address)
             is_open = link is not None and link.state is LinkState.OPEN
-            timeout_ms = READING_TIMEOUT_MS if self._fetch.is_answered else FETCH_TIMEOUT_MS
+            timeout_ms = PARSE_TIMEOUT_MS if self._fetch.is_answered else FETCH_TIMEOUT_MS
             if is_open and now_ms - self._fetch.since_ms < timeout_ms:
                 return
             self._avoid_for_fetch = self._fetch.address
--- a/madderwind/distribution/subscriber_events.py
+++ b/madderwind/distribution/subscriber_events.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from madderwind.configuration.reading import Document
-from madderwind.distribution.reading_ahead import ReadAhead
+from madderwind.distribution.reading_ahead import ParsedConfiguration
 from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import ToControlPlane, ToDataPlane
 
@@ -36,10 +36,10 @@
 
     address: str
     message: ToDataPlane
-    read_ahead: ReadAhead | None = None
+    read_ahead: ParsedConfiguration | None = None
 
 
-class ConfigurationArrived(msgspec.Struct, frozen=True):
+class ConfigurationReceived(msgspec.Struct, frozen=True):
     """A long configuration was received and is being parsed; MessageReceived follows."""
 
     address: str
@@ -63,7 +63,7 @@
     LinkOpened
     | LinkClosed
     | MessageReceived
-    | ConfigurationArrived
+    | ConfigurationReceived
     | SeedsChanged
     | TimePassed
     | ShutdownRequested
