--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -165,7 +165,7 @@
         """Whether each connected data plane that is not lagging has applied this version or a later one."""
         return not any(session.is_awaited_for(version) for session in self._sessions.values())
 
-    def stop_waiting_for(self, version: int) -> int:
+    def mark_lagging(self, version: int) -> int:
         """Mark the data planes that have not applied a version as lagging, and return how many they are.
 
         Commands do not wait for them until their next acknowledgement.
@@ -184,7 +184,7 @@
         }
         return len(nodes | {participant.node for participant in self._disconnected_since_ms})
 
-    def overview(self) -> tuple[DataPlaneStatus, ...]:
+    def data_plane_statuses(self) -> tuple[DataPlaneStatus, ...]:
         """The status of all subscribed data planes, for operators."""
         sessions = sorted(self._sessions.values(), key=lambda each: each.participant.node)
         return tuple(self._status_of(session) for session in sessions)
