--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -110,7 +110,12 @@
         connections = max(16, settings.limits.max_fds - RESERVED_DESCRIPTORS) // 2
         self.pool = UpstreamPool(connections)
         self.chooser = UpstreamChooser(
-            rng, self.upstreams, self.placement, settings.zone, self._has_capacity, self.pool.keeps
+            rng,
+            self.upstreams,
+            self.placement,
+            settings.zone,
+            self._has_capacity,
+            self.pool.has_idle_connection,
         )
         self.quota = TenantQuota(bounds, rng, is_first_start=settings.bootstrap)
         self.budget = FleetRetryBudget(
@@ -141,7 +146,7 @@
             counters=self.counters,
         )
         self._listener = Listener(
-            Forwarder(parts).serve, connections, log, self.pool.held, longest_line=MAX_LINE_BYTES
+            Forwarder(parts).serve, connections, log, self.pool.connection_count, longest_line=MAX_LINE_BYTES
         )
         self._ready_listener = ReadyListener(lambda: self.is_ready)
         self._document: Document | None = None
@@ -160,7 +165,7 @@
             control_planes=len(self.subscriber.open_links),
             data_planes=self.subscriber.data_planes,
             upstreams=tuple(self.upstreams.all()),
-            upstream_connections=self.pool.held(),
+            upstream_connections=self.pool.connection_count(),
             events=self.counters,
         )
 
--- a/madderwind/dataplane/upstream_pool.py
+++ b/madderwind/dataplane/upstream_pool.py
@@ -48,14 +48,14 @@
         """The number of connections to the instance that are in use or being established."""
         return self._in_use[instance]
 
-    def keeps(self, instance: str) -> bool:
+    def has_idle_connection(self, instance: str) -> bool:
         """Whether an idle connection to the instance is open."""
         number = self._instance_numbers.get(instance)
-        return number is not None and self._upstreams.keeps(number)
+        return number is not None and self._upstreams.has_idle_connection(number)
 
-    def held(self) -> int:
+    def connection_count(self) -> int:
         """The number of open connections."""
-        return self._upstreams.held()
+        return self._upstreams.connection_count()
 
     async def exchange(
         self,
--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -65,7 +65,7 @@
         # Guards against a duplicate request: aiohttp resends a GET by itself when a reused connection breaks.
         self._session._retry_connection = False
 
-    def held(self) -> int:
+    def connection_count(self) -> int:
         """The number of open connections."""
         return self._connector.held()
 
@@ -192,7 +192,7 @@
             await sink.write(part)
         return Answer(response.status, response.headers, b"")
 
-    def keeps(self, upstream: int) -> bool:
+    def has_idle_connection(self, upstream: int) -> bool:
         """Whether an idle connection to the upstream is known."""
         return any(key.proxy_headers_hash == upstream for key in self._connector._conns)
 
--- a/tests/dataplane/forwarder.py
+++ b/tests/dataplane/forwarder.py
@@ -189,7 +189,12 @@
             admission=admission,
             upstreams=known,
             chooser=UpstreamChooser(
-                rng, known, Placement(rng, "z1"), "z1", lambda instance, service: True, self.pool.keeps
+                rng,
+                known,
+                Placement(rng, "z1"),
+                "z1",
+                lambda instance, service: True,
+                self.pool.has_idle_connection,
             ),
             pool=self.pool,
             retries=Retries(RetryQuota(ShortestBackoff(), refund_on_success=False), budget),
