--- a/madderwind/dataplane/admission.py
+++ b/madderwind/dataplane/admission.py
@@ -107,7 +107,7 @@
         return self._limits
 
     @property
-    def knows_newest(self) -> bool:
+    def has_current_configuration(self) -> bool:
         """Whether the configuration in force is known to be the newest, so that its rejections are final."""
         return self._table is not None and self._is_current()
 
--- a/madderwind/dataplane/attempt_exchange.py
+++ b/madderwind/dataplane/attempt_exchange.py
@@ -24,7 +24,7 @@
 from madderwind.dataplane.upstream_heads import INSTANCE, REQUEST_ID, Head, read_head
 from madderwind.transport.answering import Addressee
 from madderwind.transport.encoded_request import EncodedRequest
-from madderwind.transport.unread import has_left
+from madderwind.transport.unread import peer_has_closed
 
 _RESULT_BY_HEAD = {
     Head.REFUSAL: AttemptResult.REFUSED_FULL,
@@ -111,7 +111,9 @@
         """Whether the request should still be sent once the connection is established."""
         if not self._parts.upstreams.accepts_new_requests(self._attempt.instance):
             return False
-        if self._now_ms() >= self._admitted.until_ms or has_left(self._client_request.request.transport):
+        if self._now_ms() >= self._admitted.until_ms or peer_has_closed(
+            self._client_request.request.transport
+        ):
             return False
         self._attempt.was_sent = True
         return True
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -27,7 +27,7 @@
 from madderwind.transport.bodies import PASSING, READ_S, BadBody, Body
 from madderwind.transport.encoded_request import EncodedRequest, Upload
 from madderwind.transport.listening import CallersRequest
-from madderwind.transport.unread import has_left
+from madderwind.transport.unread import peer_has_closed
 from madderwind.transport.upstreams import Answer
 
 # Delay after the deadline before the host itself ends a request that the module has not answered. The rules
@@ -291,7 +291,7 @@
         """
         if not self._may_write(upstream, until_ms):
             return False
-        if has_left(self.request.transport):
+        if peer_has_closed(self.request.transport):
             if self.request.transport is not None:
                 self.request.transport.abort()  # ends the request like any other disconnect
             return False
--- a/tests/dataplane/answer_mutants.py
+++ b/tests/dataplane/answer_mutants.py
@@ -42,7 +42,7 @@
 
 
 def retry_after_reset(progress: Progress) -> bool:
-    return progress.arrivals < progress.max_attempts and not progress.answer_begun
+    return progress.sent_count < progress.max_attempts and not progress.answer_begun
 
 
 def claim_unexecuted_after_send(progress: Progress) -> bool:
@@ -98,10 +98,10 @@
 
 MUTANTS: dict[str, Mutant] = {
     "an unsafe request is retried after a reset": lambda: patch.object(
-        retrying, "may_be_sent_again", retry_after_reset
+        retrying, "may_retry", retry_after_reset
     ),
     "a request that was sent is reported as unexecuted": lambda: patch.object(
-        request_forwarding, "may_promise", claim_unexecuted_after_send
+        request_forwarding, "may_report_not_executed", claim_unexecuted_after_send
     ),
     "X-Request-Id is not checked": lambda: patch.object(attempt_exchange, "read_head", read_head_without_id),
     "only the last byte of a request counts as a send": lambda: patch.object(
@@ -111,7 +111,7 @@
         SingleResponseHandler, "connection_lost", ResponseHandler.connection_lost
     ),
     "a partial event passes as the end of a stream": lambda: patch.object(
-        answer_relay, "tells_its_end", lambda headers: True
+        answer_relay, "declares_body_end", lambda headers: True
     ),
     "a stream that broke off is ended cleanly": lambda: patch.object(
         ClientAnswer, "abort", leave_stream_open
