--- a/madderwind/standalone/admin/listener.py
+++ b/madderwind/standalone/admin/listener.py
@@ -10,7 +10,7 @@
 from madderwind.eventlog import EventLog, Sparing
 from madderwind.standalone.admin.commands import MAX_COMMAND_BYTES
 from madderwind.transport.accepting import Acceptor
-from madderwind.transport.limits import OWN_LIMITS
+from madderwind.transport.limits import LOCAL_RESOURCE_ERRNOS
 
 LineHandler = Callable[[bytes], bytes]
 # Clients may hold a connection for seconds without sending. Above this number the oldest is closed.
@@ -103,7 +103,7 @@
             while len(self._reserved) < SPARES:
                 self._reserved.append(os.open(os.devnull, os.O_RDONLY))
         except OSError as error:
-            if error.errno not in OWN_LIMITS:
+            if error.errno not in LOCAL_RESOURCE_ERRNOS:
                 raise
 
     def _free_descriptor(self) -> bool:
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -24,7 +24,7 @@
 )
 from madderwind.standalone.protocol.requests import TRACE_ID, Asked, BadRequest, headers_onward, origin_form
 from madderwind.standalone.routing.copy import Copy, LastWord
-from madderwind.transport.bodies import PASSING, READ_S, BadBody, Body
+from madderwind.transport.bodies import FIRST_BYTES_TIMEOUT_S, STREAM_BUFFER_BYTES, BadBody, Body
 from madderwind.transport.encoded_request import EncodedRequest, Upload
 from madderwind.transport.listening import CallersRequest
 from madderwind.transport.unread import peer_has_closed
@@ -333,7 +333,7 @@
     async def reserve_budget(self) -> None:
         """Reserve the budget, only once: waiting for more while holding the body's share could deadlock."""
         if not self._has_budget:
-            await self._exchange.copy.budgets.passing.wait_for(PASSING)
+            await self._exchange.copy.budgets.passing.wait_for(STREAM_BUFFER_BYTES)
             self._has_budget = True
 
     async def begin(self, headers: CIMultiDictProxy[str], length: int | None) -> bool:
@@ -374,13 +374,13 @@
 
     def end(self) -> None:
         if self._has_budget:
-            self._exchange.copy.budgets.passing.give_back(PASSING)
+            self._exchange.copy.budgets.passing.give_back(STREAM_BUFFER_BYTES)
             self._has_budget = False
 
 
 async def serve(copy: Copy, request: web.BaseRequest) -> web.StreamResponse:
     """Handle one request from its first byte to its response."""
-    body = Body(request, copy.budgets.holding, READ_S)
+    body = Body(request, copy.budgets.holding, FIRST_BYTES_TIMEOUT_S)
     try:
         return await _serve(copy, request, body)
     finally:
--- a/madderwind/transport/bodies.py
+++ b/madderwind/transport/bodies.py
@@ -11,16 +11,16 @@
 from madderwind.transport.budget import Budget
 
 # Messages hold at most 32 MB; the margin admits slightly longer ones and rejects those that are far longer.
-LONGEST_BODY = 40 * 1024 * 1024
+MAX_BODY_BYTES = 40 * 1024 * 1024
 # A body up to this length is short: it is always buffered, whatever the budget.
 SHORT_BODY_BYTES = 64 * 1024
 # A body up to this length is buffered whole if the budget allows it, so that it can be resent.
-HELD_BODY = 1024 * 1024
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024
 # The memory that streaming a message takes: its buffers between two sockets.
-PASSING = 256 * 1024
+STREAM_BUFFER_BYTES = 256 * 1024
 # Wait for the first bytes of a body, and the lowest rate after them. Callers are promised time for 64 kB a
 # second; a caller that sends less than it announced is owed an error within 3 s of connecting.
-READ_S, SLOWEST_BYTES_PER_S = 2.0, 48_000
+FIRST_BYTES_TIMEOUT_S, SLOWEST_BYTES_PER_S = 2.0, 48_000
 # How long to read the rest of a body after an early response, so that no reset overtakes the response.
 LINGER_S = 2.0
 
@@ -50,7 +50,7 @@
         Guards against reading a body whose stated length is too long, which takes time from all requests.
         """
         request = self._request
-        if (self.length or 0) > LONGEST_BODY:
+        if (self.length or 0) > MAX_BODY_BYTES:
             raise BadBody(413, "the body is too long")
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -74,7 +74,7 @@
     def _may_buffer_more(self) -> bool:
         if self._received_bytes < self._reserved_bytes:
             return True
-        if self._received_bytes >= HELD_BODY:
+        if self._received_bytes >= MAX_BUFFERED_BODY_BYTES:
             return False
         remaining_bytes = (
             SHORT_BODY_BYTES if self.length is None else max(1, self.length - self._received_bytes)
@@ -117,7 +117,7 @@
         else:
             self._waited_s += loop.time() - began_s
             self._received_bytes += len(part)
-            if self._received_bytes <= LONGEST_BODY:
+            if self._received_bytes <= MAX_BODY_BYTES:
                 return part
             self.broken = BadBody(413, "the body is too long")
         raise self.broken
--- a/madderwind/transport/limits.py
+++ b/madderwind/transport/limits.py
@@ -2,4 +2,6 @@
 
 import errno
 
-OWN_LIMITS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+LOCAL_RESOURCE_ERRNOS = frozenset(
+    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+)
--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -22,7 +22,7 @@
 from madderwind.transport.connector import IDLE_FRACTION, BoundedConnector, ConnectionOptions
 from madderwind.transport.encoded_request import EncodedRequest, Sink, current_request
 from madderwind.transport.gated_request import GatedRequest, NotWrittenError
-from madderwind.transport.limits import OWN_LIMITS
+from madderwind.transport.limits import LOCAL_RESOURCE_ERRNOS
 
 # A response up to this length is buffered whole, so that the request can still be retried if the response
 # fails; the longest buffering of a response without a stated length; and half of the most that is read ahead.
@@ -126,7 +126,7 @@
                 # Guards against a machine that vanished: a reused connection is silent until the deadline,
                 # while a connection that is never established proves that nothing ran.
                 self.close_idle(upstream)
-            is_local = isinstance(error, OSError) and error.errno in OWN_LIMITS
+            is_local = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS
             # a shortage on this machine says nothing about the upstream
             return Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED
         except TimeoutError:
--- a/tests/standalone/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -12,7 +12,7 @@
 from madderwind.standalone.policy.api import Outcome
 from madderwind.standalone.routing import exchange as routing
 from madderwind.transport import bodies
-from madderwind.transport.bodies import HELD_BODY, PASSING
+from madderwind.transport.bodies import MAX_BUFFERED_BODY_BYTES, STREAM_BUFFER_BYTES
 from tests.standalone.program.harness import Running
 from tests.standins import Caller, Message, Upstream, Writer, answer, resets, run, says, within
 
@@ -47,7 +47,9 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-@pytest.mark.parametrize("size", [70_000, HELD_BODY, HELD_BODY + 200_000, 5_000_000])
+@pytest.mark.parametrize(
+    "size", [70_000, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 200_000, 5_000_000]
+)
 def test_long_bodies_arrive_whole(tmp_path: Path, chunked: bool, size: int) -> None:
     async def test() -> None:
         upstream = Upstream(answer_with_digest)
@@ -58,7 +60,9 @@
                 got = await caller.read()
                 assert (got.status, got.body) == (200, digest(LONG[:size]))
             assert upstream.connections == 1
-            streamed = chunked and size >= HELD_BODY  # a body that is held whole has a known length
+            streamed = (
+                chunked and size >= MAX_BUFFERED_BODY_BYTES
+            )  # a body that is held whole has a known length
             assert upstream.asked[0].header("Transfer-Encoding" if streamed else "Content-Length")
             assert await running.figure("upstream_tries_total") == 2
             assert await running.figure('handled_total{category="charge",outcome="passed"}') == 2
@@ -227,7 +231,7 @@
         async with Running(tmp_path, upstream) as running:
             budgets = running.service.copy.budgets
             for budget in (budgets.holding, budgets.passing):
-                budget.resize(2 * PASSING)
+                budget.resize(2 * STREAM_BUFFER_BYTES)
             lowest_left: list[int] = []
 
             async def sends() -> int:
@@ -252,7 +256,7 @@
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200, LONG)))) as running:
-            running.service.copy.budgets.passing.resize(PASSING)
+            running.service.copy.budgets.passing.resize(STREAM_BUFFER_BYTES)
 
             async def upload_and_read() -> bytes:
                 caller = await Caller.connect(running.port)
@@ -268,7 +272,7 @@
 
 def test_stalled_callers_time_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A body that keeps the minimum rate is waited for, a stalled one is not."""
-    monkeypatch.setattr(routing, "READ_S", 0.2)
+    monkeypatch.setattr(routing, "FIRST_BYTES_TIMEOUT_S", 0.2)
     monkeypatch.setattr(bodies, "SLOWEST_BYTES_PER_S", 1000)
 
     async def test() -> None:
--- a/tests/standalone/program/test_requests.py
+++ b/tests/standalone/program/test_requests.py
@@ -12,7 +12,7 @@
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.balancer import Balancer
 from madderwind.standalone.routing import exchange as routing
-from madderwind.transport.bodies import LONGEST_BODY
+from madderwind.transport.bodies import MAX_BODY_BYTES
 from tests.standalone.program.harness import Running
 from tests.standins import (
     Behaviour,
@@ -179,7 +179,7 @@
         ("GET /lookup", b"", {"X_Customer": "nobody"}, 400),
         ("GET /lookup", b"", {"X_Expires_In_Ms": "soon"}, 400),
         ("POST /lookup", b"1", {}, 400),
-        ("POST /charge", b"x" * 10, {"Content_Length": str(LONGEST_BODY + 1)}, 413),
+        ("POST /charge", b"x" * 10, {"Content_Length": str(MAX_BODY_BYTES + 1)}, 413),
         ("nonsense", b"", {}, 400),
     ],
 )
@@ -290,7 +290,7 @@
 
 
 def test_an_incomplete_body_times_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(routing, "READ_S", 0.05)
+    monkeypatch.setattr(routing, "FIRST_BYTES_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(silent)) as running:
