--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -32,7 +32,7 @@
     ShutdownRequested,
 )
 from madderwind.errors import SettingsError
-from madderwind.eventlog import EventLog, Sparing
+from madderwind.eventlog import EventLog, RateLimitedEventLog
 from madderwind.limits.budget import FleetRetryBudget
 from madderwind.limits.quota import TenantQuota
 from madderwind.messages.distribution import (
@@ -141,7 +141,7 @@
             pool=self.pool,
             retries=retries,
             budget=self.budget,
-            log=Sparing(log, self._now_ms),
+            log=RateLimitedEventLog(log, self._now_ms),
             attempt_log=AttemptLog(debug_log),
             counters=self.counters,
         )
--- a/madderwind/standalone/admin/listener.py
+++ b/madderwind/standalone/admin/listener.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Callable
 
-from madderwind.eventlog import EventLog, Sparing
+from madderwind.eventlog import EventLog, RateLimitedEventLog
 from madderwind.standalone.admin.commands import MAX_COMMAND_BYTES
 from madderwind.transport.accepting import Acceptor
 from madderwind.transport.limits import LOCAL_RESOURCE_ERRNOS
@@ -58,7 +58,7 @@
     """Stays reachable when clients hold all file descriptors, and beside clients that send nothing."""
 
     def __init__(self, answer_line: LineHandler, log: EventLog, now_ms: Callable[[], float]) -> None:
-        self._answer_line, self._log_sparingly = answer_line, Sparing(log, now_ms)
+        self._answer_line, self._log_sparingly = answer_line, RateLimitedEventLog(log, now_ms)
         self._acceptor = Acceptor(lambda: _Connection(self), self._free_descriptor)
         self._connections: dict[_Connection, None] = {}  # open connections, the oldest first
         self._reserved: list[int] = []
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -278,4 +278,4 @@
             unanswered = await self._listener.finish(LAST_WRITE_S)
             while self.copy.passes_answers():  # answers still arriving from upstreams are not truncated
                 unanswered = await self._listener.finish(LAST_WRITE_S)
-            self.copy.invariants.must(not unanswered, "nothing_unanswered_at_the_end", count=unanswered)
+            self.copy.invariants.check(not unanswered, "nothing_unanswered_at_the_end", count=unanswered)
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -9,7 +9,7 @@
 import msgspec
 from multidict import CIMultiDict
 
-from madderwind.eventlog import EventLog, Invariants, Sparing
+from madderwind.eventlog import EventLog, Invariants, RateLimitedEventLog
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import UpstreamState
@@ -68,7 +68,7 @@
     ) -> None:
         self.host, self.settings = host, host.settings
         self.clock, self.upstreams, self.budgets, self.log = clock, upstreams, budgets, log
-        self.log_sparingly = Sparing(log, clock.now_ms)
+        self.log_sparingly = RateLimitedEventLog(log, clock.now_ms)
         self.invariants = Invariants(log)
         self.reader = RequestReader(host)
         self._served_until_ms: dict[str, float] = {}  # classes removed from the settings
@@ -250,7 +250,7 @@
     def decide(self, event: api.Event, exchange: OpenRequest | None = None) -> None:
         """Deliver one event to the module and carry out its actions in order."""
         now_ms = self.clock.now_ms()
-        self.invariants.must(now_ms >= self._last_event_ms, "clock_only_advances")
+        self.invariants.check(now_ms >= self._last_event_ms, "clock_only_advances")
         self._last_event_ms = now_ms
         for action in self._balancer.handle(now_ms, event):
             match action:
@@ -260,7 +260,7 @@
                 case api.Send() | api.Refuse() | api.Fail() | api.Cancel():
                     open_request = self.open.get(action.request_id)
                     known = open_request is not None
-                    self.invariants.must(known, "acts_for_open_requests", action=type(action).__name__)
+                    self.invariants.check(known, "acts_for_open_requests", action=type(action).__name__)
                     if open_request is not None:
                         open_request.carry_out(action)
                 case api.Subscribe() | api.FetchList():
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -133,7 +133,7 @@
                 self.cancel_attempt(attempt)
 
     def settle(self, final: FinalResponse) -> None:
-        if self.copy.invariants.must(not self.over, "one_final_answer", trace_id=self.asked.trace_id):
+        if self.copy.invariants.check(not self.over, "one_final_answer", trace_id=self.asked.trace_id):
             self.final = final
 
     def cancel_attempt(self, attempt: int) -> None:
@@ -164,7 +164,7 @@
 
     def _send(self, send: api.Send) -> None:
         number = len(self.attempts)
-        self.copy.invariants.must(
+        self.copy.invariants.check(
             not self.over, "nothing_sent_after_the_answer", trace_id=self.asked.trace_id
         )
         until_ms = self.deadline_ms
@@ -426,7 +426,7 @@
                     event = await exchange.inbox.get()
                     continue
                 in_time = event is not LastWord.DEADLINE or exchange.taken_ms is None
-                copy.invariants.must(in_time, "answered_in_time", trace_id=asked.trace_id)
+                copy.invariants.check(in_time, "answered_in_time", trace_id=asked.trace_id)
                 exchange.settle(FinalResponse(TIMED_OUT, b"failed\n"))
                 copy.decide(api.ClientLeft(exchange.number))
                 break
--- a/madderwind/standalone/routing/gossip_peers.py
+++ b/madderwind/standalone/routing/gossip_peers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from madderwind.eventlog import EventLog, Sparing
+from madderwind.eventlog import EventLog, RateLimitedEventLog
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.gossip.members import Changed, State
 from madderwind.standalone.gossip.membership import Action, FleetSettings, Heard, Membership, Send
@@ -48,7 +48,7 @@
         me: int,
         on_message: Callable[[int, bytes], None],
         log: EventLog,
-        log_sparingly: Sparing,
+        log_sparingly: RateLimitedEventLog,
         clock: Clock,
         fleet: FleetSettings,
         seed: int,
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from madderwind.eventlog import EventLog, Sparing
+from madderwind.eventlog import EventLog, RateLimitedEventLog
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.evacuation.actions import (
     Action,
@@ -52,7 +52,7 @@
         leaving: EvacuationSettings,
         clock: Clock,
         log: EventLog,
-        log_sparingly: Sparing,
+        log_sparingly: RateLimitedEventLog,
     ) -> None:
         self._peers, self._control, self._clock = peers, control, clock
         self._log, self._log_sparingly = log, log_sparingly
--- a/tests/standalone/routing/test_peers.py
+++ b/tests/standalone/routing/test_peers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from madderwind.eventlog import Sparing
+from madderwind.eventlog import RateLimitedEventLog
 from madderwind.standalone.routing.peers import HEAD, MARK, MAX_MESSAGE_BYTES, Peers
 from tests.examples import HOST
 from tests.standalone.program.harness import KeptLog
@@ -31,7 +31,7 @@
     received: list[MessageQueue] = [asyncio.Queue() for _ in addresses]
     copies = []
     for me, queue in enumerate(received):
-        log_sparingly = Sparing(log, lambda: 0.0)
+        log_sparingly = RateLimitedEventLog(log, lambda: 0.0)
         peers = Peers(tuple(addresses), me, lambda n, w, queue=queue: queue.put_nowait((n, w)), log_sparingly)  # type: ignore[misc]
         await peers.start()
         copies.append(peers)
