--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -292,7 +292,7 @@
     watch = SettingsWatch(path, plane.apply_settings, log)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, begin_shutdown)
-    loop.add_signal_handler(signal.SIGHUP, watch.read_again)
+    loop.add_signal_handler(signal.SIGHUP, watch.reload)
     watching = loop.create_task(watch.run())
     exporter = await start_exporter(settings.listen, lambda: data_plane_samples(plane.figures()))
     await plane.wait_until_ended()
