--- a/madderwind/limits/quota.py
+++ b/madderwind/limits/quota.py
@@ -101,7 +101,7 @@
 class TenantQuota:
     """The quotas of all tenants at one data plane.
 
-    `is_founding`: this is the first start of the whole system, so nothing was spent before. Any other process
+    `is_first_start`: this is the first start of the whole system, so nothing was spent before. Any other process
     starts with a low level, as it can't know what was spent.
     """
 
--- a/madderwind/registry/known_upstreams.py
+++ b/madderwind/registry/known_upstreams.py
@@ -60,7 +60,7 @@
         self._known: dict[str, KnownUpstream] = {}
         self._upstreams_by_service: dict[str, dict[str, KnownUpstream]] = {}
         self._instances_by_address: dict[str, set[str]] = {}
-        self._ready_by_service: dict[str, tuple[str, ...]] = {}  # cached results of `ready_of_service`
+        self._ready_by_service: dict[str, tuple[str, ...]] = {}  # cached results of `ready_instances`
         self._deregistered_ms: dict[str, float] = {}  # by instance, oldest first
 
     def merge(self, now_ms: float, records: Iterable[UpstreamRecord]) -> tuple[str, ...]:
--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -18,7 +18,7 @@
     Attributes:
         index: Index of the entry that must be committed.
         round: The heartbeat round that must be confirmed; 0 for none.
-        deadline_ms: When to stop waiting, ms on the steady clock.
+        deadline_ms: When to stop waiting, ms on the monotonic clock.
     """
 
     index: int
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -146,14 +146,14 @@
 class MutantsAreDetected(unittest.TestCase):
     def test_registry_that_reverts_states_is_detected(self) -> None:
         with (
-            mock.patch("madderwind.registry.registry.furthest", lambda first, second: second),
+            mock.patch("madderwind.registry.registry.later_state", lambda first, second: second),
             self.assertRaises(AssertionError),
         ):
             LateHeartbeats("test_draining_is_not_undone").debug()
 
     def test_data_plane_that_reverts_states_is_detected(self) -> None:
         with (
-            mock.patch("madderwind.registry.known_upstreams.furthest", lambda first, second: second),
+            mock.patch("madderwind.registry.known_upstreams.later_state", lambda first, second: second),
             self.assertRaises(AssertionError),
         ):
             LateHeartbeats(RESTARTED_CONTROL_PLANE_TEST).debug()
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -84,7 +84,7 @@
             self.assert_found()
 
     def test_a_membership_that_never_shrinks(self) -> None:
-        with patch("madderwind.replication.replica.membership_goal", return_value=9):
+        with patch("madderwind.replication.replica.target_member_count", return_value=9):
             self.assert_found(likely_seed=9)
 
     def test_an_in_sync_set_too_small_to_acknowledge(self) -> None:
