--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -59,11 +59,11 @@
 IDLE_SLACK_S = 1.0
 COUNTERS_S = 10.0
 # The platform probes readiness every second and needs two failures, so new connections arrive until then.
-STILL_ACCEPTING_S = 2.5
+DRAIN_ACCEPT_S = 2.5
 # The part of `grace_s` reserved for the shutdown of the process itself.
 SHUTDOWN_RESERVE_S = 0.7
 # Upper bounds for both as shares of `grace_s`, so that a short one is mostly left to running requests.
-STILL_ACCEPTING_SHARE, SHUTDOWN_RESERVE_SHARE = 1 / 3, 0.1
+DRAIN_ACCEPT_SHARE, SHUTDOWN_RESERVE_SHARE = 1 / 3, 0.1
 # Time for the last messages to the control planes to be sent.
 SHUTDOWN_FLUSH_S = 0.02
 # Links to control planes in addition to the number of machines that may fail at once.
@@ -86,7 +86,7 @@
         settings: NodeSettings,
         log: EventLog,
         rng: random.Random,
-        still_accepting_s: float = STILL_ACCEPTING_S,
+        drain_accept_s: float = DRAIN_ACCEPT_S,
         debug_log: EventLog | None = None,
     ) -> None:
         """Build all components; needs a running loop.
@@ -98,7 +98,7 @@
             still_accepting_s: How long new connections are accepted after shutdown has begun.
             debug_log: Receives each attempt; None in production.
         """
-        self._still_accepting_s = still_accepting_s
+        self._drain_accept_s = drain_accept_s
         self._settings, self._log, self._rng = settings, log, rng
         self._loop = asyncio.get_running_loop()
         self._phase = Phase.SERVING
@@ -198,7 +198,7 @@
         began_s, grace_s = self._loop.time(), self._settings.bounds.grace_s
         self._change_phase(Phase.DRAINING)
         self._listener.begin_ending()
-        await asyncio.sleep(min(self._still_accepting_s, STILL_ACCEPTING_SHARE * grace_s))
+        await asyncio.sleep(min(self._drain_accept_s, DRAIN_ACCEPT_SHARE * grace_s))
         self._change_phase(Phase.FINISHING)
         until_s = began_s + grace_s - min(SHUTDOWN_RESERVE_S, SHUTDOWN_RESERVE_SHARE * grace_s)
         left_open = await self._listener.finish(until_s - self._loop.time())
--- a/tests/dataplane/fleet.py
+++ b/tests/dataplane/fleet.py
@@ -220,7 +220,7 @@
             self.control.records[f"i-{number}"] = record(upstream, f"i-{number}")
         port = await self.control.start()
         node_settings = settings(port, **self._settings)
-        self.plane = DataPlane(node_settings, self._record_event, random.Random(1), still_accepting_s=0.0)
+        self.plane = DataPlane(node_settings, self._record_event, random.Random(1), drain_accept_s=0.0)
         self.port, self.ready_port = await self.plane.start()
         if self.control.document is not None:
             await until(lambda: self.plane.is_ready and len(self.ready_instances()) == len(self.upstreams))
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from madderwind.dataplane.retrying import Retries
-from madderwind.dataplane.service import STILL_ACCEPTING_S, DataPlane, Phase
+from madderwind.dataplane.service import DRAIN_ACCEPT_S, DataPlane, Phase
 from madderwind.dataplane.upstream_pool import UpstreamPool
 from madderwind.messages.distribution import ConfigurationApplied
 from madderwind.testing.fault_tests.wire import chunk
@@ -209,7 +209,7 @@
             blocked = BlockedUpstream()
             bounds = {"grace_s": GRACE_S, "retry_slack": 50, "quota_slack": 0}
             async with Fleet(blocked, document=document(), bounds=bounds) as fleet:
-                fleet.plane._still_accepting_s = STILL_ACCEPTING_S
+                fleet.plane._drain_accept_s = DRAIN_ACCEPT_S
                 loop = asyncio.get_running_loop()
                 client = await fleet.client()
                 client.write("/safe/x")
@@ -250,7 +250,7 @@
                 client.write("/safe/x")
                 await until(lambda: len(fleet.upstreams[0].asked) == 1)
                 self.assertEqual(await fleet.readiness_status(), 200)
-                fleet.plane._still_accepting_s = 0.05
+                fleet.plane._drain_accept_s = 0.05
                 shutdown = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await asyncio.sleep(0)
                 self.assertEqual(await fleet.readiness_status(), 503)
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -117,7 +117,7 @@
                 self.assertEqual((await idle.ask()).status, 200)
                 streaming.write("/stream/x")
                 await streaming.caller.reader.readuntil(event(1))
-                fleet.plane._still_accepting_s = 0.3
+                fleet.plane._drain_accept_s = 0.3
                 shutdown = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await until(lambda: not fleet.plane.is_ready)
                 self.assertEqual(await fleet.readiness_status(), 503)
