--- a/madderwind/dataplane/attempt_exchange.py
+++ b/madderwind/dataplane/attempt_exchange.py
@@ -135,7 +135,7 @@
             return _RESULT_BY_HEAD[head]
         self._parts.chooser.record_answer(self._attempt.instance)
         if encoded.connection is not None:
-            encoded.connection.passes_on()
+            encoded.connection.start_streaming()
         return await self._relay.relay(response, self._attempt.instance, self._key)
 
     async def _handle_rejection(self, response: ClientResponse, head: Head) -> None:
--- a/madderwind/dataplane/upstream_pool.py
+++ b/madderwind/dataplane/upstream_pool.py
@@ -34,10 +34,10 @@
         options = ConnectionOptions(
             socket_factory=_open_socket,
             stall_s=HEAD_STALL_S,
-            passing_stall_s=0.0,
+            streaming_stall_s=0.0,
             distrusts_resets=False,
-            untold_idle_s=DEFAULT_IDLE_S,
-            starts_when_whole=False,
+            default_idle_s=DEFAULT_IDLE_S,
+            starts_after_last_byte=False,
         )
         self._upstreams = Upstreams(CONNECT_TIMEOUT_MS, MAX_IDLE_MS, max_connections, options)
         self._instance_numbers: dict[str, int] = {}
--- a/madderwind/transport/connector.py
+++ b/madderwind/transport/connector.py
@@ -13,7 +13,7 @@
 from aiohttp.connector import Connection
 from aiohttp.tracing import Trace
 
-from madderwind.transport.answering import PASSING_STALL_S, SingleResponseHandler
+from madderwind.transport.answering import STREAMING_STALL_S, SingleResponseHandler
 from madderwind.transport.connection_trust import ConnectionTrust, UnconditionalTrust
 from madderwind.transport.encoded_request import current_request
 from madderwind.transport.gated_request import NotWrittenError
@@ -36,7 +36,7 @@
 
     socket_factory: Callable[[Any], socket.socket] | None = None
     stall_s: float | None = None
-    passing_stall_s: float = PASSING_STALL_S
+    passing_stall_s: float = STREAMING_STALL_S
     distrusts_resets: bool = True
     untold_idle_s: float = float("inf")
     starts_when_whole: bool = True
@@ -60,7 +60,7 @@
         self._keepalive_timeout = idle_s
         loop, options = asyncio.get_running_loop(), self._options
         stall_s = stall_s if options.stall_s is None else options.stall_s
-        factory = functools.partial(SingleResponseHandler, loop, stall_s, options.passing_stall_s)
+        factory = functools.partial(SingleResponseHandler, loop, stall_s, options.streaming_stall_s)
         self._factory = factory  # type: ignore[assignment]
 
     async def connect(
@@ -94,7 +94,9 @@
     def _is_reusable(self, protocol: SingleResponseHandler, idle_since_s: float) -> bool:
         """Whether the connection is clean and safely within the upstream's idle timeout."""
         idle_s = self._loop.time() - idle_since_s
-        keep_alive_s = self._options.untold_idle_s if protocol.keep_alive_s is None else protocol.keep_alive_s
+        keep_alive_s = (
+            self._options.default_idle_s if protocol.keep_alive_s is None else protocol.keep_alive_s
+        )
         return protocol.is_reusable() and idle_s <= keep_alive_s * IDLE_FRACTION
 
     def held(self) -> int:
--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -51,7 +51,7 @@
         options: ConnectionOptions = ConnectionOptions(),  # noqa: B008 (frozen)
     ) -> None:
         self._connector = BoundedConnector(most, options)
-        self._starts_when_whole = options.starts_when_whole
+        self._starts_after_last_byte = options.starts_after_last_byte
         self.retune(connect_timeout_ms, idle_ms)
         self._session = aiohttp.ClientSession(
             connector=self._connector,
@@ -147,7 +147,7 @@
 
     def _may_have_run(self, encoded: EncodedRequest) -> bool:
         """Whether the upstream may have started the request. The only place that decides this."""
-        return encoded.write_finished if self._starts_when_whole else encoded.write_started
+        return encoded.write_finished if self._starts_after_last_byte else encoded.write_started
 
     async def _receive(self, response: ClientResponse, encoded: EncodedRequest) -> Answer | Outcome:
         """Buffer a short response whole; stream a long one if it is a success."""
@@ -177,7 +177,7 @@
     ) -> Answer | Outcome:
         """Stream the response as fast as both sides allow; no deadline cuts off what is still arriving."""
         if encoded.connection is not None:
-            encoded.connection.passes_on()
+            encoded.connection.start_streaming()
         if not await sink.begin(response.headers, response.content_length):
             response.close()
             return Outcome.CANCELLED
--- a/tests/transport/test_upstreams.py
+++ b/tests/transport/test_upstreams.py
@@ -364,7 +364,7 @@
 
 def test_a_slow_reader_applies_backpressure_to_the_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against buffering a response whose reader is slow, and against taking that for a stall."""
-    monkeypatch.setattr(answering, "PASSING_STALL_S", 0.1)
+    monkeypatch.setattr(answering, "STREAMING_STALL_S", 0.1)
 
     async def test() -> None:
         body = b"x" * 12_000_000
@@ -396,7 +396,7 @@
 
 
 def test_a_streamed_response_that_breaks_off_or_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(answering, "PASSING_STALL_S", 0.05)
+    monkeypatch.setattr(answering, "STREAMING_STALL_S", 0.05)
 
     async def break_off(_: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 500_000)
