--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -146,7 +146,11 @@
             counters=self.counters,
         )
         self._listener = Listener(
-            Forwarder(parts).serve, connections, log, self.pool.connection_count, longest_line=MAX_LINE_BYTES
+            Forwarder(parts).serve,
+            connections,
+            log,
+            self.pool.connection_count,
+            max_line_bytes=MAX_LINE_BYTES,
         )
         self._ready_listener = ReadyListener(lambda: self.is_ready)
         self._document: Document | None = None
@@ -197,7 +201,7 @@
             return
         began_s, grace_s = self._loop.time(), self._settings.bounds.grace_s
         self._change_phase(Phase.DRAINING)
-        self._listener.begin_ending()
+        self._listener.begin_shutdown()
         await asyncio.sleep(min(self._drain_accept_s, DRAIN_ACCEPT_SHARE * grace_s))
         self._change_phase(Phase.FINISHING)
         until_s = began_s + grace_s - min(SHUTDOWN_RESERVE_S, SHUTDOWN_RESERVE_SHARE * grace_s)
@@ -231,10 +235,10 @@
             self.quota.configure(now_ms, document.tenants)
         self.reports.share_limits(now_ms)
         limits = document.limits
-        self._listener.tune(
+        self._listener.set_timeouts(
             CallerTimes(
                 idle_s=limits.idle_timeout_ms / MS_PER_S + IDLE_SLACK_S,
-                silent_s=limits.header_timeout_ms / MS_PER_S,
+                first_request_timeout_s=limits.header_timeout_ms / MS_PER_S,
             )
         )
         self._log("configuration_in_force", version=document.version, routes=document.route_count)
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -142,7 +142,7 @@
         self._upstreams.share(self._max_connections // processes)
         self._listener.share(self._max_connections // processes)
         self._budgets.share(processes)
-        self._listener.hand_on(self._successor_ready)
+        self._listener.set_handed_over(self._successor_ready)
         if self.copy.peers is not None and self._successor_ready:
             self.copy.peers.close()  # both processes are one copy, and only the successor sends and receives
         elif self.copy.peers is not None and self.copy.peers.closed:
@@ -267,7 +267,7 @@
             await asyncio.sleep(TAKE_ON_S)
         # Callers keep using their open connections, and another balancer may be down as well. Requests
         # on those connections are accepted as long as the time left is enough for most answers.
-        await self._listener.serve_on(
+        await self._listener.drain(
             deadline_s - min(c.aim_ms for c in classes) * TYPICAL_ANSWER_FRACTION / 1000
         )
         unanswered = await self._listener.finish(deadline_s - loop.time())
--- a/tests/dataplane/forwarder.py
+++ b/tests/dataplane/forwarder.py
@@ -203,7 +203,7 @@
             counters=self.counters,
         )
         self.listener = Listener(Forwarder(shared).serve, MAX_CONNECTIONS, lambda event, /, **fields: None)
-        self.listener.tune(CallerTimes())
+        self.listener.set_timeouts(CallerTimes())
         self.port = await self.listener.start(HOST, 0)
         return self
 
