--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -333,7 +333,7 @@
     async def reserve_budget(self) -> None:
         """Reserve the budget, only once: waiting for more while holding the body's share could deadlock."""
         if not self._has_budget:
-            await self._exchange.copy.budgets.passing.wait_for(STREAM_BUFFER_BYTES)
+            await self._exchange.copy.budgets.streamed.acquire(STREAM_BUFFER_BYTES)
             self._has_budget = True
 
     async def begin(self, headers: CIMultiDictProxy[str], length: int | None) -> bool:
@@ -374,13 +374,13 @@
 
     def end(self) -> None:
         if self._has_budget:
-            self._exchange.copy.budgets.passing.give_back(STREAM_BUFFER_BYTES)
+            self._exchange.copy.budgets.streamed.release(STREAM_BUFFER_BYTES)
             self._has_budget = False
 
 
 async def serve(copy: Copy, request: web.BaseRequest) -> web.StreamResponse:
     """Handle one request from its first byte to its response."""
-    body = Body(request, copy.budgets.holding, FIRST_BYTES_TIMEOUT_S)
+    body = Body(request, copy.budgets.buffered, FIRST_BYTES_TIMEOUT_S)
     try:
         return await _serve(copy, request, body)
     finally:
--- a/madderwind/transport/bodies.py
+++ b/madderwind/transport/bodies.py
@@ -132,4 +132,4 @@
     def end(self) -> None:
         """Release all buffered bytes."""
         self.held, reserved_bytes, self._reserved_bytes = b"", self._reserved_bytes, 0
-        self._budget.give_back(reserved_bytes)
+        self._budget.release(reserved_bytes)
--- a/tests/standalone/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -43,7 +43,7 @@
 
 def budgets_are_full(running: Running) -> bool:
     budgets = running.service.copy.budgets
-    return all(budget.left == budget.size for budget in (budgets.holding, budgets.passing))
+    return all(budget.available == budget.size for budget in (budgets.buffered, budgets.streamed))
 
 
 @pytest.mark.parametrize("chunked", [False, True])
@@ -230,14 +230,14 @@
         upstream = Upstream(answer_with_digest)
         async with Running(tmp_path, upstream) as running:
             budgets = running.service.copy.budgets
-            for budget in (budgets.holding, budgets.passing):
+            for budget in (budgets.buffered, budgets.streamed):
                 budget.resize(2 * STREAM_BUFFER_BYTES)
             lowest_left: list[int] = []
 
             async def sends() -> int:
                 caller = await Caller.connect(running.port)
                 await upload(caller, LONG[:2_000_000], wait_ms=20_000)
-                lowest_left.append(budgets.passing.left)
+                lowest_left.append(budgets.streamed.available)
                 return (await caller.read()).status
 
             crowd = [asyncio.create_task(sends()) for _ in range(8)]
@@ -256,7 +256,7 @@
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(says(answer(200, LONG)))) as running:
-            running.service.copy.budgets.passing.resize(STREAM_BUFFER_BYTES)
+            running.service.copy.budgets.streamed.resize(STREAM_BUFFER_BYTES)
 
             async def upload_and_read() -> bytes:
                 caller = await Caller.connect(running.port)
