--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -87,7 +87,7 @@
         self.streaming_since_ms = 0.0  # when that response began
         self.response: web.StreamResponse | None = None  # that response
         self._deadline_timer: asyncio.TimerHandle | None = None
-        if body.whole:
+        if body.is_complete:
             self.body_received(now_ms)
         else:
             self.set_deadline(now_ms + asked.wait_ms + MAX_UPLOAD_MS)
@@ -149,7 +149,7 @@
         repeatable = klass.effect is Effect.SAFE or (
             klass.effect is Effect.KEYED and klass.group is Group.ALL
         )
-        if repeatable and self.body.whole and not self.over and attempt < len(self.attempts):
+        if repeatable and self.body.is_complete and not self.over and attempt < len(self.attempts):
             self.cancel_attempt(attempt)
 
     def cancel_all_attempts(self) -> None:
@@ -226,13 +226,13 @@
         if address is None or over_limit or not self._may_write(upstream, until_ms):
             return Outcome.NOT_SENT, ()
         answer_stream = _AnswerStream(self, number, upstream)
-        upload = None if body.whole else Upload(self._body_chunks(), body.length)
+        upload = None if body.is_complete else Upload(self._body_chunks(), body.length)
         left_ms = until_ms - sent_ms if upload is None else self.asked.wait_ms
         encoded = EncodedRequest(
             self.request.method,
             self.target,
             headers_onward(self.request.headers, left_ms, upload.length if upload is not None else None),
-            body.held if upload is None else b"",
+            body.buffered if upload is None else b"",
             lambda: self._confirm_write(number, upstream, until_ms, sent_ms),
             self.klass.effect is not Effect.UNSAFE,
             lambda: self._attempt_written(number, encoded),
@@ -245,9 +245,9 @@
             answer = await copy.upstreams.ask(upstream, address, encoded, copy.clock.loop_time_s(until_ms))
         finally:
             answer_stream.end()
-        if body.broken is not None:
+        if body.error is not None:
             self.invalid_request_answers[number] = FinalResponse(
-                body.broken.status, f"{body.broken}\n".encode()
+                body.error.status, f"{body.broken}\n".encode()
             )
             return Outcome.NOT_SENT, ()
         if isinstance(answer, Outcome):
@@ -455,7 +455,7 @@
             exchange.final = FinalResponse(BROKEN, b"failed\n")
             copy.happened(api.ClientLeft(exchange.number))
     finally:
-        if exchange.caller_left or body.broken is not None:
+        if exchange.caller_left or body.error is not None:
             copy.tally.client_gone += exchange.taken_ms is not None
         elif exchange.final is not None:
             copy.tally.taken += exchange.taken_ms is None  # refused before its last byte arrived
@@ -470,7 +470,7 @@
                 copy.happened(late_event)
     final = exchange.final
     assert final is not None
-    if not body.whole and body.broken is None:
+    if not body.is_complete and body.error is None:
         await exchange.wait_for_attempts()
         body.linger()
     copy.log(
--- a/madderwind/transport/bodies.py
+++ b/madderwind/transport/bodies.py
@@ -39,10 +39,10 @@
     def __init__(self, request: web.BaseRequest, budget: Budget, read_s: float) -> None:
         self._request, self._budget, self._read_s = request, budget, read_s
         self.length = request.content_length  # None for a chunked body
-        self.held = b""
-        self.whole = False
+        self.buffered = b""
+        self.is_complete = False
         self._reserved_bytes, self._received_bytes, self._waited_s = 0, 0, 0.0
-        self.broken: BadBody | None = None  # why the rest never arrived
+        self.error: BadBody | None = None  # why the rest never arrived
 
     async def begin(self) -> None:
         """Read the body whole, or as much of it as may be buffered; send 100 Continue first if expected.
@@ -56,16 +56,16 @@
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             request.writer.output_size = 0  # otherwise aiohttp counts the response's own headers as sent
         if not request.body_exists:
-            self.whole = True
+            self.is_complete = True
             return
         parts = []
         while self._may_buffer_more():
             part = await self._read_chunk()
             if not part:
-                self.whole = True
+                self.is_complete = True
                 break
             parts.append(part)
-        self.held = b"".join(parts)
+        self.buffered = b"".join(parts)
 
     @property
     def is_long(self) -> bool:
@@ -89,14 +89,14 @@
 
     async def rest(self) -> AsyncIterator[bytes]:
         """Yield the buffered beginning, which is released, and then the rest as it arrives."""
-        held = self.held
+        held = self.buffered
         self.end()
         for at in range(0, len(held), SHORT_BODY_BYTES):
             yield held[at : at + SHORT_BODY_BYTES]
         del held
-        while not self.whole:
+        while not self.is_complete:
             part = await self._read_chunk()
-            self.whole = not part
+            self.is_complete = not part
             yield part
 
     async def _read_chunk(self) -> bytes:
@@ -111,16 +111,16 @@
             async with asyncio.timeout(timeout_s):
                 part = await self._request.content.readany()
         except TimeoutError:
-            self.broken = BadBody(408, "the body never came whole")
+            self.error = BadBody(408, "the body never came whole")
         except (web.RequestPayloadError, BadHttpMessage, ConnectionError, RuntimeError) as error:
-            self.broken = BadBody(400, f"the body cannot be read: {type(error).__name__}")
+            self.error = BadBody(400, f"the body cannot be read: {type(error).__name__}")
         else:
             self._waited_s += loop.time() - began_s
             self._received_bytes += len(part)
             if self._received_bytes <= MAX_BODY_BYTES:
                 return part
-            self.broken = BadBody(413, "the body is too long")
-        raise self.broken
+            self.error = BadBody(413, "the body is too long")
+        raise self.error
 
     def linger(self) -> None:
         """Read and discard the rest for a while after the response.
@@ -131,5 +131,5 @@
 
     def end(self) -> None:
         """Release all buffered bytes."""
-        self.held, reserved_bytes, self._reserved_bytes = b"", self._reserved_bytes, 0
+        self.buffered, reserved_bytes, self._reserved_bytes = b"", self._reserved_bytes, 0
         self._budget.release(reserved_bytes)
