--- a/madderwind/standalone/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -16,7 +16,7 @@
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 
 
-class Desk:
+class CommandHandler:
     """Answers each command line at once, without blocking."""
 
     def __init__(
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -13,19 +13,19 @@
 import msgspec
 from aiohttp import web
 
-from madderwind.standalone.admin.desk import Desk
+from madderwind.standalone.admin.desk import CommandHandler
 from madderwind.standalone.admin.listener import MOST_CALLS, SPARES, AdminListener
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.handover.handover import Handover
 from madderwind.standalone.program.configuration import Configuration, ConfigurationError, read_successor
 from madderwind.standalone.program.log import JsonLog, LibraryLogHandler
-from madderwind.standalone.routing.copy import Copy, LastWord
+from madderwind.standalone.routing.copy import Copy, HostEnding
 from madderwind.standalone.routing.discovery import Follower
 from madderwind.standalone.routing.exchange import serve
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 from madderwind.standalone.routing.peers import Peers
-from madderwind.standalone.routing.withdrawal import Withdrawal
-from madderwind.standalone.settings import HostSettings, moved, retuned
+from madderwind.standalone.routing.withdrawal import EvacuationDriver
+from madderwind.standalone.settings import HostSettings, changed_location_settings, merge_settings
 from madderwind.transport.budget import Budgets
 from madderwind.transport.listening import Listener
 from madderwind.transport.upstreams import Upstreams
@@ -87,7 +87,7 @@
                 log,
             )
         operator_target = self._handover or self.copy
-        desk = Desk(self.copy, self._is_ready, operator_target.suspend, operator_target.restore)
+        desk = CommandHandler(self.copy, self._is_ready, operator_target.suspend, operator_target.restore)
         self._admin = AdminListener(desk.answer, log, self.copy.clock.now_ms)
         self.admin_port = 0
 
@@ -107,14 +107,14 @@
         logs, seed = (self._log, copy.log_sparingly), configuration.seed
         return GossipPeers(configuration.peers, me, copy.heard, *logs, copy.clock, fleet, seed)
 
-    def _create_withdrawal(self, peers: Peers | GossipPeers) -> Withdrawal | None:
+    def _create_withdrawal(self, peers: Peers | GossipPeers) -> EvacuationDriver | None:
         """The coordinated evacuation of zones, if the file enables it."""
         fleet, host = self._configuration.fleet, self._configuration.host
         if not isinstance(peers, GossipPeers) or fleet is None or fleet.leaving is None:
             return None
         zone = host.zone_names[host.settings.zone]
         copy, logs = self.copy, (self._log, self.copy.log_sparingly)
-        return Withdrawal(peers, copy, host.settings, zone, fleet.leaving, copy.clock, *logs)
+        return EvacuationDriver(peers, copy, host.settings, zone, fleet.leaving, copy.clock, *logs)
 
     async def _wait_for_gossip_sync(self, peers: Peers | GossipPeers) -> None:
         """Wait for the state of the fleet, so that a copy that starts does not send to an evacuated zone."""
@@ -174,7 +174,7 @@
         needs_restart = [
             field for field in RESTART_ONLY_FIELDS if getattr(new, field) != getattr(current, field)
         ]
-        needs_restart += moved(current.host, new.host)
+        needs_restart += changed_location_settings(current.host, new.host)
         version_fields = (
             {} if new.stamp is None else {"version": new.stamp.number, "digest": new.stamp.digest}
         )
@@ -182,7 +182,7 @@
             "configuration_read", discovery=list(new.discovery), needs_restart=needs_restart, **version_fields
         )
         # Fields that need a restart keep their running values, so a later reload compares with those.
-        host = self._with_effective_settings(retuned(current.host, new.host))
+        host = self._with_effective_settings(merge_settings(current.host, new.host))
         self._configuration = msgspec.structs.replace(
             current, discovery=new.discovery, host=host, parts=new.parts, stamp=new.stamp
         )
@@ -274,7 +274,7 @@
         if unanswered:
             # A client may wait longer than the platform waits before SIGKILL, which would lose its request.
             self._log("answered_at_the_end", count=unanswered)
-            self.copy.end_all(LastWord.ENDING)
+            self.copy.end_all(HostEnding.ENDING)
             unanswered = await self._listener.finish(LAST_WRITE_S)
             while self.copy.passes_answers():  # answers still arriving from upstreams are not truncated
                 unanswered = await self._listener.finish(LAST_WRITE_S)
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -21,7 +21,7 @@
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 from madderwind.standalone.routing.peers import Peers
 from madderwind.standalone.routing.tally import Tally
-from madderwind.standalone.routing.withdrawal import Withdrawal
+from madderwind.standalone.routing.withdrawal import EvacuationDriver
 from madderwind.standalone.settings import HostSettings
 from madderwind.transport.budget import Budgets
 from madderwind.transport.encoded_request import EncodedRequest
@@ -30,7 +30,7 @@
 PROBE_TIMEOUT_MS = 300.0
 
 
-class LastWord(Enum):
+class HostEnding(Enum):
     """Why the host ends a request itself, with an answer that does not say whether the request ran."""
 
     DEADLINE = "the module said nothing in time"
@@ -40,7 +40,7 @@
 class OpenRequest(Protocol):
     """An open request, as `Copy` uses it."""
 
-    inbox: asyncio.Queue[api.Event | LastWord]
+    inbox: asyncio.Queue[api.Event | HostEnding]
     streaming_attempt: int | None
 
     @property
@@ -79,7 +79,7 @@
         self.open_trace_ids: set[str] = set()
         self.watch_asked_for = asyncio.Event()
         self.peers: Peers | GossipPeers | None = None  # set if the configuration names other copies
-        self.withdrawal: Withdrawal | None = None  # set if the fleet evacuates zones together
+        self.withdrawal: EvacuationDriver | None = None  # set if the fleet evacuates zones together
         self._balancer = Balancer(host.settings, seed)
         self._last_request_number = 0
         self._last_event_ms = 0.0
@@ -93,7 +93,7 @@
         """Whether a long answer is being streamed to a caller."""
         return any(exchange.streaming_attempt is not None for exchange in self.open.values())
 
-    def end_all(self, reason: LastWord) -> None:
+    def end_all(self, reason: HostEnding) -> None:
         """Tell every open request that the host ends it, and why."""
         for exchange in self.open.values():
             exchange.inbox.put_nowait(reason)
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -22,8 +22,14 @@
     outcome_of,
     refusal_headers,
 )
-from madderwind.standalone.protocol.requests import TRACE_ID, Asked, BadRequest, headers_onward, origin_form
-from madderwind.standalone.routing.copy import Copy, LastWord
+from madderwind.standalone.protocol.requests import (
+    TRACE_ID,
+    BadRequest,
+    ParsedRequest,
+    headers_onward,
+    origin_form,
+)
+from madderwind.standalone.routing.copy import Copy, HostEnding
 from madderwind.transport.bodies import FIRST_BYTES_TIMEOUT_S, STREAM_BUFFER_BYTES, BadBody, Body
 from madderwind.transport.encoded_request import EncodedRequest, Upload
 from madderwind.transport.listening import CallersRequest
@@ -57,7 +63,7 @@
         self,
         copy: Copy,
         number: int,
-        asked: Asked,
+        asked: ParsedRequest,
         request: web.BaseRequest,
         target: str,
         body: Body,
@@ -69,7 +75,7 @@
         # The class at arrival: new settings do not loosen the limits of a request in progress.
         self.klass = copy.settings.classes[asked.class_index]
         self.attempt_limit = copy.settings.max_attempts
-        self.inbox: asyncio.Queue[api.Event | LastWord] = asyncio.Queue()
+        self.inbox: asyncio.Queue[api.Event | HostEnding] = asyncio.Queue()
         self.attempts: list[asyncio.Task[None]] = []
         self.cancelled_attempts: set[int] = set()
         # The upstream, outcome and milliseconds of each attempt.
@@ -110,7 +116,7 @@
         self._deadline_timer = asyncio.get_running_loop().call_at(
             self.copy.clock.loop_time_s(deadline_ms + UNANSWERED_DELAY_MS),
             self.inbox.put_nowait,
-            LastWord.DEADLINE,
+            HostEnding.DEADLINE,
         )
 
     def cancel_deadline_timer(self) -> None:
@@ -410,7 +416,7 @@
     copy.open[exchange.number] = exchange
     copy.open_trace_ids.add(asked.trace_id)
     try:
-        event: api.Event | LastWord = api.RequestArrived(
+        event: api.Event | HostEnding = api.RequestArrived(
             exchange.number,
             asked.class_index,
             asked.tenant_index,
@@ -421,11 +427,11 @@
             asked.is_write,
         )
         while True:
-            if isinstance(event, LastWord):
+            if isinstance(event, HostEnding):
                 if exchange.streaming_attempt is not None:  # a response that has begun is the final one
                     event = await exchange.inbox.get()
                     continue
-                in_time = event is not LastWord.DEADLINE or exchange.taken_ms is None
+                in_time = event is not HostEnding.DEADLINE or exchange.taken_ms is None
                 copy.invariants.check(in_time, "answered_in_time", trace_id=asked.trace_id)
                 exchange.settle(FinalResponse(TIMED_OUT, b"failed\n"))
                 copy.decide(api.ClientLeft(exchange.number))
@@ -466,7 +472,7 @@
         del copy.open[exchange.number]
         copy.open_trace_ids.remove(asked.trace_id)
         while not exchange.inbox.empty():  # events that arrived during the last decision
-            if not isinstance(late_event := exchange.inbox.get_nowait(), LastWord):
+            if not isinstance(late_event := exchange.inbox.get_nowait(), HostEnding):
                 copy.happened(late_event)
     final = exchange.final
     assert final is not None
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -40,7 +40,7 @@
     def start_probe(self, upstream: int) -> None: ...
 
 
-class Withdrawal:
+class EvacuationDriver:
     """Connects zone evacuation with the fleet's gossip, the copy and a timer."""
 
     def __init__(
