--- a/madderwind/standalone/evacuation/evacuation.py
+++ b/madderwind/standalone/evacuation/evacuation.py
@@ -84,11 +84,11 @@
         self._withholding.cancel_overdue_attempts(now)
         return self._drain_actions()
 
-    def heard_message(self, now: float) -> None:
+    def on_message(self, now: float) -> None:
         """Record that a message of any kind arrived from another balancer."""
         self._views.last_message_ms = now
 
-    def heard_view(self, now: float, balancer: int, payload: bytes) -> None:
+    def on_view(self, now: float, balancer: int, payload: bytes) -> None:
         """Record another balancer's view. A malformed message is counted and ignored."""
         try:
             view = messages.read_view(payload)
@@ -97,7 +97,7 @@
             return
         self._record_view(now, balancer, view)
 
-    def heard_evacuation(self, now: float, order: tuple[int, int], payload: bytes) -> list[Action]:
+    def on_evacuation(self, now: float, order: tuple[int, int], payload: bytes) -> list[Action]:
         """Apply an evacuation's state, sent by any balancer. A malformed message is counted and ignored."""
         try:
             evacuation = messages.read_evacuation(order, payload)
