--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -6,7 +6,7 @@
 
 from madderwind.replication.status import ReplicaStatus
 from tests.fleet.machine import Machine
-from tests.replication.story import FAILOVER_MS, FleetStory
+from tests.replication.story import FAILOVER_MS, FleetTestCase
 
 SUCCESSOR_START_DELAY_MS = 667.0
 
@@ -17,7 +17,7 @@
     return status
 
 
-class LossAfterReplacementTests(FleetStory):
+class LossAfterReplacementTests(FleetTestCase):
     def remove(self, machine: Machine) -> None:
         """Remove a machine permanently, without a shutdown request."""
         machine.remove()
@@ -38,14 +38,14 @@
         self.fleet.add("second").start()
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(1_000.0)
-        self.assert_all_follow(5)
+        self.assert_all_follow_primary(5)
 
     def test_given_a_replaced_primary_then_its_successor_is_a_member_within_half_a_second(self) -> None:
         self.remove(self.primary)
         self.fleet.run(SUCCESSOR_START_DELAY_MS)
         self.fleet.add("successor").start()
         self.fleet.run(500.0)
-        self.assert_all_follow(3)
+        self.assert_all_follow_primary(3)
         self.assertIn("successor", status_of(self.primary).members)
 
     def test_given_a_lost_backup_then_a_lost_primary_then_the_timeout_of_the_backup_does_not_restart(
@@ -60,11 +60,11 @@
         self.fleet.run(20.0)
         old.start()
         self.fleet.run(400.0)
-        self.assert_all_follow(3)
+        self.assert_all_follow_primary(3)
         self.assertIn("successor", status_of(self.primary).members)
 
 
-class MemberShutdownTests(FleetStory):
+class MemberShutdownTests(FleetTestCase):
     """A member that is requested to stop stays until enough other replicas hold its log."""
 
     def stop_when_not_needed(self, machine: Machine, timeout_ms: float) -> float:
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -7,7 +7,7 @@
 from msgspec import structs
 
 from madderwind.replication.times import ReplicationTimes
-from tests.replication.story import FleetStory
+from tests.replication.story import FleetTestCase
 
 
 class TimeConstraintTests(unittest.TestCase):
@@ -34,7 +34,7 @@
                 self.assertNotEqual((), times.violated_constraints())
 
 
-class PausedProcessTests(FleetStory):
+class PausedProcessTests(FleetTestCase):
     """Processes that are paused for up to 350 ms, for example while they read a large configuration."""
 
     stall_ms = 350.0
