--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -115,7 +115,7 @@
     def test_same_first_token_in_each_incarnation(self) -> None:
         with patch.object(OperatorCalls, "__init__", init_with_fixed_first_token):
             self.assert_caught(
-                test_core.TheOperatorCalls("test_a_reply_to_a_former_incarnation_fits_no_call")
+                test_core.OperatorCallTest("test_a_reply_to_a_former_incarnation_fits_no_call")
             )
 
     def test_host_on_the_wall_clock(self) -> None:
--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -9,7 +9,7 @@
 from tests.replication.story import FAILOVER_MS, FleetTestCase
 
 
-class ProcessesEnd(FleetTestCase):
+class ProcessCrashTests(FleetTestCase):
     def test_given_the_primary_killed_then_another_takes_over(self) -> None:
         old = self.primary
         old.kill()
@@ -165,7 +165,7 @@
         self.assertEqual((primary, epoch), (self.primary, status.epoch))
 
 
-class LinksAreCut(FleetTestCase):
+class NetworkPartitionTests(FleetTestCase):
     def assert_stays_primary(self, primary: Machine) -> None:
         self.fleet.run(4_000.0)
         self.assertIs(primary, self.primary)
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -7,7 +7,7 @@
 from tests.replication.story import FAILOVER_MS, FleetTestCase
 
 
-class DisksAreLost(FleetTestCase):
+class DiskLossTests(FleetTestCase):
     def test_given_a_wiped_backup_then_it_returns_as_another_incarnation_and_is_in_sync(self) -> None:
         backup = self.backups()[0]
         assert backup.replica is not None
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -104,7 +104,7 @@
     def test_a_lease_that_is_ignored(self) -> None:
         with patch.object(Witness, "_protects_primary", return_value=False):
             self.assert_found_by(
-                test_failover.LinksAreCut(
+                test_failover.NetworkPartitionTests(
                     "test_given_a_backup_that_stands_while_the_others_hear_the_primary_then_it_is_refused"
                 )
             )
@@ -112,7 +112,7 @@
     def test_promises_that_are_not_recorded(self) -> None:
         with patch.object(ReplicaStore, "record_witness", lambda store: None):
             self.assert_found_by(
-                test_witness.PromisesOutlastRestarts(
+                test_witness.PromiseDurabilityTests(
                     "test_given_a_promise_when_power_is_lost_then_no_lower_proposal_number_is_accepted"
                 )
             )
@@ -126,7 +126,7 @@
     def test_a_wiped_machine_that_votes(self) -> None:
         with patch.object(Machine, "replica_rng", rng_seeded_by_address):
             self.assert_found_by(
-                test_lost_disks.DisksAreLost(
+                test_lost_disks.DiskLossTests(
                     "test_given_a_wiped_machine_when_another_is_away_then_its_vote_does_not_count"
                 )
             )
@@ -134,7 +134,7 @@
     def test_a_restarted_primary_that_continues_its_epoch(self) -> None:
         with patch.object(RoleMachine, "promote_if_due", promote_after_a_restart):
             self.assert_found_by(
-                test_failover.ProcessesEnd(
+                test_failover.ProcessCrashTests(
                     "test_given_a_command_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds"
                 )
             )
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -164,7 +164,7 @@
         self.assertNotIn(Promise, message_types(self.witness.prepare(ANN, 5)))
 
 
-class PromisesOutlastRestarts(unittest.TestCase):
+class PromiseDurabilityTests(unittest.TestCase):
     def setUp(self) -> None:
         self.witness = SingleWitness()
 
