--- a/tests/replication/test_disks_of_all.py
+++ b/tests/replication/test_disks_of_all.py
@@ -192,7 +192,7 @@
             self.assert_recovered(self.version + 2, self.version + 2)
 
 
-class MutantsAreFound(unittest.TestCase):
+class MutantsAreDetected(unittest.TestCase):
     def test_an_append_without_a_sync(self) -> None:
         def append_without_sync(disk: MemoryDisk, name: str, data: bytes) -> None:
             disk._write(disk._files[name], data)
