--- a/madderwind/standalone/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -33,7 +33,7 @@
         try:
             command = parse_command(line)
         except InvalidCommandError as error:
-            self._copy.log_sparingly("bad_call", reason=str(error), line=line[:80].decode("latin-1"))
+            self._copy.log_rate_limited("bad_call", reason=str(error), line=line[:80].decode("latin-1"))
             return reject(str(error))
         match command.word:
             case "STATUS":
--- a/madderwind/standalone/handover/handover.py
+++ b/madderwind/standalone/handover/handover.py
@@ -69,7 +69,7 @@
             self._log("handover_unreadable", error=str(error))
         else:
             self._copy.directory.recall(message.directory)
-            self._copy.listed(message.listing, cached=True)
+            self._copy.apply_listing(message.listing, cached=True)
             same_shape = message.shape == deployment_shape(self._copy.settings)
             self._copy.recall(message.quota, message.room, message.upstreams, same_shape)
             self._log("taken_over", upstreams=len(message.listing.members), same_shape=same_shape)
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -103,8 +103,8 @@
         configuration, copy = self._configuration, self.copy
         me, fleet = configuration.host.settings.me, configuration.fleet
         if fleet is None:
-            return Peers(configuration.peers, me, copy.heard, copy.log_sparingly)
-        logs, seed = (self._log, copy.log_sparingly), configuration.seed
+            return Peers(configuration.peers, me, copy.heard, copy.log_rate_limited)
+        logs, seed = (self._log, copy.log_rate_limited), configuration.seed
         return GossipPeers(configuration.peers, me, copy.heard, *logs, copy.clock, fleet, seed)
 
     def _create_withdrawal(self, peers: Peers | GossipPeers) -> EvacuationDriver | None:
@@ -113,7 +113,7 @@
         if not isinstance(peers, GossipPeers) or fleet is None or fleet.leaving is None:
             return None
         zone = host.zone_names[host.settings.zone]
-        copy, logs = self.copy, (self._log, self.copy.log_sparingly)
+        copy, logs = self.copy, (self._log, self.copy.log_rate_limited)
         return EvacuationDriver(peers, copy, host.settings, zone, fleet.leaving, copy.clock, *logs)
 
     async def _wait_for_gossip_sync(self, peers: Peers | GossipPeers) -> None:
@@ -188,7 +188,7 @@
         )
         self.copy.tally.version = new.version
         if host != current.host:
-            self.copy.retune(host)
+            self.copy.apply_settings(host)
         if new.discovery != current.discovery:
             self._follower = Follower(self.copy, new.discovery, self._random)
             if self._follow_task is not None:  # otherwise `run` has yet to start this follower
@@ -219,7 +219,7 @@
         # Installed before readiness, because the default action of SIGHUP would end the process.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         configuration = self._configuration
-        self.copy.listed(configuration.known, cached=True)
+        self.copy.apply_listing(configuration.known, cached=True)
         if configuration.admin is not None:
             self.admin_port = await self._admin.start(*configuration.admin)
         if configuration.peers:
@@ -274,7 +274,7 @@
         if unanswered:
             # A client may wait longer than the platform waits before SIGKILL, which would lose its request.
             self._log("answered_at_the_end", count=unanswered)
-            self.copy.end_all(HostEnding.ENDING)
+            self.copy.end_open_requests(HostEnding.ENDING)
             unanswered = await self._listener.finish(LAST_WRITE_S)
             while self.copy.passes_answers():  # answers still arriving from upstreams are not truncated
                 unanswered = await self._listener.finish(LAST_WRITE_S)
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -68,7 +68,7 @@
     ) -> None:
         self.host, self.settings = host, host.settings
         self.clock, self.upstreams, self.budgets, self.log = clock, upstreams, budgets, log
-        self.log_sparingly = RateLimitedEventLog(log, clock.now_ms)
+        self.log_rate_limited = RateLimitedEventLog(log, clock.now_ms)
         self.invariants = Invariants(log)
         self.reader = RequestReader(host)
         self._served_until_ms: dict[str, float] = {}  # classes removed from the settings
@@ -93,12 +93,12 @@
         """Whether a long answer is being streamed to a caller."""
         return any(exchange.streaming_attempt is not None for exchange in self.open.values())
 
-    def end_all(self, reason: HostEnding) -> None:
+    def end_open_requests(self, reason: HostEnding) -> None:
         """Tell every open request that the host ends it, and why."""
         for exchange in self.open.values():
             exchange.inbox.put_nowait(reason)
 
-    def listed(self, listing: Listing, cached: bool = False) -> None:
+    def apply_listing(self, listing: Listing, cached: bool = False) -> None:
         """Apply a listing from discovery, to the module and to pending sends at the same moment."""
         for unreadable in listing.odd:
             self.log("odd_member", member=unreadable)
@@ -107,7 +107,7 @@
             # An upstream that is not ready gets no new requests, so its idle connections are useless.
             if entry.state is not UpstreamState.READY:
                 self.upstreams.close_idle(entry.upstream)
-        self.happened(event)
+        self.deliver_event(event)
         self._update_evacuation_places()
 
     def _update_evacuation_places(self) -> None:
@@ -131,7 +131,7 @@
                 changed = (
                     msgspec.structs.replace(entry, state=state, started_ms=started_ms) for entry in ready
                 )
-                self.happened(msgspec.structs.replace(event, entries=tuple(changed)))
+                self.deliver_event(msgspec.structs.replace(event, entries=tuple(changed)))
         self._apply_fleet_change(event)
 
     def cancel_repeatable_attempt(self, request: int, attempt: int) -> None:
@@ -154,7 +154,7 @@
         if self.withdrawal is not None:
             self.withdrawal.ended(key, outcome, elapsed_ms)
 
-    def retune(self, host: HostSettings) -> None:
+    def apply_settings(self, host: HostSettings) -> None:
         """Apply new settings in which classes and tenants keep their numbers.
 
         The module keeps its state. A class or tenant that was removed is still served for one more deadline.
@@ -178,7 +178,7 @@
         self.reader = RequestReader(host, self._served_until_ms, self._tenants_until_ms)
         self.tally.add_classes(host.class_names)
         self.upstreams.retune(host.settings.connect_timeout_ms, host.idle_ms)
-        self.happened(api.Retuned(host.settings))
+        self.deliver_event(api.Retuned(host.settings))
 
     def hand_over(self) -> tuple[float, float, dict[str, api.Known]]:
         """The module's state for a successor process: quota, room, and upstreams by discovery's ids."""
@@ -188,7 +188,7 @@
 
     def heard(self, peer: int, message: bytes) -> None:
         """Deliver a message from another copy to the module."""
-        self.happened(api.PeerSpoke(peer, message))
+        self.deliver_event(api.PeerSpoke(peer, message))
 
     def recall(self, quota: float, room: float, upstreams: dict[str, api.Known], same: bool) -> None:
         """Restore the state of the previous process, after the list that it followed was applied.
@@ -206,7 +206,7 @@
             }
         numbers = ((self.directory.number(name), known) for name, known in upstreams.items())
         by_number = {number: known for number, known in numbers if number is not None}
-        self.happened(api.Recalled(api.Memory(quota, room, by_number)))
+        self.deliver_event(api.Recalled(api.Memory(quota, room, by_number)))
 
     def suspend(self, name: str, heard: bool = False) -> bool:
         """Send nothing more to this upstream from now on. Returns whether it was ever listed.
@@ -230,7 +230,7 @@
     def _apply_fleet_change(self, event: api.FleetListed) -> None:
         for entry in event.entries:
             self.upstreams.close_idle(entry.upstream)  # no longer used, or restarted in the meantime
-        self.happened(event)
+        self.deliver_event(event)
 
     def _apply_suspension_change(self, event: api.FleetListed) -> None:
         self._apply_fleet_change(event)
@@ -240,14 +240,14 @@
         """How many listed upstreams the module avoids now."""
         return self._balancer.skipped(self.clock.now_ms())
 
-    def happened(self, event: api.Event) -> None:
+    def deliver_event(self, event: api.Event) -> None:
         """Deliver an event that belongs to no open request's task; an error is logged."""
         try:
-            self.decide(event)
+            self.handle_event(event)
         except Exception as error:
             self.log("decision_broke", on=type(event).__name__, error=repr(error))
 
-    def decide(self, event: api.Event, exchange: OpenRequest | None = None) -> None:
+    def handle_event(self, event: api.Event, exchange: OpenRequest | None = None) -> None:
         """Deliver one event to the module and carry out its actions in order."""
         now_ms = self.clock.now_ms()
         self.invariants.check(now_ms >= self._last_event_ms, "clock_only_advances")
@@ -282,14 +282,14 @@
             return ()
         report = read_report(text, self.host.report_names)
         if report is None:
-            self.log_sparingly("odd_report", upstream=self.directory.name(upstream), report=text[:120])
+            self.log_rate_limited("odd_report", upstream=self.directory.name(upstream), report=text[:120])
             return ()
         return report
 
     def _timer_fired(self, token: int, exchange: OpenRequest | None) -> None:
         fired = api.TimerFired(token)
         if exchange is None or exchange.over:
-            self.happened(fired)
+            self.deliver_event(fired)
         else:
             exchange.inbox.put_nowait(fired)
 
@@ -322,4 +322,4 @@
             outcome = answer
         if self.withdrawal is not None:
             self.withdrawal.probed(upstream, outcome is api.Outcome.OK, started_ms)
-        self.happened(api.ProbeEnded(outcome, self.clock.now_ms() - started_ms, upstream, report))
+        self.deliver_event(api.ProbeEnded(outcome, self.clock.now_ms() - started_ms, upstream, report))
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -219,7 +219,7 @@
             self.number, over and not other_streams, number, outcome, upstream, elapsed_ms, report
         )
         if done or other_streams:
-            self.copy.happened(ended)
+            self.copy.deliver_event(ended)
         else:
             self.inbox.put_nowait(ended)
 
@@ -309,7 +309,7 @@
         if self.body_released:
             raise RuntimeError("the start of the body was already released; it cannot be sent again")
         self.body_released = True
-        self.copy.happened(api.BodyPassing(self.number, float("inf")))
+        self.copy.deliver_event(api.BodyPassing(self.number, float("inf")))
         async for part in self.body.rest():
             yield part
 
@@ -320,7 +320,7 @@
         if encoded.upload is None or self.final is not None or self.caller_left:
             return
         self.body_received(self.copy.clock.now_ms())
-        self.copy.happened(api.BodyPassing(self.number, self.deadline_ms))
+        self.copy.deliver_event(api.BodyPassing(self.number, self.deadline_ms))
         if encoded.limit is not None and self.streaming_attempt is None:
             encoded.limit.reschedule(self.copy.clock.loop_time_s(self.deadline_ms))
 
@@ -354,7 +354,7 @@
         exchange.cancel_deadline_timer()
         exchange.body.end()  # it is not sent to any other upstream
         elapsed_ms = first_ms - self._began_ms
-        copy.happened(api.AnswerBegan(exchange.number, self._number, self._upstream, elapsed_ms))
+        copy.deliver_event(api.AnswerBegan(exchange.number, self._number, self._upstream, elapsed_ms))
         response = exchange.response = web.StreamResponse(status=200, headers=_forwarded_headers(headers))
         if length is not None:
             response.content_length = length
@@ -404,14 +404,14 @@
             raise BadRequest(f"{TRACE_ID} of a request that is open")
     except (BadBody, BadRequest) as error:
         status = error.status if isinstance(error, BadBody) else 400
-        copy.log_sparingly(
+        copy.log_rate_limited(
             "bad_request", status=status, reason=str(error), target=request._message.path[:120]
         )
         response = web.Response(status=status, text=f"{error}\n")
         response.force_close()  # such a client is likely to send more invalid requests
         return response
     if asked.odd_props is not None:
-        copy.log_sparingly("odd_props", trace_id=asked.trace_id, part=asked.odd_props)
+        copy.log_rate_limited("odd_props", trace_id=asked.trace_id, part=asked.odd_props)
     exchange = Exchange(copy, copy.next_request_number(), asked, request, target, body, now_ms)
     copy.open[exchange.number] = exchange
     copy.open_trace_ids.add(asked.trace_id)
@@ -434,7 +434,7 @@
                 in_time = event is not HostEnding.DEADLINE or exchange.taken_ms is None
                 copy.invariants.check(in_time, "answered_in_time", trace_id=asked.trace_id)
                 exchange.settle(FinalResponse(TIMED_OUT, b"failed\n"))
-                copy.decide(api.ClientLeft(exchange.number))
+                copy.handle_event(api.ClientLeft(exchange.number))
                 break
             if isinstance(event, api.AttemptEnded):
                 if event.attempt == exchange.streaming_attempt:
@@ -446,20 +446,20 @@
                     exchange.settle(FinalResponse(200, answer.body, _forwarded_headers(answer.headers)))
                 elif event.attempt in exchange.invalid_request_answers:
                     exchange.settle(exchange.invalid_request_answers[event.attempt])
-            copy.decide(event, exchange)
+            copy.handle_event(event, exchange)
             if exchange.final is not None:
                 break
             event = await exchange.inbox.get()
     except asyncio.CancelledError:
         exchange.caller_left = True
-        copy.decide(api.ClientLeft(exchange.number))
+        copy.handle_event(api.ClientLeft(exchange.number))
         copy.log("client_left", trace_id=asked.trace_id, after_ms=round(copy.clock.now_ms() - now_ms, 1))
         raise
     except Exception as error:
         copy.log("request_broke", trace_id=asked.trace_id, error=repr(error))
         if exchange.final is None:
             exchange.final = FinalResponse(BROKEN, b"failed\n")
-            copy.happened(api.ClientLeft(exchange.number))
+            copy.deliver_event(api.ClientLeft(exchange.number))
     finally:
         if exchange.caller_left or body.error is not None:
             copy.tally.client_gone += exchange.taken_ms is not None
@@ -473,7 +473,7 @@
         copy.open_trace_ids.remove(asked.trace_id)
         while not exchange.inbox.empty():  # events that arrived during the last decision
             if not isinstance(late_event := exchange.inbox.get_nowait(), HostEnding):
-                copy.happened(late_event)
+                copy.deliver_event(late_event)
     final = exchange.final
     assert final is not None
     if not body.is_complete and body.error is None:
--- a/tests/standalone/program/test_fleet.py
+++ b/tests/standalone/program/test_fleet.py
@@ -96,7 +96,7 @@
                 0,
                 copy.heard,
                 copy.log,
-                copy.log_sparingly,
+                copy.log_rate_limited,
                 copy.clock,
                 FleetSettings(),
                 1,
--- a/tests/standalone/routing/test_actions.py
+++ b/tests/standalone/routing/test_actions.py
@@ -53,7 +53,7 @@
     async def test() -> None:
         upstream = Upstream(behave)
         async with Running(tmp_path, upstream) as running:
-            running.service.copy.happened(ASK)
+            running.service.copy.deliver_event(ASK)
             ended = await within(module.probes.get())
             assert (ended.outcome, ended.upstream, ended.report) == (outcome, 0, report)
             assert ended.elapsed_ms > 0
@@ -75,7 +75,7 @@
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
             assert (await caller.ask()).status == 200
-            running.service.copy.happened(ASK)
+            running.service.copy.deliver_event(ASK)
             assert await within(upstream.ended.get()) == 1
             assert (await caller.ask()).status == 200
             assert running.log.named("module_says") == [{"text": "hello"}]
@@ -95,7 +95,7 @@
             await within(upstream.arrivals.get())
             (number,) = running.service.copy.open
             PatchedModule(monkeypatch, api.Cancel(number, 0))
-            running.service.copy.happened(ASK)
+            running.service.copy.deliver_event(ASK)
             assert await within(upstream.ended.get()) == 1
             assert (await caller.read()).status == 502
             assert running.log.named("answered")[0]["attempts"][0][1] == "cancelled"
@@ -111,7 +111,7 @@
 
     async def test() -> None:
         async with Running(tmp_path, Upstream(silent)) as running:
-            running.service.copy.happened(ASK)
+            running.service.copy.deliver_event(ASK)
             assert running.broken == {"acts_for_open_requests": 1}
 
     run(test())
