--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -102,7 +102,7 @@
         """Apply a listing from discovery, to the module and to pending sends at the same moment."""
         for unreadable in listing.odd:
             self.log("odd_member", member=unreadable)
-        event = self.directory.take(listing, cached)
+        event = self.directory.apply(listing, cached)
         for entry in event.entries:
             # An upstream that is not ready gets no new requests, so its idle connections are useless.
             if entry.state is not UpstreamState.READY:
--- a/tests/standalone/program/test_move.py
+++ b/tests/standalone/program/test_move.py
@@ -218,7 +218,7 @@
     marks_by_order = []
     for order in (members, members[::-1]):
         directory = Directory((), ())
-        event = directory.take(read_listing(json.dumps(examples.listing(*order)).encode()))
+        event = directory.apply(read_listing(json.dumps(examples.listing(*order)).encode()))
         marks_by_order.append({directory.name(e.upstream): e.mark for e in event.entries})
         assert isinstance(event.entries[0], api.UpstreamEntry)
     assert marks_by_order[0] == marks_by_order[1] and len(set(marks_by_order[0].values())) == 4
