--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -61,20 +61,20 @@
 
     def test_given_the_primary_requested_to_stop_then_another_takes_over_before_it_exits(self) -> None:
         old = self.primary
-        old.leave()
+        old.shut_down()
         self.fleet.run(100.0)
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_backup_requested_to_stop_then_commands_do_not_wait_for_it(self) -> None:
-        self.backups()[0].leave()
+        self.backups()[0].shut_down()
         self.fleet.run(50.0)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_rolling_restart_then_each_command_commits(self) -> None:
         version = 3
         for machine in list(self.fleet.machines.values()):
-            machine.leave()
+            machine.shut_down()
             self.fleet.run(500.0)
             machine.start()
             self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
@@ -104,11 +104,11 @@
 class ProcessFreezeTests(FleetTestCase):
     def test_given_the_primary_frozen_then_another_takes_over_and_it_follows_after_it_resumes(self) -> None:
         old = self.primary
-        old.freeze()
+        old.pause()
         waiting = self.fleet.submit(old, 3, 4, "queued")
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(2_000.0)
-        old.thaw()
+        old.resume()
         self.assertIsNone(self.fleet.read(old))
         self.fleet.run(1_500.0)
         self.assert_outcome_unknown(waiting)
@@ -119,12 +119,12 @@
     ) -> None:
         old = self.primary
         results = self.fleet.submit(old, 3, 5, "frozen")
-        old.freeze()
+        old.pause()
         self.fleet.run(2_000.0)
         # The backups had received the entry, so the new primary committed it.
         self.assertEqual(5, self.primary.register.version)
         self.fleet.submit_and_commit(5, 8, "later")
-        old.thaw()
+        old.resume()
         self.fleet.run(1_500.0)
         self.assert_committed(results)
         self.assert_all_follow_primary(8)
@@ -135,20 +135,20 @@
         old = self.primary
         self.fleet.network.isolate(old.address)
         results = self.fleet.submit(old, 3, 5, "frozen")
-        old.freeze()
+        old.pause()
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
         self.fleet.submit_and_commit(3, 8, "later")
-        old.thaw()
+        old.resume()
         self.fleet.run(1_500.0)
         self.assert_outcome_unknown(results)
         self.assert_all_follow_primary(8)
 
     def test_given_a_backup_that_resumes_then_it_does_not_take_over(self) -> None:
         primary, backup = self.primary, self.backups()[0]
-        backup.freeze()
+        backup.pause()
         self.fleet.run(3_000.0)
-        backup.thaw()
+        backup.resume()
         self.fleet.run(2_500.0)
         self.assertIs(primary, self.primary)
         self.assert_all_follow_primary(3)
@@ -156,9 +156,9 @@
     def test_given_a_short_freeze_then_the_primary_keeps_its_role(self) -> None:
         primary = self.primary
         epoch = primary.replica.view.epoch if primary.replica and primary.replica.view else 0
-        primary.freeze()
+        primary.pause()
         self.fleet.run(350.0)
-        primary.thaw()
+        primary.resume()
         self.fleet.run(2_000.0)
         status = self.primary.status()
         assert status is not None
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -92,12 +92,12 @@
 class DelayedMessageTests(FreshnessTestCase):
     def test_given_a_frozen_backup_when_it_resumes_then_queued_messages_count_as_old(self) -> None:
         frozen = self.backups()[0]
-        frozen.freeze()
+        frozen.pause()
         self.fleet.run(300.0)
         self.fleet.network.isolate(frozen.address)
         self.commit_command(3, 5)
         self.fleet.run(PARTITION_MS)
-        frozen.thaw()
+        frozen.resume()
         self.fleet.run(500.0)
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
--- a/tests/replication/test_leaving_with_a_large_state.py
+++ b/tests/replication/test_leaving_with_a_large_state.py
@@ -41,7 +41,7 @@
             )
             stopped.wipe()
             scenario.process_commands(DOWNTIME_MS)
-            leaving.ask_to_leave()
+            leaving.request_shutdown()
             scenario.process_commands(DOWNTIME_MS)
             self.assertTrue(self.is_needed(leaving))
             stopped.start()
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -101,7 +101,7 @@
                 version = self.primary.register.version
                 removed = next(iter(self.fleet.machines.values()))
                 if is_planned:
-                    removed.leave()
+                    removed.shut_down()
                     self.fleet.run(350.0)
                 removed.remove()
                 del self.fleet.machines[removed.address]
--- a/tests/replication/test_preparation.py
+++ b/tests/replication/test_preparation.py
@@ -138,7 +138,7 @@
         primary = self.primary
         results = self.submit_long()
         self.fleet.run(100.0)
-        primary.leave()
+        primary.shut_down()
         self.fleet.run(2_000.0)
         self.assert_outcome_unknown(results)
         self.fleet.stabilize()
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -69,7 +69,7 @@
 
     def stop_when_not_needed(self, machine: Machine, timeout_ms: float) -> float:
         """Request a machine to stop, remove it once it is not needed, and return how long that took."""
-        machine.ask_to_leave()
+        machine.request_shutdown()
         waited_ms = self.fleet.run_until(lambda: not status_of(machine).is_needed, timeout_ms)
         machine.remove()
         del self.fleet.machines[machine.address]
@@ -90,7 +90,7 @@
         away, stopping = self.backups()
         away.wipe()
         self.fleet.submit_and_commit(3, 5)
-        stopping.ask_to_leave()
+        stopping.request_shutdown()
         self.fleet.run(2_000.0)
         self.assertTrue(status_of(stopping).is_needed)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 200.0)
@@ -106,8 +106,8 @@
 
     def test_given_two_backups_that_stop_at_once_then_one_stays_in_sync(self) -> None:
         first_backup, second_backup = self.backups()
-        first_backup.ask_to_leave()
-        second_backup.ask_to_leave()
+        first_backup.request_shutdown()
+        second_backup.request_shutdown()
         self.fleet.run(1_000.0)
         needed = [machine for machine in (first_backup, second_backup) if status_of(machine).is_needed]
         self.assertEqual(1, len(needed))
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -44,9 +44,9 @@
         for machine in list(self.fleet.machines.values()):
             for offset_ms in range(0, 60, 10):
                 self.fleet.run(500.0 + offset_ms)
-                machine.freeze()
+                machine.pause()
                 self.fleet.run(self.stall_ms)
-                machine.thaw()
+                machine.resume()
         self.fleet.run(500.0)
         after = self.primary.status()
         assert before is not None and after is not None
