--- a/tests/dataplane/fleet.py
+++ b/tests/dataplane/fleet.py
@@ -248,7 +248,7 @@
         """Return the status that the platform's readiness probe gets."""
         caller = await Caller.connect(self.ready_port)
         try:
-            return (await caller.ask("GET /ready")).status
+            return (await caller.request("GET /ready")).status
         finally:
             caller.close()
 
