--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -95,7 +95,7 @@
             settings: The process's settings.
             log: Receives log events.
             rng: Source of randomness.
-            still_accepting_s: How long new connections are accepted after shutdown has begun.
+            drain_accept_s: How long new connections are accepted after shutdown has begun.
             debug_log: Receives each attempt; None in production.
         """
         self._drain_accept_s = drain_accept_s
--- a/madderwind/limits/quota.py
+++ b/madderwind/limits/quota.py
@@ -101,8 +101,8 @@
 class TenantQuota:
     """The quotas of all tenants at one data plane.
 
-    `is_first_start`: this is the first start of the whole system, so nothing was spent before. Any other process
-    starts with a low level, as it can't know what was spent.
+    `is_first_start`: this is the first start of the whole system, so nothing was spent before. Any other
+    process starts with a low level, as it can't know what was spent.
     """
 
     def __init__(self, bounds: Bounds, rng: random.Random, *, is_first_start: bool = False) -> None:
--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -27,8 +27,8 @@
 
     Attributes:
         known_peers: What is known about the other replicas.
-        last_received_ms: When the last message of the newest view's primary arrived, ms on the monotonic clock;
-            None before the first one and after the primary gave up its role.
+        last_received_ms: When the last message of the newest view's primary arrived, ms on the monotonic
+            clock; None before the first one and after the primary gave up its role.
     """
 
     def __init__(self, context: ReplicaContext) -> None:
--- a/madderwind/standalone/evacuation/evacuation.py
+++ b/madderwind/standalone/evacuation/evacuation.py
@@ -1,6 +1,6 @@
 """One balancer's part in evacuations: observations, its own and received ones, decide what it withholds.
 
-`tick`, `listed`, `heard_evacuation`, `evacuate` and `return_to` return actions in the order in which they
+`tick`, `listed`, `on_evacuation`, `evacuate` and `return_to` return actions in the order in which they
 have to be carried out. The time is passed to each call. Choices that all balancers have to make alike are
 hashes of marks and numbers that are the same at all of them.
 """
--- a/madderwind/standalone/policy/admission.py
+++ b/madderwind/standalone/policy/admission.py
@@ -24,7 +24,7 @@
 
 
 class Admission:
-    """`room` is the limit of open requests per usable upstream, over all balancers.
+    """`limit_per_upstream` is the limit of open requests per usable upstream, over all balancers.
 
     So the total limit falls when upstreams are lost. `short`: capacity of evacuated upstreams is missing."""
 
--- a/madderwind/standalone/policy/fleet.py
+++ b/madderwind/standalone/policy/fleet.py
@@ -18,8 +18,8 @@
 
 
 class Fleet:
-    """All known upstreams. `order` holds the ready ones by preference, and the first `subset_size` of them
-    are the balancer's subset. `short`: capacity is missing because the fleet evacuated upstreams."""
+    """All known upstreams. `preference_order` holds the ready ones by preference, and the first `subset_size`
+    of them are the balancer's subset. `short`: capacity is missing because the fleet evacuated upstreams."""
 
     def __init__(self, settings: api.Settings, traffic: Traffic, rng: random.Random) -> None:
         self._traffic, self._rng, self._ring = traffic, rng, Ring()
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -253,7 +253,7 @@
             answer_stream.end()
         if body.error is not None:
             self.invalid_request_answers[number] = FinalResponse(
-                body.error.status, f"{body.broken}\n".encode()
+                body.error.status, f"{body.error}\n".encode()
             )
             return Outcome.NOT_SENT, ()
         if isinstance(answer, Outcome):
--- a/madderwind/testing/simulation/outages.py
+++ b/madderwind/testing/simulation/outages.py
@@ -190,7 +190,7 @@
     def _end_attempt(self, copy: _Copy, key: Key, outcome: Outcome, took_ms: float) -> None:
         upstream = copy.open.pop(key, None)
         if upstream is None:
-            return  # already withdrawn by a TakeBack action
+            return  # already withdrawn by a CancelAttempt action
         if outcome is Outcome.TIMEOUT:
             copy.avoid_until_ms[upstream] = self._timeline.now_ms + AVOID_AFTER_TIMEOUT_MS
         copy.evacuation.observations.attempt_ended(self._timeline.now_ms, key, outcome, took_ms)
--- a/madderwind/transport/answering.py
+++ b/madderwind/transport/answering.py
@@ -64,7 +64,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, stall_s: float, streaming_stall_s: float = STREAMING_STALL_S
     ) -> None:
-        """`passing_stall_s`: as `stall_s`, for a streamed response; 0 disables the limit."""
+        """`streaming_stall_s`: as `stall_s`, for a streamed response; 0 disables the limit."""
         super().__init__(loop)
         self.unreadable = False
         self.request_count = 0  # requests written to this connection
--- a/madderwind/transport/connector.py
+++ b/madderwind/transport/connector.py
@@ -27,19 +27,19 @@
     """Options that differ between the programs.
 
     `stall_s`: longest pause within a response; None uses the connect timeout.
-    `passing_stall_s`: the same within a streamed response; 0 disables the limit.
-    `untold_idle_s`: how long to keep an idle connection whose upstream stated no timeout, if that is less
+    `streaming_stall_s`: the same within a streamed response; 0 disables the limit.
+    `default_idle_s`: how long to keep an idle connection whose upstream stated no timeout, if that is less
     than the pool's own limit.
-    `starts_when_whole`: whether upstreams start a request only once they have its last byte. If not, its
+    `starts_after_last_byte`: whether upstreams start a request only once they have its last byte. If not, its
     first byte may be enough, as such upstreams respond before they have read the body.
     """
 
     socket_factory: Callable[[Any], socket.socket] | None = None
     stall_s: float | None = None
-    passing_stall_s: float = STREAMING_STALL_S
+    streaming_stall_s: float = STREAMING_STALL_S
     distrusts_resets: bool = True
-    untold_idle_s: float = float("inf")
-    starts_when_whole: bool = True
+    default_idle_s: float = float("inf")
+    starts_after_last_byte: bool = True
 
 
 class BoundedConnector(aiohttp.TCPConnector):
--- a/madderwind/transport/listening.py
+++ b/madderwind/transport/listening.py
@@ -44,7 +44,7 @@
     """How long callers' connections may be idle between requests, and before their first one."""
 
     idle_s: float = IDLE_S
-    silent_s: float = SILENT_S
+    first_request_timeout_s: float = SILENT_S
 
 
 class CallersRequest(web.BaseRequest):
@@ -151,7 +151,7 @@
     ) -> None:
         """`count_upstream_connections`: connections to upstreams get as many descriptors as callers.
 
-        `longest_line` limits the lines of a request's head, in bytes.
+        `max_line_bytes` limits the lines of a request's head, in bytes.
         """
         self._handler, self._count_upstream_connections = handler, count_upstream_connections
         self._log = log
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -31,7 +31,7 @@
 from tests.standins import run, wait_for
 
 PlannedWork = Callable[[Fleet], Awaitable[None]]
-# Shorter than STILL_ACCEPTING_S, for which a process with enough time still accepts connections.
+# Shorter than DRAIN_ACCEPT_S, for which a process with enough time still accepts connections.
 GRACE_S = 1.2
 LAST_CHUNK = b"0\r\n\r\n"
 STREAMING_REQUEST_LINES = ("POST /stream/", "POST /resumable/")
--- a/tests/dataplane/test_silent_upstreams.py
+++ b/tests/dataplane/test_silent_upstreams.py
@@ -84,7 +84,7 @@
 
     def test_timeout_that_ends_a_response_is_detected(self) -> None:
         def with_timeout(**options: Any) -> ConnectionOptions:
-            return ConnectionOptions(**options)._replace(passing_stall_s=IDLE_TIMEOUT_S)
+            return ConnectionOptions(**options)._replace(streaming_stall_s=IDLE_TIMEOUT_S)
 
         with (
             mock.patch.object(upstream_pool, "ConnectionOptions", with_timeout),
--- a/tests/standalone/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -70,9 +70,7 @@
                 got = await caller.read()
                 assert (got.status, got.body) == (200, digest(LONG[:size]))
             assert upstream.connections == 1
-            streamed = (
-                chunked and size >= MAX_BUFFERED_BODY_BYTES
-            )  # a body that is held whole has a known length
+            streamed = chunked and size >= MAX_BUFFERED_BODY_BYTES  # a fully buffered body has a known length
             assert upstream.requests[0].header("Transfer-Encoding" if streamed else "Content-Length")
             assert await running.figure("upstream_tries_total") == 2
             assert await running.figure('handled_total{category="charge",outcome="passed"}') == 2
