--- a/madderwind/balancing/estimates.py
+++ b/madderwind/balancing/estimates.py
@@ -21,7 +21,7 @@
         self.mean, self.deviation, self.lowest_mean, self.count = 0.0, 0.0, math.inf, 0
 
     def add(self, value: float, is_steady: bool = True) -> None:
-        """Add a value. `lowest_mean` restarts with it unless `is_steady`, as the first responses are short."""
+        """Add a value. `lowest_mean` restarts unless `is_steady`, as the first responses are short."""
         self.count += 1
         gain = max(self.gain, 1 / self.count)
         self.deviation += gain * (abs(value - self.mean) - self.deviation) if self.count > 1 else value / 2
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -162,10 +162,12 @@
         """
         self.handle(ConfigurationReceived(address))
         base = self._subscriber.document
-        read_ahead = None
+        parsed_configuration = None
         with contextlib.suppress(ConfigurationError):  # the subscriber detects and reports the same error
-            read_ahead = ParsedConfiguration(base, await asyncio.to_thread(apply_message, base, message))
-        self.handle(MessageReceived(address, message, read_ahead))
+            parsed_configuration = ParsedConfiguration(
+                base, await asyncio.to_thread(apply_message, base, message)
+            )
+        self.handle(MessageReceived(address, message, parsed_configuration))
 
 
 async def _send_all(socket: aiohttp.ClientWebSocketResponse, outgoing: asyncio.Queue[ToControlPlane]) -> None:
--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -215,7 +215,7 @@
             case Freshness():
                 self._handle_freshness(now_ms, link, message)
             case ConfigurationSnapshot() | ConfigurationDelta():
-                self._apply_configuration(now_ms, address, message, event.read_ahead, actions)
+                self._apply_configuration(now_ms, address, message, event.parsed_configuration, actions)
             case ControlPlanes(addresses, primary):
                 self._published_addresses = addresses
                 self._named_primary = primary or self._named_primary
@@ -254,7 +254,7 @@
         now_ms: float,
         address: str,
         message: ConfigurationMessage,
-        read_ahead: ParsedConfiguration | None,
+        parsed_configuration: ParsedConfiguration | None,
         actions: list[Action],
     ) -> None:
         """Put a newer configuration in force. The version never decreases during the life of the process."""
@@ -265,8 +265,8 @@
         if isinstance(message, ConfigurationDelta) and message.base_version != self.version:
             return  # another version was applied after the fetch; a new fetch follows
         try:
-            if read_ahead is not None and read_ahead.base is self.document:
-                document = read_ahead.document
+            if parsed_configuration is not None and parsed_configuration.base is self.document:
+                document = parsed_configuration.document
             else:
                 document = apply_message(self.document, message)
         except ConfigurationError as error:
--- a/madderwind/distribution/subscriber_events.py
+++ b/madderwind/distribution/subscriber_events.py
@@ -32,11 +32,14 @@
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A control plane sent a message. `read_ahead`: the document, if the host has parsed a configuration."""
+    """A control plane sent a message.
+
+    `parsed_configuration`: the document, if the host has parsed a configuration.
+    """
 
     address: str
     message: ToDataPlane
-    read_ahead: ParsedConfiguration | None = None
+    parsed_configuration: ParsedConfiguration | None = None
 
 
 class ConfigurationReceived(msgspec.Struct, frozen=True):
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -140,8 +140,8 @@
             needed_round = self._round_from_now()
         # A result describes committed state, so the entries that it depends on must be committed.
         deadline_ms = now_ms + self._times.command_timeout_ms
-        proof = ResultCondition(self._store.log.last_index, needed_round, deadline_ms)
-        self._requests.add_command(token, result, proof)
+        condition = ResultCondition(self._store.log.last_index, needed_round, deadline_ms)
+        self._requests.add_command(token, result, condition)
 
     def read(self, now_ms: float, token: int) -> None:
         """Confirm by a heartbeat round that the state committed here is the newest one."""
@@ -149,8 +149,8 @@
             self._outbox.add(ReadResolved(token, is_newest=False))
             return
         deadline_ms = now_ms + self._times.read_timeout_ms
-        proof = ResultCondition(self.lease.inherited_index, self._round_from_now(), deadline_ms)
-        self._requests.add_read(token, proof)
+        condition = ResultCondition(self.lease.inherited_index, self._round_from_now(), deadline_ms)
+        self._requests.add_read(token, condition)
 
     def handle_join_request(self, now_ms: float, request: JoinRequest) -> None:
         """Handle the request of a replica that looks for a primary; an unknown one becomes a learner.
--- a/madderwind/standalone/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -52,15 +52,15 @@
         return reject(f"{command.name} was never listed")
 
     def _area_metrics(self) -> AreaMetrics | None:
-        withdrawal = self._copy.withdrawal
-        return None if withdrawal is None else AreaMetrics(withdrawal.left(), withdrawal.counts())
+        evacuation = self._copy.evacuation
+        return None if evacuation is None else AreaMetrics(evacuation.left(), evacuation.counts())
 
     def _evacuate_or_return(self, command: Command) -> bytes:
         """Evacuate a zone or region fleet-wide, or return to it."""
-        withdrawal, back = self._copy.withdrawal, command.word == "RETURN"
-        if withdrawal is None:
+        evacuation, back = self._copy.evacuation, command.word == "RETURN"
+        if evacuation is None:
             return reject("this balancer's file has no fleet.leaving")
-        if why_not := withdrawal.evacuate_or_return(command.name, back):
+        if why_not := evacuation.evacuate_or_return(command.name, back):
             return reject(why_not)
         return acknowledge(
             f"{command.name} is returned to in steps" if back else f"{command.name} is left by all copies"
--- a/madderwind/standalone/admin/listener.py
+++ b/madderwind/standalone/admin/listener.py
@@ -58,7 +58,7 @@
     """Stays reachable when clients hold all file descriptors, and beside clients that send nothing."""
 
     def __init__(self, answer_line: LineHandler, log: EventLog, now_ms: Callable[[], float]) -> None:
-        self._answer_line, self._log_sparingly = answer_line, RateLimitedEventLog(log, now_ms)
+        self._answer_line, self._log_rate_limited = answer_line, RateLimitedEventLog(log, now_ms)
         self._acceptor = Acceptor(lambda: _Connection(self), self._free_descriptor)
         self._connections: dict[_Connection, None] = {}  # open connections, the oldest first
         self._reserved: list[int] = []
@@ -113,5 +113,5 @@
             return True
         if self._connections:
             self._close_oldest()
-        self._log_sparingly("no_descriptor_for_the_second_address")
+        self._log_rate_limited("no_descriptor_for_the_second_address")
         return False
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -107,7 +107,7 @@
         logs, seed = (self._log, copy.log_rate_limited), configuration.seed
         return GossipPeers(configuration.peers, me, copy.heard, *logs, copy.clock, fleet, seed)
 
-    def _create_withdrawal(self, peers: Peers | GossipPeers) -> EvacuationDriver | None:
+    def _create_evacuation(self, peers: Peers | GossipPeers) -> EvacuationDriver | None:
         """The coordinated evacuation of zones, if the file enables it."""
         fleet, host = self._configuration.fleet, self._configuration.host
         if not isinstance(peers, GossipPeers) or fleet is None or fleet.leaving is None:
@@ -203,8 +203,8 @@
             await self._run()
         finally:
             self._admin.close()
-            if self.copy.withdrawal is not None:
-                self.copy.withdrawal.close()
+            if self.copy.evacuation is not None:
+                self.copy.evacuation.close()
             if self.copy.peers is not None:
                 self.copy.peers.close()
             if self._handover is not None:
@@ -224,11 +224,11 @@
             self.admin_port = await self._admin.start(*configuration.admin)
         if configuration.peers:
             self.copy.peers = self.create_peers()
-            self.copy.withdrawal = self._create_withdrawal(self.copy.peers)
+            self.copy.evacuation = self._create_evacuation(self.copy.peers)
             await self.copy.peers.start(shared=self._handover is not None)
-            if self.copy.withdrawal is not None:
-                self.copy.withdrawal.listed(self.copy.directory.places())
-                self.copy.withdrawal.start()
+            if self.copy.evacuation is not None:
+                self.copy.evacuation.listed(self.copy.directory.places())
+                self.copy.evacuation.start()
                 await self._wait_for_gossip_sync(self.copy.peers)
         elif configuration.host.settings.may_tell:
             self._log("no_peers_named")
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -79,7 +79,7 @@
         self.open_trace_ids: set[str] = set()
         self.watch_asked_for = asyncio.Event()
         self.peers: Peers | GossipPeers | None = None  # set if the configuration names other copies
-        self.withdrawal: EvacuationDriver | None = None  # set if the fleet evacuates zones together
+        self.evacuation: EvacuationDriver | None = None  # set if the fleet evacuates zones together
         self._balancer = Balancer(host.settings, seed)
         self._last_request_number = 0
         self._last_event_ms = 0.0
@@ -111,8 +111,8 @@
         self._update_evacuation_places()
 
     def _update_evacuation_places(self) -> None:
-        if self.withdrawal is not None:
-            self.withdrawal.listed(self.directory.places())
+        if self.evacuation is not None:
+            self.evacuation.listed(self.directory.places())
 
     def leave(self, upstreams: frozenset[int]) -> None:
         """Send nothing new to these upstreams until they are reopened: their zone is evacuated."""
@@ -143,16 +143,16 @@
     def began(self, upstream: int, key: tuple[int, int]) -> None:
         """Record that an attempt at an upstream has begun."""
         self.directory.began(upstream)
-        if self.withdrawal is not None:
-            self.withdrawal.began(upstream, key)
+        if self.evacuation is not None:
+            self.evacuation.began(upstream, key)
 
     def ended(
         self, upstream: int, key: tuple[int, int], outcome: api.Outcome | None, elapsed_ms: float
     ) -> None:
         """Record that an attempt has ended; `outcome` is None if its result is unknown."""
         self.directory.ended(upstream)
-        if self.withdrawal is not None:
-            self.withdrawal.ended(key, outcome, elapsed_ms)
+        if self.evacuation is not None:
+            self.evacuation.ended(key, outcome, elapsed_ms)
 
     def apply_settings(self, host: HostSettings) -> None:
         """Apply new settings in which classes and tenants keep their numbers.
@@ -320,6 +320,6 @@
             report = self.report(upstream, answer.body.decode("latin-1"))
         else:
             outcome = answer
-        if self.withdrawal is not None:
-            self.withdrawal.probed(upstream, outcome is api.Outcome.OK, started_ms)
+        if self.evacuation is not None:
+            self.evacuation.probed(upstream, outcome is api.Outcome.OK, started_ms)
         self.deliver_event(api.ProbeEnded(outcome, self.clock.now_ms() - started_ms, upstream, report))
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -63,17 +63,17 @@
         self,
         copy: Copy,
         number: int,
-        asked: ParsedRequest,
+        parsed: ParsedRequest,
         request: web.BaseRequest,
         target: str,
         body: Body,
         now_ms: float,
     ) -> None:
-        self.copy, self.number, self.asked = copy, number, asked
+        self.copy, self.number, self.parsed = copy, number, parsed
         self.request, self.target, self.body = request, target, body
-        self.category = copy.host.class_names[asked.class_index]
+        self.category = copy.host.class_names[parsed.class_index]
         # The class at arrival: new settings do not loosen the limits of a request in progress.
-        self.klass = copy.settings.classes[asked.class_index]
+        self.request_class = copy.settings.classes[parsed.class_index]
         self.attempt_limit = copy.settings.max_attempts
         self.inbox: asyncio.Queue[api.Event | HostEnding] = asyncio.Queue()
         self.attempts: list[asyncio.Task[None]] = []
@@ -85,7 +85,7 @@
         self.invalid_request_answers: dict[int, FinalResponse] = {}
         self.final: FinalResponse | None = None
         self.caller_left = False
-        self.taken_ms: float | None = None  # when the last byte of the request was received
+        self.received_ms: float | None = None  # when the last byte of the request was received
         self.body_released = False  # whether the start of the body was dropped, so that it cannot be resent
         self.written_ms: dict[int, float] = {}  # when each attempt's last byte was written
         self.may_have_run_ms: dict[int, float] = {}  # start times of attempts that may have run
@@ -96,7 +96,7 @@
         if body.is_complete:
             self.body_received(now_ms)
         else:
-            self.set_deadline(now_ms + asked.wait_ms + MAX_UPLOAD_MS)
+            self.set_deadline(now_ms + parsed.wait_ms + MAX_UPLOAD_MS)
 
     @property
     def over(self) -> bool:
@@ -105,9 +105,9 @@
 
     def body_received(self, now_ms: float) -> None:
         """Record that the last byte has arrived; the caller's time limit starts here."""
-        self.taken_ms = now_ms
+        self.received_ms = now_ms
         self.copy.tally.taken += 1
-        self.set_deadline(now_ms + self.asked.wait_ms)
+        self.set_deadline(now_ms + self.parsed.wait_ms)
 
     def set_deadline(self, deadline_ms: float) -> None:
         """Set the deadline, and the timer that ends the request if the module has not answered by then."""
@@ -139,7 +139,7 @@
                 self.cancel_attempt(attempt)
 
     def settle(self, final: FinalResponse) -> None:
-        if self.copy.invariants.check(not self.over, "one_final_answer", trace_id=self.asked.trace_id):
+        if self.copy.invariants.check(not self.over, "one_final_answer", trace_id=self.parsed.trace_id):
             self.final = final
 
     def cancel_attempt(self, attempt: int) -> None:
@@ -151,9 +151,9 @@
 
         A request whose body or response is streamed cannot be sent again.
         """
-        klass = self.klass
-        repeatable = klass.effect is Effect.SAFE or (
-            klass.effect is Effect.KEYED and klass.group is Group.ALL
+        request_class = self.request_class
+        repeatable = request_class.effect is Effect.SAFE or (
+            request_class.effect is Effect.KEYED and request_class.group is Group.ALL
         )
         if repeatable and self.body.is_complete and not self.over and attempt < len(self.attempts):
             self.cancel_attempt(attempt)
@@ -171,7 +171,7 @@
     def _send(self, send: api.Send) -> None:
         number = len(self.attempts)
         self.copy.invariants.check(
-            not self.over, "nothing_sent_after_the_answer", trace_id=self.asked.trace_id
+            not self.over, "nothing_sent_after_the_answer", trace_id=self.parsed.trace_id
         )
         until_ms = self.deadline_ms
         if send.not_past_ms > 0:
@@ -194,7 +194,7 @@
             if isinstance(error, asyncio.CancelledError) and number not in self.cancelled_attempts:
                 raise
         except Exception as error:  # how far it got is unknown, so it may have run
-            self.copy.log("attempt_broke", trace_id=self.asked.trace_id, error=repr(error))
+            self.copy.log("attempt_broke", trace_id=self.parsed.trace_id, error=repr(error))
             outcome = Outcome.ERROR
         finally:
             if known_outcome is not None and known_outcome.never_ran:
@@ -233,14 +233,14 @@
             return Outcome.NOT_SENT, ()
         answer_stream = _AnswerStream(self, number, upstream)
         upload = None if body.is_complete else Upload(self._body_chunks(), body.length)
-        left_ms = until_ms - sent_ms if upload is None else self.asked.wait_ms
+        left_ms = until_ms - sent_ms if upload is None else self.parsed.wait_ms
         encoded = EncodedRequest(
             self.request.method,
             self.target,
             headers_onward(self.request.headers, left_ms, upload.length if upload is not None else None),
             body.buffered if upload is None else b"",
             lambda: self._confirm_write(number, upstream, until_ms, sent_ms),
-            self.klass.effect is not Effect.UNSAFE,
+            self.request_class.effect is not Effect.UNSAFE,
             lambda: self._attempt_written(number, encoded),
             upload,
             answer_stream,
@@ -285,9 +285,9 @@
 
         A repeat may be decided on within the window but be ready to write only after it.
         """
-        if self.klass.effect is not Effect.KEYED or not self.may_have_run_ms:
+        if self.request_class.effect is not Effect.KEYED or not self.may_have_run_ms:
             return math.inf
-        return min(self.may_have_run_ms.values()) + self.klass.window_ms
+        return min(self.may_have_run_ms.values()) + self.request_class.window_ms
 
     def _confirm_write(self, number: int, upstream: int, until_ms: float, sent_ms: float) -> bool:
         """Decide whether to write the first byte now, for first attempts, retries and second copies alike.
@@ -398,8 +398,8 @@
         await body.begin()
         now_ms = copy.clock.now_ms()
         target = origin_form(request._message.path)
-        asked = copy.reader.read(request.method, target, request.headers, now_ms)
-        if asked.trace_id in copy.open_trace_ids:
+        parsed = copy.reader.read(request.method, target, request.headers, now_ms)
+        if parsed.trace_id in copy.open_trace_ids:
             # It would be treated as a duplicate of the open one.
             raise BadRequest(f"{TRACE_ID} of a request that is open")
     except (BadBody, BadRequest) as error:
@@ -410,29 +410,29 @@
         response = web.Response(status=status, text=f"{error}\n")
         response.force_close()  # such a client is likely to send more invalid requests
         return response
-    if asked.odd_props is not None:
-        copy.log_rate_limited("odd_props", trace_id=asked.trace_id, part=asked.odd_props)
-    exchange = Exchange(copy, copy.next_request_number(), asked, request, target, body, now_ms)
+    if parsed.odd_props is not None:
+        copy.log_rate_limited("odd_props", trace_id=parsed.trace_id, part=parsed.odd_props)
+    exchange = Exchange(copy, copy.next_request_number(), parsed, request, target, body, now_ms)
     copy.open[exchange.number] = exchange
-    copy.open_trace_ids.add(asked.trace_id)
+    copy.open_trace_ids.add(parsed.trace_id)
     try:
         event: api.Event | HostEnding = api.RequestArrived(
             exchange.number,
-            asked.class_index,
-            asked.tenant_index,
-            asked.key,
+            parsed.class_index,
+            parsed.tenant_index,
+            parsed.key,
             exchange.deadline_ms,
-            asked.work_hint_ms,
-            asked.is_repeat,
-            asked.is_write,
+            parsed.work_hint_ms,
+            parsed.is_repeat,
+            parsed.is_write,
         )
         while True:
             if isinstance(event, HostEnding):
                 if exchange.streaming_attempt is not None:  # a response that has begun is the final one
                     event = await exchange.inbox.get()
                     continue
-                in_time = event is not HostEnding.DEADLINE or exchange.taken_ms is None
-                copy.invariants.check(in_time, "answered_in_time", trace_id=asked.trace_id)
+                in_time = event is not HostEnding.DEADLINE or exchange.received_ms is None
+                copy.invariants.check(in_time, "answered_in_time", trace_id=parsed.trace_id)
                 exchange.settle(FinalResponse(TIMED_OUT, b"failed\n"))
                 copy.handle_event(api.ClientLeft(exchange.number))
                 break
@@ -453,24 +453,24 @@
     except asyncio.CancelledError:
         exchange.caller_left = True
         copy.handle_event(api.ClientLeft(exchange.number))
-        copy.log("client_left", trace_id=asked.trace_id, after_ms=round(copy.clock.now_ms() - now_ms, 1))
+        copy.log("client_left", trace_id=parsed.trace_id, after_ms=round(copy.clock.now_ms() - now_ms, 1))
         raise
     except Exception as error:
-        copy.log("request_broke", trace_id=asked.trace_id, error=repr(error))
+        copy.log("request_broke", trace_id=parsed.trace_id, error=repr(error))
         if exchange.final is None:
             exchange.final = FinalResponse(BROKEN, b"failed\n")
             copy.deliver_event(api.ClientLeft(exchange.number))
     finally:
         if exchange.caller_left or body.error is not None:
-            copy.tally.client_gone += exchange.taken_ms is not None
+            copy.tally.client_gone += exchange.received_ms is not None
         elif exchange.final is not None:
-            copy.tally.taken += exchange.taken_ms is None  # refused before its last byte arrived
+            copy.tally.taken += exchange.received_ms is None  # refused before its last byte arrived
             copy.tally.count_answer(exchange.category, exchange.final.status)
         exchange.cancel_deadline_timer()
         if exchange.body_released or exchange.streaming_attempt is not None:
             exchange.cancel_all_attempts()  # a partial message is useless
         del copy.open[exchange.number]
-        copy.open_trace_ids.remove(asked.trace_id)
+        copy.open_trace_ids.remove(parsed.trace_id)
         while not exchange.inbox.empty():  # events that arrived during the last decision
             if not isinstance(late_event := exchange.inbox.get_nowait(), HostEnding):
                 copy.deliver_event(late_event)
@@ -481,8 +481,8 @@
         body.linger()
     copy.log(
         "answered",
-        trace_id=asked.trace_id,
-        class_index=asked.class_index,
+        trace_id=parsed.trace_id,
+        class_index=parsed.class_index,
         status=final.status,
         total_ms=round(copy.clock.now_ms() - now_ms, 1),
         attempts=exchange.attempt_outcomes,
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -52,10 +52,10 @@
         leaving: EvacuationSettings,
         clock: Clock,
         log: EventLog,
-        log_sparingly: RateLimitedEventLog,
+        log_rate_limited: RateLimitedEventLog,
     ) -> None:
         self._peers, self._control, self._clock = peers, control, clock
-        self._log, self._log_sparingly = log, log_sparingly
+        self._log, self._log_rate_limited = log, log_rate_limited
         self._evacuation = ZoneEvacuation(
             settings.me,
             zone,
@@ -134,6 +134,6 @@
                 case BroadcastEvacuation(order, payload):
                     self._peers.tell_shared(order, payload)
                 case LogEvent("area_not_left" as event, fields):
-                    self._log_sparingly(event, **fields)
+                    self._log_rate_limited(event, **fields)
                 case LogEvent(event, fields):
                     self._log(event, **fields)
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -78,7 +78,7 @@
 class Mutants(unittest.TestCase):
     """Each mutant removes a mechanism and must violate an invariant in some scenario."""
 
-    def assert_caught(self, *cuts: Cut) -> None:
+    def assert_detected(self, *cuts: Cut) -> None:
         for cut in cuts:
             try:
                 CutScenario(cut).run()
@@ -93,7 +93,7 @@
 
     def test_read_resolved_without_fencing(self) -> None:
         with patch.object(PendingRequests, "add_read", add_read_without_fencing):
-            self.assert_caught(*(Cut(Role.PRIMARY, CutKind.PAUSED, 5_000.0, seed) for seed in range(1, 13)))
+            self.assert_detected(*(Cut(Role.PRIMARY, CutKind.PAUSED, 5_000.0, seed) for seed in range(1, 13)))
 
 
 if __name__ == "__main__":
--- a/tests/distribution/test_cut_off_sources.py
+++ b/tests/distribution/test_cut_off_sources.py
@@ -231,7 +231,7 @@
 class MutantTest(unittest.TestCase):
     """Each test fails without the mechanism that it covers."""
 
-    def assert_caught(self, test_case: CutOffTestCase) -> None:
+    def assert_detected(self, test_case: CutOffTestCase) -> None:
         result = unittest.TestResult()
         test_case.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
@@ -242,7 +242,7 @@
 
         name = "test_named_primary_replaces_cut_off_primary_once_its_freshness_is_stale"
         with patch.object(ControlPlaneLink, "age_ms", published_age_ms):
-            self.assert_caught(PrimaryTest(name))
+            self.assert_detected(PrimaryTest(name))
 
     def test_freshness_counted_from_its_arrival_is_detected(self) -> None:
         names = (
@@ -252,7 +252,7 @@
         )
         with patch.object(RemoteClock, "earliest_send_ms", lambda clock, now_ms, clock_ms: now_ms):
             for name in names:
-                self.assert_caught(CurrentVersionTest(name))
+                self.assert_detected(CurrentVersionTest(name))
 
 
 if __name__ == "__main__":
--- a/tests/standalone/program/test_admin.py
+++ b/tests/standalone/program/test_admin.py
@@ -142,7 +142,7 @@
             checks = 0
             while not all(task.done() for task in callers):
                 taken_count = sum(
-                    e.taken_ms is not None for e in copy.open.values() if isinstance(e, Exchange)
+                    e.received_ms is not None for e in copy.open.values() if isinstance(e, Exchange)
                 )
                 assert copy.tally.in_progress == taken_count
                 checks += 1
--- a/tests/standalone/program/test_reload.py
+++ b/tests/standalone/program/test_reload.py
@@ -138,7 +138,7 @@
             assert (await caller.request("GET /lookup")).status == 400
             (exchange,) = copy.open.values()
             assert isinstance(exchange, Exchange)
-            assert (exchange.category, exchange.klass.effect) == ("lookup", Effect.SAFE)
+            assert (exchange.category, exchange.request_class.effect) == ("lookup", Effect.SAFE)
             release.set()
             assert (await waiting_caller.read()).status == 200
             metrics = await running.call("METRICS")
--- a/tests/standalone/routing/test_peers.py
+++ b/tests/standalone/routing/test_peers.py
@@ -31,8 +31,8 @@
     received: list[MessageQueue] = [asyncio.Queue() for _ in addresses]
     copies = []
     for me, queue in enumerate(received):
-        log_sparingly = RateLimitedEventLog(log, lambda: 0.0)
-        peers = Peers(tuple(addresses), me, lambda n, w, queue=queue: queue.put_nowait((n, w)), log_sparingly)  # type: ignore[misc]
+        limited_log = RateLimitedEventLog(log, lambda: 0.0)
+        peers = Peers(tuple(addresses), me, lambda n, w, queue=queue: queue.put_nowait((n, w)), limited_log)  # type: ignore[misc]
         await peers.start()
         copies.append(peers)
     return copies, received, addresses
