--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -30,7 +30,7 @@
 
     Attributes:
         tolerance: Number of replicas that may be lost at once.
-        goal: Target number of members.
+        target_members: Target number of members.
     """
 
     tolerance: int
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -63,7 +63,7 @@
             context: The replica's components.
             view: The view that names this replica as primary.
             rules: Rules for the sizes of views.
-            now_ms: Steady clock, ms.
+            now_ms: Monotonic clock, ms.
             known_peers: What this replica knew of the others as a follower.
         """
         self._context, self._rules = context, rules
