--- a/tests/standalone/program/test_crossing.py
+++ b/tests/standalone/program/test_crossing.py
@@ -329,7 +329,7 @@
                     while len(closed) < max_descriptors * (turn + 1) // 2:
                         await asyncio.sleep(0.01)
                     caller = await wait_for(Caller.connect(port))
-                    assert (await caller.ask(wait_ms=8000)).status == 200
+                    assert (await caller.request(wait_ms=8000)).status == 200
                     caller.close()
                 agent.behave = normal
                 await wait_for(agent.watches.get())
--- a/tests/standalone/program/test_log.py
+++ b/tests/standalone/program/test_log.py
@@ -121,7 +121,7 @@
         if path.parent.name != "dataplane" and path.name != "settings_watch.py"
     ]
     code = "".join(path.read_text() for path in paths)
-    events = set(re.findall(r"\b_?(?:log|say)(?:_sparingly)?\(\s*\"([a-z_]+)\"", code)) | set(
+    events = set(re.findall(r"\b_?(?:log|say)(?:_rate_limited)?\(\s*\"([a-z_]+)\"", code)) | set(
         re.findall(r"self\(\"([a-z_]+)\"", code)
     )
     documented = set(
