--- a/madderwind/balancing/estimates.py
+++ b/madderwind/balancing/estimates.py
@@ -18,17 +18,17 @@
 
     def __init__(self, gain: float = GAIN) -> None:
         self.gain = gain
-        self.mean, self.deviation, self.lowest_mean, self.count = 0.0, 0.0, math.inf, 0
+        self.mean, self.deviation, self.best, self.seen = 0.0, 0.0, math.inf, 0
 
-    def add(self, value: float, is_steady: bool = True) -> None:
-        """Add a value. `lowest_mean` restarts unless `is_steady`, as the first responses are short."""
-        self.count += 1
-        gain = max(self.gain, 1 / self.count)
-        self.deviation += gain * (abs(value - self.mean) - self.deviation) if self.count > 1 else value / 2
+    def add(self, value: float, settled: bool = True) -> None:
+        """Add a value. Unless it is `settled`, `best` restarts with it, as the first responses are short."""
+        self.seen += 1
+        gain = max(self.gain, 1 / self.seen)
+        self.deviation += gain * (abs(value - self.mean) - self.deviation) if self.seen > 1 else value / 2
         self.mean += gain * (value - self.mean)
         # Includes the error of the mean, as the minimum of a noisy mean is reached by chance.
         upper_estimate = self.mean + 2 * self.deviation * gain**0.5
-        self.lowest_mean = min(self.lowest_mean, upper_estimate) if is_steady else upper_estimate
+        self.best = min(self.best, upper_estimate) if settled else upper_estimate
 
 
 class ArrivalRate:
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._count, self._counted_at_ms, self.first_ms = 0.0, 0.0, math.inf
 
-    def record_arrival(self, now: float) -> None:
+    def arrived(self, now: float) -> None:
         """Record one arrival."""
         self._count = self._decayed(now) + 1
         self._counted_at_ms, self.first_ms = now, min(self.first_ms, now)
--- a/madderwind/balancing/idle_first.py
+++ b/madderwind/balancing/idle_first.py
@@ -13,7 +13,7 @@
 from madderwind.balancing.candidates import idle_first
 
 
-class IdleFirstSelector:
+class IdleFirstPick:
     """Selects an upstream by the number of this balancer's requests in flight at each."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -21,17 +21,17 @@
         self._in_flight: dict[str, int] = {}  # without upstreams that have nothing in flight
         self._responded: set[str] = set()
 
-    def select(self, candidates: Sequence[str], avoid: frozenset[str]) -> str | None:
+    def pick(self, candidates: Sequence[str], avoid: frozenset[str]) -> str | None:
         """Select a candidate, outside `avoid` if there are others; None if there are no candidates."""
         preferred = [upstream for upstream in candidates if upstream not in avoid] or candidates
         eligible = idle_first(preferred, self._is_idle, self._load)
         return self._rng.choice(eligible) if eligible else None
 
-    def record_start(self, upstream: str) -> None:
+    def began(self, upstream: str) -> None:
         """Record that a request was sent to the upstream."""
         self._in_flight[upstream] = self.in_flight(upstream) + 1
 
-    def record_end(self, upstream: str) -> None:
+    def ended(self, upstream: str) -> None:
         """Record the end of a request at the upstream, whatever its outcome."""
         remaining = self.in_flight(upstream) - 1
         if remaining > 0:
@@ -39,7 +39,7 @@
         else:
             self._in_flight.pop(upstream, None)
 
-    def record_response(self, upstream: str) -> None:
+    def heard(self, upstream: str) -> None:
         """Record a response from the upstream: it is alive, and its requests in flight count as its load."""
         self._responded.add(upstream)
 
--- a/madderwind/balancing/retry_quota.py
+++ b/madderwind/balancing/retry_quota.py
@@ -10,10 +10,7 @@
 TRANSIENT_COST, FULL_COST = 14.0, 5.0
 CLEAN_SUCCESS_REFUND = 1.0  # tokens refunded for a success at the first attempt
 TRANSIENT_BASE_MS, FULL_BASE_MS, MAX_WAIT_MS = 100.0, 1000.0, 20_000.0
-TRANSIENT_RETRY, FULL_RETRY = (
-    (TRANSIENT_COST, TRANSIENT_BASE_MS),
-    (FULL_COST, FULL_BASE_MS),
-)  # cost and base wait
+TRANSIENT, FULL = (TRANSIENT_COST, TRANSIENT_BASE_MS), (FULL_COST, FULL_BASE_MS)  # cost and base wait
 MAX_DOUBLINGS = 32  # far beyond the maximum wait; keeps the power of two finite
 
 
--- a/madderwind/configuration/command_preparation.py
+++ b/madderwind/configuration/command_preparation.py
@@ -81,7 +81,7 @@
     if command.kind is CommandKind.UPDATE:
         if base is None:
             raise ConfigurationError("document", "there is no configuration yet that could be updated")
-        return base.apply_update(command.body)
+        return base.updated(command.body)
     document = read_document(command.body, base)
     if base is not None and document.version <= base.version:
         raise ConfigurationError("version", f"{document.version} is not above {base.version}")
--- a/madderwind/configuration/lookup.py
+++ b/madderwind/configuration/lookup.py
@@ -16,7 +16,7 @@
         self.has_tenants = index.tenant_count > 0  # if true, routes that are not public require a key
 
     @classmethod
-    def from_configuration(cls, configuration: Configuration) -> RoutingTable:
+    def of(cls, configuration: Configuration) -> RoutingTable:
         """The table for a configuration that was built in code and not parsed from a document."""
         return cls(ConfigurationIndex().changed(ConfigurationChange.from_empty(configuration)))
 
@@ -37,7 +37,7 @@
             end = slash
         return None
 
-    def tenant_for_key(self, key: str) -> Tenant | None:
+    def tenant_of(self, key: str) -> Tenant | None:
         """The tenant that owns the key."""
         return self._tenant_by_key.get(key)
 
--- a/madderwind/configuration/reading.py
+++ b/madderwind/configuration/reading.py
@@ -112,7 +112,7 @@
         """All tenants in document order."""
         return self.section(TENANTS).typed
 
-    def apply_update(self, body: bytes) -> Document:
+    def updated(self, body: bytes) -> Document:
         """This document with an update applied to it.
 
         Raises ConfigurationError, also if the update's version is not above the current one.
--- a/madderwind/controlplane/checkpoint_writer.py
+++ b/madderwind/controlplane/checkpoint_writer.py
@@ -37,7 +37,7 @@
         self._report = report
         self._descriptions: frozenset[_Description] = frozenset()
         self._offered: Sequence[UpstreamRecord] = ()
-        self._save_requested = threading.Event()
+        self._wanted = threading.Event()
         self._thread = threading.Thread(target=self._run, name="registry checkpoint", daemon=True)
 
     def start(self) -> None:
@@ -47,7 +47,7 @@
     @property
     def is_busy(self) -> bool:
         """Whether a write is in progress."""
-        return self._save_requested.is_set()
+        return self._wanted.is_set()
 
     def offer(self, upstreams: Sequence[UpstreamRecord]) -> bool:
         """Save these records if a description changed; returns whether they were handed to the thread."""
@@ -55,17 +55,17 @@
             _Description(record.instance, record.service, record.address, record.state)
             for record in upstreams
         )
-        if descriptions == self._descriptions or self._save_requested.is_set():
+        if descriptions == self._descriptions or self._wanted.is_set():
             return False
         self._descriptions, self._offered = descriptions, upstreams
-        self._save_requested.set()
+        self._wanted.set()
         return True
 
     def _run(self) -> None:
         while True:
-            self._save_requested.wait()
+            self._wanted.wait()
             self._save()
-            self._save_requested.clear()
+            self._wanted.clear()
 
     def _save(self) -> None:
         try:
--- a/madderwind/controlplane/core.py
+++ b/madderwind/controlplane/core.py
@@ -217,7 +217,7 @@
             members=status.members,
             in_sync=status.in_sync,
             fresh_age_ms=status.fresh_age_ms,
-            data_planes=self._publisher.data_plane_statuses(),
+            data_planes=self._publisher.overview(),
             upstreams=tuple(_upstream_status(record) for record in self._registry.snapshot(now_ms)),
         )
 
--- a/madderwind/controlplane/drain_tracker.py
+++ b/madderwind/controlplane/drain_tracker.py
@@ -17,7 +17,7 @@
 from madderwind.controlplane.effects import RespondToUpstream
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.messages.peering import FinalStateNotice
-from madderwind.registry.states import UpstreamState, later_state, parse_state
+from madderwind.registry.states import UpstreamState, furthest, state_named
 
 # Less than the second after which an upstream calls another control plane.
 CONFIRMATION_TIMEOUT_MS = 500.0
@@ -43,7 +43,7 @@
     @property
     def state(self) -> UpstreamState:
         """Draining or deregistered."""
-        return parse_state(self.record.state)
+        return state_named(self.record.state)
 
 
 class DrainTracker:
@@ -67,7 +67,7 @@
         drain = self._drains.get(record.instance)
         if drain is None:
             drain = self._drains[record.instance] = _Drain(record, now_ms + RESEND_INTERVAL_MS)
-        elif drain.state is not parse_state(record.state):
+        elif drain.state is not state_named(record.state):
             drain.record, drain.confirmed_by = record, set()
         if len(drain.confirmed_by) >= self._required_confirmations:
             return RespondToUpstream(call, is_accepted=True)
@@ -78,7 +78,7 @@
     def confirm(self, confirmer: str, instance: str, state: UpstreamState) -> list[RespondToUpstream]:
         """Record that a control plane has published the instance's state and has it on disk."""
         drain = self._drains.get(instance)
-        if drain is None or later_state(state, drain.state) is not state:
+        if drain is None or furthest(state, drain.state) is not state:
             return []
         drain.confirmed_by.add(confirmer)
         if len(drain.confirmed_by) < self._required_confirmations:
--- a/madderwind/controlplane/frames.py
+++ b/madderwind/controlplane/frames.py
@@ -51,7 +51,7 @@
     def __len__(self) -> int:
         return len(self._frames)
 
-    def enqueue(self, now_s: float, data: bytes) -> bool:
+    def offer(self, now_s: float, data: bytes) -> bool:
         """Add a frame. Return False if the queue now exceeds its limit and holds more than this frame."""
         self._frames.append(_Frame(data, now_s))
         self._bytes += len(data)
--- a/madderwind/controlplane/host.py
+++ b/madderwind/controlplane/host.py
@@ -179,7 +179,7 @@
         self._carry_out(self._core.tick(self._now_ms()))
         if self._loop.time() - self._links_checked_s > UNUSED_LINKS_INTERVAL_S:
             self._links_checked_s = self._loop.time()
-            self._links.close_idle()
+            self._links.drop_unused()
         if self._is_save_urgent or self._loop.time() - self._checkpoint_offered_s > SAVE_INTERVAL_S:
             self._offer_checkpoint()
 
--- a/madderwind/controlplane/operator_calls.py
+++ b/madderwind/controlplane/operator_calls.py
@@ -41,7 +41,7 @@
     def is_applied_by_all(self, version: int) -> bool:
         """Whether all data planes that are not lagging have applied this version."""
 
-    def mark_lagging(self, version: int) -> int:
+    def stop_waiting_for(self, version: int) -> int:
         """Stop waiting for the data planes without this version; returns their number."""
 
 
@@ -197,7 +197,7 @@
             return self._end(call)
         if now_ms < call.wait_until_ms:
             return []
-        count = self._data_planes.mark_lagging(version)
+        count = self._data_planes.stop_waiting_for(version)
         return [DATA_PLANES_LAGGING.line(version=version, count=count), *self._end(call)]
 
     def _end(self, call: OperatorCall) -> list[Output]:
--- a/madderwind/controlplane/peer_links.py
+++ b/madderwind/controlplane/peer_links.py
@@ -41,7 +41,7 @@
         self.last_queued_s = now_s
         if not self._is_connected:
             self._queue.drop_older_than(now_s - STALE_AFTER_S)
-        if not self._queue.enqueue(now_s, frame):
+        if not self._queue.offer(now_s, frame):
             self._queue.drop_oldest()
 
     async def run(self, on_connected: ConnectedHandler) -> None:
@@ -108,7 +108,7 @@
             self._tasks[address] = asyncio.create_task(link.run(self._on_connected))
         link.send(asyncio.get_running_loop().time(), frame)
 
-    def close_idle(self) -> None:
+    def drop_unused(self) -> None:
         """Close links on which nothing was sent recently."""
         idle_since_s = asyncio.get_running_loop().time() - IDLE_TIMEOUT_S
         for address in [peer for peer, link in self._links.items() if link.last_queued_s < idle_since_s]:
--- a/madderwind/controlplane/process.py
+++ b/madderwind/controlplane/process.py
@@ -86,7 +86,7 @@
         loop.add_signal_handler(signal.SIGINT, self.request_shutdown)
         host = self._create_host()
         watch = self._create_settings_watch(host)
-        loop.add_signal_handler(signal.SIGHUP, watch.reload)
+        loop.add_signal_handler(signal.SIGHUP, watch.read_again)
         public_server = PublicServer(host, self._log)
         internal = InternalServer(host, self._log).application()
         add_status(internal, host, self._settings.node, self._settings.zone)
--- a/madderwind/controlplane/registry_service.py
+++ b/madderwind/controlplane/registry_service.py
@@ -20,7 +20,7 @@
 )
 from madderwind.registry.heartbeats import read_heartbeat
 from madderwind.registry.registry import Registry
-from madderwind.registry.states import UpstreamState, later_state, parse_state
+from madderwind.registry.states import UpstreamState, furthest, state_named
 
 LIVENESS_INTERVAL_MS = 1_000.0
 TIMEOUT_CHECK_INTERVAL_MS = 250.0
@@ -79,7 +79,7 @@
 
     def handle_saved(self, records: Sequence[UpstreamRecord]) -> list[Effect]:
         """Handle that a checkpoint with these records is on disk: confirm the states that waited for it."""
-        states = {record.instance: parse_state(record.state) for record in records}
+        states = {record.instance: state_named(record.state) for record in records}
         self._saved_states = {
             name: state for name, state in states.items() if state is not UpstreamState.READY
         }
@@ -121,7 +121,7 @@
             case FinalStateNotice(upstream):
                 return self._handle_final_state(now_ms, sender, upstream)
             case FinalStateConfirmed(instance, state):
-                return [*self._drains.confirm(sender, instance, parse_state(state))]
+                return [*self._drains.confirm(sender, instance, state_named(state))]
             case RegistryRequest():
                 return self._send_registry_again(now_ms, sender)
             case _:
@@ -136,7 +136,7 @@
             effects += self._publish(changed)
         if now_ms >= self._liveness_due_ms:
             self._liveness_due_ms = now_ms + LIVENESS_INTERVAL_MS
-            effects += self._to_peers(LivenessReport(self._registry.collect_liveness_reports(now_ms)))
+            effects += self._to_peers(LivenessReport(self._registry.take_liveness(now_ms)))
             self._drop_unknown()
         effects += self._drains.reject_expired(now_ms)
         for notice in self._drains.due_notices(now_ms):
@@ -168,24 +168,24 @@
         effects: list[Effect] = [*self._to_peers(outcome)]
         if not self._is_saved(record):
             return [*effects, SaveCheckpoint()]
-        state = parse_state(record.state)
+        state = state_named(record.state)
         return [*effects, *self._drains.confirm(self._own_address, instance, state)]
 
     def _is_saved(self, record: UpstreamRecord) -> bool:
         """Whether the saved checkpoint contains the record's state or a later one."""
         saved = self._saved_states.get(record.instance, UpstreamState.READY)
-        return later_state(saved, parse_state(record.state)) is saved
+        return furthest(saved, state_named(record.state)) is saved
 
     def _is_known_to_peers(self, instance: str) -> bool:
         """Whether a ready instance is known to a peer, or peers can be reached and will learn of it.
 
         Otherwise it must call another control plane, although its state is stored here as well.
         """
-        if not self._tolerance or self._registry.is_known_to_peer(instance):
+        if not self._tolerance or self._registry.is_known_elsewhere(instance):
             return True
         if not self._is_connected():
             return False
-        self._registry.mark_known_to_peer(instance)
+        self._registry.mark_known_elsewhere(instance)
         return True
 
     def _handle_liveness(self, now_ms: float, sender: str, message: LivenessReport) -> list[Effect]:
@@ -197,10 +197,10 @@
     def _handle_final_state(self, now_ms: float, sender: str, record: UpstreamRecord) -> list[Effect]:
         """Publish the state, and confirm it to the sender once it is on the own disk."""
         published = self._publish(self._registry.merge(now_ms, (record,)))
-        if parse_state(record.state) is UpstreamState.READY:
+        if state_named(record.state) is UpstreamState.READY:
             return [*published]
         if self._is_saved(record):
-            confirmation = _confirmation(record.instance, parse_state(record.state))
+            confirmation = _confirmation(record.instance, state_named(record.state))
             return [*published, SendToPeer(sender, confirmation)]
         self._unconfirmed.add((sender, record.instance))
         return [*published, SaveCheckpoint()]
--- a/madderwind/controlplane/subscriber_streams.py
+++ b/madderwind/controlplane/subscriber_streams.py
@@ -84,7 +84,7 @@
         return self._encoded_frame
 
     def _offer(self, stream: _Stream, frame: bytes) -> None:
-        if not stream.queue.enqueue(asyncio.get_running_loop().time(), frame):
+        if not stream.queue.offer(asyncio.get_running_loop().time(), frame):
             _abort(stream.transport)
 
 
--- a/madderwind/dataplane/admission.py
+++ b/madderwind/dataplane/admission.py
@@ -107,7 +107,7 @@
         return self._limits
 
     @property
-    def has_current_configuration(self) -> bool:
+    def knows_newest(self) -> bool:
         """Whether the configuration in force is known to be the newest, so that its rejections are final."""
         return self._table is not None and self._is_current()
 
@@ -139,7 +139,7 @@
                 else self._retryable_rejection("no such route yet")
             )
         key = headers.get(KEY)
-        tenant = table.tenant_for_key(key) if key else None
+        tenant = table.tenant_of(key) if key else None
         if tenant is None and table.has_tenants and not route.public:
             return (
                 Rejected(401, "no such key")
--- a/madderwind/dataplane/answer_relay.py
+++ b/madderwind/dataplane/answer_relay.py
@@ -16,7 +16,7 @@
 from madderwind.dataplane.event_stream import EVENT_STREAM, EventSplitter, EventTooLong
 from madderwind.dataplane.headers import LAST_EVENT_ID
 from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
-from madderwind.dataplane.upstream_heads import declares_body_end
+from madderwind.dataplane.upstream_heads import tells_its_end
 
 # Responses up to this size are buffered, so that a truncated one is detected before any of it is sent and
 # the request can be retried where that is safe. Longer ones are passed on as they arrive.
@@ -88,7 +88,7 @@
             finally:
                 self._parts.chooser.streams.ended(instance)
         if rest := self._events.rest():
-            if not declares_body_end(response.headers):
+            if not tells_its_end(response.headers):
                 return AttemptResult.BROKEN
             await self._answer.write(rest)
         self.final = await self._answer.end()
--- a/madderwind/dataplane/attempt_exchange.py
+++ b/madderwind/dataplane/attempt_exchange.py
@@ -24,7 +24,7 @@
 from madderwind.dataplane.upstream_heads import INSTANCE, REQUEST_ID, Head, read_head
 from madderwind.transport.answering import Addressee
 from madderwind.transport.encoded_request import EncodedRequest
-from madderwind.transport.unread import peer_has_closed
+from madderwind.transport.unread import has_left
 
 _RESULT_BY_HEAD = {
     Head.REFUSAL: AttemptResult.REFUSED_FULL,
@@ -109,11 +109,9 @@
 
     def _may_write(self) -> bool:
         """Whether the request should still be sent once the connection is established."""
-        if not self._parts.upstreams.accepts_new_requests(self._attempt.instance):
+        if not self._parts.upstreams.takes_new(self._attempt.instance):
             return False
-        if self._now_ms() >= self._admitted.until_ms or peer_has_closed(
-            self._client_request.request.transport
-        ):
+        if self._now_ms() >= self._admitted.until_ms or has_left(self._client_request.request.transport):
             return False
         self._attempt.was_sent = True
         return True
@@ -135,7 +133,7 @@
             return _RESULT_BY_HEAD[head]
         self._parts.chooser.record_answer(self._attempt.instance)
         if encoded.connection is not None:
-            encoded.connection.start_streaming()
+            encoded.connection.passes_on()
         return await self._relay.relay(response, self._attempt.instance, self._key)
 
     async def _handle_rejection(self, response: ClientResponse, head: Head) -> None:
--- a/madderwind/dataplane/attempts.py
+++ b/madderwind/dataplane/attempts.py
@@ -34,7 +34,7 @@
     result: AttemptResult | None = None
 
     @property
-    def may_have_arrived(self) -> bool:
+    def has_left(self) -> bool:
         """Whether any byte of the request may have reached the upstream."""
         return self.was_sent and self.result is not AttemptResult.NOT_SENT
 
@@ -59,9 +59,9 @@
         self.answer_begun = False  # whether the client has received part of a response
 
     @property
-    def sent_count(self) -> int:
+    def arrivals(self) -> int:
         """The number of attempts that may have reached an upstream."""
-        return sum(attempt.may_have_arrived for attempt in self.attempts)
+        return sum(attempt.has_left for attempt in self.attempts)
 
     @property
     def tried(self) -> frozenset[str]:
@@ -69,16 +69,16 @@
         return frozenset(attempt.instance for attempt in self.attempts)
 
 
-def may_retry(progress: Progress) -> bool:
+def may_be_sent_again(progress: Progress) -> bool:
     """Whether the request can safely be sent once more. No other code decides this."""
-    if progress.sent_count >= progress.max_attempts:
+    if progress.arrivals >= progress.max_attempts:
         return False
     if progress.answer_begun and not progress.is_resumable:
         return False
     return progress.is_idempotent or not any(attempt.may_have_run for attempt in progress.attempts)
 
 
-def may_report_not_executed(progress: Progress) -> bool:
+def may_promise(progress: Progress) -> bool:
     """Whether the client may be told that the request was not executed and never will be.
 
     No other code decides this.
--- a/madderwind/dataplane/choosing.py
+++ b/madderwind/dataplane/choosing.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from madderwind.balancing.idle_first import IdleFirstSelector
+from madderwind.balancing.idle_first import IdleFirstPick
 from madderwind.configuration.documents import Service
 from madderwind.dataplane.stream_timeouts import StreamTimeouts
 from madderwind.dataplane.upstream_health import UpstreamHealth
@@ -41,7 +41,7 @@
         self.placement = placement
         self.health = UpstreamHealth(rng)
         self.streams = StreamTimeouts()
-        self._idle_first = IdleFirstSelector(rng)
+        self._idle_first = IdleFirstPick(rng)
 
     def configure(self, services: Iterable[Service]) -> None:
         """Apply the services' engine settings to the placement."""
@@ -59,13 +59,13 @@
                 self._idle_first.forget(instance)
                 self.health.forget(instance)
             else:
-                self.placement.set_location(now_ms, instance, known.zone)
+                self.placement.locate(now_ms, instance, known.zone)
 
     def choose(
         self, now_ms: float, service: str, generation: Generation | None, tried: frozenset[str]
     ) -> str | None:
         """The upstream to send to; None if none accepts requests."""
-        candidates = self._upstreams.ready_instances(service)
+        candidates = self._upstreams.ready_of_service(service)
         if not candidates:
             return None
         full = frozenset(instance for instance in candidates if not self._has_capacity(instance, service))
@@ -98,8 +98,8 @@
         avoid: frozenset[str],
     ) -> str | None:
         if generation is None:
-            return self._idle_first.select(self._cheapest_idle(candidates, avoid), avoid)
-        selection = self.placement.select_upstream(now_ms, generation, candidates, avoid)
+            return self._idle_first.pick(self._cheapest_idle(candidates, avoid), avoid)
+        selection = self.placement.choose(now_ms, generation, candidates, avoid)
         return None if selection is None else selection.instance
 
     def _cheapest_idle(self, candidates: tuple[str, ...], avoid: frozenset[str]) -> tuple[str, ...]:
@@ -115,10 +115,10 @@
 
     def began(self, now_ms: float, key: str, generation: Generation | None, instance: str) -> None:
         """Record that the attempt `key` is sent to this upstream."""
-        self._idle_first.record_start(instance)
+        self._idle_first.began(instance)
         self.health.began(instance)
         if generation is not None:
-            self.placement.record_sent(now_ms, key, generation, instance)
+            self.placement.sent(now_ms, key, generation, instance)
 
     def urgency(self, key: str, generation: Generation | None, rank: int) -> int:
         """The `Priority` header of the attempt `key`; `rank` is the priority of its route or tenant."""
@@ -127,19 +127,19 @@
     def stream_began(self, now_ms: float, key: str, instance: str) -> None:
         """Record that the first event of a stream arrived."""
         self.streams.began(now_ms, instance)
-        self.placement.record_event(now_ms, key, True)
+        self.placement.event(now_ms, key, True)
 
     def record_answer(self, instance: str) -> None:
         """Record that the upstream responded, with whatever result."""
-        self._idle_first.record_response(instance)
+        self._idle_first.heard(instance)
         self.health.succeeded(instance)
-        self._upstreams.clear_timeout(instance)
+        self._upstreams.mark_answered(instance)
 
     def ended(
         self, now_ms: float, key: str, generation: Generation | None, instance: str, served: bool
     ) -> None:
         """Record the end of an attempt."""
-        self._idle_first.record_end(instance)
+        self._idle_first.ended(instance)
         self.health.ended(instance)
         if generation is not None:
-            self.placement.record_end(now_ms, key, served)
+            self.placement.ended(now_ms, key, served)
--- a/madderwind/dataplane/forwarder.py
+++ b/madderwind/dataplane/forwarder.py
@@ -63,7 +63,7 @@
         A limit that a newer configuration may have raised does not cause a final rejection.
         """
         admission = self._parts.admission
-        if error.exceeds_limit and not admission.has_current_configuration:
+        if error.exceeds_limit and not admission.knows_newest:
             response = self._reject(admission.provisional_rejection())
             response.force_close()
             return response
--- a/madderwind/dataplane/request_forwarding.py
+++ b/madderwind/dataplane/request_forwarding.py
@@ -9,14 +9,14 @@
 from madderwind.dataplane.admission import Admitted
 from madderwind.dataplane.answer_relay import AnswerRelay
 from madderwind.dataplane.attempt_exchange import AttemptExchange
-from madderwind.dataplane.attempts import Attempt, AttemptResult, Progress, may_report_not_executed
+from madderwind.dataplane.attempts import Attempt, AttemptResult, Progress, may_promise
 from madderwind.dataplane.client_answers import ClientAnswer, ClientDisconnected
 from madderwind.dataplane.client_requests import ClientRequest
 from madderwind.dataplane.own_answers import own_answer, refusal
 from madderwind.dataplane.request_parts import MS_PER_S, RequestParts
 from madderwind.dataplane.retrying import MIN_REMAINING_MS
 from madderwind.dataplane.upstream_heads import REQUEST_ID
-from madderwind.transport.unread import peer_has_closed
+from madderwind.transport.unread import has_left
 
 SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT, BAD_GATEWAY = 503, 504, 502
 
@@ -122,7 +122,7 @@
         if self._progress.answer_begun:
             self._record_outcome("stream_broken_off", last)
             return self.answer.abort()
-        if may_report_not_executed(self._progress):
+        if may_promise(self._progress):
             self._record_outcome("refused", last)
             retry_after_ms = self._parts.admission.route_retry_after_ms(self._admitted.route)
             return refusal(SERVICE_UNAVAILABLE, "no upstream took it", retry_after_ms)
@@ -143,7 +143,7 @@
 
     def _client_disconnected(self) -> bool:
         """Asks the kernel: pipelined requests may delay reading the end of the client's connection."""
-        return peer_has_closed(self._client_request.request.transport)
+        return has_left(self._client_request.request.transport)
 
     def _now_ms(self) -> float:
         return self._loop.time() * MS_PER_S
--- a/madderwind/dataplane/retrying.py
+++ b/madderwind/dataplane/retrying.py
@@ -11,7 +11,7 @@
     TRANSIENT_COST,
     RetryQuota,
 )
-from madderwind.dataplane.attempts import AttemptResult, Progress, may_retry
+from madderwind.dataplane.attempts import AttemptResult, Progress, may_be_sent_again
 
 # Attempts of which no byte was written cost the upstreams nothing; this many are allowed for each request.
 MAX_UNSENT_ATTEMPTS = 4
@@ -47,14 +47,14 @@
         an attempt can still help the client.
         """
         last = progress.attempts[-1].result
-        if not may_retry(progress):
+        if not may_be_sent_again(progress):
             return None
-        if not progress.sent_count or last is AttemptResult.NOT_SENT:
-            unsent = len(progress.attempts) - progress.sent_count
+        if not progress.arrivals or last is AttemptResult.NOT_SENT:
+            unsent = len(progress.attempts) - progress.arrivals
             return 0.0 if unsent < MAX_UNSENT_ATTEMPTS else None
         was_refused = last is AttemptResult.REFUSED_FULL
         wait_ms = self._quota.wait_ms(
-            FULL_BASE_MS if was_refused else TRANSIENT_BASE_MS, progress.sent_count - 1
+            FULL_BASE_MS if was_refused else TRANSIENT_BASE_MS, progress.arrivals - 1
         )
         if wait_ms + MIN_REMAINING_MS > useful_remaining_ms:
             return None
@@ -68,4 +68,4 @@
 
     def succeeded(self, progress: Progress) -> None:
         """Record that a request was served."""
-        self._quota.succeeded(0.0 if progress.sent_count <= 1 else TRANSIENT_COST)
+        self._quota.succeeded(0.0 if progress.arrivals <= 1 else TRANSIENT_COST)
--- a/madderwind/dataplane/service.py
+++ b/madderwind/dataplane/service.py
@@ -32,7 +32,7 @@
     ShutdownRequested,
 )
 from madderwind.errors import SettingsError
-from madderwind.eventlog import EventLog, RateLimitedEventLog
+from madderwind.eventlog import EventLog, Sparing
 from madderwind.limits.budget import FleetRetryBudget
 from madderwind.limits.quota import TenantQuota
 from madderwind.messages.distribution import (
@@ -59,11 +59,11 @@
 IDLE_SLACK_S = 1.0
 COUNTERS_S = 10.0
 # The platform probes readiness every second and needs two failures, so new connections arrive until then.
-DRAIN_ACCEPT_S = 2.5
+STILL_ACCEPTING_S = 2.5
 # The part of `grace_s` reserved for the shutdown of the process itself.
 SHUTDOWN_RESERVE_S = 0.7
 # Upper bounds for both as shares of `grace_s`, so that a short one is mostly left to running requests.
-DRAIN_ACCEPT_SHARE, SHUTDOWN_RESERVE_SHARE = 1 / 3, 0.1
+STILL_ACCEPTING_SHARE, SHUTDOWN_RESERVE_SHARE = 1 / 3, 0.1
 # Time for the last messages to the control planes to be sent.
 SHUTDOWN_FLUSH_S = 0.02
 # Links to control planes in addition to the number of machines that may fail at once.
@@ -86,7 +86,7 @@
         settings: NodeSettings,
         log: EventLog,
         rng: random.Random,
-        drain_accept_s: float = DRAIN_ACCEPT_S,
+        still_accepting_s: float = STILL_ACCEPTING_S,
         debug_log: EventLog | None = None,
     ) -> None:
         """Build all components; needs a running loop.
@@ -95,10 +95,10 @@
             settings: The process's settings.
             log: Receives log events.
             rng: Source of randomness.
-            drain_accept_s: How long new connections are accepted after shutdown has begun.
+            still_accepting_s: How long new connections are accepted after shutdown has begun.
             debug_log: Receives each attempt; None in production.
         """
-        self._drain_accept_s = drain_accept_s
+        self._still_accepting_s = still_accepting_s
         self._settings, self._log, self._rng = settings, log, rng
         self._loop = asyncio.get_running_loop()
         self._phase = Phase.SERVING
@@ -110,14 +110,9 @@
         connections = max(16, settings.limits.max_fds - RESERVED_DESCRIPTORS) // 2
         self.pool = UpstreamPool(connections)
         self.chooser = UpstreamChooser(
-            rng,
-            self.upstreams,
-            self.placement,
-            settings.zone,
-            self._has_capacity,
-            self.pool.has_idle_connection,
+            rng, self.upstreams, self.placement, settings.zone, self._has_capacity, self.pool.keeps
         )
-        self.quota = TenantQuota(bounds, rng, is_first_start=settings.bootstrap)
+        self.quota = TenantQuota(bounds, rng, is_founding=settings.bootstrap)
         self.budget = FleetRetryBudget(
             bounds.retry_budget_ratio, bounds.retry_slack, bounds.budget_window_s * MS_PER_S
         )
@@ -141,16 +136,12 @@
             pool=self.pool,
             retries=retries,
             budget=self.budget,
-            log=RateLimitedEventLog(log, self._now_ms),
+            log=Sparing(log, self._now_ms),
             attempt_log=AttemptLog(debug_log),
             counters=self.counters,
         )
         self._listener = Listener(
-            Forwarder(parts).serve,
-            connections,
-            log,
-            self.pool.connection_count,
-            max_line_bytes=MAX_LINE_BYTES,
+            Forwarder(parts).serve, connections, log, self.pool.held, longest_line=MAX_LINE_BYTES
         )
         self._ready_listener = ReadyListener(lambda: self.is_ready)
         self._document: Document | None = None
@@ -169,7 +160,7 @@
             control_planes=len(self.subscriber.open_links),
             data_planes=self.subscriber.data_planes,
             upstreams=tuple(self.upstreams.all()),
-            upstream_connections=self.pool.connection_count(),
+            upstream_connections=self.pool.held(),
             events=self.counters,
         )
 
@@ -201,8 +192,8 @@
             return
         began_s, grace_s = self._loop.time(), self._settings.bounds.grace_s
         self._change_phase(Phase.DRAINING)
-        self._listener.begin_shutdown()
-        await asyncio.sleep(min(self._drain_accept_s, DRAIN_ACCEPT_SHARE * grace_s))
+        self._listener.begin_ending()
+        await asyncio.sleep(min(self._still_accepting_s, STILL_ACCEPTING_SHARE * grace_s))
         self._change_phase(Phase.FINISHING)
         until_s = began_s + grace_s - min(SHUTDOWN_RESERVE_S, SHUTDOWN_RESERVE_SHARE * grace_s)
         left_open = await self._listener.finish(until_s - self._loop.time())
@@ -235,10 +226,10 @@
             self.quota.configure(now_ms, document.tenants)
         self.reports.share_limits(now_ms)
         limits = document.limits
-        self._listener.set_timeouts(
+        self._listener.tune(
             CallerTimes(
                 idle_s=limits.idle_timeout_ms / MS_PER_S + IDLE_SLACK_S,
-                first_request_timeout_s=limits.header_timeout_ms / MS_PER_S,
+                silent_s=limits.header_timeout_ms / MS_PER_S,
             )
         )
         self._log("configuration_in_force", version=document.version, routes=document.route_count)
@@ -250,7 +241,7 @@
                 changed = self.upstreams.merge(now_ms, upstreams)
                 self.chooser.changed(now_ms, changed)
                 for instance in changed:
-                    if not self.upstreams.accepts_new_requests(instance):
+                    if not self.upstreams.takes_new(instance):
                         self.pool.forget(instance)
             case PeerUsage(used, asked):
                 self.quota.handle_peer_usage(now_ms, used, asked)
@@ -296,7 +287,7 @@
     watch = SettingsWatch(path, plane.apply_settings, log)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, begin_shutdown)
-    loop.add_signal_handler(signal.SIGHUP, watch.reload)
+    loop.add_signal_handler(signal.SIGHUP, watch.read_again)
     watching = loop.create_task(watch.run())
     exporter = await start_exporter(settings.listen, lambda: data_plane_samples(plane.figures()))
     await plane.wait_until_ended()
--- a/madderwind/dataplane/subscriber_links.py
+++ b/madderwind/dataplane/subscriber_links.py
@@ -10,15 +10,15 @@
 
 from madderwind.distribution.reading_ahead import (
     ConfigurationMessage,
-    ParsedConfiguration,
-    apply_message,
-    needs_offloading,
+    ReadAhead,
+    document_after,
+    is_long,
 )
 from madderwind.distribution.subscriber import Subscriber
 from madderwind.distribution.subscriber_events import (
     Action,
     ApplyConfiguration,
-    ConfigurationReceived,
+    ConfigurationArrived,
     Connect,
     Deliver,
     Disconnect,
@@ -147,7 +147,7 @@
                 if frame.type is not aiohttp.WSMsgType.BINARY:
                     break
                 message = to_data_plane.decode(frame.data)
-                if isinstance(message, ConfigurationMessage) and needs_offloading(message):
+                if isinstance(message, ConfigurationMessage) and is_long(message):
                     await self._handle_long_configuration(address, message)
                 else:
                     self.handle(MessageReceived(address, message))
@@ -160,14 +160,12 @@
 
         Later messages on this connection wait for it.
         """
-        self.handle(ConfigurationReceived(address))
+        self.handle(ConfigurationArrived(address))
         base = self._subscriber.document
-        parsed_configuration = None
+        read_ahead = None
         with contextlib.suppress(ConfigurationError):  # the subscriber detects and reports the same error
-            parsed_configuration = ParsedConfiguration(
-                base, await asyncio.to_thread(apply_message, base, message)
-            )
-        self.handle(MessageReceived(address, message, parsed_configuration))
+            read_ahead = ReadAhead(base, await asyncio.to_thread(document_after, base, message))
+        self.handle(MessageReceived(address, message, read_ahead))
 
 
 async def _send_all(socket: aiohttp.ClientWebSocketResponse, outgoing: asyncio.Queue[ToControlPlane]) -> None:
--- a/madderwind/dataplane/upstream_heads.py
+++ b/madderwind/dataplane/upstream_heads.py
@@ -56,7 +56,7 @@
     return Head.ANSWER
 
 
-def declares_body_end(headers: Mapping[str, str]) -> bool:
+def tells_its_end(headers: Mapping[str, str]) -> bool:
     """Whether the head declares how the body ends; otherwise the body ends with the connection.
 
     A body without such a declaration may be truncated: when an upstream process dies within an event, its
--- a/madderwind/dataplane/upstream_pool.py
+++ b/madderwind/dataplane/upstream_pool.py
@@ -34,10 +34,10 @@
         options = ConnectionOptions(
             socket_factory=_open_socket,
             stall_s=HEAD_STALL_S,
-            streaming_stall_s=0.0,
+            passing_stall_s=0.0,
             distrusts_resets=False,
-            default_idle_s=DEFAULT_IDLE_S,
-            starts_after_last_byte=False,
+            untold_idle_s=DEFAULT_IDLE_S,
+            starts_when_whole=False,
         )
         self._upstreams = Upstreams(CONNECT_TIMEOUT_MS, MAX_IDLE_MS, max_connections, options)
         self._instance_numbers: dict[str, int] = {}
@@ -48,14 +48,14 @@
         """The number of connections to the instance that are in use or being established."""
         return self._in_use[instance]
 
-    def has_idle_connection(self, instance: str) -> bool:
+    def keeps(self, instance: str) -> bool:
         """Whether an idle connection to the instance is open."""
         number = self._instance_numbers.get(instance)
-        return number is not None and self._upstreams.has_idle_connection(number)
+        return number is not None and self._upstreams.keeps(number)
 
-    def connection_count(self) -> int:
+    def held(self) -> int:
         """The number of open connections."""
-        return self._upstreams.connection_count()
+        return self._upstreams.held()
 
     async def exchange(
         self,
--- a/madderwind/distribution/exchange.py
+++ b/madderwind/distribution/exchange.py
@@ -84,7 +84,7 @@
         self.suspend(participant)
         self._accounts.pop(participant, None)
 
-    def take_update(self, participant: Hashable) -> PeerUsage | None:
+    def owed(self, participant: Hashable) -> PeerUsage | None:
         """Return the peers' usage since the last call; None if there is nothing new."""
         account = self._accounts[participant]
         used = {}
@@ -147,7 +147,7 @@
         self.suspend(participant)
         self._accounts.pop(participant, None)
 
-    def take_update(self, participant: Hashable) -> PeerLoad | None:
+    def owed(self, participant: Hashable) -> PeerLoad | None:
         """Return the sum of the peers' loads; None if it equals the last one sent to the participant."""
         if self._stale:
             self._update_sum()
@@ -197,7 +197,7 @@
         self._positions.pop(participant, None)
         self._sent_ms.pop(participant, None)
 
-    def take_update(self, now_ms: float, participant: Hashable) -> PeerDispatches | None:
+    def owed(self, now_ms: float, participant: Hashable) -> PeerDispatches | None:
         """Return the peers' dispatches since the last call.
 
         An empty message is returned at most once per EMPTY_DISPATCHES_INTERVAL_MS, otherwise None.
--- a/madderwind/distribution/link.py
+++ b/madderwind/distribution/link.py
@@ -53,7 +53,7 @@
         if self.freshness is None:
             self._clock.handle_reading(now_ms, self._opened_ms, freshness.clock_ms)
         self.freshness, self.freshness_ms = freshness, now_ms
-        sent_ms = self._clock.earliest_send_ms(now_ms, freshness.clock_ms)
+        sent_ms = self._clock.sent_after_ms(now_ms, freshness.clock_ms)
         if sent_ms is not None and freshness.age_ms is not None:
             self._lease_held_ms = sent_ms - freshness.age_ms
         else:
--- a/madderwind/distribution/publisher.py
+++ b/madderwind/distribution/publisher.py
@@ -165,7 +165,7 @@
         """Whether each connected data plane that is not lagging has applied this version or a later one."""
         return not any(session.is_awaited_for(version) for session in self._sessions.values())
 
-    def mark_lagging(self, version: int) -> int:
+    def stop_waiting_for(self, version: int) -> int:
         """Mark the data planes that have not applied a version as lagging, and return how many they are.
 
         Commands do not wait for them until their next acknowledgement.
@@ -184,7 +184,7 @@
         }
         return len(nodes | {participant.node for participant in self._disconnected_since_ms})
 
-    def data_plane_statuses(self) -> tuple[DataPlaneStatus, ...]:
+    def overview(self) -> tuple[DataPlaneStatus, ...]:
         """The status of all subscribed data planes, for operators."""
         sessions = sorted(self._sessions.values(), key=lambda each: each.participant.node)
         return tuple(self._status_of(session) for session in sessions)
@@ -244,7 +244,7 @@
     def _usage_deliveries(self) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
-            if (usage := self._exchanges.usage.take_update(session.participant)) is not None:
+            if (usage := self._exchanges.usage.owed(session.participant)) is not None:
                 deliveries.append(SendTo(connection, usage))
         return deliveries
 
@@ -266,7 +266,7 @@
     def _dispatch_deliveries(self, now_ms: float) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
-            dispatches = self._exchanges.dispatches.take_update(now_ms, session.participant)
+            dispatches = self._exchanges.dispatches.owed(now_ms, session.participant)
             if dispatches is not None:
                 deliveries.append(SendTo(connection, dispatches))
         return deliveries
@@ -274,7 +274,7 @@
     def _load_deliveries(self) -> list[Delivery]:
         deliveries: list[Delivery] = []
         for connection, session in self._sessions.items():
-            if (load := self._exchanges.load.take_update(session.participant)) is not None:
+            if (load := self._exchanges.load.owed(session.participant)) is not None:
                 deliveries.append(SendTo(connection, load))
         return deliveries
 
--- a/madderwind/distribution/remote_clock.py
+++ b/madderwind/distribution/remote_clock.py
@@ -25,7 +25,7 @@
         self._min_offset_ms = offset_ms if known_offset_ms is None else max(offset_ms, known_offset_ms)
         self._bounded_ms = now_ms
 
-    def earliest_send_ms(self, now_ms: float, clock_ms: float) -> float | None:
+    def sent_after_ms(self, now_ms: float, clock_ms: float) -> float | None:
         """Return the earliest local time at which the remote clock showed this; None without a reading."""
         offset_ms = self._min_offset_at(now_ms)
         return None if offset_ms is None else min(now_ms, clock_ms + offset_ms)
--- a/madderwind/distribution/subscriber.py
+++ b/madderwind/distribution/subscriber.py
@@ -16,11 +16,11 @@
 
 from madderwind.configuration.reading import Document
 from madderwind.distribution.link import ControlPlaneLink, LinkState
-from madderwind.distribution.reading_ahead import ConfigurationMessage, ParsedConfiguration, apply_message
+from madderwind.distribution.reading_ahead import ConfigurationMessage, ReadAhead, document_after
 from madderwind.distribution.subscriber_events import (
     Action,
     ApplyConfiguration,
-    ConfigurationReceived,
+    ConfigurationArrived,
     Connect,
     Deliver,
     Disconnect,
@@ -59,13 +59,13 @@
 # Without a response for this long, the configuration is fetched from another control plane.
 FETCH_TIMEOUT_MS = 300.0
 # Timeout for parsing a response that has been received.
-PARSE_TIMEOUT_MS = 3000.0
+READING_TIMEOUT_MS = 3000.0
 # The backoff before the next connection attempt to an address doubles from the initial to the maximum value,
 # less a random part.
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1000.0
 MAX_BACKOFF_DOUBLINGS = 8
 # A version published as fresh counts as current for this long after the primary last held its lease.
-FRESHNESS_LIMIT_MS = 600.0
+CURRENT_MS = 600.0
 # Without a control plane for this long since startup, a configuration from another source would count.
 ISOLATED_AFTER_MS = 3000.0
 
@@ -143,7 +143,7 @@
         if link.freshness is None or not link.freshness.is_primary:
             return False
         age_ms = link.age_ms(now_ms)
-        return age_ms is not None and age_ms < FRESHNESS_LIMIT_MS
+        return age_ms is not None and age_ms < CURRENT_MS
 
     @property
     def open_links(self) -> list[str]:
@@ -160,7 +160,7 @@
                 self._handle_link_closed(now_ms, address, actions)
             case MessageReceived(address):
                 self._handle_message(now_ms, address, event, actions)
-            case ConfigurationReceived(address):
+            case ConfigurationArrived(address):
                 self._handle_configuration_arrival(now_ms, address)
             case SeedsChanged(addresses):
                 self._seeds = addresses
@@ -215,7 +215,7 @@
             case Freshness():
                 self._handle_freshness(now_ms, link, message)
             case ConfigurationSnapshot() | ConfigurationDelta():
-                self._apply_configuration(now_ms, address, message, event.parsed_configuration, actions)
+                self._apply_configuration(now_ms, address, message, event.read_ahead, actions)
             case ControlPlanes(addresses, primary):
                 self._published_addresses = addresses
                 self._named_primary = primary or self._named_primary
@@ -247,14 +247,14 @@
         age_ms = link.age_ms(now_ms)
         if age_ms is None or link.state is not LinkState.OPEN or self.document is None:
             return False
-        return age_ms < FRESHNESS_LIMIT_MS and link.published_version() <= self.version
+        return age_ms < CURRENT_MS and link.published_version() <= self.version
 
     def _apply_configuration(
         self,
         now_ms: float,
         address: str,
         message: ConfigurationMessage,
-        parsed_configuration: ParsedConfiguration | None,
+        read_ahead: ReadAhead | None,
         actions: list[Action],
     ) -> None:
         """Put a newer configuration in force. The version never decreases during the life of the process."""
@@ -265,10 +265,10 @@
         if isinstance(message, ConfigurationDelta) and message.base_version != self.version:
             return  # another version was applied after the fetch; a new fetch follows
         try:
-            if parsed_configuration is not None and parsed_configuration.base is self.document:
-                document = parsed_configuration.document
+            if read_ahead is not None and read_ahead.base is self.document:
+                document = read_ahead.document
             else:
-                document = apply_message(self.document, message)
+                document = document_after(self.document, message)
         except ConfigurationError as error:
             actions.append(CONFIGURATION_UNUSABLE.line(address=address, error=str(error)))
             actions.append(Send(address, FetchConfiguration(0)))
@@ -287,7 +287,7 @@
         if self._fetch is not None:
             link = self._links.get(self._fetch.address)
             is_open = link is not None and link.state is LinkState.OPEN
-            timeout_ms = PARSE_TIMEOUT_MS if self._fetch.is_answered else FETCH_TIMEOUT_MS
+            timeout_ms = READING_TIMEOUT_MS if self._fetch.is_answered else FETCH_TIMEOUT_MS
             if is_open and now_ms - self._fetch.since_ms < timeout_ms:
                 return
             self._avoid_for_fetch = self._fetch.address
--- a/madderwind/distribution/subscriber_events.py
+++ b/madderwind/distribution/subscriber_events.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from madderwind.configuration.reading import Document
-from madderwind.distribution.reading_ahead import ParsedConfiguration
+from madderwind.distribution.reading_ahead import ReadAhead
 from madderwind.log_events.event import LogLine
 from madderwind.messages.distribution import ToControlPlane, ToDataPlane
 
@@ -32,17 +32,14 @@
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
-    """A control plane sent a message.
-
-    `parsed_configuration`: the document, if the host has parsed a configuration.
-    """
+    """A control plane sent a message. `read_ahead`: the document, if the host has parsed a configuration."""
 
     address: str
     message: ToDataPlane
-    parsed_configuration: ParsedConfiguration | None = None
+    read_ahead: ReadAhead | None = None
 
 
-class ConfigurationReceived(msgspec.Struct, frozen=True):
+class ConfigurationArrived(msgspec.Struct, frozen=True):
     """A long configuration was received and is being parsed; MessageReceived follows."""
 
     address: str
@@ -66,7 +63,7 @@
     LinkOpened
     | LinkClosed
     | MessageReceived
-    | ConfigurationReceived
+    | ConfigurationArrived
     | SeedsChanged
     | TimePassed
     | ShutdownRequested
--- a/madderwind/eventlog.py
+++ b/madderwind/eventlog.py
@@ -17,7 +17,7 @@
         """Log one event with its fields."""
 
 
-class RateLimitedEventLog:
+class Sparing:
     """Rate limiter for events that peers and clients can cause at will: one line per event name a second.
 
     Each line has the number of events suppressed since the previous one.
@@ -48,7 +48,7 @@
         self.broken: Counter[str] = Counter()
         self._log = log
 
-    def check(self, holds: bool, name: str, **fields: object) -> bool:
+    def must(self, holds: bool, name: str, **fields: object) -> bool:
         """Return whether the invariant holds; a release build continues after counting a violation."""
         if not holds:
             self.broken[name] += 1
--- a/madderwind/limits/quota.py
+++ b/madderwind/limits/quota.py
@@ -101,14 +101,14 @@
 class TenantQuota:
     """The quotas of all tenants at one data plane.
 
-    `is_first_start`: this is the first start of the whole system, so nothing was spent before. Any other
-    process starts with a low level, as it can't know what was spent.
+    `is_founding`: this is the first start of the whole system, so nothing was spent before. Any other process
+    starts with a low level, as it can't know what was spent.
     """
 
-    def __init__(self, bounds: Bounds, rng: random.Random, *, is_first_start: bool = False) -> None:
+    def __init__(self, bounds: Bounds, rng: random.Random, *, is_founding: bool = False) -> None:
         self._bounds = bounds
         self._rng = rng
-        self._new_tenants_start_full = is_first_start
+        self._new_tenants_start_full = is_founding
         self._tenants: dict[str, _TenantState] = {}
         self._data_planes = 1
         self._is_connected = False
--- a/madderwind/messages/replication.py
+++ b/madderwind/messages/replication.py
@@ -44,14 +44,14 @@
 class PeerStatus(msgspec.Struct, frozen=True, array_like=True):
     """What a replica knows of a member or learner.
 
-    `idle_ms`: the time since its last message; `stopping`: its process is about to end; `receives_directly`:
+    `idle_ms`: the time since its last message; `stopping`: its process is about to end; `is_direct`:
     whether the sender would receive its messages.
     """
 
     member: Member
     idle_ms: float
     stopping: bool
-    receives_directly: bool
+    is_direct: bool
 
 
 class ProposalNumber(msgspec.Struct, frozen=True, array_like=True, order=True):
--- a/madderwind/placement/ablation.py
+++ b/madderwind/placement/ablation.py
@@ -43,7 +43,7 @@
 ALL_ENABLED = Ablation()
 
 
-def ablation_without(mechanism: str) -> Ablation:
+def without(mechanism: str) -> Ablation:
     """All mechanisms enabled except one.
 
     Raises:
--- a/madderwind/placement/placement.py
+++ b/madderwind/placement/placement.py
@@ -32,7 +32,7 @@
 # Prefills up to the first bound are short, those beyond the last are long, the others in between.
 PREFILL_BOUNDS_MS = (120.0, 480.0)
 # The number of distinct priority ranks of routes and tenants.
-PRIORITY_RANKS = 3
+RANKS = 3
 
 
 class Selection(msgspec.Struct, frozen=True):
@@ -71,13 +71,13 @@
         """Apply the configured engine properties of a service."""
         self._table.service(service).configure(slots, kv_tokens, stride)
 
-    def set_location(self, now_ms: float, instance: str, zone: str, identity: str = "") -> None:
+    def locate(self, now_ms: float, instance: str, zone: str, identity: str = "") -> None:
         """Set the zone of an upstream and, if it isn't hashed by its id, its identity for hashing."""
         self._table.locate(now_ms, instance, zone, identity)
 
-    def set_data_planes(self, data_planes: int) -> None:
+    def set_data_planes(self, balancers: int) -> None:
         """Set the number of balancers that share the upstreams."""
-        self._table.data_planes = max(data_planes, 1)
+        self._table.data_planes = max(balancers, 1)
 
     def handle_peer_load(self, now_ms: float, load: Mapping[str, tuple[float, float, float]]) -> None:
         """Apply the total load of all other balancers at each upstream."""
@@ -107,7 +107,7 @@
         self._unreported.clear()
         return prompts
 
-    def select_upstream(
+    def choose(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
         """Select the candidate of lowest cost outside `avoid`; None if there is none."""
@@ -133,7 +133,7 @@
                 best, lowest = Selection(instance, first_ms), cost
         return best
 
-    def record_sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
+    def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
         """Record that the request was sent to this upstream."""
         self._table.advance(now_ms)
         service = self._table.service(generation.service)
@@ -178,7 +178,7 @@
             prefill_ms = request.uncached * model.ms_per_token
         bounds_ms = PREFILL_BOUNDS_MS if self._ablation.prefill_priority else ()
         length_class = sum(prefill_ms > bound_ms for bound_ms in bounds_ms)
-        return length_class * PRIORITY_RANKS + min(max(rank, 0), PRIORITY_RANKS - 1)
+        return length_class * RANKS + min(max(rank, 0), RANKS - 1)
 
     def attempt_record(self, key: str) -> AttemptRecord | None:
         """The record of an attempt that has not ended; None if there is no such attempt."""
@@ -202,7 +202,7 @@
             reason=request.reason,
         )
 
-    def record_event(self, now_ms: float, key: str, first: bool) -> None:
+    def event(self, now_ms: float, key: str, first: bool) -> None:
         """Record an event of the response; the first one updates the latency estimates."""
         if not first:
             return
@@ -219,7 +219,7 @@
         if self._ablation.learned_first_event:
             model.observe(tokens, elapsed_ms / upstream.slowness)
 
-    def record_end(self, now_ms: float, key: str, served: bool) -> None:
+    def ended(self, now_ms: float, key: str, served: bool) -> None:
         """Record the end of the request at its upstream."""
         self._table.advance(now_ms)
         upstream = self._table.known_upstream(self._requests.pop(key, ""))
--- a/madderwind/placement/weighing.py
+++ b/madderwind/placement/weighing.py
@@ -85,7 +85,7 @@
         first_ms += self._admission_ms(service, generation, upstream)
         cost = costs.late_cost(first_ms, generation.aim_ms)
         if self._ablation.failure_memory:
-            cost += costs.failure_weight * upstream.failure_probability(now_ms)
+            cost += costs.failed * upstream.failure_probability(now_ms)
         cost += self._reread_cost(generation, upstream, is_home)
         if self._table.is_in_another_zone(instance, self._zone):
             cost += costs.cross_zone_per_byte * _transfer_bytes(generation)
--- a/madderwind/registry/known_upstreams.py
+++ b/madderwind/registry/known_upstreams.py
@@ -12,7 +12,7 @@
 
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.registry.registry import HEARTBEAT_TIMEOUT_INTERVALS
-from madderwind.registry.states import UpstreamState, later_state, parse_state
+from madderwind.registry.states import UpstreamState, furthest, state_named
 
 # How long a deregistered instance is remembered: until then, a control plane that was partitioned may still
 # publish it as ready.
@@ -60,7 +60,7 @@
         self._known: dict[str, KnownUpstream] = {}
         self._upstreams_by_service: dict[str, dict[str, KnownUpstream]] = {}
         self._instances_by_address: dict[str, set[str]] = {}
-        self._ready_by_service: dict[str, tuple[str, ...]] = {}  # cached results of `ready_instances`
+        self._ready_by_service: dict[str, tuple[str, ...]] = {}  # cached results of `ready_of_service`
         self._deregistered_ms: dict[str, float] = {}  # by instance, oldest first
 
     def merge(self, now_ms: float, records: Iterable[UpstreamRecord]) -> tuple[str, ...]:
@@ -76,7 +76,7 @@
         self._ready_by_service.clear()
         return self._set_deregistered(now_ms, instance)
 
-    def clear_timeout(self, instance: str) -> None:
+    def mark_answered(self, instance: str) -> None:
         """Clear the time-out of an instance that responded to this data plane."""
         if (known := self._known.get(instance)) is not None:
             known.timed_out = False
@@ -85,7 +85,7 @@
         """The instance, unless it is unknown or deregistered."""
         return self._known.get(instance)
 
-    def accepts_new_requests(self, instance: str) -> bool:
+    def takes_new(self, instance: str) -> bool:
         """Whether new requests may be sent to it: it is known and neither draining nor deregistered."""
         known = self._known.get(instance)
         return known is not None and known.state is UpstreamState.READY
@@ -114,7 +114,7 @@
         """The service's upstreams that are not deregistered, including draining ones."""
         return list(self._upstreams_by_service.get(service, {}).values())
 
-    def ready_instances(self, service: str) -> tuple[str, ...]:
+    def ready_of_service(self, service: str) -> tuple[str, ...]:
         """The instances of a service that accept new requests; the same tuple object until a change."""
         ready = self._ready_by_service.get(service)
         if ready is None:
@@ -131,7 +131,7 @@
         if record.instance in self._deregistered_ms:
             return False
         known = self._known.get(record.instance)
-        state = parse_state(record.state)
+        state = state_named(record.state)
         if state is UpstreamState.DEREGISTERED:
             return self._set_deregistered(now_ms, record.instance)
         if known is None:
@@ -180,7 +180,7 @@
 
     def _advance_state(self, known: KnownUpstream, state: UpstreamState) -> bool:
         """Advance to a state; no other method changes the state of a registered instance."""
-        state = later_state(known.state, state)
+        state = furthest(known.state, state)
         if state is known.state:
             return False
         known.state = state
--- a/madderwind/registry/registry.py
+++ b/madderwind/registry/registry.py
@@ -17,7 +17,7 @@
 from madderwind.messages.distribution import UpstreamRecord
 from madderwind.messages.peering import Liveness
 from madderwind.registry.heartbeats import Heartbeat
-from madderwind.registry.states import UpstreamState, later_state, parse_state
+from madderwind.registry.states import UpstreamState, furthest, state_named
 
 # An upstream counts as timed out after this many heartbeat intervals without a heartbeat.
 HEARTBEAT_TIMEOUT_INTERVALS = 3.5
@@ -70,7 +70,7 @@
 
     def advance_to(self, state: UpstreamState) -> bool:
         """Advance to a state; False if the instance is already in it or in a later one."""
-        state = later_state(self.state, state)
+        state = furthest(self.state, state)
         if state is self.state:
             return False
         self.state = state
@@ -115,7 +115,7 @@
         for record in records:
             if self._merge_record(now_ms, record):
                 changed.append(record.instance)
-            self.mark_known_to_peer(record.instance)
+            self.mark_known_elsewhere(record.instance)
         return tuple(self._record(now_ms, instance) for instance in changed)
 
     def merge_liveness(self, now_ms: float, reports: Iterable[Liveness]) -> bool:
@@ -159,12 +159,12 @@
             age_ms = 0.0
         return msgspec.structs.replace(record, heartbeat_age_ms=age_ms)
 
-    def mark_known_to_peer(self, instance: str) -> None:
+    def mark_known_elsewhere(self, instance: str) -> None:
         """Record that another control plane knows the instance, or is reachable and being notified of it."""
         if (entry := self._entries.get(instance)) is not None:
             entry.known_elsewhere = True
 
-    def is_known_to_peer(self, instance: str) -> bool:
+    def is_known_elsewhere(self, instance: str) -> bool:
         """Whether another control plane is assumed to know the instance."""
         entry = self._entries.get(instance)
         return entry is not None and entry.known_elsewhere
@@ -176,7 +176,7 @@
             return None
         return self._record(now_ms, instance)
 
-    def collect_liveness_reports(self, now_ms: float) -> tuple[Liveness, ...]:
+    def take_liveness(self, now_ms: float) -> tuple[Liveness, ...]:
         """The heartbeats received here since the last call, to be reported to the other control planes."""
         reports = []
         for instance, entry in self._entries.items():
@@ -232,7 +232,7 @@
     def _merge_record(self, now_ms: float, record: UpstreamRecord) -> bool:
         """Merge one record; returns whether peers and data planes have to be notified."""
         entry = self._entries.get(record.instance)
-        state = parse_state(record.state)
+        state = state_named(record.state)
         if entry is None:
             return self._add(now_ms, record, state)
         entry.last_heartbeat_ms = max(entry.last_heartbeat_ms, now_ms - record.heartbeat_age_ms)
--- a/madderwind/registry/states.py
+++ b/madderwind/registry/states.py
@@ -16,12 +16,12 @@
 _RANKS = {UpstreamState.READY: 0, UpstreamState.DRAINING: 1, UpstreamState.DEREGISTERED: 2}
 
 
-def later_state(first: UpstreamState, second: UpstreamState) -> UpstreamState:
+def furthest(first: UpstreamState, second: UpstreamState) -> UpstreamState:
     """The later of two states, as an instance never returns to an earlier one."""
     return first if _RANKS[first] >= _RANKS[second] else second
 
 
-def parse_state(name: str) -> UpstreamState:
+def state_named(name: str) -> UpstreamState:
     """Parse the state of a record; one that this version does not know counts as draining."""
     try:
         return UpstreamState(name)
--- a/madderwind/replication/discovery.py
+++ b/madderwind/replication/discovery.py
@@ -58,7 +58,7 @@
         store = self._store
         if not store.bootstrap or store.epoch > 0 or not self.seeds or self.seeds[0] != store.me.address:
             return None
-        required = self.seeds[: rules.target_members]
+        required = self.seeds[: rules.goal]
         known = tuple(
             self._bootstrap_candidates[address]
             for address in required
--- a/madderwind/replication/dispatch.py
+++ b/madderwind/replication/dispatch.py
@@ -106,7 +106,7 @@
             self._roles.primary.handle_join_request(now_ms, request)
         elif self._replaces_primary(member):
             # The primary's machine lost its disk, so this primary will send no more messages.
-            self._follower.clear_primary_contact()
+            self._follower.forget_primary()
             self._roles.election.expedite(now_ms)
 
     def _replaces_primary(self, member: Member) -> bool:
--- a/madderwind/replication/follower.py
+++ b/madderwind/replication/follower.py
@@ -27,8 +27,8 @@
 
     Attributes:
         known_peers: What is known about the other replicas.
-        last_received_ms: When the last message of the newest view's primary arrived, ms on the monotonic
-            clock; None before the first one and after the primary gave up its role.
+        last_received_ms: When the last message of the newest view's primary arrived, ms on the steady clock;
+            None before the first one and after the primary gave up its role.
     """
 
     def __init__(self, context: ReplicaContext) -> None:
@@ -57,7 +57,7 @@
         """Whether a message of the newest view's primary arrived within the given time."""
         return self.last_received_ms is not None and now_ms - self.last_received_ms < within_ms
 
-    def clear_primary_contact(self) -> None:
+    def forget_primary(self) -> None:
         """Record that the primary gave up its role or is permanently lost."""
         self.last_received_ms = None
 
--- a/madderwind/replication/journal.py
+++ b/madderwind/replication/journal.py
@@ -91,7 +91,7 @@
         """Return the actions at the end of an event.
 
         Args:
-            now_ms: Monotonic clock, ms.
+            now_ms: Steady clock, ms.
             position: What is durable once everything added so far is.
             all_records: Returns the records of a rewritten file.
 
--- a/madderwind/replication/known_peers.py
+++ b/madderwind/replication/known_peers.py
@@ -64,7 +64,7 @@
             last_received_ms = now_ms - status.idle_ms
             before = known.get(status.member.incarnation)
             if before is None or last_received_ms > before.last_received_ms:
-                peer = KnownPeer(status.member, last_received_ms, status.stopping, status.receives_directly)
+                peer = KnownPeer(status.member, last_received_ms, status.stopping, status.is_direct)
                 known[status.member.incarnation] = peer
         self._reported, self._primary = tuple(known.values()), None
 
--- a/madderwind/replication/log_shipping.py
+++ b/madderwind/replication/log_shipping.py
@@ -32,7 +32,7 @@
         while peer.progress is Progress.STREAMING and peer.next_index <= last_index and peer.has_open_window:
             if not self._send_batch(now_ms, peer):
                 self.probe(now_ms, peer)
-        peer.start_ack_wait(now_ms, last_index)
+        peer.update_waiting(now_ms, last_index)
 
     def probe(self, now_ms: float, peer: Peer) -> None:
         """Send the next entries, or a snapshot instead, to find out how far the replica's log matches."""
@@ -45,7 +45,7 @@
             entries = self._store.log.batch(peer.next_index)
             self._outbox.send(peer.member.address, self._append_message(peer, previous_epoch, entries))
             peer.record_sent(now_ms, _bytes_of(entries))
-        peer.start_ack_wait(now_ms, self._store.log.last_index)
+        peer.update_waiting(now_ms, self._store.log.last_index)
 
     def probe_from_match(self, now_ms: float, peer: Peer) -> None:
         """Probe again after the last entry known to match, as what was sent since had no effect."""
@@ -55,7 +55,7 @@
 
     def lags(self, peer: Peer) -> bool:
         """Whether the replica has entries left to acknowledge."""
-        return peer.is_lagging(self._store.log.last_index)
+        return peer.lags(self._store.log.last_index)
 
     def may_probe(self, now_ms: float, peer: Peer) -> bool:
         """Whether no probe is in flight whose answer may still arrive."""
--- a/madderwind/replication/membership.py
+++ b/madderwind/replication/membership.py
@@ -30,19 +30,19 @@
 
     Attributes:
         tolerance: Number of replicas that may be lost at once.
-        target_members: Target number of members.
+        goal: Target number of members.
     """
 
     tolerance: int
-    target_members: int
+    goal: int
 
     @property
-    def min_in_sync(self) -> int:
+    def smallest_in_sync(self) -> int:
         """Minimum number of replicas that must hold a command before it is acknowledged."""
         return self.tolerance + 1
 
 
-def target_member_count(tolerance: int, seeds: int) -> int:
+def membership_goal(tolerance: int, seeds: int) -> int:
     """Return the target number of members: an odd number, large enough for the tolerance."""
     largest_odd_number = seeds if seeds % 2 else seeds - 1
     return max(2 * tolerance + 1, largest_odd_number)
@@ -80,7 +80,7 @@
     """
     keeps_primary = view.primary in promised_by and not is_transfer
     in_sync = [name for name in view.in_sync if name != view.primary or keeps_primary]
-    if len(in_sync) < rules.min_in_sync or successor.incarnation not in in_sync:
+    if len(in_sync) < rules.smallest_in_sync or successor.incarnation not in in_sync:
         in_sync = list(view.in_sync)
     return View(view.epoch + 1, successor.incarnation, tuple(in_sync), view.members)
 
@@ -103,7 +103,7 @@
         replaced = _member_to_replace(newcomer, view, primary, peers)
         if replaced is not None:
             return tuple(newcomer if member == replaced else member for member in view.members)
-        if len(view.members) < rules.target_members:
+        if len(view.members) < rules.goal:
             return (*view.members, newcomer)
     return view.members
 
@@ -145,5 +145,5 @@
     joining = [name for name in healths if name not in present and healths[name].is_ready]
     in_sync = [primary.incarnation, *healthy, *joining]
     unhealthy = [name for name in present if name not in healthy]
-    missing = rules.min_in_sync - len(in_sync)
+    missing = rules.smallest_in_sync - len(in_sync)
     return (*in_sync, *unhealthy[: max(0, missing)])
--- a/madderwind/replication/peer.py
+++ b/madderwind/replication/peer.py
@@ -112,9 +112,9 @@
         """Whether the data in flight should be considered lost and sent again."""
         return now_ms - self.sent_ms > times.resend_ms + self.transfer_allowance_ms()
 
-    def start_ack_wait(self, now_ms: float, last_index: int) -> None:
+    def update_waiting(self, now_ms: float, last_index: int) -> None:
         """Start the wait for an acknowledgement if the log has entries it lacks, whether sent or not."""
-        if self.waiting_since_ms is None and self.is_lagging(last_index):
+        if self.waiting_since_ms is None and self.lags(last_index):
             self.waiting_since_ms = now_ms
 
     def record_match(self, now_ms: float, match_index: int, last_index: int) -> None:
@@ -127,12 +127,12 @@
         self._unacknowledged_bytes = 0
         if self.snapshot is not None and self.snapshot.index <= self.match_index:
             self.snapshot = None
-        if not self.is_lagging(last_index):
+        if not self.lags(last_index):
             self.waiting_since_ms = None
         elif progressed:
             self.waiting_since_ms = now_ms
 
-    def is_lagging(self, last_index: int) -> bool:
+    def lags(self, last_index: int) -> bool:
         """Whether it still has to acknowledge the view or an entry up to `last_index`."""
         return not self.is_in_epoch or self.match_index < last_index
 
--- a/madderwind/replication/peer_table.py
+++ b/madderwind/replication/peer_table.py
@@ -74,7 +74,7 @@
     def statuses(self, now_ms: float) -> tuple[PeerStatus, ...]:
         """Return the peer statuses that this primary reports in its heartbeats."""
         return tuple(
-            PeerStatus(peer.member, peer.idle_ms(now_ms), peer.stopping, receives_directly=True)
+            PeerStatus(peer.member, peer.idle_ms(now_ms), peer.stopping, is_direct=True)
             for peer in self._peers.values()
         )
 
--- a/madderwind/replication/pending_requests.py
+++ b/madderwind/replication/pending_requests.py
@@ -12,20 +12,20 @@
 MAX_PENDING_COMMANDS = 64
 
 
-class ResultCondition(msgspec.Struct, frozen=True):
+class Proof(msgspec.Struct, frozen=True):
     """Precondition of a result: a committed entry and a confirmed heartbeat round.
 
     Attributes:
         index: Index of the entry that must be committed.
         round: The heartbeat round that must be confirmed; 0 for none.
-        deadline_ms: When to stop waiting, ms on the monotonic clock.
+        deadline_ms: When to stop waiting, ms on the steady clock.
     """
 
     index: int
     round: int
     deadline_ms: float
 
-    def is_met(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
+    def is_given(self, committed_index: int, rounds: HeartbeatRounds) -> bool:
         """Whether the entry is committed and the round confirmed."""
         return self.index <= committed_index and self.round <= rounds.last_confirmed
 
@@ -33,12 +33,12 @@
 class _PendingCommand(msgspec.Struct, frozen=True):
     token: int
     result: CommandResult
-    condition: ResultCondition
+    proof: Proof
 
 
 class _PendingRead(msgspec.Struct, frozen=True):
     token: int
-    condition: ResultCondition
+    proof: Proof
 
 
 class PendingRequests:
@@ -56,20 +56,20 @@
     @property
     def needed_round(self) -> int:
         """The newest round that a request waits for."""
-        of_commands = max((command.condition.round for command in self._commands), default=0)
-        of_reads = max((read.condition.round for read in self._reads), default=0)
+        of_commands = max((command.proof.round for command in self._commands), default=0)
+        of_reads = max((read.proof.round for read in self._reads), default=0)
         return max(of_commands, of_reads)
 
-    def add_command(self, token: int, result: CommandResult, condition: ResultCondition) -> None:
-        """Add a command whose result is valid once the condition holds."""
-        self._commands.append(_PendingCommand(token, result, condition))
+    def add_command(self, token: int, result: CommandResult, proof: Proof) -> None:
+        """Add a command whose result is valid once the proof holds."""
+        self._commands.append(_PendingCommand(token, result, proof))
 
-    def add_read(self, token: int, condition: ResultCondition) -> None:
-        """Add a read, whose state is confirmed as the newest once the condition holds."""
-        self._reads.append(_PendingRead(token, condition))
+    def add_read(self, token: int, proof: Proof) -> None:
+        """Add a read, whose state is confirmed as the newest once the proof holds."""
+        self._reads.append(_PendingRead(token, proof))
 
     def resolve(self, now_ms: float, committed_index: int, rounds: HeartbeatRounds) -> list[Action]:
-        """Remove requests whose condition holds or whose deadline has passed; return their results."""
+        """Remove requests whose proof holds or whose deadline has passed; return their results."""
         return [
             *self._resolve_commands(now_ms, committed_index, rounds),
             *self._resolve_reads(now_ms, committed_index, rounds),
@@ -86,9 +86,9 @@
         resolved: list[Action] = []
         pending: list[_PendingCommand] = []
         for command in self._commands:
-            if command.condition.is_met(committed_index, rounds):
+            if command.proof.is_given(committed_index, rounds):
                 resolved.append(CommandResolved(command.token, command.result))
-            elif now_ms >= command.condition.deadline_ms:
+            elif now_ms >= command.proof.deadline_ms:
                 resolved.append(CommandResolved(command.token, UNKNOWN_RESULT))
             else:
                 pending.append(command)
@@ -99,9 +99,9 @@
         resolved: list[Action] = []
         pending: list[_PendingRead] = []
         for read in self._reads:
-            if read.condition.is_met(committed_index, rounds):
+            if read.proof.is_given(committed_index, rounds):
                 resolved.append(ReadResolved(read.token, is_newest=True))
-            elif now_ms >= read.condition.deadline_ms:
+            elif now_ms >= read.proof.deadline_ms:
                 resolved.append(ReadResolved(read.token, is_newest=False))
             else:
                 pending.append(read)
--- a/madderwind/replication/primary.py
+++ b/madderwind/replication/primary.py
@@ -27,7 +27,7 @@
 from madderwind.replication.membership import MembershipRules
 from madderwind.replication.peer import Peer, Progress
 from madderwind.replication.peer_table import PeerTable
-from madderwind.replication.pending_requests import PendingRequests, ResultCondition
+from madderwind.replication.pending_requests import PendingRequests, Proof
 from madderwind.replication.submitted_commands import SubmittedCommands
 from madderwind.replication.view_planner import ViewPlanner
 
@@ -63,7 +63,7 @@
             context: The replica's components.
             view: The view that names this replica as primary.
             rules: Rules for the sizes of views.
-            now_ms: Monotonic clock, ms.
+            now_ms: Steady clock, ms.
             known_peers: What this replica knew of the others as a follower.
         """
         self._context, self._rules = context, rules
@@ -94,7 +94,7 @@
         most_current = max(healthy, key=lambda peer: (peer.match_index, peer.last_received_ms), default=None)
         return most_current.member if most_current is not None else None
 
-    def can_be_succeeded(self, now_ms: float) -> bool:
+    def can_be_followed(self, now_ms: float) -> bool:
         """Whether a majority of the members can store their promises, so that another primary can be elected.
 
         If not, giving up the role would gain nothing.
@@ -108,7 +108,7 @@
         ]
         return len(voters) + self._store.is_disk_healthy(now_ms) >= self.view.majority()
 
-    def resolve_pending_as_unknown(self) -> None:
+    def give_up(self) -> None:
         """End the role: all waiting requests end with an unknown outcome."""
         self._store.log.needed_after = None
         self._outbox.extend(self._submitted.abort_all())
@@ -140,8 +140,8 @@
             needed_round = self._round_from_now()
         # A result describes committed state, so the entries that it depends on must be committed.
         deadline_ms = now_ms + self._times.command_timeout_ms
-        condition = ResultCondition(self._store.log.last_index, needed_round, deadline_ms)
-        self._requests.add_command(token, result, condition)
+        proof = Proof(self._store.log.last_index, needed_round, deadline_ms)
+        self._requests.add_command(token, result, proof)
 
     def read(self, now_ms: float, token: int) -> None:
         """Confirm by a heartbeat round that the state committed here is the newest one."""
@@ -149,8 +149,8 @@
             self._outbox.add(ReadResolved(token, is_newest=False))
             return
         deadline_ms = now_ms + self._times.read_timeout_ms
-        condition = ResultCondition(self.lease.inherited_index, self._round_from_now(), deadline_ms)
-        self._requests.add_read(token, condition)
+        proof = Proof(self.lease.inherited_index, self._round_from_now(), deadline_ms)
+        self._requests.add_read(token, proof)
 
     def handle_join_request(self, now_ms: float, request: JoinRequest) -> None:
         """Handle the request of a replica that looks for a primary; an unknown one becomes a learner.
@@ -261,7 +261,7 @@
     def _commit(self, now_ms: float) -> None:
         """Commit the entries that are durable in this epoch at all in-sync and all joining replicas."""
         in_sync = self.view.in_sync
-        if len(in_sync) < self._rules.min_in_sync:
+        if len(in_sync) < self._rules.smallest_in_sync:
             return
         index = min(self._synced_by(incarnation) for incarnation in {*in_sync, *self.planner.joining})
         if index <= self._store.committed_index:
--- a/madderwind/replication/replica.py
+++ b/madderwind/replication/replica.py
@@ -26,7 +26,7 @@
     WriteFailed,
 )
 from madderwind.replication.follower import Follower
-from madderwind.replication.membership import MembershipRules, target_member_count
+from madderwind.replication.membership import MembershipRules, membership_goal
 from madderwind.replication.outbox import Outbox
 from madderwind.replication.primary import Primary
 from madderwind.replication.records import IdentityRecord, stored_state
@@ -98,7 +98,7 @@
         stored = stored_state(recovered.records)
         identity = stored.identity or IdentityRecord(_draw_identifier(rng), options.bootstrap)
         me = Member(identity.incarnation, options.address, options.control_address, options.zone)
-        rules = MembershipRules(options.tolerance, target_member_count(options.tolerance, len(options.seeds)))
+        rules = MembershipRules(options.tolerance, membership_goal(options.tolerance, len(options.seeds)))
         self._outbox = Outbox(me.address)
         self._store = ReplicaStore(me, identity.bootstrap, stored, states, options.times, self._outbox)
         context = ReplicaContext(self._store, self._outbox, options.times, rng)
--- a/madderwind/replication/role_machine.py
+++ b/madderwind/replication/role_machine.py
@@ -118,7 +118,7 @@
     def step_down(self, now_ms: float) -> None:
         """Become a follower; requests pending at the primary end with an unknown outcome."""
         if self.primary is not None:
-            self.primary.resolve_pending_as_unknown()
+            self.primary.give_up()
             if self.primary.lease.fresh_ms is not None:
                 self._follower.record_fresh(self.primary.lease.fresh_ms)
             self.primary = None
@@ -229,7 +229,7 @@
     def transfer_leadership(self, now_ms: float, primary: Primary) -> None:
         """Transfer leadership to a healthy in-sync replica, if there is one and it can be elected."""
         successor = primary.successor(now_ms)
-        if successor is None or not primary.can_be_succeeded(now_ms):
+        if successor is None or not primary.can_be_followed(now_ms):
             return
         store = self._store
         transfer = TransferLeadership(store.me.incarnation, successor.incarnation, store.epoch)
@@ -244,7 +244,7 @@
         view = self._store.view
         if view is None or view.epoch != message.epoch or view.primary != message.sender:
             return
-        self._follower.clear_primary_contact()
+        self._follower.forget_primary()
         self.election.accept_transfer(now_ms, message.epoch)
 
     def _begin_epoch(self, epoch: int) -> None:
--- a/madderwind/replication/submitted_commands.py
+++ b/madderwind/replication/submitted_commands.py
@@ -19,7 +19,7 @@
     Attributes:
         token: Identifies the call.
         command: The command to decide on.
-        deadline_ms: When the command is dropped and answered UNKNOWN, ms on the monotonic clock.
+        deadline_ms: When the command is dropped and answered UNKNOWN, ms on the steady clock.
     """
 
     token: int
--- a/madderwind/replication/view_planner.py
+++ b/madderwind/replication/view_planner.py
@@ -67,7 +67,7 @@
     def _has_enough_in_sync(self, now_ms: float) -> bool:
         """Whether enough in-sync replicas are healthy to acknowledge commands."""
         healthy = [peer for peer in self._peers.in_sync() if peer.is_healthy(now_ms, self._times)]
-        return 1 + len(healthy) >= self._rules.min_in_sync
+        return 1 + len(healthy) >= self._rules.smallest_in_sync
 
     def _has_open_proposal(self) -> bool:
         """Whether an earlier proposal may still be decided."""
--- a/madderwind/settings_watch.py
+++ b/madderwind/settings_watch.py
@@ -25,7 +25,7 @@
 
         The file is read once at the start, as it may have changed while the process started.
         """
-        self.reload()
+        self.read_again()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.read_if_changed()
@@ -34,9 +34,9 @@
         """Read the file again if it has changed since the last check."""
         if (version := self._file_version()) != self._seen_version:
             self._seen_version = version
-            self.reload()
+            self.read_again()
 
-    def reload(self) -> None:
+    def read_again(self) -> None:
         """Apply the file's current settings; an invalid or unreadable file changes nothing."""
         try:
             self._apply(read_settings(str(self._path)))
--- a/madderwind/standalone/admin/desk.py
+++ b/madderwind/standalone/admin/desk.py
@@ -16,7 +16,7 @@
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 
 
-class CommandHandler:
+class Desk:
     """Answers each command line at once, without blocking."""
 
     def __init__(
@@ -33,7 +33,7 @@
         try:
             command = parse_command(line)
         except InvalidCommandError as error:
-            self._copy.log_rate_limited("bad_call", reason=str(error), line=line[:80].decode("latin-1"))
+            self._copy.log_sparingly("bad_call", reason=str(error), line=line[:80].decode("latin-1"))
             return reject(str(error))
         match command.word:
             case "STATUS":
@@ -52,15 +52,15 @@
         return reject(f"{command.name} was never listed")
 
     def _area_metrics(self) -> AreaMetrics | None:
-        evacuation = self._copy.evacuation
-        return None if evacuation is None else AreaMetrics(evacuation.left(), evacuation.counts())
+        withdrawal = self._copy.withdrawal
+        return None if withdrawal is None else AreaMetrics(withdrawal.left(), withdrawal.counts())
 
     def _evacuate_or_return(self, command: Command) -> bytes:
         """Evacuate a zone or region fleet-wide, or return to it."""
-        evacuation, back = self._copy.evacuation, command.word == "RETURN"
-        if evacuation is None:
+        withdrawal, back = self._copy.withdrawal, command.word == "RETURN"
+        if withdrawal is None:
             return reject("this balancer's file has no fleet.leaving")
-        if why_not := evacuation.evacuate_or_return(command.name, back):
+        if why_not := withdrawal.evacuate_or_return(command.name, back):
             return reject(why_not)
         return acknowledge(
             f"{command.name} is returned to in steps" if back else f"{command.name} is left by all copies"
--- a/madderwind/standalone/admin/listener.py
+++ b/madderwind/standalone/admin/listener.py
@@ -7,10 +7,10 @@
 import socket
 from collections.abc import Callable
 
-from madderwind.eventlog import EventLog, RateLimitedEventLog
+from madderwind.eventlog import EventLog, Sparing
 from madderwind.standalone.admin.commands import MAX_COMMAND_BYTES
 from madderwind.transport.accepting import Acceptor
-from madderwind.transport.limits import LOCAL_RESOURCE_ERRNOS
+from madderwind.transport.limits import OWN_LIMITS
 
 LineHandler = Callable[[bytes], bytes]
 # Clients may hold a connection for seconds without sending. Above this number the oldest is closed.
@@ -58,7 +58,7 @@
     """Stays reachable when clients hold all file descriptors, and beside clients that send nothing."""
 
     def __init__(self, answer_line: LineHandler, log: EventLog, now_ms: Callable[[], float]) -> None:
-        self._answer_line, self._log_rate_limited = answer_line, RateLimitedEventLog(log, now_ms)
+        self._answer_line, self._log_sparingly = answer_line, Sparing(log, now_ms)
         self._acceptor = Acceptor(lambda: _Connection(self), self._free_descriptor)
         self._connections: dict[_Connection, None] = {}  # open connections, the oldest first
         self._reserved: list[int] = []
@@ -103,7 +103,7 @@
             while len(self._reserved) < SPARES:
                 self._reserved.append(os.open(os.devnull, os.O_RDONLY))
         except OSError as error:
-            if error.errno not in LOCAL_RESOURCE_ERRNOS:
+            if error.errno not in OWN_LIMITS:
                 raise
 
     def _free_descriptor(self) -> bool:
@@ -113,5 +113,5 @@
             return True
         if self._connections:
             self._close_oldest()
-        self._log_rate_limited("no_descriptor_for_the_second_address")
+        self._log_sparingly("no_descriptor_for_the_second_address")
         return False
--- a/madderwind/standalone/evacuation/actions.py
+++ b/madderwind/standalone/evacuation/actions.py
@@ -26,7 +26,7 @@
     owed: bool = False
 
 
-class CancelAttempt(msgspec.Struct, frozen=True):
+class TakeBack(msgspec.Struct, frozen=True):
     """Cancel an attempt that hangs in an evacuated zone if its request can be retried."""
 
     key: Key
@@ -38,13 +38,13 @@
     upstream: int
 
 
-class BroadcastView(msgspec.Struct, frozen=True):
+class TellView(msgspec.Struct, frozen=True):
     """Broadcast this balancer's view of the zones to all balancers."""
 
     payload: bytes
 
 
-class BroadcastEvacuation(msgspec.Struct, frozen=True):
+class TellEvacuation(msgspec.Struct, frozen=True):
     """Broadcast the state of an area's evacuation to all balancers; the highest order wins."""
 
     order: tuple[int, int]
@@ -58,4 +58,4 @@
     fields: dict[str, Any]
 
 
-Action = Withhold | Reopen | CancelAttempt | Probe | BroadcastView | BroadcastEvacuation | LogEvent
+Action = Withhold | Reopen | TakeBack | Probe | TellView | TellEvacuation | LogEvent
--- a/madderwind/standalone/evacuation/evacuation.py
+++ b/madderwind/standalone/evacuation/evacuation.py
@@ -1,6 +1,6 @@
 """One balancer's part in evacuations: observations, its own and received ones, decide what it withholds.
 
-`tick`, `listed`, `on_evacuation`, `evacuate` and `return_to` return actions in the order in which they
+`tick`, `listed`, `heard_evacuation`, `evacuate` and `return_to` return actions in the order in which they
 have to be carried out. The time is passed to each call. Choices that all balancers have to make alike are
 hashes of marks and numbers that are the same at all of them.
 """
@@ -84,11 +84,11 @@
         self._withholding.cancel_overdue_attempts(now)
         return self._drain_actions()
 
-    def on_message(self, now: float) -> None:
+    def heard_message(self, now: float) -> None:
         """Record that a message of any kind arrived from another balancer."""
         self._views.last_message_ms = now
 
-    def on_view(self, now: float, balancer: int, payload: bytes) -> None:
+    def heard_view(self, now: float, balancer: int, payload: bytes) -> None:
         """Record another balancer's view. A malformed message is counted and ignored."""
         try:
             view = messages.read_view(payload)
@@ -97,7 +97,7 @@
             return
         self._record_view(now, balancer, view)
 
-    def on_evacuation(self, now: float, order: tuple[int, int], payload: bytes) -> list[Action]:
+    def heard_evacuation(self, now: float, order: tuple[int, int], payload: bytes) -> list[Action]:
         """Apply an evacuation's state, sent by any balancer. A malformed message is counted and ignored."""
         try:
             evacuation = messages.read_evacuation(order, payload)
--- a/madderwind/standalone/evacuation/observations.py
+++ b/madderwind/standalone/evacuation/observations.py
@@ -111,11 +111,11 @@
         """Attempts a second of this balancer, smoothed."""
         return self._per_s * math.exp(-max(0.0, now - self._rate_ms) / RATE_DECAY_MS)
 
-    def attempt_started(self, now: float, upstream: int, key: Key) -> None:
+    def began(self, now: float, upstream: int, key: Key) -> None:
         self._open[key] = upstream, now
         self._per_s, self._rate_ms = self.attempt_rate(now) + 1000 / RATE_DECAY_MS, now
 
-    def attempt_ended(self, now: float, key: Key, outcome: Outcome | None, elapsed_ms: float) -> None:
+    def ended(self, now: float, key: Key, outcome: Outcome | None, elapsed_ms: float) -> None:
         """Record the end of an attempt. `outcome` None: the outcome is unknown."""
         upstream, sent_ms = self._open.pop(key, (-1, 0.0))
         if upstream not in self._places:
@@ -123,16 +123,14 @@
         if outcome is Outcome.OK:
             slow = elapsed_ms > self.slow_threshold_ms(now, upstream)
             self._answer_times.setdefault(self._places[upstream].zone, _AnswerTimes()).add(elapsed_ms)
-            self.record_observation(now, upstream, not slow, sent_ms)
+            self.saw(now, upstream, not slow, sent_ms)
             self._history[upstream].last_answer_ms = now
         elif outcome is Outcome.FULL:
-            self.record_observation(
-                now, upstream, True, sent_ms
-            )  # a refusal is an answer too: the upstream is alive
+            self.saw(now, upstream, True, sent_ms)  # a refusal is an answer too: the upstream is alive
         elif outcome in FAILED:
-            self.record_observation(now, upstream, False, sent_ms)
+            self.saw(now, upstream, False, sent_ms)
 
-    def record_observation(self, now: float, upstream: int, good: bool, sent_ms: float) -> None:
+    def saw(self, now: float, upstream: int, good: bool, sent_ms: float) -> None:
         history = self._history.setdefault(upstream, _UpstreamHistory())
         if good:
             history.good_ms = history.last_answer_ms = now
--- a/madderwind/standalone/evacuation/register.py
+++ b/madderwind/standalone/evacuation/register.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from madderwind.standalone.evacuation import messages
-from madderwind.standalone.evacuation.actions import Action, BroadcastEvacuation, LogEvent
+from madderwind.standalone.evacuation.actions import Action, LogEvent, TellEvacuation
 from madderwind.standalone.evacuation.areas import Area, zone_mark
 from madderwind.standalone.evacuation.messages import FLEET_SCOPE, FULL_STEP, STEPS, Evacuation, View
 from madderwind.standalone.evacuation.observations import Observations
@@ -72,7 +72,7 @@
         self.remember(evacuation)
         self.apply(now, area, evacuation, made_here=True)
         if scope != LOCAL_SCOPE:
-            self._out.append(BroadcastEvacuation(evacuation.order, messages.write_evacuation(evacuation)))
+            self._out.append(TellEvacuation(evacuation.order, messages.write_evacuation(evacuation)))
 
     def remember(self, evacuation: Evacuation) -> None:
         """Remember an evacuation as published, whether or not it is applied here."""
--- a/madderwind/standalone/evacuation/reporting.py
+++ b/madderwind/standalone/evacuation/reporting.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 
 from madderwind.standalone.evacuation import decision, messages
-from madderwind.standalone.evacuation.actions import Action, BroadcastView
+from madderwind.standalone.evacuation.actions import Action, TellView
 from madderwind.standalone.evacuation.messages import View
 from madderwind.standalone.evacuation.observations import NOTHING, Observations, ZoneObservation
 from madderwind.standalone.evacuation.register import Register
@@ -90,7 +90,7 @@
             self._published, self._published_ms, self._published_failing = content, now, bad
             per_s = self._observations.attempt_rate(now) if reported else 0.0
             view = messages.write_view(now, self._roster.home_zone, per_s, reported, frozenset(coordinated))
-            self._out.append(BroadcastView(view))
+            self._out.append(TellView(view))
 
     def _zones_to_report(self, now: float) -> tuple[set[str], set[str], set[str]]:
         """Evacuated zones: those that this balancer reports on, coordinates, and that are known to fail."""
--- a/madderwind/standalone/evacuation/withholding.py
+++ b/madderwind/standalone/evacuation/withholding.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from madderwind.standalone.evacuation.actions import Action, CancelAttempt, Reopen, Withhold
+from madderwind.standalone.evacuation.actions import Action, Reopen, TakeBack, Withhold
 from madderwind.standalone.evacuation.areas import Area, EvacuationSettings, fraction
 from madderwind.standalone.evacuation.messages import FULL_STEP, STEPS
 from madderwind.standalone.evacuation.observations import Observations
@@ -120,7 +120,7 @@
     def cancel_overdue_attempts(self, now: float) -> None:
         """Cancel attempts that hang at evacuated upstreams, so that they can be retried elsewhere in time."""
         if self._observations.evacuated_upstreams:
-            self._out += [CancelAttempt(key) for key in self._observations.overdue_attempts(now)]
+            self._out += [TakeBack(key) for key in self._observations.overdue_attempts(now)]
 
     def evacuated_upstreams(self) -> frozenset[int]:
         """Upstreams of areas that this balancer has evacuated, at step 0."""
--- a/madderwind/standalone/handover/handover.py
+++ b/madderwind/standalone/handover/handover.py
@@ -57,7 +57,7 @@
         bans, read_error = read_bans(self._bans_path)
         if read_error:
             self._log("bans_unreadable", error=read_error)
-        self._copy.directory.restore_state(Memory({}, [], bans.suspended, bans.restored_ms))
+        self._copy.directory.recall(Memory({}, [], bans.suspended, bans.restored_ms))
         received = await take_over(self._path, self._on_message)
         if received is None:
             return None
@@ -68,8 +68,8 @@
         except MessageError as error:
             self._log("handover_unreadable", error=str(error))
         else:
-            self._copy.directory.restore_state(message.directory)
-            self._copy.apply_listing(message.listing, cached=True)
+            self._copy.directory.recall(message.directory)
+            self._copy.listed(message.listing, cached=True)
             same_shape = message.shape == deployment_shape(self._copy.settings)
             self._copy.recall(message.quota, message.room, message.upstreams, same_shape)
             self._log("taken_over", upstreams=len(message.listing.members), same_shape=same_shape)
--- a/madderwind/standalone/policy/admission.py
+++ b/madderwind/standalone/policy/admission.py
@@ -24,12 +24,12 @@
 
 
 class Admission:
-    """`limit_per_upstream` is the limit of open requests per usable upstream, over all balancers.
+    """`room` is the limit of open requests per usable upstream, over all balancers.
 
     So the total limit falls when upstreams are lost. `short`: capacity of evacuated upstreams is missing."""
 
     def __init__(self, settings: api.Settings, traffic: Traffic) -> None:
-        self._traffic, self.limit_per_upstream = traffic, INITIAL_LIMIT
+        self._traffic, self.room = traffic, INITIAL_LIMIT
         self.apply_settings(settings)
         self._pressure, self._shrunk_ms, self._grown_ms, self._credited_ms = Mean(), -math.inf, 0.0, 0.0
         self._quota_tokens, self._own_limit, self.short = dict[int, tuple[float, float]](), 0.0, False
@@ -47,9 +47,7 @@
     ) -> None:
         """Add the credit that the limit earned, less what open requests spent, scaled by random noise."""
         elapsed, self._credited_ms, self.short = (now - self._credited_ms) / typical_ms, now, short
-        self._own_limit = max(
-            1e-9, self.limit_per_upstream * max(1.0, usable) * self._traffic.traffic_share(now)
-        )
+        self._own_limit = max(1e-9, self.room * max(1.0, usable) * self._traffic.part(now))
         min_credit = 0.1 if short and self._pressure.mean < FAST_PRESSURE else -1.0
         for n, part in enumerate(self._limit_parts):
             earned = (
@@ -71,7 +69,7 @@
         The bucket holds one second of the rate and its random variation."""
         if tenant_index >= len(self._settings.tenants):
             return True
-        rate = max(0.0, self._settings.tenants[tenant_index].quota_per_s) * self._traffic.traffic_share(now)
+        rate = max(0.0, self._settings.tenants[tenant_index].quota_per_s) * self._traffic.part(now)
         capacity = rate + DEVIATIONS * math.sqrt(rate)
         tokens, updated_ms = self._quota_tokens.get(tenant_index, (capacity, now))
         tokens = min(capacity, tokens + rate * (now - updated_ms) / 1000)
@@ -82,18 +80,13 @@
     def record_answer(self, elapsed_ms: float, answer_times: Mean, aim_ms: float, now: float) -> None:
         """Adjust the limit by an answer's time, compared with the answer times of its class."""
         # This factor moves the target from a third to two thirds of the way.
-        aim_ms *= aim_ms / answer_times.lowest_mean if self.short else 1.0
-        self._pressure.add(min(MAX_PRESSURE, elapsed_ms / (answer_times.lowest_mean**2 * aim_ms) ** (1 / 3)))
+        aim_ms *= aim_ms / answer_times.best if self.short else 1.0
+        self._pressure.add(min(MAX_PRESSURE, elapsed_ms / (answer_times.best**2 * aim_ms) ** (1 / 3)))
         if self._pressure.mean > 1:
             if now - self._shrunk_ms >= answer_times.mean:
-                self.limit_per_upstream, self._shrunk_ms = (
-                    max(MIN_LIMIT, self.limit_per_upstream * LIMIT_SHRINK),
-                    now,
-                )
-        elif self.limit_per_upstream < INITIAL_LIMIT or self.credit[self._most_valuable] < GROWTH_CREDIT:
+                self.room, self._shrunk_ms = max(MIN_LIMIT, self.room * LIMIT_SHRINK), now
+        elif self.room < INITIAL_LIMIT or self.credit[self._most_valuable] < GROWTH_CREDIT:
             # An answer counts for more the further the pressure is below the target.
             growth = GAIN * (1 - self._pressure.mean) ** 2
-            self.limit_per_upstream *= 1 + min(
-                growth, LIMIT_GROWTH * (now - self._grown_ms) / answer_times.mean
-            )
+            self.room *= 1 + min(growth, LIMIT_GROWTH * (now - self._grown_ms) / answer_times.mean)
         self._grown_ms = now
--- a/madderwind/standalone/policy/balancer.py
+++ b/madderwind/standalone/policy/balancer.py
@@ -44,7 +44,7 @@
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Process one event and return the actions that the host has to carry out now, in order."""
-        self._actions, self._now = list[api.Action](), now
+        self._out, self._now = list[api.Action](), now
         if self._traffic.starts_publishing(now):
             self._set_timer(
                 Timer(TimerKind.SEND_RATE), traffic.FIRST_INTERVAL_MS * self._rng.uniform(0.5, 1.5)
@@ -63,8 +63,8 @@
             case api.BodyPassing(request_id, deadline_ms) if request_id in self._requests:
                 self._requests[request_id].stream_body(now, deadline_ms)
             case api.FleetListed():
-                self._fleet.apply_list(event.kind, event.entries)
-                self._subscribe_after(self._subscription.list_received(event.kind))
+                self._fleet.listed(event.kind, event.entries)
+                self._ask_after(self._subscription.list_received(event.kind))
             case api.Retuned(settings):
                 for component in (self, *self._components):
                     component.apply_settings(settings)
@@ -73,8 +73,8 @@
             case api.PeerSpoke(peer, message):
                 self._apply_peer_failures(now, self._traffic.receive(peer, message, now))
             case api.ListFailed():
-                self._subscribe_after(self._subscription.call_failed())
-        return self._actions
+                self._ask_after(self._subscription.call_failed())
+        return self._out
 
     def skipped(self, now: float) -> int:
         """How many upstreams get no requests at present, draining ones not counted."""
@@ -86,24 +86,24 @@
         It gets half of the retry quota, so that both processes together spend no more than one."""
         self._quota.tokens /= 2
         known = {number: u.known() for number, u in self._fleet.upstreams.items()}
-        return api.Memory(self._quota.tokens, self._admission.limit_per_upstream, known)
+        return api.Memory(self._quota.tokens, self._admission.room, known)
 
     def _restore(self, memory: api.Memory) -> None:
         self._quota.tokens = min(self._quota.tokens, memory.quota)
-        self._admission.limit_per_upstream = max(admission.MIN_LIMIT, memory.room or admission.INITIAL_LIMIT)
+        self._admission.room = max(admission.MIN_LIMIT, memory.room or admission.INITIAL_LIMIT)
         for number in memory.upstreams.keys() & self._fleet.upstreams.keys():
             self._fleet.upstreams[number].restore(memory.upstreams[number])
 
-    def _subscribe_after(self, wait_ms: float | None) -> None:
+    def _ask_after(self, wait_ms: float | None) -> None:
         if wait_ms is not None:
             self._set_timer(Timer(TimerKind.SUBSCRIBE), wait_ms)
 
     def _handle_arrival(self, now: float, event: api.RequestArrived) -> None:
         if not 0 <= event.class_index < len(self._settings.classes):
-            self._actions.append(api.Fail(event.request_id))  # whether a retry is harmless is unknown
+            self._out.append(api.Fail(event.request_id))  # whether a retry is harmless is unknown
             return
         request = self._requests[event.request_id] = Request.from_arrival(event, self._settings, now)
-        self._traffic.arrivals.record_arrival(now)
+        self._traffic.arrivals.arrived(now)
         admitted = True
         if self._is_front:  # in an inner tier, a refusal would waste work already done
             self._update_credit(now, other_requests := self._count_open() - 1)
@@ -140,8 +140,8 @@
         number = len(request.attempts)
         request.attempts.append(Attempt(upstream.entry, now, cost))
         upstream.in_flight_since_ms[request.id, number] = now
-        self._actions.append(api.Send(request.id, upstream.entry.upstream, 0.0))
-        if self._is_front and answer_times.count > 1 and request.request_class.effect is not Effect.UNSAFE:
+        self._out.append(api.Send(request.id, upstream.entry.upstream, 0.0))
+        if self._is_front and answer_times.seen > 1 and request.request_class.effect is not Effect.UNSAFE:
             overdue_ms = answer_times.mean + OVERDUE_DEVIATIONS * answer_times.deviation
             if now + overdue_ms + answer_times.mean < request.useful_until_ms:
                 self._set_timer(Timer(TimerKind.OVERDUE, request.id, number), overdue_ms)
@@ -214,7 +214,7 @@
 
     def _retry_or_answer(self, now: float, request: Request, outcome: Outcome) -> None:
         """Schedule a retry within the quota, or answer. Inner tiers retry only what provably never ran."""
-        cost, base_ms = retry_quota.FULL_RETRY if outcome is Outcome.FULL else retry_quota.TRANSIENT_RETRY
+        cost, base_ms = retry_quota.FULL if outcome is Outcome.FULL else retry_quota.TRANSIENT
         wait_ms = self._quota.wait_ms(base_ms, len(request.attempts) - 1)
         if (
             (self._is_front or outcome.never_ran)
@@ -231,11 +231,11 @@
         request = self._requests.get(timer.request_id)
         match timer.kind:
             case TimerKind.SUBSCRIBE if not self._subscription.following:
-                self._actions.append(api.Subscribe(True))
+                self._out.append(api.Subscribe(True))
             case TimerKind.SEND_FAILURES if self._traffic.failed_marks:
-                self._actions.append(api.TellPeers(None, self._traffic.next_message(now)))
+                self._out.append(api.TellPeers(None, self._traffic.next_message(now)))
             case TimerKind.SEND_RATE:
-                self._actions.append(api.TellPeers(None, self._traffic.next_message(now)))
+                self._out.append(api.TellPeers(None, self._traffic.next_message(now)))
                 self._set_timer(Timer(TimerKind.SEND_RATE), self._traffic.next_message_after_ms(now))
             case TimerKind.RETRY if request is not None and request.pending_retry_cost is not None:
                 self._retry(now, request, request.pending_retry_cost)
@@ -271,11 +271,9 @@
         if repetition.may_be_refused(request):
             wait_ms = self._quota.wait_ms(self._picker.answer_times.mean or retry_quota.FULL_BASE_MS, 0)
             retry_after_ms = min(self._settings.max_retry_after_ms, wait_ms)
-            self._actions.append(
-                api.Refuse(request.id, retry_after_ms if self._settings.retry_after else 0.0)
-            )
+            self._out.append(api.Refuse(request.id, retry_after_ms if self._settings.retry_after else 0.0))
         else:
-            self._actions.append(api.Fail(request.id))
+            self._out.append(api.Fail(request.id))
 
     def _set_timer(self, timer: Timer, after_ms: float) -> None:
-        self._actions.append(api.SetTimer(after_ms, self._timers.add(timer)))
+        self._out.append(api.SetTimer(after_ms, self._timers.add(timer)))
--- a/madderwind/standalone/policy/fleet.py
+++ b/madderwind/standalone/policy/fleet.py
@@ -18,12 +18,12 @@
 
 
 class Fleet:
-    """All known upstreams. `preference_order` holds the ready ones by preference, and the first `subset_size`
-    of them are the balancer's subset. `short`: capacity is missing because the fleet evacuated upstreams."""
+    """All known upstreams. `order` holds the ready ones by preference, and the first `subset_size` of them
+    are the balancer's subset. `short`: capacity is missing because the fleet evacuated upstreams."""
 
     def __init__(self, settings: api.Settings, traffic: Traffic, rng: random.Random) -> None:
         self._traffic, self._rng, self._ring = traffic, rng, Ring()
-        self.upstreams, self.preference_order = dict[int, Upstream](), list[Upstream]()
+        self.upstreams, self.order = dict[int, Upstream](), list[Upstream]()
         self._usable, self._counted_ms, self.short = 0.0, -math.inf, False
         self.apply_settings(settings)
 
@@ -31,7 +31,7 @@
         self._settings = settings
         self.reorder()
 
-    def apply_list(self, kind: ListKind, entries: tuple[api.UpstreamEntry, ...]) -> None:
+    def listed(self, kind: ListKind, entries: tuple[api.UpstreamEntry, ...]) -> None:
         """Apply a list of upstreams, or changes to the current one."""
         fresh = {entry.upstream: entry for entry in entries}
         if kind is not ListKind.CHANGES:
@@ -66,17 +66,13 @@
         self._ring.assign(ready)
         start, step = self._settings.me * GOLDEN_RATIO % 1, 1 / max(1, self.subset_size)
         distances = {u: self._ring.distance(u.entry.upstream, start, step) for u in ready}
-        self.preference_order = sorted(
-            ready, key=lambda u: (math.isinf(u.first_attempt_due_ms), distances[u])
-        )
+        self.order = sorted(ready, key=lambda u: (math.isinf(u.first_attempt_due_ms), distances[u]))
         self._counted_ms = -math.inf
 
     def usable(self, now: float) -> float:
         """The number of ready upstreams that are not repeatedly ejected; a cold one counts by its warmth."""
         if now - self._counted_ms >= COUNT_INTERVAL_MS:
-            in_use = {
-                u: u.warmth(now, self._settings) for u in self.preference_order if u.counts_as_capacity(now)
-            }
+            in_use = {u: u.warmth(now, self._settings) for u in self.order if u.counts_as_capacity(now)}
             self._usable, self._counted_ms = sum(in_use.values()), now
             self.short = any(u.evacuated and in_use.get(u, 0.0) < 1 for u in self.upstreams.values())
         return self._usable
--- a/madderwind/standalone/policy/picker.py
+++ b/madderwind/standalone/policy/picker.py
@@ -49,8 +49,8 @@
     def pick(self, request: Request, now: float) -> Upstream | None:
         """The upstream for the request's next attempt, or None if no upstream may receive it."""
         self._now = now
-        any_warm = any(u.warmth(now, self._settings) >= 1 for u in self._fleet.preference_order)
-        if self._fleet.preference_order and not any_warm and not self._admits_while_all_cold(now):
+        any_warm = any(u.warmth(now, self._settings) >= 1 for u in self._fleet.order)
+        if self._fleet.order and not any_warm and not self._admits_while_all_cold(now):
             return None
         candidates, cold = self._candidates(request, now, any_warm)
         healthy = [u for u in candidates if u.is_healthy(now)]
@@ -82,7 +82,7 @@
         """
         if self._traffic.balancer_count <= BALANCERS_PER_UPSTREAM:
             return True
-        order = self._fleet.preference_order
+        order = self._fleet.order
         warmth = sum(u.warmth(now, self._settings) for u in order) / len(order)
         self._all_cold_credit += min(1.0, warmth * self._settings.fall_multiple)
         if self._all_cold_credit < 1.0:
@@ -123,8 +123,8 @@
         """The order in which to consider upstreams, and how many idle ones to find."""
         if self._settings.warm_keys and request.key:
             return self._key_preference(request.key)
-        part = self._traffic.traffic_share(now)
-        return self._fleet.preference_order, max(
+        part = self._traffic.part(now)
+        return self._fleet.order, max(
             MIN_SUBSET, round(self._fleet.subset_size * part * self._traffic.balancer_count)
         )
 
@@ -140,7 +140,7 @@
                 (hash((key, u.mark)) * 0x9E3779B97F4A7C15 % 2**64 + 1) / 2**64
             ) / self._relative_size(u)
 
-        order = sorted(self._fleet.preference_order, key=score, reverse=True)
+        order = sorted(self._fleet.order, key=score, reverse=True)
         return order, HOMES_PER_KEY + math.floor(part * len(order))
 
     def _weight(self, u: Upstream) -> float:
@@ -162,7 +162,7 @@
 
         The latter shows that it is slow before any attempt has ended."""
         silent_ms = self._now - max(u.last_answer_ms, next(iter(u.in_flight_since_ms.values()), self._now))
-        return max(u.slowness, silent_ms / self.answer_times.mean if self.answer_times.count else 0.0)
+        return max(u.slowness, silent_ms / self.answer_times.mean if self.answer_times.seen else 0.0)
 
     def _cold_accepts(self, u: Upstream, any_warm: bool) -> bool:
         """Whether a cold upstream may get an attempt: by its credit or, if all are cold, one at a time."""
--- a/madderwind/standalone/policy/traffic.py
+++ b/madderwind/standalone/policy/traffic.py
@@ -24,7 +24,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self.apply_settings(settings)
         self.arrivals, self.failed_marks = ArrivalRate(), list[int]()
-        self._peer_rates: dict[int, tuple[float, float]] = {}  # rate of each peer, and when it was received
+        self._heard: dict[int, tuple[float, float]] = {}  # rate of each peer, and when it was received
         self._peer_rate, self._summed_ms = 0.0, -math.inf
         self._publishing_since_ms = math.inf
 
@@ -43,7 +43,7 @@
         decoded = peer_messages.decode(message)
         if decoded is None or not 0 <= peer < self.balancer_count:
             return frozenset()
-        self._peer_rates[peer] = decoded.rate, now
+        self._heard[peer] = decoded.rate, now
         return decoded.marks
 
     def next_message(self, now: float) -> bytes:
@@ -61,21 +61,19 @@
         by_cost_ms = REQUESTS_PER_MESSAGE * self.balancer_count / max(rate, 1e-9) * 1000
         return max(MIN_INTERVAL_MS, min(MAX_INTERVAL_MS, by_cost_ms))
 
-    def traffic_share(self, now: float) -> float:
+    def part(self, now: float) -> float:
         """This balancer's share. A silent peer counts as 0, one that never sent a message as the mean."""
-        if (
-            not self._peer_rates
-        ):  # at first all of it, as an equal share would refuse requests at a busy balancer
+        if not self._heard:  # at first all of it, as an equal share would refuse requests at a busy balancer
             at_first = now - self.arrivals.first_ms < 2 * FIRST_INTERVAL_MS
             return 1.0 if self._may_publish and at_first else 1 / self.balancer_count
         if now - self._summed_ms >= SUM_INTERVAL_MS:
             alive_rate = sum(
                 rate
-                for rate, at_ms in self._peer_rates.values()
+                for rate, at_ms in self._heard.values()
                 if now - at_ms < SILENT_INTERVALS * self._interval_ms(rate)
             )
             self._peer_rate, self._summed_ms = (
-                alive_rate * max(1.0, (self.balancer_count - 1) / len(self._peer_rates)),
+                alive_rate * max(1.0, (self.balancer_count - 1) / len(self._heard)),
                 now,
             )
         own = self.arrivals.per_second(now)
--- a/madderwind/standalone/program/service.py
+++ b/madderwind/standalone/program/service.py
@@ -13,19 +13,19 @@
 import msgspec
 from aiohttp import web
 
-from madderwind.standalone.admin.desk import CommandHandler
+from madderwind.standalone.admin.desk import Desk
 from madderwind.standalone.admin.listener import MOST_CALLS, SPARES, AdminListener
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.handover.handover import Handover
 from madderwind.standalone.program.configuration import Configuration, ConfigurationError, read_successor
 from madderwind.standalone.program.log import JsonLog, LibraryLogHandler
-from madderwind.standalone.routing.copy import Copy, HostEnding
+from madderwind.standalone.routing.copy import Copy, LastWord
 from madderwind.standalone.routing.discovery import Follower
 from madderwind.standalone.routing.exchange import serve
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 from madderwind.standalone.routing.peers import Peers
-from madderwind.standalone.routing.withdrawal import EvacuationDriver
-from madderwind.standalone.settings import HostSettings, changed_location_settings, merge_settings
+from madderwind.standalone.routing.withdrawal import Withdrawal
+from madderwind.standalone.settings import HostSettings, moved, retuned
 from madderwind.transport.budget import Budgets
 from madderwind.transport.listening import Listener
 from madderwind.transport.upstreams import Upstreams
@@ -74,7 +74,7 @@
         self._follower = Follower(self.copy, configuration.discovery, self._random)
         self._follow_task: asyncio.Task[None] | None = None
         self._reopen_task: asyncio.Task[None] | None = None
-        self._listener = Listener(self._answer, self._max_connections, log, self._upstreams.connection_count)
+        self._listener = Listener(self._answer, self._max_connections, log, self._upstreams.held)
         # An upgrade needs the admin address, where operators check whether the new process serves.
         self._handover: Handover | None = None
         if configuration.admin is not None and folder:
@@ -87,7 +87,7 @@
                 log,
             )
         operator_target = self._handover or self.copy
-        desk = CommandHandler(self.copy, self._is_ready, operator_target.suspend, operator_target.restore)
+        desk = Desk(self.copy, self._is_ready, operator_target.suspend, operator_target.restore)
         self._admin = AdminListener(desk.answer, log, self.copy.clock.now_ms)
         self.admin_port = 0
 
@@ -103,18 +103,18 @@
         configuration, copy = self._configuration, self.copy
         me, fleet = configuration.host.settings.me, configuration.fleet
         if fleet is None:
-            return Peers(configuration.peers, me, copy.heard, copy.log_rate_limited)
-        logs, seed = (self._log, copy.log_rate_limited), configuration.seed
+            return Peers(configuration.peers, me, copy.heard, copy.log_sparingly)
+        logs, seed = (self._log, copy.log_sparingly), configuration.seed
         return GossipPeers(configuration.peers, me, copy.heard, *logs, copy.clock, fleet, seed)
 
-    def _create_evacuation(self, peers: Peers | GossipPeers) -> EvacuationDriver | None:
+    def _create_withdrawal(self, peers: Peers | GossipPeers) -> Withdrawal | None:
         """The coordinated evacuation of zones, if the file enables it."""
         fleet, host = self._configuration.fleet, self._configuration.host
         if not isinstance(peers, GossipPeers) or fleet is None or fleet.leaving is None:
             return None
         zone = host.zone_names[host.settings.zone]
-        copy, logs = self.copy, (self._log, self.copy.log_rate_limited)
-        return EvacuationDriver(peers, copy, host.settings, zone, fleet.leaving, copy.clock, *logs)
+        copy, logs = self.copy, (self._log, self.copy.log_sparingly)
+        return Withdrawal(peers, copy, host.settings, zone, fleet.leaving, copy.clock, *logs)
 
     async def _wait_for_gossip_sync(self, peers: Peers | GossipPeers) -> None:
         """Wait for the state of the fleet, so that a copy that starts does not send to an evacuated zone."""
@@ -142,7 +142,7 @@
         self._upstreams.share(self._max_connections // processes)
         self._listener.share(self._max_connections // processes)
         self._budgets.share(processes)
-        self._listener.set_handed_over(self._successor_ready)
+        self._listener.hand_on(self._successor_ready)
         if self.copy.peers is not None and self._successor_ready:
             self.copy.peers.close()  # both processes are one copy, and only the successor sends and receives
         elif self.copy.peers is not None and self.copy.peers.closed:
@@ -174,7 +174,7 @@
         needs_restart = [
             field for field in RESTART_ONLY_FIELDS if getattr(new, field) != getattr(current, field)
         ]
-        needs_restart += changed_location_settings(current.host, new.host)
+        needs_restart += moved(current.host, new.host)
         version_fields = (
             {} if new.stamp is None else {"version": new.stamp.number, "digest": new.stamp.digest}
         )
@@ -182,13 +182,13 @@
             "configuration_read", discovery=list(new.discovery), needs_restart=needs_restart, **version_fields
         )
         # Fields that need a restart keep their running values, so a later reload compares with those.
-        host = self._with_effective_settings(merge_settings(current.host, new.host))
+        host = self._with_effective_settings(retuned(current.host, new.host))
         self._configuration = msgspec.structs.replace(
             current, discovery=new.discovery, host=host, parts=new.parts, stamp=new.stamp
         )
         self.copy.tally.version = new.version
         if host != current.host:
-            self.copy.apply_settings(host)
+            self.copy.retune(host)
         if new.discovery != current.discovery:
             self._follower = Follower(self.copy, new.discovery, self._random)
             if self._follow_task is not None:  # otherwise `run` has yet to start this follower
@@ -203,8 +203,8 @@
             await self._run()
         finally:
             self._admin.close()
-            if self.copy.evacuation is not None:
-                self.copy.evacuation.close()
+            if self.copy.withdrawal is not None:
+                self.copy.withdrawal.close()
             if self.copy.peers is not None:
                 self.copy.peers.close()
             if self._handover is not None:
@@ -219,16 +219,16 @@
         # Installed before readiness, because the default action of SIGHUP would end the process.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         configuration = self._configuration
-        self.copy.apply_listing(configuration.known, cached=True)
+        self.copy.listed(configuration.known, cached=True)
         if configuration.admin is not None:
             self.admin_port = await self._admin.start(*configuration.admin)
         if configuration.peers:
             self.copy.peers = self.create_peers()
-            self.copy.evacuation = self._create_evacuation(self.copy.peers)
+            self.copy.withdrawal = self._create_withdrawal(self.copy.peers)
             await self.copy.peers.start(shared=self._handover is not None)
-            if self.copy.evacuation is not None:
-                self.copy.evacuation.listed(self.copy.directory.places())
-                self.copy.evacuation.start()
+            if self.copy.withdrawal is not None:
+                self.copy.withdrawal.listed(self.copy.directory.places())
+                self.copy.withdrawal.start()
                 await self._wait_for_gossip_sync(self.copy.peers)
         elif configuration.host.settings.may_tell:
             self._log("no_peers_named")
@@ -267,15 +267,15 @@
             await asyncio.sleep(TAKE_ON_S)
         # Callers keep using their open connections, and another balancer may be down as well. Requests
         # on those connections are accepted as long as the time left is enough for most answers.
-        await self._listener.drain(
+        await self._listener.serve_on(
             deadline_s - min(c.aim_ms for c in classes) * TYPICAL_ANSWER_FRACTION / 1000
         )
         unanswered = await self._listener.finish(deadline_s - loop.time())
         if unanswered:
             # A client may wait longer than the platform waits before SIGKILL, which would lose its request.
             self._log("answered_at_the_end", count=unanswered)
-            self.copy.end_open_requests(HostEnding.ENDING)
+            self.copy.end_all(LastWord.ENDING)
             unanswered = await self._listener.finish(LAST_WRITE_S)
             while self.copy.passes_answers():  # answers still arriving from upstreams are not truncated
                 unanswered = await self._listener.finish(LAST_WRITE_S)
-            self.copy.invariants.check(not unanswered, "nothing_unanswered_at_the_end", count=unanswered)
+            self.copy.invariants.must(not unanswered, "nothing_unanswered_at_the_end", count=unanswered)
--- a/madderwind/standalone/protocol/requests.py
+++ b/madderwind/standalone/protocol/requests.py
@@ -42,7 +42,7 @@
     """A request that this protocol doesn't allow; the text goes to the client and the log."""
 
 
-class ParsedRequest(msgspec.Struct, frozen=True):
+class Asked(msgspec.Struct, frozen=True):
     """The fields of a request that the decisions need.
 
     `odd_props` is the first part of the properties that can't be parsed, if any.
@@ -79,9 +79,7 @@
         self._has_tenants = len(host.retired_tenants) < len(self._tenants)
         self._served_until_ms, self._tenants_until_ms = served_until_ms, tenants_until_ms
 
-    def read(
-        self, method: str, target: str, headers: CIMultiDictProxy[str], now_ms: float = 0.0
-    ) -> ParsedRequest:
+    def read(self, method: str, target: str, headers: CIMultiDictProxy[str], now_ms: float = 0.0) -> Asked:
         """Parse a request; raises BadRequest if this protocol doesn't allow it."""
         _check_utf8(target, headers)
         trace_id = headers.get(TRACE_ID, "")
@@ -112,7 +110,7 @@
                 hint_ms = int(hint) / 1000
             else:
                 invalid = invalid or f"{SIZE_HINT}: {hint[:40]}"
-        return ParsedRequest(
+        return Asked(
             trace_id,
             class_index,
             tenant_index,
--- a/madderwind/standalone/routing/copy.py
+++ b/madderwind/standalone/routing/copy.py
@@ -9,7 +9,7 @@
 import msgspec
 from multidict import CIMultiDict
 
-from madderwind.eventlog import EventLog, Invariants, RateLimitedEventLog
+from madderwind.eventlog import EventLog, Invariants, Sparing
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.policy import api
 from madderwind.standalone.policy.api import UpstreamState
@@ -21,7 +21,7 @@
 from madderwind.standalone.routing.gossip_peers import GossipPeers
 from madderwind.standalone.routing.peers import Peers
 from madderwind.standalone.routing.tally import Tally
-from madderwind.standalone.routing.withdrawal import EvacuationDriver
+from madderwind.standalone.routing.withdrawal import Withdrawal
 from madderwind.standalone.settings import HostSettings
 from madderwind.transport.budget import Budgets
 from madderwind.transport.encoded_request import EncodedRequest
@@ -30,7 +30,7 @@
 PROBE_TIMEOUT_MS = 300.0
 
 
-class HostEnding(Enum):
+class LastWord(Enum):
     """Why the host ends a request itself, with an answer that does not say whether the request ran."""
 
     DEADLINE = "the module said nothing in time"
@@ -40,7 +40,7 @@
 class OpenRequest(Protocol):
     """An open request, as `Copy` uses it."""
 
-    inbox: asyncio.Queue[api.Event | HostEnding]
+    inbox: asyncio.Queue[api.Event | LastWord]
     streaming_attempt: int | None
 
     @property
@@ -68,7 +68,7 @@
     ) -> None:
         self.host, self.settings = host, host.settings
         self.clock, self.upstreams, self.budgets, self.log = clock, upstreams, budgets, log
-        self.log_rate_limited = RateLimitedEventLog(log, clock.now_ms)
+        self.log_sparingly = Sparing(log, clock.now_ms)
         self.invariants = Invariants(log)
         self.reader = RequestReader(host)
         self._served_until_ms: dict[str, float] = {}  # classes removed from the settings
@@ -79,7 +79,7 @@
         self.open_trace_ids: set[str] = set()
         self.watch_asked_for = asyncio.Event()
         self.peers: Peers | GossipPeers | None = None  # set if the configuration names other copies
-        self.evacuation: EvacuationDriver | None = None  # set if the fleet evacuates zones together
+        self.withdrawal: Withdrawal | None = None  # set if the fleet evacuates zones together
         self._balancer = Balancer(host.settings, seed)
         self._last_request_number = 0
         self._last_event_ms = 0.0
@@ -93,26 +93,26 @@
         """Whether a long answer is being streamed to a caller."""
         return any(exchange.streaming_attempt is not None for exchange in self.open.values())
 
-    def end_open_requests(self, reason: HostEnding) -> None:
+    def end_all(self, reason: LastWord) -> None:
         """Tell every open request that the host ends it, and why."""
         for exchange in self.open.values():
             exchange.inbox.put_nowait(reason)
 
-    def apply_listing(self, listing: Listing, cached: bool = False) -> None:
+    def listed(self, listing: Listing, cached: bool = False) -> None:
         """Apply a listing from discovery, to the module and to pending sends at the same moment."""
         for unreadable in listing.odd:
             self.log("odd_member", member=unreadable)
-        event = self.directory.apply(listing, cached)
+        event = self.directory.take(listing, cached)
         for entry in event.entries:
             # An upstream that is not ready gets no new requests, so its idle connections are useless.
             if entry.state is not UpstreamState.READY:
                 self.upstreams.close_idle(entry.upstream)
-        self.deliver_event(event)
+        self.happened(event)
         self._update_evacuation_places()
 
     def _update_evacuation_places(self) -> None:
-        if self.evacuation is not None:
-            self.evacuation.listed(self.directory.places())
+        if self.withdrawal is not None:
+            self.withdrawal.listed(self.directory.places())
 
     def leave(self, upstreams: frozenset[int]) -> None:
         """Send nothing new to these upstreams until they are reopened: their zone is evacuated."""
@@ -131,7 +131,7 @@
                 changed = (
                     msgspec.structs.replace(entry, state=state, started_ms=started_ms) for entry in ready
                 )
-                self.deliver_event(msgspec.structs.replace(event, entries=tuple(changed)))
+                self.happened(msgspec.structs.replace(event, entries=tuple(changed)))
         self._apply_fleet_change(event)
 
     def cancel_repeatable_attempt(self, request: int, attempt: int) -> None:
@@ -143,18 +143,18 @@
     def began(self, upstream: int, key: tuple[int, int]) -> None:
         """Record that an attempt at an upstream has begun."""
         self.directory.began(upstream)
-        if self.evacuation is not None:
-            self.evacuation.began(upstream, key)
+        if self.withdrawal is not None:
+            self.withdrawal.began(upstream, key)
 
     def ended(
         self, upstream: int, key: tuple[int, int], outcome: api.Outcome | None, elapsed_ms: float
     ) -> None:
         """Record that an attempt has ended; `outcome` is None if its result is unknown."""
         self.directory.ended(upstream)
-        if self.evacuation is not None:
-            self.evacuation.ended(key, outcome, elapsed_ms)
+        if self.withdrawal is not None:
+            self.withdrawal.ended(key, outcome, elapsed_ms)
 
-    def apply_settings(self, host: HostSettings) -> None:
+    def retune(self, host: HostSettings) -> None:
         """Apply new settings in which classes and tenants keep their numbers.
 
         The module keeps its state. A class or tenant that was removed is still served for one more deadline.
@@ -178,7 +178,7 @@
         self.reader = RequestReader(host, self._served_until_ms, self._tenants_until_ms)
         self.tally.add_classes(host.class_names)
         self.upstreams.retune(host.settings.connect_timeout_ms, host.idle_ms)
-        self.deliver_event(api.Retuned(host.settings))
+        self.happened(api.Retuned(host.settings))
 
     def hand_over(self) -> tuple[float, float, dict[str, api.Known]]:
         """The module's state for a successor process: quota, room, and upstreams by discovery's ids."""
@@ -188,7 +188,7 @@
 
     def heard(self, peer: int, message: bytes) -> None:
         """Deliver a message from another copy to the module."""
-        self.deliver_event(api.PeerSpoke(peer, message))
+        self.happened(api.PeerSpoke(peer, message))
 
     def recall(self, quota: float, room: float, upstreams: dict[str, api.Known], same: bool) -> None:
         """Restore the state of the previous process, after the list that it followed was applied.
@@ -206,7 +206,7 @@
             }
         numbers = ((self.directory.number(name), known) for name, known in upstreams.items())
         by_number = {number: known for number, known in numbers if number is not None}
-        self.deliver_event(api.Recalled(api.Memory(quota, room, by_number)))
+        self.happened(api.Recalled(api.Memory(quota, room, by_number)))
 
     def suspend(self, name: str, heard: bool = False) -> bool:
         """Send nothing more to this upstream from now on. Returns whether it was ever listed.
@@ -230,7 +230,7 @@
     def _apply_fleet_change(self, event: api.FleetListed) -> None:
         for entry in event.entries:
             self.upstreams.close_idle(entry.upstream)  # no longer used, or restarted in the meantime
-        self.deliver_event(event)
+        self.happened(event)
 
     def _apply_suspension_change(self, event: api.FleetListed) -> None:
         self._apply_fleet_change(event)
@@ -240,17 +240,17 @@
         """How many listed upstreams the module avoids now."""
         return self._balancer.skipped(self.clock.now_ms())
 
-    def deliver_event(self, event: api.Event) -> None:
+    def happened(self, event: api.Event) -> None:
         """Deliver an event that belongs to no open request's task; an error is logged."""
         try:
-            self.handle_event(event)
+            self.decide(event)
         except Exception as error:
             self.log("decision_broke", on=type(event).__name__, error=repr(error))
 
-    def handle_event(self, event: api.Event, exchange: OpenRequest | None = None) -> None:
+    def decide(self, event: api.Event, exchange: OpenRequest | None = None) -> None:
         """Deliver one event to the module and carry out its actions in order."""
         now_ms = self.clock.now_ms()
-        self.invariants.check(now_ms >= self._last_event_ms, "clock_only_advances")
+        self.invariants.must(now_ms >= self._last_event_ms, "clock_only_advances")
         self._last_event_ms = now_ms
         for action in self._balancer.handle(now_ms, event):
             match action:
@@ -260,7 +260,7 @@
                 case api.Send() | api.Refuse() | api.Fail() | api.Cancel():
                     open_request = self.open.get(action.request_id)
                     known = open_request is not None
-                    self.invariants.check(known, "acts_for_open_requests", action=type(action).__name__)
+                    self.invariants.must(known, "acts_for_open_requests", action=type(action).__name__)
                     if open_request is not None:
                         open_request.carry_out(action)
                 case api.Subscribe() | api.FetchList():
@@ -282,14 +282,14 @@
             return ()
         report = read_report(text, self.host.report_names)
         if report is None:
-            self.log_rate_limited("odd_report", upstream=self.directory.name(upstream), report=text[:120])
+            self.log_sparingly("odd_report", upstream=self.directory.name(upstream), report=text[:120])
             return ()
         return report
 
     def _timer_fired(self, token: int, exchange: OpenRequest | None) -> None:
         fired = api.TimerFired(token)
         if exchange is None or exchange.over:
-            self.deliver_event(fired)
+            self.happened(fired)
         else:
             exchange.inbox.put_nowait(fired)
 
@@ -320,6 +320,6 @@
             report = self.report(upstream, answer.body.decode("latin-1"))
         else:
             outcome = answer
-        if self.evacuation is not None:
-            self.evacuation.probed(upstream, outcome is api.Outcome.OK, started_ms)
-        self.deliver_event(api.ProbeEnded(outcome, self.clock.now_ms() - started_ms, upstream, report))
+        if self.withdrawal is not None:
+            self.withdrawal.probed(upstream, outcome is api.Outcome.OK, started_ms)
+        self.happened(api.ProbeEnded(outcome, self.clock.now_ms() - started_ms, upstream, report))
--- a/madderwind/standalone/routing/directory.py
+++ b/madderwind/standalone/routing/directory.py
@@ -65,7 +65,7 @@
         self._reopened_ms: dict[int, float] = {}
         self.revision = 0
 
-    def apply(self, listing: Listing, cached: bool = False) -> FleetListed:
+    def take(self, listing: Listing, cached: bool = False) -> FleetListed:
         """Apply a listing, and return it as an event for the module."""
         listed_before_ids = set(self._told)
         entries = tuple(self._entry(member, listing.revision) for member in listing.members)
@@ -96,7 +96,7 @@
             dict(self._ends), list(self._ever_listed), sorted(self.suspended), dict(self._restored_ms)
         )
 
-    def restore_state(self, memory: Memory) -> None:
+    def recall(self, memory: Memory) -> None:
         """Restore the state of the previous process, before the list that it followed is applied."""
         for name in (*memory.listed_before, *memory.suspended):
             _keep_latest(self._ever_listed, name, None, MAX_EVER_LISTED, protected=self.suspended)
--- a/madderwind/standalone/routing/discovery.py
+++ b/madderwind/standalone/routing/discovery.py
@@ -64,7 +64,7 @@
                 copy.log("watch_broke", error=repr(error))
             if copy.settings.must_ask:
                 copy.watch_asked_for.clear()  # requests made before the watch failed
-                copy.deliver_event(api.ListFailed())
+                copy.happened(api.ListFailed())
                 await self._wait_until_asked()
             else:
                 await asyncio.sleep(RETRY_S * (1 + self._random.random()))
@@ -96,7 +96,7 @@
                 whole=received.complete,
                 members=[[member.id, member.phase] for member in received.members],
             )
-            self._copy.apply_listing(received)
+            self._copy.listed(received)
             self.heard.set()
             self._listed_since_start = True
         # Only a whole list or an empty line is a sign of life: not a partial list, nor an unreadable line.
--- a/madderwind/standalone/routing/exchange.py
+++ b/madderwind/standalone/routing/exchange.py
@@ -22,18 +22,12 @@
     outcome_of,
     refusal_headers,
 )
-from madderwind.standalone.protocol.requests import (
-    TRACE_ID,
-    BadRequest,
-    ParsedRequest,
-    headers_onward,
-    origin_form,
-)
-from madderwind.standalone.routing.copy import Copy, HostEnding
-from madderwind.transport.bodies import FIRST_BYTES_TIMEOUT_S, STREAM_BUFFER_BYTES, BadBody, Body
+from madderwind.standalone.protocol.requests import TRACE_ID, Asked, BadRequest, headers_onward, origin_form
+from madderwind.standalone.routing.copy import Copy, LastWord
+from madderwind.transport.bodies import PASSING, READ_S, BadBody, Body
 from madderwind.transport.encoded_request import EncodedRequest, Upload
 from madderwind.transport.listening import CallersRequest
-from madderwind.transport.unread import peer_has_closed
+from madderwind.transport.unread import has_left
 from madderwind.transport.upstreams import Answer
 
 # Delay after the deadline before the host itself ends a request that the module has not answered. The rules
@@ -63,19 +57,19 @@
         self,
         copy: Copy,
         number: int,
-        parsed: ParsedRequest,
+        asked: Asked,
         request: web.BaseRequest,
         target: str,
         body: Body,
         now_ms: float,
     ) -> None:
-        self.copy, self.number, self.parsed = copy, number, parsed
+        self.copy, self.number, self.asked = copy, number, asked
         self.request, self.target, self.body = request, target, body
-        self.category = copy.host.class_names[parsed.class_index]
+        self.category = copy.host.class_names[asked.class_index]
         # The class at arrival: new settings do not loosen the limits of a request in progress.
-        self.request_class = copy.settings.classes[parsed.class_index]
+        self.klass = copy.settings.classes[asked.class_index]
         self.attempt_limit = copy.settings.max_attempts
-        self.inbox: asyncio.Queue[api.Event | HostEnding] = asyncio.Queue()
+        self.inbox: asyncio.Queue[api.Event | LastWord] = asyncio.Queue()
         self.attempts: list[asyncio.Task[None]] = []
         self.cancelled_attempts: set[int] = set()
         # The upstream, outcome and milliseconds of each attempt.
@@ -85,7 +79,7 @@
         self.invalid_request_answers: dict[int, FinalResponse] = {}
         self.final: FinalResponse | None = None
         self.caller_left = False
-        self.received_ms: float | None = None  # when the last byte of the request was received
+        self.taken_ms: float | None = None  # when the last byte of the request was received
         self.body_released = False  # whether the start of the body was dropped, so that it cannot be resent
         self.written_ms: dict[int, float] = {}  # when each attempt's last byte was written
         self.may_have_run_ms: dict[int, float] = {}  # start times of attempts that may have run
@@ -93,10 +87,10 @@
         self.streaming_since_ms = 0.0  # when that response began
         self.response: web.StreamResponse | None = None  # that response
         self._deadline_timer: asyncio.TimerHandle | None = None
-        if body.is_complete:
+        if body.whole:
             self.body_received(now_ms)
         else:
-            self.set_deadline(now_ms + parsed.wait_ms + MAX_UPLOAD_MS)
+            self.set_deadline(now_ms + asked.wait_ms + MAX_UPLOAD_MS)
 
     @property
     def over(self) -> bool:
@@ -105,9 +99,9 @@
 
     def body_received(self, now_ms: float) -> None:
         """Record that the last byte has arrived; the caller's time limit starts here."""
-        self.received_ms = now_ms
+        self.taken_ms = now_ms
         self.copy.tally.taken += 1
-        self.set_deadline(now_ms + self.parsed.wait_ms)
+        self.set_deadline(now_ms + self.asked.wait_ms)
 
     def set_deadline(self, deadline_ms: float) -> None:
         """Set the deadline, and the timer that ends the request if the module has not answered by then."""
@@ -116,7 +110,7 @@
         self._deadline_timer = asyncio.get_running_loop().call_at(
             self.copy.clock.loop_time_s(deadline_ms + UNANSWERED_DELAY_MS),
             self.inbox.put_nowait,
-            HostEnding.DEADLINE,
+            LastWord.DEADLINE,
         )
 
     def cancel_deadline_timer(self) -> None:
@@ -139,7 +133,7 @@
                 self.cancel_attempt(attempt)
 
     def settle(self, final: FinalResponse) -> None:
-        if self.copy.invariants.check(not self.over, "one_final_answer", trace_id=self.parsed.trace_id):
+        if self.copy.invariants.must(not self.over, "one_final_answer", trace_id=self.asked.trace_id):
             self.final = final
 
     def cancel_attempt(self, attempt: int) -> None:
@@ -151,11 +145,11 @@
 
         A request whose body or response is streamed cannot be sent again.
         """
-        request_class = self.request_class
-        repeatable = request_class.effect is Effect.SAFE or (
-            request_class.effect is Effect.KEYED and request_class.group is Group.ALL
+        klass = self.klass
+        repeatable = klass.effect is Effect.SAFE or (
+            klass.effect is Effect.KEYED and klass.group is Group.ALL
         )
-        if repeatable and self.body.is_complete and not self.over and attempt < len(self.attempts):
+        if repeatable and self.body.whole and not self.over and attempt < len(self.attempts):
             self.cancel_attempt(attempt)
 
     def cancel_all_attempts(self) -> None:
@@ -170,8 +164,8 @@
 
     def _send(self, send: api.Send) -> None:
         number = len(self.attempts)
-        self.copy.invariants.check(
-            not self.over, "nothing_sent_after_the_answer", trace_id=self.parsed.trace_id
+        self.copy.invariants.must(
+            not self.over, "nothing_sent_after_the_answer", trace_id=self.asked.trace_id
         )
         until_ms = self.deadline_ms
         if send.not_past_ms > 0:
@@ -194,7 +188,7 @@
             if isinstance(error, asyncio.CancelledError) and number not in self.cancelled_attempts:
                 raise
         except Exception as error:  # how far it got is unknown, so it may have run
-            self.copy.log("attempt_broke", trace_id=self.parsed.trace_id, error=repr(error))
+            self.copy.log("attempt_broke", trace_id=self.asked.trace_id, error=repr(error))
             outcome = Outcome.ERROR
         finally:
             if known_outcome is not None and known_outcome.never_ran:
@@ -219,7 +213,7 @@
             self.number, over and not other_streams, number, outcome, upstream, elapsed_ms, report
         )
         if done or other_streams:
-            self.copy.deliver_event(ended)
+            self.copy.happened(ended)
         else:
             self.inbox.put_nowait(ended)
 
@@ -232,15 +226,15 @@
         if address is None or over_limit or not self._may_write(upstream, until_ms):
             return Outcome.NOT_SENT, ()
         answer_stream = _AnswerStream(self, number, upstream)
-        upload = None if body.is_complete else Upload(self._body_chunks(), body.length)
-        left_ms = until_ms - sent_ms if upload is None else self.parsed.wait_ms
+        upload = None if body.whole else Upload(self._body_chunks(), body.length)
+        left_ms = until_ms - sent_ms if upload is None else self.asked.wait_ms
         encoded = EncodedRequest(
             self.request.method,
             self.target,
             headers_onward(self.request.headers, left_ms, upload.length if upload is not None else None),
-            body.buffered if upload is None else b"",
+            body.held if upload is None else b"",
             lambda: self._confirm_write(number, upstream, until_ms, sent_ms),
-            self.request_class.effect is not Effect.UNSAFE,
+            self.klass.effect is not Effect.UNSAFE,
             lambda: self._attempt_written(number, encoded),
             upload,
             answer_stream,
@@ -251,9 +245,9 @@
             answer = await copy.upstreams.ask(upstream, address, encoded, copy.clock.loop_time_s(until_ms))
         finally:
             answer_stream.end()
-        if body.error is not None:
+        if body.broken is not None:
             self.invalid_request_answers[number] = FinalResponse(
-                body.error.status, f"{body.error}\n".encode()
+                body.broken.status, f"{body.broken}\n".encode()
             )
             return Outcome.NOT_SENT, ()
         if isinstance(answer, Outcome):
@@ -285,9 +279,9 @@
 
         A repeat may be decided on within the window but be ready to write only after it.
         """
-        if self.request_class.effect is not Effect.KEYED or not self.may_have_run_ms:
+        if self.klass.effect is not Effect.KEYED or not self.may_have_run_ms:
             return math.inf
-        return min(self.may_have_run_ms.values()) + self.request_class.window_ms
+        return min(self.may_have_run_ms.values()) + self.klass.window_ms
 
     def _confirm_write(self, number: int, upstream: int, until_ms: float, sent_ms: float) -> bool:
         """Decide whether to write the first byte now, for first attempts, retries and second copies alike.
@@ -297,7 +291,7 @@
         """
         if not self._may_write(upstream, until_ms):
             return False
-        if peer_has_closed(self.request.transport):
+        if has_left(self.request.transport):
             if self.request.transport is not None:
                 self.request.transport.abort()  # ends the request like any other disconnect
             return False
@@ -309,7 +303,7 @@
         if self.body_released:
             raise RuntimeError("the start of the body was already released; it cannot be sent again")
         self.body_released = True
-        self.copy.deliver_event(api.BodyPassing(self.number, float("inf")))
+        self.copy.happened(api.BodyPassing(self.number, float("inf")))
         async for part in self.body.rest():
             yield part
 
@@ -320,7 +314,7 @@
         if encoded.upload is None or self.final is not None or self.caller_left:
             return
         self.body_received(self.copy.clock.now_ms())
-        self.copy.deliver_event(api.BodyPassing(self.number, self.deadline_ms))
+        self.copy.happened(api.BodyPassing(self.number, self.deadline_ms))
         if encoded.limit is not None and self.streaming_attempt is None:
             encoded.limit.reschedule(self.copy.clock.loop_time_s(self.deadline_ms))
 
@@ -339,7 +333,7 @@
     async def reserve_budget(self) -> None:
         """Reserve the budget, only once: waiting for more while holding the body's share could deadlock."""
         if not self._has_budget:
-            await self._exchange.copy.budgets.streamed.acquire(STREAM_BUFFER_BYTES)
+            await self._exchange.copy.budgets.passing.wait_for(PASSING)
             self._has_budget = True
 
     async def begin(self, headers: CIMultiDictProxy[str], length: int | None) -> bool:
@@ -354,7 +348,7 @@
         exchange.cancel_deadline_timer()
         exchange.body.end()  # it is not sent to any other upstream
         elapsed_ms = first_ms - self._began_ms
-        copy.deliver_event(api.AnswerBegan(exchange.number, self._number, self._upstream, elapsed_ms))
+        copy.happened(api.AnswerBegan(exchange.number, self._number, self._upstream, elapsed_ms))
         response = exchange.response = web.StreamResponse(status=200, headers=_forwarded_headers(headers))
         if length is not None:
             response.content_length = length
@@ -380,13 +374,13 @@
 
     def end(self) -> None:
         if self._has_budget:
-            self._exchange.copy.budgets.streamed.release(STREAM_BUFFER_BYTES)
+            self._exchange.copy.budgets.passing.give_back(PASSING)
             self._has_budget = False
 
 
 async def serve(copy: Copy, request: web.BaseRequest) -> web.StreamResponse:
     """Handle one request from its first byte to its response."""
-    body = Body(request, copy.budgets.buffered, FIRST_BYTES_TIMEOUT_S)
+    body = Body(request, copy.budgets.holding, READ_S)
     try:
         return await _serve(copy, request, body)
     finally:
@@ -398,43 +392,43 @@
         await body.begin()
         now_ms = copy.clock.now_ms()
         target = origin_form(request._message.path)
-        parsed = copy.reader.read(request.method, target, request.headers, now_ms)
-        if parsed.trace_id in copy.open_trace_ids:
+        asked = copy.reader.read(request.method, target, request.headers, now_ms)
+        if asked.trace_id in copy.open_trace_ids:
             # It would be treated as a duplicate of the open one.
             raise BadRequest(f"{TRACE_ID} of a request that is open")
     except (BadBody, BadRequest) as error:
         status = error.status if isinstance(error, BadBody) else 400
-        copy.log_rate_limited(
+        copy.log_sparingly(
             "bad_request", status=status, reason=str(error), target=request._message.path[:120]
         )
         response = web.Response(status=status, text=f"{error}\n")
         response.force_close()  # such a client is likely to send more invalid requests
         return response
-    if parsed.odd_props is not None:
-        copy.log_rate_limited("odd_props", trace_id=parsed.trace_id, part=parsed.odd_props)
-    exchange = Exchange(copy, copy.next_request_number(), parsed, request, target, body, now_ms)
+    if asked.odd_props is not None:
+        copy.log_sparingly("odd_props", trace_id=asked.trace_id, part=asked.odd_props)
+    exchange = Exchange(copy, copy.next_request_number(), asked, request, target, body, now_ms)
     copy.open[exchange.number] = exchange
-    copy.open_trace_ids.add(parsed.trace_id)
+    copy.open_trace_ids.add(asked.trace_id)
     try:
-        event: api.Event | HostEnding = api.RequestArrived(
+        event: api.Event | LastWord = api.RequestArrived(
             exchange.number,
-            parsed.class_index,
-            parsed.tenant_index,
-            parsed.key,
+            asked.class_index,
+            asked.tenant_index,
+            asked.key,
             exchange.deadline_ms,
-            parsed.work_hint_ms,
-            parsed.is_repeat,
-            parsed.is_write,
+            asked.work_hint_ms,
+            asked.is_repeat,
+            asked.is_write,
         )
         while True:
-            if isinstance(event, HostEnding):
+            if isinstance(event, LastWord):
                 if exchange.streaming_attempt is not None:  # a response that has begun is the final one
                     event = await exchange.inbox.get()
                     continue
-                in_time = event is not HostEnding.DEADLINE or exchange.received_ms is None
-                copy.invariants.check(in_time, "answered_in_time", trace_id=parsed.trace_id)
+                in_time = event is not LastWord.DEADLINE or exchange.taken_ms is None
+                copy.invariants.must(in_time, "answered_in_time", trace_id=asked.trace_id)
                 exchange.settle(FinalResponse(TIMED_OUT, b"failed\n"))
-                copy.handle_event(api.ClientLeft(exchange.number))
+                copy.decide(api.ClientLeft(exchange.number))
                 break
             if isinstance(event, api.AttemptEnded):
                 if event.attempt == exchange.streaming_attempt:
@@ -446,43 +440,43 @@
                     exchange.settle(FinalResponse(200, answer.body, _forwarded_headers(answer.headers)))
                 elif event.attempt in exchange.invalid_request_answers:
                     exchange.settle(exchange.invalid_request_answers[event.attempt])
-            copy.handle_event(event, exchange)
+            copy.decide(event, exchange)
             if exchange.final is not None:
                 break
             event = await exchange.inbox.get()
     except asyncio.CancelledError:
         exchange.caller_left = True
-        copy.handle_event(api.ClientLeft(exchange.number))
-        copy.log("client_left", trace_id=parsed.trace_id, after_ms=round(copy.clock.now_ms() - now_ms, 1))
+        copy.decide(api.ClientLeft(exchange.number))
+        copy.log("client_left", trace_id=asked.trace_id, after_ms=round(copy.clock.now_ms() - now_ms, 1))
         raise
     except Exception as error:
-        copy.log("request_broke", trace_id=parsed.trace_id, error=repr(error))
+        copy.log("request_broke", trace_id=asked.trace_id, error=repr(error))
         if exchange.final is None:
             exchange.final = FinalResponse(BROKEN, b"failed\n")
-            copy.deliver_event(api.ClientLeft(exchange.number))
+            copy.happened(api.ClientLeft(exchange.number))
     finally:
-        if exchange.caller_left or body.error is not None:
-            copy.tally.client_gone += exchange.received_ms is not None
+        if exchange.caller_left or body.broken is not None:
+            copy.tally.client_gone += exchange.taken_ms is not None
         elif exchange.final is not None:
-            copy.tally.taken += exchange.received_ms is None  # refused before its last byte arrived
+            copy.tally.taken += exchange.taken_ms is None  # refused before its last byte arrived
             copy.tally.count_answer(exchange.category, exchange.final.status)
         exchange.cancel_deadline_timer()
         if exchange.body_released or exchange.streaming_attempt is not None:
             exchange.cancel_all_attempts()  # a partial message is useless
         del copy.open[exchange.number]
-        copy.open_trace_ids.remove(parsed.trace_id)
+        copy.open_trace_ids.remove(asked.trace_id)
         while not exchange.inbox.empty():  # events that arrived during the last decision
-            if not isinstance(late_event := exchange.inbox.get_nowait(), HostEnding):
-                copy.deliver_event(late_event)
+            if not isinstance(late_event := exchange.inbox.get_nowait(), LastWord):
+                copy.happened(late_event)
     final = exchange.final
     assert final is not None
-    if not body.is_complete and body.error is None:
+    if not body.whole and body.broken is None:
         await exchange.wait_for_attempts()
         body.linger()
     copy.log(
         "answered",
-        trace_id=parsed.trace_id,
-        class_index=parsed.class_index,
+        trace_id=asked.trace_id,
+        class_index=asked.class_index,
         status=final.status,
         total_ms=round(copy.clock.now_ms() - now_ms, 1),
         attempts=exchange.attempt_outcomes,
--- a/madderwind/standalone/routing/gossip_peers.py
+++ b/madderwind/standalone/routing/gossip_peers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from madderwind.eventlog import EventLog, RateLimitedEventLog
+from madderwind.eventlog import EventLog, Sparing
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.gossip.members import Changed, State
 from madderwind.standalone.gossip.membership import Action, FleetSettings, Heard, Membership, Send
@@ -48,14 +48,14 @@
         me: int,
         on_message: Callable[[int, bytes], None],
         log: EventLog,
-        log_rate_limited: RateLimitedEventLog,
+        log_sparingly: Sparing,
         clock: Clock,
         fleet: FleetSettings,
         seed: int,
     ) -> None:
         self._addresses, self._me, self._on_message = addresses, me, on_message
         self._numbers = {address: number for number, address in enumerate(addresses)}
-        self._log, self._log_rate_limited, self._clock = log, log_rate_limited, clock
+        self._log, self._log_sparingly, self._clock = log, log_sparingly, clock
         self._dead: set[int] = set()
         life = int((clock.now_ms() - EPOCH_MS) / LIFE_UNIT_MS)
         self._membership = Membership(me, len(addresses), seed, life, fleet.name, fleet.datagrams_per_s)
@@ -80,7 +80,7 @@
         peer = self._numbers.get(tuple(addr[:2]))
         if peer is None:
             self.strangers += 1
-            self._log_rate_limited("odd_words", sender=list(addr[:2]), size=len(data))
+            self._log_sparingly("odd_words", sender=list(addr[:2]), size=len(data))
             return
         received_before = self._membership.counts["heard"]
         actions = self._membership.receive(self._clock.now_ms(), peer, data)
@@ -181,7 +181,7 @@
             self._log("fellow_dead", copy=member, life=changed.life)
         elif changed.state is State.SUSPECT:
             accusers = list(changed.accusers)
-            self._log_rate_limited("fellow_suspect", copy=member, life=changed.life, accusers=accusers)
+            self._log_sparingly("fellow_suspect", copy=member, life=changed.life, accusers=accusers)
         elif member in self._dead:
             self._dead.discard(member)
             self._log("fellow_back", copy=member, life=changed.life)
--- a/madderwind/standalone/routing/peers.py
+++ b/madderwind/standalone/routing/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from madderwind.eventlog import RateLimitedEventLog
+from madderwind.eventlog import Sparing
 
 # A magic number that tells these messages from other datagrams, and the number of the sending copy.
 HEAD = struct.Struct("<4sI")
@@ -25,11 +25,7 @@
     """
 
     def __init__(
-        self,
-        addresses: tuple[Address, ...],
-        me: int,
-        on_message: Callable[[int, bytes], None],
-        log: RateLimitedEventLog,
+        self, addresses: tuple[Address, ...], me: int, on_message: Callable[[int, bytes], None], log: Sparing
     ) -> None:
         self._addresses, self._me, self._on_message, self._log = addresses, me, on_message, log
         self._transport: asyncio.DatagramTransport | None = None
--- a/madderwind/standalone/routing/withdrawal.py
+++ b/madderwind/standalone/routing/withdrawal.py
@@ -10,16 +10,16 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from madderwind.eventlog import EventLog, RateLimitedEventLog
+from madderwind.eventlog import EventLog, Sparing
 from madderwind.standalone.clock import Clock
 from madderwind.standalone.evacuation.actions import (
     Action,
-    BroadcastEvacuation,
-    BroadcastView,
-    CancelAttempt,
     LogEvent,
     Probe,
     Reopen,
+    TakeBack,
+    TellEvacuation,
+    TellView,
     Withhold,
 )
 from madderwind.standalone.evacuation.areas import EvacuationSettings, Place
@@ -40,7 +40,7 @@
     def start_probe(self, upstream: int) -> None: ...
 
 
-class EvacuationDriver:
+class Withdrawal:
     """Connects zone evacuation with the fleet's gossip, the copy and a timer."""
 
     def __init__(
@@ -52,10 +52,10 @@
         leaving: EvacuationSettings,
         clock: Clock,
         log: EventLog,
-        log_rate_limited: RateLimitedEventLog,
+        log_sparingly: Sparing,
     ) -> None:
         self._peers, self._control, self._clock = peers, control, clock
-        self._log, self._log_rate_limited = log, log_rate_limited
+        self._log, self._log_sparingly = log, log_sparingly
         self._evacuation = ZoneEvacuation(
             settings.me,
             zone,
@@ -80,22 +80,22 @@
         self._carry_out(self._evacuation.listed(self._clock.now_ms(), places))
 
     def began(self, upstream: int, key: tuple[int, int]) -> None:
-        self._evacuation.observations.attempt_started(self._clock.now_ms(), upstream, key)
+        self._evacuation.observations.began(self._clock.now_ms(), upstream, key)
 
     def ended(self, key: tuple[int, int], outcome: Outcome | None, elapsed_ms: float) -> None:
-        self._evacuation.observations.attempt_ended(self._clock.now_ms(), key, outcome, elapsed_ms)
+        self._evacuation.observations.ended(self._clock.now_ms(), key, outcome, elapsed_ms)
 
     def probed(self, upstream: int, good: bool, sent_ms: float) -> None:
-        self._evacuation.observations.record_observation(self._clock.now_ms(), upstream, good, sent_ms)
+        self._evacuation.observations.saw(self._clock.now_ms(), upstream, good, sent_ms)
 
     def on_gossip_received(self) -> None:
-        self._evacuation.on_message(self._clock.now_ms())
+        self._evacuation.heard_message(self._clock.now_ms())
 
     def on_view_received(self, origin: int, payload: bytes) -> None:
-        self._evacuation.on_view(self._clock.now_ms(), origin, payload)
+        self._evacuation.heard_view(self._clock.now_ms(), origin, payload)
 
     def on_shared_received(self, order: tuple[int, int], payload: bytes) -> None:
-        self._carry_out(self._evacuation.on_evacuation(self._clock.now_ms(), order, payload))
+        self._carry_out(self._evacuation.heard_evacuation(self._clock.now_ms(), order, payload))
 
     def evacuate_or_return(self, name: str, back: bool) -> str:
         """Evacuate a zone or region fleet-wide, or return to it. Returns "" or the reason for a refusal."""
@@ -125,15 +125,15 @@
                     self._control.leave(upstreams)
                 case Reopen(upstreams, started_ms, owed):
                     self._control.reopen(upstreams, started_ms, owed)
-                case CancelAttempt((request, attempt)):
+                case TakeBack((request, attempt)):
                     self._control.cancel_repeatable_attempt(request, attempt)
                 case Probe(upstream):
                     self._control.start_probe(upstream)
-                case BroadcastView(payload):
+                case TellView(payload):
                     self._peers.tell_view(payload)
-                case BroadcastEvacuation(order, payload):
+                case TellEvacuation(order, payload):
                     self._peers.tell_shared(order, payload)
                 case LogEvent("area_not_left" as event, fields):
-                    self._log_rate_limited(event, **fields)
+                    self._log_sparingly(event, **fields)
                 case LogEvent(event, fields):
                     self._log(event, **fields)
--- a/madderwind/standalone/settings.py
+++ b/madderwind/standalone/settings.py
@@ -203,7 +203,7 @@
         raise SettingsError(f"setting {path} is not a number above 0: {str(value)[:60]!r}")
 
 
-def merge_settings(old: HostSettings, new: HostSettings) -> HostSettings:
+def retuned(old: HostSettings, new: HostSettings) -> HostSettings:
     """Merge new settings into old: classes and tenants keep their numbers, and the balancer keeps its place.
 
     A removed class or tenant keeps its number and settings, for requests that arrived with it.
@@ -227,7 +227,7 @@
     )
 
 
-def changed_location_settings(old: HostSettings, new: HostSettings) -> list[str]:
+def moved(old: HostSettings, new: HostSettings) -> list[str]:
     """The settings of the balancer's place that differ; a change of these needs a restart."""
     places = [name for name in PLACE_SETTINGS if getattr(old.settings, name) != getattr(new.settings, name)]
     names = ("zone_names", "kind_names")
--- a/madderwind/testing/engine_emulator/fleet.py
+++ b/madderwind/testing/engine_emulator/fleet.py
@@ -147,13 +147,13 @@
         generation = served.arrival.generation
         if served.tries >= MAX_ATTEMPTS:
             return
-        selection = plane.policy.select_upstream(self._now_ms, generation, self._candidates, avoid)
+        selection = plane.policy.choose(self._now_ms, generation, self._candidates, avoid)
         if selection is None:
             return
         served.tries += 1
         key = f"{len(self.served)}.{served.tries}.{self._sequence}"
         upstream = self._by_instance[selection.instance]
-        plane.policy.record_sent(self._now_ms, key, generation, selection.instance)
+        plane.policy.sent(self._now_ms, key, generation, selection.instance)
         self._attempts[key] = _Attempt(
             served, plane, upstream, self._now_ms, None, self._record_use(generation.shared_parts)
         )
@@ -190,7 +190,7 @@
 
     def _fail(self, key: str) -> None:
         attempt = self._attempts.pop(key)
-        attempt.plane.policy.record_end(self._now_ms, key, False)
+        attempt.plane.policy.ended(self._now_ms, key, False)
 
     def _schedule_step(self, upstream: Upstream) -> None:
         at_ms = upstream.engine.next_ms
@@ -230,10 +230,10 @@
         elif served.first_ms is None:
             served.first_ms = at_ms - served.arrival.at_ms
         attempt.last_event_ms = at_ms
-        attempt.plane.policy.record_event(at_ms, event.key, event.index == 0)
+        attempt.plane.policy.event(at_ms, event.key, event.index == 0)
         if event.last:
             served.complete = True
-            attempt.plane.policy.record_end(at_ms, event.key, True)
+            attempt.plane.policy.ended(at_ms, event.key, True)
             del self._attempts[event.key]
 
     def _start_upstream(self, position: int) -> Upstream:
@@ -267,7 +267,7 @@
         for plane in self._planes:
             if isinstance(plane.policy, Placement):
                 for upstream in self._upstreams:
-                    plane.policy.set_location(self._now_ms, upstream.instance, upstream.zone)
+                    plane.policy.locate(self._now_ms, upstream.instance, upstream.zone)
 
     def _crash(self, crash: Crash) -> None:
         running = [upstream for upstream in self._upstreams if upstream.running]
--- a/madderwind/testing/engine_emulator/policies.py
+++ b/madderwind/testing/engine_emulator/policies.py
@@ -14,21 +14,21 @@
 class Policy(Protocol):
     """The upstream selection of one data plane."""
 
-    def select_upstream(
+    def choose(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
         """Choose the upstream for a request; None if there is none."""
 
-    def record_sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
+    def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
         """Record that the request was sent to this upstream."""
 
     def urgency(self, key: str, rank: int) -> int:
         """The priority sent to the upstream, 0 being the highest."""
 
-    def record_event(self, now_ms: float, key: str, first: bool) -> None:
+    def event(self, now_ms: float, key: str, first: bool) -> None:
         """Record that an event of the response arrived."""
 
-    def record_end(self, now_ms: float, key: str, served: bool) -> None:
+    def ended(self, now_ms: float, key: str, served: bool) -> None:
         """Record that the request ended."""
 
     def load(self) -> dict[str, tuple[float, float, float]]:
@@ -37,7 +37,7 @@
     def handle_peer_load(self, now_ms: float, load: Mapping[str, tuple[float, float, float]]) -> None:
         """Record the load of all peers."""
 
-    def set_data_planes(self, data_planes: int) -> None:
+    def set_data_planes(self, balancers: int) -> None:
         """Set the number of data planes."""
 
 
@@ -49,7 +49,7 @@
         self._counts: Counter[str] = Counter()
         self._instances: dict[str, str] = {}
 
-    def select_upstream(
+    def choose(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
         """Choose among the candidates not to be avoided."""
@@ -59,7 +59,7 @@
     def _pick(self, available: list[str]) -> str:
         raise NotImplementedError
 
-    def record_sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
+    def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
         """Increment the upstream's count."""
         self._counts[instance] += 1
         self._instances[key] = instance
@@ -68,10 +68,10 @@
         """The route's priority, unchanged."""
         return rank
 
-    def record_event(self, now_ms: float, key: str, first: bool) -> None:
+    def event(self, now_ms: float, key: str, first: bool) -> None:
         """Ignored: the policy uses no response times."""
 
-    def record_end(self, now_ms: float, key: str, served: bool) -> None:
+    def ended(self, now_ms: float, key: str, served: bool) -> None:
         """Decrement the upstream's count."""
         instance = self._instances.pop(key, None)
         if instance is not None:
@@ -84,7 +84,7 @@
     def handle_peer_load(self, now_ms: float, load: Mapping[str, tuple[float, float, float]]) -> None:
         """Ignored: the policy uses no load of peers."""
 
-    def set_data_planes(self, data_planes: int) -> None:
+    def set_data_planes(self, balancers: int) -> None:
         """Ignored: the policy does not depend on the number of data planes."""
 
 
--- a/madderwind/testing/engine_emulator/policy_names.py
+++ b/madderwind/testing/engine_emulator/policy_names.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from madderwind.placement.ablation import Ablation, ablation_without
+from madderwind.placement.ablation import Ablation, without
 from madderwind.placement.placement import Placement
 from madderwind.testing.engine_emulator.policies import (
     IdleFirst,
@@ -19,7 +19,7 @@
 
 
 def _without(mechanism: str, rng: random.Random, zone: str) -> Policy:
-    return Placement(rng, zone, ablation=ablation_without(mechanism))
+    return Placement(rng, zone, ablation=without(mechanism))
 
 
 PolicyFactory = Callable[[random.Random, str], Policy]
--- a/madderwind/testing/engine_emulator/whole_knowledge.py
+++ b/madderwind/testing/engine_emulator/whole_knowledge.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 
 from madderwind.placement.costs import PlacementCosts
-from madderwind.placement.placement import PREFILL_BOUNDS_MS, PRIORITY_RANKS, Selection
+from madderwind.placement.placement import PREFILL_BOUNDS_MS, RANKS, Selection
 from madderwind.placement.prompts import Generation
 from madderwind.testing.engine_emulator.engine import Engine
 from madderwind.testing.engine_emulator.policies import LocalRequestCounts
@@ -30,7 +30,7 @@
         """Set the engines to read; the caller adds to the mapping when upstreams start."""
         self._engines = engines
 
-    def select_upstream(
+    def choose(
         self, now_ms: float, generation: Generation, candidates: Sequence[str], avoid: frozenset[str]
     ) -> Selection | None:
         """Return the upstream with the lowest cost."""
@@ -42,7 +42,7 @@
                     lowest = cost, first_ms, instance
         return None if lowest is None else Selection(lowest[2], lowest[1])
 
-    def record_sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
+    def sent(self, now_ms: float, key: str, generation: Generation, instance: str) -> None:
         """Record the request's priority at the chosen upstream."""
         self._urgencies[key] = self._urgency(generation, self._engines[instance])
 
@@ -50,7 +50,7 @@
         """The recorded priority: short prefills rank above long ones, as in the placement."""
         return self._urgencies.pop(key, rank)
 
-    def record_end(self, now_ms: float, key: str, served: bool) -> None:
+    def ended(self, now_ms: float, key: str, served: bool) -> None:
         """Discard the recorded priority."""
         self._urgencies.pop(key, None)
 
@@ -71,7 +71,7 @@
         uncached = sum(part.tokens for part in generation.parts[cached:])
         prefill_ms = uncached * self._ms_per_token(engine, generation)
         length_class = sum(prefill_ms > bound_ms for bound_ms in PREFILL_BOUNDS_MS)
-        return length_class * PRIORITY_RANKS + min(max(generation.priority, 0), PRIORITY_RANKS - 1)
+        return length_class * RANKS + min(max(generation.priority, 0), RANKS - 1)
 
     def _ms_per_token(self, engine: Engine, generation: Generation) -> float:
         """Step time divided by the tokens that the step prefills, at half of this prompt's context."""
--- a/madderwind/testing/local_fleet/operator_load.py
+++ b/madderwind/testing/local_fleet/operator_load.py
@@ -42,7 +42,7 @@
                 return
             document = read_document(current.body)
             change = _next_change(document)
-            changed = document.apply_update(change)
+            changed = document.updated(change)
             self._sent[changed.version] = changed
             self.commands.append(CommandSent(changed.version, False))
             answer = await client.update(document.version, change)
--- a/madderwind/testing/simulation/outages.py
+++ b/madderwind/testing/simulation/outages.py
@@ -169,7 +169,7 @@
         self._requests += 1
         key, now_ms = (self._requests, 0), self._timeline.now_ms
         copy.open[key] = upstream
-        copy.evacuation.observations.attempt_started(now_ms, upstream, key)
+        copy.evacuation.observations.began(now_ms, upstream, key)
         if self._places[upstream].zone == self.outages.lost and self._is_lost(after_ms=3000):
             self._lost_zone_requests[int(now_ms // 1000)] += 1
         took_ms = self._random.expovariate(1 / (self.outages.work_ms * self._slow))
@@ -190,10 +190,10 @@
     def _end_attempt(self, copy: _Copy, key: Key, outcome: Outcome, took_ms: float) -> None:
         upstream = copy.open.pop(key, None)
         if upstream is None:
-            return  # already withdrawn by a CancelAttempt action
+            return  # already withdrawn by a TakeBack action
         if outcome is Outcome.TIMEOUT:
             copy.avoid_until_ms[upstream] = self._timeline.now_ms + AVOID_AFTER_TIMEOUT_MS
-        copy.evacuation.observations.attempt_ended(self._timeline.now_ms, key, outcome, took_ms)
+        copy.evacuation.observations.ended(self._timeline.now_ms, key, outcome, took_ms)
 
     def _tick_evacuation(self, number: int) -> None:
         self._timeline.after(evacuation.TICK_MS, lambda: self._tick_evacuation(number))
@@ -209,12 +209,12 @@
                 case actions.Reopen(upstreams, _, send_next):
                     copy.withheld -= upstreams
                     copy.next_upstreams += sorted(upstreams) if send_next else []
-                case actions.CancelAttempt(key):
+                case actions.TakeBack(key):
                     copy.open.pop(key, None)
-                    copy.evacuation.observations.attempt_ended(now_ms, key, Outcome.CANCELLED, 0.0)
-                case actions.BroadcastView(payload):
+                    copy.evacuation.observations.ended(now_ms, key, Outcome.CANCELLED, 0.0)
+                case actions.TellView(payload):
                     self._execute_gossip(number, copy.membership.tell_view(now_ms, payload))
-                case actions.BroadcastEvacuation(order, payload):
+                case actions.TellEvacuation(order, payload):
                     self._execute_gossip(number, copy.membership.tell_shared(now_ms, order, payload))
                 case actions.LogEvent(event, fields):
                     self._record_event(number, event, fields)
@@ -240,11 +240,11 @@
                             lambda p=peer, d=data: self._deliver(number, p, d),  # type: ignore[misc]
                         )
                 case gossip.Heard(origin, payload, Kind.VIEW):
-                    self._copies[number].evacuation.on_view(self._timeline.now_ms, origin, payload)
+                    self._copies[number].evacuation.heard_view(self._timeline.now_ms, origin, payload)
                 case gossip.Heard(_, payload, Kind.SHARED, order):
                     now_ms = self._timeline.now_ms
                     self._execute_evacuation(
-                        number, self._copies[number].evacuation.on_evacuation(now_ms, order, payload)
+                        number, self._copies[number].evacuation.heard_evacuation(now_ms, order, payload)
                     )
         self._wakeups.at(number, self._copies[number].membership.due_ms)
 
@@ -252,7 +252,7 @@
         self._execute_gossip(number, self._copies[number].membership.tick(self._timeline.now_ms))
 
     def _deliver(self, sender: int, receiver: int, data: bytes) -> None:
-        self._copies[receiver].evacuation.on_message(self._timeline.now_ms)
+        self._copies[receiver].evacuation.heard_message(self._timeline.now_ms)
         self._execute_gossip(
             receiver, self._copies[receiver].membership.receive(self._timeline.now_ms, sender, data)
         )
--- a/madderwind/transport/accepting.py
+++ b/madderwind/transport/accepting.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from madderwind.transport.limits import LOCAL_RESOURCE_ERRNOS
+from madderwind.transport.limits import OWN_LIMITS
 
 # How long to wait before the next attempt to accept.
 RETRY_INTERVAL_S = 0.01
@@ -81,7 +81,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                if error.errno not in LOCAL_RESOURCE_ERRNOS:
+                if error.errno not in OWN_LIMITS:
                     raise
                 if self._on_descriptor_shortage():
                     continue
--- a/madderwind/transport/answering.py
+++ b/madderwind/transport/answering.py
@@ -23,7 +23,7 @@
 # Messages hold at most 32 MB; the margin admits slightly longer ones and rejects those that are far longer.
 MAX_RESPONSE_BYTES = 40 * 1024 * 1024
 # Longest wait for the next byte of a streamed response, whose peers may take seconds to write.
-STREAMING_STALL_S = 10.0
+PASSING_STALL_S = 10.0
 
 
 # The idle timeout that an upstream states in its Keep-Alive header.
@@ -62,15 +62,15 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, stall_s: float, streaming_stall_s: float = STREAMING_STALL_S
+        self, loop: asyncio.AbstractEventLoop, stall_s: float, passing_stall_s: float = PASSING_STALL_S
     ) -> None:
-        """`streaming_stall_s`: as `stall_s`, for a streamed response; 0 disables the limit."""
+        """`passing_stall_s`: as `stall_s`, for a streamed response; 0 disables the limit."""
         super().__init__(loop)
         self.unreadable = False
         self.request_count = 0  # requests written to this connection
         self.response_started = False  # whether a byte of the current response has arrived
         self._is_streaming = False
-        self._stall_s, self._streaming_stall_s = stall_s, streaming_stall_s
+        self._stall_s, self._passing_stall_s = stall_s, passing_stall_s
         self.keep_alive_s: float | None = None  # the idle timeout that the upstream stated, if any
         self.addresses: AddresseeCheck | None = None  # checks the head of the current response
         self._is_skipping = False  # whether the current response belongs to another request
@@ -171,7 +171,7 @@
             self._feed(part)
         self._restart_stall_timer()
 
-    def start_streaming(self) -> None:
+    def passes_on(self) -> None:
         """Stream the current response from here on, under the longer stall limit.
 
         Guards against the shorter limit, which runs since the last byte, cutting off a response whose
@@ -189,9 +189,9 @@
         ):
             stall_s = self._stall_s
             if self._is_streaming:
-                if not self._streaming_stall_s:
+                if not self._passing_stall_s:
                     return
-                stall_s = max(self._streaming_stall_s, stall_s)
+                stall_s = max(self._passing_stall_s, stall_s)
             self._stall_timer = self._loop.call_later(stall_s, self._on_stall)
 
     def _feed(self, part: bytes) -> None:
--- a/madderwind/transport/budget.py
+++ b/madderwind/transport/budget.py
@@ -19,26 +19,26 @@
     """
 
     def __init__(self, size: int) -> None:
-        self.available = self.size = size
+        self.left = self.size = size
         self._waiters: deque[tuple[int, asyncio.Future[None]]] = deque()
 
     def resize(self, size: int) -> None:
         """Change the total; bytes that are reserved stay reserved."""
-        self.available, self.size = self.available + size - self.size, size
-        self.release(0)
+        self.left, self.size = self.left + size - self.size, size
+        self.give_back(0)
 
     def reserve(self, size_bytes: int) -> None:
         """Reserve for a short message, even beyond the limit."""
-        self.available -= size_bytes
+        self.left -= size_bytes
 
     def try_reserve(self, size_bytes: int) -> bool:
         """Reserve more for a message if nobody is queued and enough is available."""
-        if self._waiters or self.available < size_bytes:
+        if self._waiters or self.left < size_bytes:
             return False
-        self.available -= size_bytes
+        self.left -= size_bytes
         return True
 
-    async def acquire(self, size_bytes: int) -> None:
+    async def wait_for(self, size_bytes: int) -> None:
         """Reserve for a long message, in order of arrival."""
         if self.try_reserve(size_bytes):
             return
@@ -48,15 +48,15 @@
             await turn
         except asyncio.CancelledError:
             if turn.done() and not turn.cancelled():
-                self.release(size_bytes)  # cancelled after its reservation was granted
+                self.give_back(size_bytes)  # cancelled after its reservation was granted
             raise
 
-    def release(self, size_bytes: int) -> None:
-        self.available += size_bytes
-        while self._waiters and (self._waiters[0][1].done() or self.available >= self._waiters[0][0]):
+    def give_back(self, size_bytes: int) -> None:
+        self.left += size_bytes
+        while self._waiters and (self._waiters[0][1].done() or self.left >= self._waiters[0][0]):
             wanted_bytes, turn = self._waiters.popleft()
             if not turn.done():
-                self.available -= wanted_bytes
+                self.left -= wanted_bytes
                 turn.set_result(None)
 
 
@@ -70,9 +70,9 @@
         self._size = int(
             max(MIN_BUDGET_MIB, (memory_mb - MAX_PROCESSES * PROCESS_MIB) * MESSAGE_FRACTION) * MIB
         )
-        self.buffered, self.streamed = Budget(self._size // 2), Budget(self._size // 2)
+        self.holding, self.passing = Budget(self._size // 2), Budget(self._size // 2)
 
     def share(self, processes: int) -> None:
         """Divide the memory between this many processes of one balancer on this machine."""
-        for budget in (self.buffered, self.streamed):
+        for budget in (self.holding, self.passing):
             budget.resize(self._size // 2 // processes)
--- a/madderwind/transport/connector.py
+++ b/madderwind/transport/connector.py
@@ -13,7 +13,7 @@
 from aiohttp.connector import Connection
 from aiohttp.tracing import Trace
 
-from madderwind.transport.answering import STREAMING_STALL_S, SingleResponseHandler
+from madderwind.transport.answering import PASSING_STALL_S, SingleResponseHandler
 from madderwind.transport.connection_trust import ConnectionTrust, UnconditionalTrust
 from madderwind.transport.encoded_request import current_request
 from madderwind.transport.gated_request import NotWrittenError
@@ -27,19 +27,19 @@
     """Options that differ between the programs.
 
     `stall_s`: longest pause within a response; None uses the connect timeout.
-    `streaming_stall_s`: the same within a streamed response; 0 disables the limit.
-    `default_idle_s`: how long to keep an idle connection whose upstream stated no timeout, if that is less
+    `passing_stall_s`: the same within a streamed response; 0 disables the limit.
+    `untold_idle_s`: how long to keep an idle connection whose upstream stated no timeout, if that is less
     than the pool's own limit.
-    `starts_after_last_byte`: whether upstreams start a request only once they have its last byte. If not, its
+    `starts_when_whole`: whether upstreams start a request only once they have its last byte. If not, its
     first byte may be enough, as such upstreams respond before they have read the body.
     """
 
     socket_factory: Callable[[Any], socket.socket] | None = None
     stall_s: float | None = None
-    streaming_stall_s: float = STREAMING_STALL_S
+    passing_stall_s: float = PASSING_STALL_S
     distrusts_resets: bool = True
-    default_idle_s: float = float("inf")
-    starts_after_last_byte: bool = True
+    untold_idle_s: float = float("inf")
+    starts_when_whole: bool = True
 
 
 class BoundedConnector(aiohttp.TCPConnector):
@@ -60,7 +60,7 @@
         self._keepalive_timeout = idle_s
         loop, options = asyncio.get_running_loop(), self._options
         stall_s = stall_s if options.stall_s is None else options.stall_s
-        factory = functools.partial(SingleResponseHandler, loop, stall_s, options.streaming_stall_s)
+        factory = functools.partial(SingleResponseHandler, loop, stall_s, options.passing_stall_s)
         self._factory = factory  # type: ignore[assignment]
 
     async def connect(
@@ -94,9 +94,7 @@
     def _is_reusable(self, protocol: SingleResponseHandler, idle_since_s: float) -> bool:
         """Whether the connection is clean and safely within the upstream's idle timeout."""
         idle_s = self._loop.time() - idle_since_s
-        keep_alive_s = (
-            self._options.default_idle_s if protocol.keep_alive_s is None else protocol.keep_alive_s
-        )
+        keep_alive_s = self._options.untold_idle_s if protocol.keep_alive_s is None else protocol.keep_alive_s
         return protocol.is_reusable() and idle_s <= keep_alive_s * IDLE_FRACTION
 
     def held(self) -> int:
--- a/madderwind/transport/limits.py
+++ b/madderwind/transport/limits.py
@@ -2,6 +2,4 @@
 
 import errno
 
-LOCAL_RESOURCE_ERRNOS = frozenset(
-    (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-)
+OWN_LIMITS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
--- a/madderwind/transport/listening.py
+++ b/madderwind/transport/listening.py
@@ -44,7 +44,7 @@
     """How long callers' connections may be idle between requests, and before their first one."""
 
     idle_s: float = IDLE_S
-    first_request_timeout_s: float = SILENT_S
+    silent_s: float = SILENT_S
 
 
 class CallersRequest(web.BaseRequest):
@@ -128,7 +128,7 @@
         """
         now_s, silent = self._loop.time(), 0
         for connection in list(self._callers()):
-            limit_s = self.times.idle_s if connection._request_count else self.times.first_request_timeout_s
+            limit_s = self.times.idle_s if connection._request_count else self.times.silent_s
             if now_s - connection.idle_since_s >= limit_s and is_idle(connection):
                 silent += not connection._request_count
                 connection.force_close()
@@ -147,11 +147,11 @@
         most_connections: int,
         log: EventLog,
         count_upstream_connections: Callable[[], int] = lambda: 0,
-        max_line_bytes: int = MAX_LINE_BYTES,
+        longest_line: int = MAX_LINE_BYTES,
     ) -> None:
         """`count_upstream_connections`: connections to upstreams get as many descriptors as callers.
 
-        `max_line_bytes` limits the lines of a request's head, in bytes.
+        `longest_line` limits the lines of a request's head, in bytes.
         """
         self._handler, self._count_upstream_connections = handler, count_upstream_connections
         self._log = log
@@ -166,8 +166,8 @@
             auto_decompress=False,
             keepalive_timeout=SERVER_KEEPALIVE_S,
             read_bufsize=READ_BUFFER,
-            max_line_size=max_line_bytes,
-            max_field_size=max_line_bytes,
+            max_line_size=longest_line,
+            max_field_size=longest_line,
             lingering_time=0,  # after an early response nothing more of the request is read
         )
         self._web.most = most_connections
@@ -196,7 +196,7 @@
     def listening(self) -> socket.socket | None:
         return self._acceptor.listening
 
-    def set_handed_over(self, handed_on: bool) -> None:
+    def hand_on(self, handed_on: bool) -> None:
         """Set whether another process accepts from the same backlog in place of this one.
 
         Callers move there as their connections close after the next response. Without that process this one
@@ -211,7 +211,7 @@
         """Set how many connections the listener may hold from now on."""
         self._web.most = most_connections
 
-    def set_timeouts(self, times: CallerTimes) -> None:
+    def tune(self, times: CallerTimes) -> None:
         """Set how long connections may be idle from now on."""
         self._web.times = times
 
@@ -220,7 +220,7 @@
         """How many requests are being handled."""
         return self._open
 
-    def begin_shutdown(self) -> None:
+    def begin_ending(self) -> None:
         """Keep accepting, but close each connection after its next response, until `finish`."""
         self._is_stopping = True
 
@@ -272,7 +272,7 @@
         """Whether a connection closes after its next response."""
         return self._is_stopping or self._acceptor.paused or self._web.excess() > 0
 
-    async def drain(self, until_s: float) -> None:
+    async def serve_on(self, until_s: float) -> None:
         """Stop accepting, and keep serving the open connections while there are any, until `until_s`.
 
         Guards against sending callers away while another balancer is down too. `until_s`: the loop's clock.
@@ -303,7 +303,7 @@
         loop = asyncio.get_running_loop()
         until_s = loop.time() + within_s
         self._is_stopping = True  # responses from here on close their connection
-        await self.drain(0.0)
+        await self.serve_on(0.0)
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         while True:
--- a/madderwind/transport/unread.py
+++ b/madderwind/transport/unread.py
@@ -13,7 +13,7 @@
     return bool(_poll(transport, select.POLLIN))
 
 
-def peer_has_closed(transport: asyncio.BaseTransport | None) -> bool:
+def has_left(transport: asyncio.BaseTransport | None) -> bool:
     """Whether the peer has closed the connection, or its sending side, whether or not that was read."""
     if transport is None or transport.is_closing():
         return True
