--- a/madderwind/transport/upstreams.py
+++ b/madderwind/transport/upstreams.py
@@ -22,7 +22,7 @@
 from madderwind.transport.connector import IDLE_FRACTION, BoundedConnector, ConnectionOptions
 from madderwind.transport.encoded_request import EncodedRequest, Sink, current_request
 from madderwind.transport.gated_request import GatedRequest, NotWrittenError
-from madderwind.transport.limits import LOCAL_RESOURCE_ERRNOS
+from madderwind.transport.limits import OWN_LIMITS
 
 # A response up to this length is buffered whole, so that the request can still be retried if the response
 # fails; the longest buffering of a response without a stated length; and half of the most that is read ahead.
@@ -51,7 +51,7 @@
         options: ConnectionOptions = ConnectionOptions(),  # noqa: B008 (frozen)
     ) -> None:
         self._connector = BoundedConnector(most, options)
-        self._starts_after_last_byte = options.starts_after_last_byte
+        self._starts_when_whole = options.starts_when_whole
         self.retune(connect_timeout_ms, idle_ms)
         self._session = aiohttp.ClientSession(
             connector=self._connector,
@@ -65,7 +65,7 @@
         # Guards against a duplicate request: aiohttp resends a GET by itself when a reused connection breaks.
         self._session._retry_connection = False
 
-    def connection_count(self) -> int:
+    def held(self) -> int:
         """The number of open connections."""
         return self._connector.held()
 
@@ -126,7 +126,7 @@
                 # Guards against a machine that vanished: a reused connection is silent until the deadline,
                 # while a connection that is never established proves that nothing ran.
                 self.close_idle(upstream)
-            is_local = isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS
+            is_local = isinstance(error, OSError) and error.errno in OWN_LIMITS
             # a shortage on this machine says nothing about the upstream
             return Outcome.NOT_SENT if is_local else Outcome.CONNECT_FAILED
         except TimeoutError:
@@ -147,7 +147,7 @@
 
     def _may_have_run(self, encoded: EncodedRequest) -> bool:
         """Whether the upstream may have started the request. The only place that decides this."""
-        return encoded.write_finished if self._starts_after_last_byte else encoded.write_started
+        return encoded.write_finished if self._starts_when_whole else encoded.write_started
 
     async def _receive(self, response: ClientResponse, encoded: EncodedRequest) -> Answer | Outcome:
         """Buffer a short response whole; stream a long one if it is a success."""
@@ -177,7 +177,7 @@
     ) -> Answer | Outcome:
         """Stream the response as fast as both sides allow; no deadline cuts off what is still arriving."""
         if encoded.connection is not None:
-            encoded.connection.start_streaming()
+            encoded.connection.passes_on()
         if not await sink.begin(response.headers, response.content_length):
             response.close()
             return Outcome.CANCELLED
@@ -192,7 +192,7 @@
             await sink.write(part)
         return Answer(response.status, response.headers, b"")
 
-    def has_idle_connection(self, upstream: int) -> bool:
+    def keeps(self, upstream: int) -> bool:
         """Whether an idle connection to the upstream is known."""
         return any(key.proxy_headers_hash == upstream for key in self._connector._conns)
 
--- a/tests/balancing/test_idle_first.py
+++ b/tests/balancing/test_idle_first.py
@@ -6,27 +6,27 @@
 import unittest
 
 from madderwind.balancing.candidates import idle_first
-from madderwind.balancing.idle_first import IdleFirstSelector
+from madderwind.balancing.idle_first import IdleFirstPick
 
 NO_UPSTREAMS: frozenset[str] = frozenset()
 
 
-def make_selector(in_flight: dict[str, int], responded: str = "") -> IdleFirstSelector:
+def make_selector(in_flight: dict[str, int], responded: str = "") -> IdleFirstPick:
     """A selector with these requests in flight at each upstream; `responded` names those that responded."""
-    selector = IdleFirstSelector(random.Random(7))
+    selector = IdleFirstPick(random.Random(7))
     for upstream, count in in_flight.items():
         for _ in range(count):
-            selector.record_start(upstream)
+            selector.began(upstream)
     for upstream in responded:
-        selector.record_response(upstream)
+        selector.heard(upstream)
     return selector
 
 
 def selected(
-    selector: IdleFirstSelector, candidates: str, avoid: frozenset[str] = NO_UPSTREAMS
+    selector: IdleFirstPick, candidates: str, avoid: frozenset[str] = NO_UPSTREAMS
 ) -> set[str | None]:
     """The upstreams selected in many draws."""
-    return {selector.select(list(candidates), avoid) for _ in range(300)}
+    return {selector.pick(list(candidates), avoid) for _ in range(300)}
 
 
 class Selection(unittest.TestCase):
@@ -47,7 +47,7 @@
         selector = make_selector({"a": 1, "b": 4, "c": 9}, responded="ab")
         self.assertEqual(selected(selector, "abc"), {"a", "c"})
         # When it has responded
-        selector.record_response("c")
+        selector.heard("c")
         # Then its requests in flight count
         self.assertEqual(selected(selector, "abc"), {"a", "b"})
 
@@ -64,30 +64,30 @@
         self.assertEqual(selected(selector, "a", frozenset("a")), {"a"})
 
     def test_no_selection_without_candidates(self) -> None:
-        self.assertIsNone(make_selector({}).select([], NO_UPSTREAMS))
+        self.assertIsNone(make_selector({}).pick([], NO_UPSTREAMS))
 
     def test_the_selection_is_evenly_distributed(self) -> None:
         selector = make_selector({})
         counts = {"a": 0, "b": 0, "c": 0, "d": 0}
         for _ in range(4000):
-            counts[selector.select(list("abcd"), NO_UPSTREAMS) or ""] += 1
+            counts[selector.pick(list("abcd"), NO_UPSTREAMS) or ""] += 1
         self.assertTrue(all(850 < count < 1150 for count in counts.values()), counts)
 
 
 class InFlightCounts(unittest.TestCase):
     def test_ended_requests_decrease_the_count_and_never_below_zero(self) -> None:
         selector = make_selector({"a": 2})
-        selector.record_end("a")
+        selector.ended("a")
         self.assertEqual(selector.in_flight("a"), 1)
         for _ in range(3):
-            selector.record_end("a")
+            selector.ended("a")
         self.assertEqual(selector.in_flight("a"), 0)
 
     def test_a_forgotten_upstream_has_no_state_once_its_requests_ended(self) -> None:
         selector = make_selector({"a": 1}, responded="a")
         selector.forget("a")
         self.assertEqual(selector.in_flight("a"), 1)
-        selector.record_end("a")
+        selector.ended("a")
         self.assertEqual((selector._in_flight, selector._responded), ({}, set()))
 
 
--- a/tests/campaign/campaign.py
+++ b/tests/campaign/campaign.py
@@ -10,7 +10,7 @@
 import attrs
 
 from madderwind.controlplane.core import TICK_MS
-from madderwind.distribution.subscriber import FRESHNESS_LIMIT_MS
+from madderwind.distribution.subscriber import CURRENT_MS
 from madderwind.errors import MadderwindError
 from madderwind.replication.commands import CommandOutcome, CommandResult
 from tests.campaign.calls import HttpCall
@@ -247,7 +247,7 @@
         """Check that data planes know the ready instances and consider none that left ready."""
         for instance, (state, at_ms) in self.history.final_states.items():
             for data_plane in self.system.data_planes:
-                if data_plane.upstreams.accepts_new_requests(instance):
+                if data_plane.upstreams.takes_new(instance):
                     self.history.note(
                         "upstreams",
                         f"{data_plane.address} treats {instance} as ready, which was acknowledged as "
@@ -266,7 +266,7 @@
             f"{instance} at {data_plane.address}"
             for instance in ready
             for data_plane in self.system.data_planes
-            if instance in still and not data_plane.upstreams.accepts_new_requests(instance)
+            if instance in still and not data_plane.upstreams.takes_new(instance)
         ]
 
 
@@ -274,7 +274,7 @@
     status = machine.status()
     if status is None or status.committed_version != newest:
         return False
-    return status.fresh_age_ms is not None and status.fresh_age_ms < FRESHNESS_LIMIT_MS
+    return status.fresh_age_ms is not None and status.fresh_age_ms < CURRENT_MS
 
 
 @contextlib.contextmanager
--- a/tests/campaign/history.py
+++ b/tests/campaign/history.py
@@ -7,10 +7,10 @@
 
 import attrs
 
-from madderwind.distribution.subscriber import FRESHNESS_LIMIT_MS
+from madderwind.distribution.subscriber import CURRENT_MS
 from madderwind.messages.distribution import Freshness
 from madderwind.messages.replication import View
-from madderwind.registry.states import UpstreamState, later_state, parse_state
+from madderwind.registry.states import UpstreamState, furthest, state_named
 from madderwind.replication.commands import Command, CommandOutcome
 from tests.campaign.chain import Link
 from tests.campaign.control_machine import ControlMachine
@@ -23,7 +23,7 @@
 from tests.fleet.linearizability import ChainEntry, ReadCall, check_linearizable
 
 # A data plane may be unaware of an acknowledged version that it has not applied for this long.
-CURRENT_WITHIN_MS = FRESHNESS_LIMIT_MS + 4 * MAX_DELAY_MS
+CURRENT_WITHIN_MS = CURRENT_MS + 4 * MAX_DELAY_MS
 # A disk that held a command may be lost between the command's commit and its acknowledgement.
 RECENT_LOSS_MS = 1_500.0
 # Ages are reported in whole milliseconds.
@@ -222,7 +222,7 @@
         if state is UpstreamState.READY:
             return
         known = self._known_final(instance)
-        if known is None or later_state(known, state) is not known:
+        if known is None or furthest(known, state) is not known:
             self.final_states[instance] = (state, now_ms)
 
     def _known_final(self, instance: str) -> UpstreamState | None:
@@ -272,6 +272,6 @@
         return False
     for record in machine.core.upstreams(machine.clock.now_ms):
         if record.instance == instance:
-            known = parse_state(record.state)
-            return later_state(known, state) is known
+            known = state_named(record.state)
+            return furthest(known, state) is known
     return False
--- a/tests/campaign/test_mutants.py
+++ b/tests/campaign/test_mutants.py
@@ -129,7 +129,7 @@
 
 
 class MutantDetectionTest(unittest.TestCase):
-    def assert_detected(
+    def assert_found(
         self, likely_seeds: Sequence[int], schedule: Callable[[int], Schedule] = draw_schedule
     ) -> None:
         """Check that some seed leads to a violation; the likely seeds are only tried first."""
@@ -142,41 +142,41 @@
 
     def test_given_a_rejection_without_leadership_proof_then_it_is_found(self) -> None:
         with patch.object(Primary, "submit", reject_without_leadership_proof):
-            self.assert_detected([15])
+            self.assert_found([15])
 
     def test_given_snapshots_without_digests_then_it_is_found(self) -> None:
         with patch.object(ConfigurationHistory, "snapshot", snapshot_without_digests):
-            self.assert_detected([27])
+            self.assert_found([27])
 
     def test_given_a_drain_acknowledged_without_other_machines_then_it_is_found(self) -> None:
         with patch.object(RegistryService, "_respond", respond_without_other_machines):
-            self.assert_detected([4])
+            self.assert_found([4])
 
     def test_given_a_rewrite_without_a_directory_sync_then_it_is_found(self) -> None:
         with patch.object(MemoryDisk, "create", create_without_directory_sync):
-            self.assert_detected([27])
+            self.assert_found([27])
 
     def test_given_a_snapshot_older_than_the_log_then_it_is_found(self) -> None:
         with patch.object(ReplicaStore, "all_records", records_with_older_snapshot):
-            self.assert_detected([8])
+            self.assert_found([8])
 
     def test_given_a_forwarded_command_acknowledged_before_its_commit_then_it_is_found(self) -> None:
         with patch.object(OperatorCalls, "submit", acknowledge_before_commit):
-            self.assert_detected([2])
+            self.assert_found([2])
 
     def test_given_an_uncommitted_log_tail_reported_as_fresh_then_it_is_found(self) -> None:
         with patch.object(Lease, "fresh_ms", property(fresh_ms_of_uncommitted_tail)):
-            self.assert_detected([46])
+            self.assert_found([46])
 
     def test_given_freshness_without_its_age_then_it_is_found(self) -> None:
         with patch.object(Publisher, "_freshness_message", freshness_without_age):
-            self.assert_detected([1])
+            self.assert_found([1])
 
     def test_given_equal_call_numbers_in_each_incarnation_then_a_reply_to_an_earlier_one_is_found(
         self,
     ) -> None:
         with patch.object(OperatorCalls, "__init__", tokens_from_zero):
-            self.assert_detected([9, 4], restart_schedule)
+            self.assert_found([9, 4], restart_schedule)
 
     def test_given_random_first_call_numbers_then_replies_to_earlier_incarnations_are_harmless(self) -> None:
         Campaign(restart_schedule(2)).run()
--- a/tests/configuration/cost_of_change.py
+++ b/tests/configuration/cost_of_change.py
@@ -77,7 +77,7 @@
         return {
             "parse a complete document": median_ms(read_document, [self._body] * REPEATS),
             "parse it again, one route changed": self._time_replacement(),
-            "apply an update of one route": median_ms(self._document.apply_update, self._updates()),
+            "apply an update of one route": median_ms(self._document.updated, self._updates()),
             "raw JSON after an update": median_ms(lambda changed: changed.raw, self._changed_documents()),
             "primary: validate, append, commit an update": self._time_primary(),
             "copy a history": median_ms(lambda history: history.copy(), [self._full_history()] * REPEATS),
@@ -92,7 +92,7 @@
         return [one_route_update(2, number * 13 % self._routes) for number in range(REPEATS)]
 
     def _changed_documents(self) -> list[Document]:
-        return [self._document.apply_update(update) for update in self._updates()]
+        return [self._document.updated(update) for update in self._updates()]
 
     def _time_replacement(self) -> float:
         changed = self._changed_documents()[0].raw
@@ -142,7 +142,7 @@
         admission.configure(self._document)
 
         def apply_update(update: bytes) -> None:
-            admission.configure(self._document.apply_update(update))
+            admission.configure(self._document.updated(update))
 
         return median_ms(apply_update, self._updates())
 
--- a/tests/configuration/test_incremental.py
+++ b/tests/configuration/test_incremental.py
@@ -93,7 +93,7 @@
 
 def _apply_update(before: Document, body: bytes) -> Document | None:
     try:
-        return before.apply_update(body)
+        return before.updated(body)
     except ConfigurationError:
         return None
 
@@ -129,7 +129,7 @@
             )
     tenants_by_key = {key: each for each in configuration.tenants for key in each.api_keys}
     for number in range(12):
-        assert routing.tenant_for_key(f"k{number}") == tenants_by_key.get(f"k{number}")
+        assert routing.tenant_of(f"k{number}") == tenants_by_key.get(f"k{number}")
     for each in configuration.services:
         assert routing.service(each.name) == each
 
@@ -159,7 +159,7 @@
 
     def update(self, latest: Document, upsert: list[dict[str, Any]], delete: list[str]) -> Document:
         body = {"version": latest.version + 1, "upsert": {"routes": upsert}, "delete": {"routes": delete}}
-        return latest.apply_update(encoded(body))
+        return latest.updated(encoded(body))
 
     def test_update_of_one_route_shares_all_other_chunks(self) -> None:
         after = self.update(self.before, [route("r300", timeout_ms=5)], [])
--- a/tests/configuration/test_lookup.py
+++ b/tests/configuration/test_lookup.py
@@ -22,7 +22,7 @@
             simple_route("a", "one.example", "/a/"),
             simple_route("only", "two.example", "/x/"),
         )
-        self.table = RoutingTable.from_configuration(Configuration(1, routes, (Service(name="s"),)))
+        self.table = RoutingTable.of(Configuration(1, routes, (Service(name="s"),)))
 
     def matched(self, host: str, path: str) -> str | None:
         route = self.table.match(host, path)
@@ -64,10 +64,10 @@
 class TenantAndServiceLookups(unittest.TestCase):
     def test_tenant_is_found_by_key(self) -> None:
         table = document().routing
-        tenant = table.tenant_for_key("key-3")
+        tenant = table.tenant_of("key-3")
         assert tenant is not None
         self.assertEqual(tenant.name, "green")
-        self.assertIsNone(table.tenant_for_key("key-4"))
+        self.assertIsNone(table.tenant_of("key-4"))
         self.assertTrue(table.has_tenants)
         self.assertFalse(document(tenants=[]).routing.has_tenants)
 
--- a/tests/configuration/test_reading.py
+++ b/tests/configuration/test_reading.py
@@ -202,7 +202,7 @@
 
 class DocumentUpdates(unittest.TestCase):
     def updated(self, version: int = 9, **parts: Any) -> dict[str, Any]:
-        updated = document().apply_update(encoded({"version": version, **parts}))
+        updated = document().updated(encoded({"version": version, **parts}))
         self.assertEqual(updated.version, version)
         self.assertEqual(updated.configuration.version, version)
         read: dict[str, Any] = json.loads(updated.raw)
@@ -211,7 +211,7 @@
 
     def assert_rejected(self, field: str, version: int = 9, **parts: Any) -> None:
         with self.assertRaises(ConfigurationError) as caught:
-            document().apply_update(encoded({"version": version, **parts}))
+            document().updated(encoded({"version": version, **parts}))
         self.assertEqual(caught.exception.field, field)
 
     def test_items_are_replaced_in_place_appended_and_removed(self) -> None:
@@ -250,12 +250,12 @@
     def test_unknown_section_is_updated_like_known_ones(self) -> None:
         before = document(policies=[{"name": "p", "x": 1}, {"name": "q"}])
         body = {"version": 9, "upsert": {"policies": [{"name": "p", "x": 2}]}, "delete": {"policies": ["q"]}}
-        after = before.apply_update(encoded(body))
+        after = before.updated(encoded(body))
         self.assertEqual(json.loads(after.raw)["policies"], [{"name": "p", "x": 2}])
 
     def test_absent_section_is_created(self) -> None:
         before = document(tenants=None)
-        after = before.apply_update(encoded({"version": 9, "upsert": {"tenants": [tenant("blue", "k")]}}))
+        after = before.updated(encoded({"version": 9, "upsert": {"tenants": [tenant("blue", "k")]}}))
         self.assertEqual(json.loads(after.raw)["tenants"], [tenant("blue", "k")])
         self.assertEqual(after.configuration.tenants[0].name, "blue")
 
@@ -264,19 +264,19 @@
 
     def test_previous_document_is_not_modified(self) -> None:
         before = document()
-        before.apply_update(encoded({"version": 9, "delete": {"routes": ["a"]}}))
+        before.updated(encoded({"version": 9, "delete": {"routes": ["a"]}}))
         self.assertEqual(json.loads(before.raw), complete_configuration())
         self.assertEqual(len(before.configuration.routes), 3)
 
     def test_untouched_items_are_shared(self) -> None:
         before = document()
-        after = before.apply_update(encoded({"version": 9, "upsert": {"routes": [route("a", timeout_ms=5)]}}))
+        after = before.updated(encoded({"version": 9, "upsert": {"routes": [route("a", timeout_ms=5)]}}))
         self.assertIs(after.configuration.routes[1], before.configuration.routes[1])
 
     def test_successive_updates_keep_unknown_fields(self) -> None:
         latest = document(flavour={"x": [1.50]})
         for version in range(9, 30):
-            latest = latest.apply_update(
+            latest = latest.updated(
                 encoded({"version": version, "upsert": {"routes": [route("a", v=version)]}})
             )
         expected = complete_configuration(29, flavour={"x": [1.5]})
@@ -313,7 +313,7 @@
         body = encoded({"version": 9, "upsert": {"routes": [route("d")]}, "delete": {"routes": ["a"]}})
         for length in range(len(body)):
             with self.assertRaises(ConfigurationError):
-                before.apply_update(body[:length])
+                before.updated(body[:length])
 
 
 def _backend(weight: Any) -> dict[str, Any]:
--- a/tests/controlplane/test_core.py
+++ b/tests/controlplane/test_core.py
@@ -42,7 +42,7 @@
         return plane.commands[call].result.outcome
 
 
-class OperatorCallTest(FleetTestCase):
+class TheOperatorCalls(FleetTestCase):
     def test_the_primary_commits_a_command_and_a_read_returns_it(self) -> None:
         self.fleet.make_primary(self.first)
         self.fleet.submit(self.first, 1, replacement(0, 5))
--- a/tests/controlplane/test_cut_off.py
+++ b/tests/controlplane/test_cut_off.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from madderwind.replication.commands import CommandResult
-from madderwind.replication.pending_requests import PendingRequests, ResultCondition
+from madderwind.replication.pending_requests import PendingRequests, Proof
 from tests.controlplane.cut_scenarios import Cut, CutKind, CutScenario, Role
 from tests.fleet.history import Violation
 
@@ -66,19 +66,19 @@
 
 
 def add_command_without_fencing(
-    requests: PendingRequests, token: int, result: CommandResult, proof: ResultCondition
+    requests: PendingRequests, token: int, result: CommandResult, proof: Proof
 ) -> None:
-    add_command(requests, token, result, ResultCondition(proof.index, 0, proof.deadline_ms))
+    add_command(requests, token, result, Proof(proof.index, 0, proof.deadline_ms))
 
 
-def add_read_without_fencing(requests: PendingRequests, token: int, proof: ResultCondition) -> None:
-    add_read(requests, token, ResultCondition(proof.index, 0, proof.deadline_ms))
+def add_read_without_fencing(requests: PendingRequests, token: int, proof: Proof) -> None:
+    add_read(requests, token, Proof(proof.index, 0, proof.deadline_ms))
 
 
 class Mutants(unittest.TestCase):
     """Each mutant removes a mechanism and must violate an invariant in some scenario."""
 
-    def assert_detected(self, *cuts: Cut) -> None:
+    def assert_caught(self, *cuts: Cut) -> None:
         for cut in cuts:
             try:
                 CutScenario(cut).run()
@@ -93,7 +93,7 @@
 
     def test_read_resolved_without_fencing(self) -> None:
         with patch.object(PendingRequests, "add_read", add_read_without_fencing):
-            self.assert_detected(*(Cut(Role.PRIMARY, CutKind.PAUSED, 5_000.0, seed) for seed in range(1, 13)))
+            self.assert_caught(*(Cut(Role.PRIMARY, CutKind.PAUSED, 5_000.0, seed) for seed in range(1, 13)))
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_cut_off_upstreams.py
+++ b/tests/controlplane/test_cut_off_upstreams.py
@@ -125,14 +125,14 @@
 class Mutants(unittest.TestCase):
     """Each mutant removes a mechanism and must fail the test of that mechanism."""
 
-    def assert_detected(self, test: CutOffTestCase) -> None:
+    def assert_caught(self, test: CutOffTestCase) -> None:
         result = unittest.TestResult()
         test.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
 
     def test_drain_acknowledged_without_peers(self) -> None:
         with mock.patch.object(RegistryService, "_respond", accept_alone):
-            self.assert_detected(DrainsDuringACut("test_a_cut_off_machine_never_acknowledges_a_drain_alone"))
+            self.assert_caught(DrainsDuringACut("test_a_cut_off_machine_never_acknowledges_a_drain_alone"))
 
     def test_drain_confirmed_by_the_own_disk_only(self) -> None:
         def require_one(drains: DrainTracker, needed: int) -> None:
@@ -140,19 +140,19 @@
 
         original_init = DrainTracker.__init__
         with mock.patch.object(DrainTracker, "__init__", require_one):
-            self.assert_detected(
+            self.assert_caught(
                 DrainsDuringACut("test_after_a_restart_the_own_checkpoint_is_not_a_confirmation")
             )
 
     def test_restored_upstream_treated_as_known_to_peers(self) -> None:
         with mock.patch.object(Registry, "restore", Registry.merge):
-            self.assert_detected(
+            self.assert_caught(
                 NewUpstreamsDuringACut("test_after_a_restart_an_upstream_only_in_the_checkpoint_is_rejected")
             )
 
     def test_new_upstream_acknowledged_without_peers(self) -> None:
         with mock.patch.object(RegistryService, "_is_known_to_peers", return_value=True):
-            self.assert_detected(
+            self.assert_caught(
                 NewUpstreamsDuringACut("test_a_new_upstream_is_rejected_so_that_it_calls_another_machine")
             )
 
--- a/tests/controlplane/test_frames.py
+++ b/tests/controlplane/test_frames.py
@@ -13,28 +13,28 @@
 class FrameQueueTest(unittest.IsolatedAsyncioTestCase):
     async def test_offer_reports_an_overfull_queue_unless_it_holds_a_single_frame(self) -> None:
         queue = FrameQueue(max_bytes=10)
-        self.assertTrue(queue.enqueue(0.0, b"x" * 50))
-        self.assertFalse(queue.enqueue(0.0, b"y"))
+        self.assertTrue(queue.offer(0.0, b"x" * 50))
+        self.assertFalse(queue.offer(0.0, b"y"))
         queue.drop_oldest()
-        self.assertTrue(queue.enqueue(0.0, b"z"))
+        self.assertTrue(queue.offer(0.0, b"z"))
         self.assertEqual(len(queue), 2)
 
     async def test_old_frames_are_dropped(self) -> None:
         queue = FrameQueue(max_bytes=10)
         for second in range(4):
-            queue.enqueue(float(second), b"x")
+            queue.offer(float(second), b"x")
         queue.drop_older_than(2.0)
         self.assertEqual(len(queue), 2)
 
     async def test_frames_are_sent_in_order(self) -> None:
         queue = FrameQueue(max_bytes=10)
         sent: asyncio.Queue[bytes] = asyncio.Queue()
-        queue.enqueue(0.0, b"a")
+        queue.offer(0.0, b"a")
         send_task = asyncio.create_task(queue.send_all(sent.put))
         async with asyncio.timeout(DEADLINE_S):
             self.assertEqual(await sent.get(), b"a")
-            queue.enqueue(1.0, b"b")
-            queue.enqueue(1.0, b"c")
+            queue.offer(1.0, b"b")
+            queue.offer(1.0, b"c")
             self.assertEqual([await sent.get(), await sent.get()], [b"b", b"c"])
         send_task.cancel()
 
--- a/tests/controlplane/test_repeated_commands.py
+++ b/tests/controlplane/test_repeated_commands.py
@@ -264,7 +264,7 @@
 class Mutants(unittest.TestCase):
     """Each mutant removes a mechanism and must fail the test of that mechanism."""
 
-    def assert_detected(self, test: CommandTestCase) -> None:
+    def assert_caught(self, test: CommandTestCase) -> None:
         result = unittest.TestResult()
         with contextlib.suppress(Violation):
             test.run(result)
@@ -273,7 +273,7 @@
     def test_snapshot_without_digests(self) -> None:
         name = "test_a_repeat_after_snapshot_wipe_and_failover_is_acknowledged"
         with patch.object(ConfigurationHistory, "snapshot", snapshot_without_digests):
-            self.assert_detected(RepeatedCommandTest(name))
+            self.assert_caught(RepeatedCommandTest(name))
 
 
 if __name__ == "__main__":
--- a/tests/controlplane/test_steady_lease.py
+++ b/tests/controlplane/test_steady_lease.py
@@ -98,7 +98,7 @@
 class Mutants(unittest.TestCase):
     """Each mutant removes a mechanism and must fail the test of that mechanism."""
 
-    def assert_detected(self, test: unittest.TestCase) -> None:
+    def assert_caught(self, test: unittest.TestCase) -> None:
         result = unittest.TestResult()
         test.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
@@ -110,17 +110,17 @@
         )
         with patch.object(OperatorCalls, "_submit_to_primary", submit_with_new_token):
             for name in names:
-                self.assert_detected(RepeatedCallTest(name))
+                self.assert_caught(RepeatedCallTest(name))
 
     def test_same_first_token_in_each_incarnation(self) -> None:
         with patch.object(OperatorCalls, "__init__", init_with_fixed_first_token):
-            self.assert_detected(
-                test_core.OperatorCallTest("test_a_reply_to_a_former_incarnation_fits_no_call")
+            self.assert_caught(
+                test_core.TheOperatorCalls("test_a_reply_to_a_former_incarnation_fits_no_call")
             )
 
     def test_host_on_the_wall_clock(self) -> None:
         with patch.object(ControlPlaneHost, "_now_ms", wall_clock_ms):
-            self.assert_detected(WallClockJumpTest("test_the_lease_clock_is_independent_of_the_wall_clock"))
+            self.assert_caught(WallClockJumpTest("test_the_lease_clock_is_independent_of_the_wall_clock"))
 
     def test_lease_on_a_clock_that_jumps_back(self) -> None:
         """With a lease on such a clock, a cut-off primary reports itself as fresh for seconds."""
--- a/tests/dataplane/answer_mutants.py
+++ b/tests/dataplane/answer_mutants.py
@@ -42,7 +42,7 @@
 
 
 def retry_after_reset(progress: Progress) -> bool:
-    return progress.sent_count < progress.max_attempts and not progress.answer_begun
+    return progress.arrivals < progress.max_attempts and not progress.answer_begun
 
 
 def claim_unexecuted_after_send(progress: Progress) -> bool:
@@ -55,7 +55,7 @@
 
 
 def require_last_byte(**options: Any) -> ConnectionOptions:
-    return ConnectionOptions(**{**options, "starts_after_last_byte": True})
+    return ConnectionOptions(**{**options, "starts_when_whole": True})
 
 
 def leave_stream_open(answer: ClientAnswer) -> web.StreamResponse:
@@ -98,10 +98,10 @@
 
 MUTANTS: dict[str, Mutant] = {
     "an unsafe request is retried after a reset": lambda: patch.object(
-        retrying, "may_retry", retry_after_reset
+        retrying, "may_be_sent_again", retry_after_reset
     ),
     "a request that was sent is reported as unexecuted": lambda: patch.object(
-        request_forwarding, "may_report_not_executed", claim_unexecuted_after_send
+        request_forwarding, "may_promise", claim_unexecuted_after_send
     ),
     "X-Request-Id is not checked": lambda: patch.object(attempt_exchange, "read_head", read_head_without_id),
     "only the last byte of a request counts as a send": lambda: patch.object(
@@ -111,7 +111,7 @@
         SingleResponseHandler, "connection_lost", ResponseHandler.connection_lost
     ),
     "a partial event passes as the end of a stream": lambda: patch.object(
-        answer_relay, "declares_body_end", lambda headers: True
+        answer_relay, "tells_its_end", lambda headers: True
     ),
     "a stream that broke off is ended cleanly": lambda: patch.object(
         ClientAnswer, "abort", leave_stream_open
--- a/tests/dataplane/chaos.py
+++ b/tests/dataplane/chaos.py
@@ -29,7 +29,7 @@
 ROUTES = ("safe", "unsafe", "stream", "resumable")
 IDEMPOTENT = ("safe", "resumable")
 DISCONNECT_PROBABILITY, PLANNED_CHANGES, SHUTDOWN_PROBABILITY = 0.4, 6, 0.5
-DRAIN_ACCEPT_S = 0.2
+STILL_ACCEPTING_S = 0.2
 DATA_PLANE_STATUSES = frozenset((404, 408, 429, 502, 503, 504))
 LONG_BODY_BYTES = 150_000
 
@@ -115,7 +115,7 @@
         loop.set_exception_handler(lambda _, context: self.loop_errors.append(str(context)))
         behaviours = [self._handle_request] * UPSTREAM_COUNT
         async with Fleet(*behaviours, document=self._document()) as self._fleet:
-            self._fleet.plane._drain_accept_s = DRAIN_ACCEPT_S
+            self._fleet.plane._still_accepting_s = STILL_ACCEPTING_S
             clients = [self._run_client() for _ in range(CLIENT_COUNT)]
             async with asyncio.timeout(30):
                 await asyncio.gather(self._do_planned_work(), *clients)
@@ -161,7 +161,7 @@
             upstream = self._rng.choice(self._fleet.upstreams)
             state = self._rng.choice(("draining", "gone"))
             await self._fleet.control.register(record(upstream, leaving, state, 5))
-            while self._fleet.plane.upstreams.accepts_new_requests(leaving):
+            while self._fleet.plane.upstreams.takes_new(leaving):
                 await asyncio.sleep(0.001)
                 if self._is_shut_down():
                     return
--- a/tests/dataplane/fleet.py
+++ b/tests/dataplane/fleet.py
@@ -220,7 +220,7 @@
             self.control.records[f"i-{number}"] = record(upstream, f"i-{number}")
         port = await self.control.start()
         node_settings = settings(port, **self._settings)
-        self.plane = DataPlane(node_settings, self._record_event, random.Random(1), drain_accept_s=0.0)
+        self.plane = DataPlane(node_settings, self._record_event, random.Random(1), still_accepting_s=0.0)
         self.port, self.ready_port = await self.plane.start()
         if self.control.document is not None:
             await until(lambda: self.plane.is_ready and len(self.ready_instances()) == len(self.upstreams))
@@ -233,7 +233,7 @@
             await upstream.__aexit__()
 
     def ready_instances(self) -> Sequence[str]:
-        return self.plane.upstreams.ready_instances("app")
+        return self.plane.upstreams.ready_of_service("app")
 
     def _record_event(self, event: str, /, **fields: object) -> None:
         self.log.append((event, fields))
@@ -248,7 +248,7 @@
         """Return the status that the platform's readiness probe gets."""
         caller = await Caller.connect(self.ready_port)
         try:
-            return (await caller.request("GET /ready")).status
+            return (await caller.ask("GET /ready")).status
         finally:
             caller.close()
 
--- a/tests/dataplane/forwarder.py
+++ b/tests/dataplane/forwarder.py
@@ -189,12 +189,7 @@
             admission=admission,
             upstreams=known,
             chooser=UpstreamChooser(
-                rng,
-                known,
-                Placement(rng, "z1"),
-                "z1",
-                lambda instance, service: True,
-                self.pool.has_idle_connection,
+                rng, known, Placement(rng, "z1"), "z1", lambda instance, service: True, self.pool.keeps
             ),
             pool=self.pool,
             retries=Retries(RetryQuota(ShortestBackoff(), refund_on_success=False), budget),
@@ -203,7 +198,7 @@
             counters=self.counters,
         )
         self.listener = Listener(Forwarder(shared).serve, MAX_CONNECTIONS, lambda event, /, **fields: None)
-        self.listener.set_timeouts(CallerTimes())
+        self.listener.tune(CallerTimes())
         self.port = await self.listener.start(HOST, 0)
         return self
 
--- a/tests/dataplane/test_answer_mutants.py
+++ b/tests/dataplane/test_answer_mutants.py
@@ -20,7 +20,7 @@
     "a request that was sent is reported as unexecuted": test_answers.IncompleteRequestBodyTests(
         "test_a_timeout_is_not_retried_and_not_reported_as_unexecuted"
     ),
-    "X-Request-Id is not checked": test_hazards.MismatchedResponseTest(
+    "X-Request-Id is not checked": test_hazards.AnAnswerThatIsNotThisRequests(
         "test_of_another_request_is_never_passed_on_and_its_connection_never_used_again"
     ),
     "only the last byte of a request counts as a send": test_answers.IncompleteRequestBodyTests(
@@ -32,7 +32,7 @@
     "a partial event passes as the end of a stream": test_answers.ResponseWithoutLengthTests(
         "test_is_incomplete_within_an_event"
     ),
-    "a stream that broke off is ended cleanly": test_hazards.InterruptedStreamTest(
+    "a stream that broke off is ended cleanly": test_hazards.AStreamThatBreaksOff(
         "test_is_broken_off_for_the_client_where_it_cannot_go_on"
     ),
     "a connection is reused after an early response": test_answers.IncompleteRequestBodyTests(
@@ -73,5 +73,5 @@
                 self.assert_detected(TESTS_BY_MUTANT[name], mutant())
 
     def test_identical_control_plane_tokens_are_detected(self) -> None:
-        test_case = test_core.OperatorCallTest("test_a_reply_to_a_former_incarnation_fits_no_call")
+        test_case = test_core.TheOperatorCalls("test_a_reply_to_a_former_incarnation_fits_no_call")
         self.assert_detected(test_case, patch.object(random.Random, "getrandbits", lambda rng, bits: 0))
--- a/tests/dataplane/test_answers.py
+++ b/tests/dataplane/test_answers.py
@@ -447,6 +447,6 @@
         self.assertEqual(self.connections_for_two_requests(0.0, Connection="close"), 2)
 
     def test_an_attempt_that_was_not_sent_has_not_left(self) -> None:
-        self.assertFalse(Attempt("i-0", True, AttemptResult.NOT_SENT).may_have_arrived)
-        self.assertTrue(Attempt("i-0", True, AttemptResult.REFUSED_FULL).may_have_arrived)
-        self.assertTrue(Attempt("i-0", True).may_have_arrived)
+        self.assertFalse(Attempt("i-0", True, AttemptResult.NOT_SENT).has_left)
+        self.assertTrue(Attempt("i-0", True, AttemptResult.REFUSED_FULL).has_left)
+        self.assertTrue(Attempt("i-0", True).has_left)
--- a/tests/dataplane/test_bodies_given_up.py
+++ b/tests/dataplane/test_bodies_given_up.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from tests.dataplane.fleet import Fleet, Writer, document, served, until
-from tests.standins import Upstream, run, wait_for
+from tests.standins import Upstream, run, within
 
 DISCONNECT_DETECTION_S = 0.5
 LONGER_THAN_BUFFERS_BYTES = 16 * 1024 * 1024
@@ -34,10 +34,8 @@
                         while fleet.plane.pool.in_use("i-0"):
                             await asyncio.sleep(0)
                     may_read.set()
-                    self.assertEqual(await wait_for(fleet.upstreams[0].closed_connections.get()), 1)
-                    self.assertEqual(
-                        fleet.upstreams[0].requests, []
-                    )  # it never received the complete request
+                    self.assertEqual(await within(fleet.upstreams[0].ended.get()), 1)
+                    self.assertEqual(fleet.upstreams[0].asked, [])  # it never received the complete request
 
         run(scenario())
 
--- a/tests/dataplane/test_clients_that_leave.py
+++ b/tests/dataplane/test_clients_that_leave.py
@@ -24,7 +24,7 @@
     stream_head,
     until,
 )
-from tests.standins import Behaviour, never_respond, reset, run, wait_for
+from tests.standins import Behaviour, reset, run, silent, within
 
 DISCONNECT_DETECTION_S = 0.5
 LONG_BACKOFF_MS = 200.0
@@ -75,22 +75,22 @@
             async with Fleet(behave, behave, document=document()) as fleet:
                 client = await fleet.client()
                 client.write(path)
-                await until(lambda: any(upstream.requests for upstream in fleet.upstreams))
+                await until(lambda: any(upstream.asked for upstream in fleet.upstreams))
                 if read_first:
-                    await wait_for(client.caller.reader.readuntil(read_first))
-                (serving,) = [upstream for upstream in fleet.upstreams if upstream.requests]
+                    await within(client.caller.reader.readuntil(read_first))
+                (serving,) = [upstream for upstream in fleet.upstreams if upstream.asked]
                 await disconnect(client)
                 async with asyncio.timeout(DISCONNECT_DETECTION_S):
-                    await serving.closed_connections.get()
-                self.assertEqual(sum(len(upstream.requests) for upstream in fleet.upstreams), 1)
+                    await serving.ended.get()
+                self.assertEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 1)
 
         run(scenario())
 
     def test_before_the_response_begins(self) -> None:
         for path in ROUTES:
-            self.assert_work_ends(never_respond, path, close)
+            self.assert_work_ends(silent, path, close)
         for disconnect in DISCONNECTS:
-            self.assert_work_ends(never_respond, "/safe/x", disconnect)
+            self.assert_work_ends(silent, "/safe/x", disconnect)
 
     def test_during_a_stream(self) -> None:
         for behave in (stream_until_closed, begin_stream):
@@ -104,7 +104,7 @@
             return await asyncio.shield(serve(forwarder, request))
 
         with mock.patch.object(Forwarder, "serve", serve_to_the_end), self.assertRaises(TimeoutError):
-            self.assert_work_ends(never_respond, "/safe/x", close)
+            self.assert_work_ends(silent, "/safe/x", close)
 
 
 class UnsentRequests(unittest.TestCase):
@@ -119,7 +119,7 @@
                     await until(lambda: wait.called)
                     await close(client)
                     await until(lambda: not fleet.plane._listener.open_requests)
-                self.assertEqual(sum(len(upstream.requests) for upstream in fleet.upstreams), 1)
+                self.assertEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 1)
 
         run(scenario())
 
@@ -137,27 +137,27 @@
                 with mock.patch.object(UpstreamPool, "exchange", delayed_exchange):
                     client = await fleet.client()
                     client.write("/unsafe/x")
-                    await wait_for(exchange_started.wait())
+                    await within(exchange_started.wait())
                     await close(client)
                     await until(lambda: not fleet.plane._listener.open_requests)
                     may_connect.set()
                     self.assertEqual((await fleet.ask("/unsafe/x")).status, 200)
-                self.assertEqual(len(fleet.upstreams[0].requests), 1)
+                self.assertEqual(len(fleet.upstreams[0].asked), 1)
 
         run(scenario())
 
     def test_request_pipelined_behind_another_one(self) -> None:
         async def scenario() -> None:
-            async with Fleet(never_respond, never_respond, document=document()) as fleet:
+            async with Fleet(silent, silent, document=document()) as fleet:
                 client = await fleet.client()
                 client.write("/safe/x")
                 client.write("/safe/x")
-                await until(lambda: any(upstream.requests for upstream in fleet.upstreams))
+                await until(lambda: any(upstream.asked for upstream in fleet.upstreams))
                 await close(client)
                 async with asyncio.timeout(DISCONNECT_DETECTION_S):
                     while fleet.plane._listener.open_requests:
                         await asyncio.sleep(0)
-                self.assertEqual(sum(len(upstream.requests) for upstream in fleet.upstreams), 1)
+                self.assertEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 1)
 
         run(scenario())
 
--- a/tests/dataplane/test_decisions.py
+++ b/tests/dataplane/test_decisions.py
@@ -19,8 +19,8 @@
     Attempt,
     AttemptResult,
     Progress,
-    may_report_not_executed,
-    may_retry,
+    may_be_sent_again,
+    may_promise,
 )
 from madderwind.dataplane.event_stream import EventSplitter, EventTooLong
 from madderwind.dataplane.headers import (
@@ -52,30 +52,28 @@
 class ResendRules(unittest.TestCase):
     def test_allow_a_retry_when_no_attempt_was_executed(self) -> None:
         for result in NOT_EXECUTED:
-            self.assertTrue(may_retry(progress(result)))
-            self.assertTrue(may_report_not_executed(progress(result)))
+            self.assertTrue(may_be_sent_again(progress(result)))
+            self.assertTrue(may_promise(progress(result)))
 
     def test_allow_only_idempotent_retries_after_possible_execution(self) -> None:
         for result in POSSIBLY_EXECUTED:
-            self.assertFalse(may_retry(progress(result)))
-            self.assertTrue(may_retry(progress(result, idempotent=True)))
-            self.assertFalse(may_report_not_executed(progress(result)))
-            self.assertFalse(
-                may_report_not_executed(progress(result, AttemptResult.REFUSED_FULL, idempotent=True))
-            )
+            self.assertFalse(may_be_sent_again(progress(result)))
+            self.assertTrue(may_be_sent_again(progress(result, idempotent=True)))
+            self.assertFalse(may_promise(progress(result)))
+            self.assertFalse(may_promise(progress(result, AttemptResult.REFUSED_FULL, idempotent=True)))
 
     def test_count_every_attempt_that_was_sent(self) -> None:
         refused = AttemptResult.REFUSED_FULL
-        self.assertTrue(may_retry(progress(refused, refused)))
-        self.assertFalse(may_retry(progress(refused, refused, refused)))
-        self.assertTrue(may_retry(progress(refused, refused, *[AttemptResult.NOT_SENT] * 5)))
+        self.assertTrue(may_be_sent_again(progress(refused, refused)))
+        self.assertFalse(may_be_sent_again(progress(refused, refused, refused)))
+        self.assertTrue(may_be_sent_again(progress(refused, refused, *[AttemptResult.NOT_SENT] * 5)))
 
     def test_allow_only_resumable_streams_after_a_partial_response(self) -> None:
         for resumable in (False, True):
             begun = progress(AttemptResult.BROKEN, idempotent=True, resumable=resumable)
             begun.answer_begun = True
-            self.assertEqual(may_retry(begun), resumable)
-            self.assertFalse(may_report_not_executed(begun))
+            self.assertEqual(may_be_sent_again(begun), resumable)
+            self.assertFalse(may_promise(begun))
 
 
 class FakeRetryBudget:
--- a/tests/dataplane/test_hazards.py
+++ b/tests/dataplane/test_hazards.py
@@ -20,7 +20,7 @@
     stream_head,
     until,
 )
-from tests.standins import Behaviour, never_respond, reset_connection, run, wait_for
+from tests.standins import Behaviour, resets, run, silent, within
 
 
 def send_bytes(*raw: bytes) -> Behaviour:
@@ -48,7 +48,7 @@
     return behave
 
 
-class MismatchedResponseTest(unittest.TestCase):
+class AnAnswerThatIsNotThisRequests(unittest.TestCase):
     def test_of_another_request_is_never_passed_on_and_its_connection_never_used_again(self) -> None:
         async def scenario() -> None:
             async with Fleet(send_bytes(raw_response(request_id="r-other")), document=document()) as fleet:
@@ -68,11 +68,11 @@
             async with Fleet(mismatched, mismatched, document=document()) as fleet:
                 client = await fleet.client()
                 client.write("/safe/x")
-                await until(lambda: sum(len(u.requests) for u in fleet.upstreams) >= 1)
+                await until(lambda: sum(len(u.asked) for u in fleet.upstreams) >= 1)
                 for upstream in fleet.upstreams:
                     upstream.behave = served()
                 self.assertEqual((await client.read()).status, 200)
-                self.assertEqual([len(u.requests) for u in fleet.upstreams], [1, 1])
+                self.assertEqual([len(u.asked) for u in fleet.upstreams], [1, 1])
 
         run(scenario())
 
@@ -153,7 +153,7 @@
                 retry_after = response.header("Retry-After")
                 self.assertIsNotNone(retry_after)
                 self.assertTrue(0 < float(retry_after or 0) < 1)
-                self.assertEqual(sum(len(u.requests) for u in fleet.upstreams), 2)  # max_attempts
+                self.assertEqual(sum(len(u.asked) for u in fleet.upstreams), 2)  # max_attempts
 
         run(scenario())
 
@@ -163,10 +163,10 @@
                 for status in (503, 429, 408):
                     for upstream in fleet.upstreams:
                         upstream.behave = served(b"full", status)
-                        upstream.requests.clear()
+                        upstream.asked.clear()
                     response = await fleet.ask("/unsafe/x")
                     self.assertEqual((response.status, response.header("Retry-After")), (502, None))
-                    self.assertEqual(sum(len(u.requests) for u in fleet.upstreams), 1)
+                    self.assertEqual(sum(len(u.asked) for u in fleet.upstreams), 1)
 
         run(scenario())
 
@@ -179,7 +179,7 @@
             async with Fleet(misdirected, misdirected, document=document()) as fleet:
                 response = await fleet.ask("/unsafe/x")
                 self.assertEqual((response.status, response.header("Retry-After") is None), (503, False))
-                self.assertEqual([len(u.requests) for u in fleet.upstreams], [1, 1])
+                self.assertEqual([len(u.asked) for u in fleet.upstreams], [1, 1])
                 self.assertEqual(fleet.ready_instances(), ())
                 for upstream in fleet.upstreams:
                     upstream.behave = served()
@@ -187,7 +187,7 @@
                 await fleet.control.register(record(fleet.upstreams[0], "i-new"))
                 await until(lambda: fleet.ready_instances() == ("i-new",))
                 self.assertEqual((await fleet.ask("/unsafe/x")).status, 200)
-                self.assertEqual(fleet.upstreams[0].requests[-1].header("X-Expect-Instance"), "i-new")
+                self.assertEqual(fleet.upstreams[0].asked[-1].header("X-Expect-Instance"), "i-new")
 
         run(scenario())
 
@@ -210,22 +210,22 @@
                 await until(lambda: len(fleet.ready_instances()) == 3)
                 for _ in range(6):
                     self.assertEqual((await fleet.ask("/unsafe/x")).status, 200)
-                self.assertEqual(len(fleet.upstreams[1].requests), 6)
+                self.assertEqual(len(fleet.upstreams[1].asked), 6)
 
         run(scenario())
 
     def test_reset_after_sending_is_final_for_an_unsafe_request(self) -> None:
         async def scenario() -> None:
-            async with Fleet(reset_connection, reset_connection, document=document()) as fleet:
+            async with Fleet(resets, resets, document=document()) as fleet:
                 response = await fleet.ask("/unsafe/x")
                 self.assertEqual((response.status, response.header("Retry-After")), (502, None))
-                self.assertEqual(sum(len(u.requests) for u in fleet.upstreams), 1)
+                self.assertEqual(sum(len(u.asked) for u in fleet.upstreams), 1)
 
         run(scenario())
 
     def test_reset_after_sending_is_retried_for_a_safe_request(self) -> None:
         async def scenario() -> None:
-            async with Fleet(reset_connection, served(), document=document()) as fleet:
+            async with Fleet(resets, served(), document=document()) as fleet:
                 for _ in range(4):
                     self.assertEqual((await fleet.ask("/safe/x")).status, 200)
 
@@ -233,11 +233,11 @@
 
     def test_missing_response_gives_504_without_retry_after_at_the_route_timeout(self) -> None:
         async def scenario() -> None:
-            async with Fleet(never_respond, never_respond, document=document()) as fleet:
+            async with Fleet(silent, silent, document=document()) as fleet:
                 response = await fleet.ask("/quick/x")
                 self.assertEqual((response.status, response.header("Retry-After")), (504, None))
-                (serving,) = [upstream for upstream in fleet.upstreams if upstream.requests]
-                self.assertEqual(await wait_for(serving.closed_connections.get()), 1)
+                (serving,) = [upstream for upstream in fleet.upstreams if upstream.asked]
+                self.assertEqual(await within(serving.ended.get()), 1)
 
         run(scenario())
 
@@ -251,7 +251,7 @@
         run(scenario())
 
 
-class InterruptedStreamTest(unittest.TestCase):
+class AStreamThatBreaksOff(unittest.TestCase):
     def test_is_broken_off_for_the_client_where_it_cannot_go_on(self) -> None:
         async def scenario() -> None:
             async def send_part_and_abort(message: Message, writer: Writer) -> None:
@@ -268,8 +268,8 @@
                 await reader.readuntil(event(1))
                 event_read.set()
                 with self.assertRaises((asyncio.IncompleteReadError, ConnectionError)):
-                    await wait_for(reader.readuntil(b"0\r\n\r\n"))
-                self.assertEqual(sum(len(u.requests) for u in fleet.upstreams), 1)
+                    await within(reader.readuntil(b"0\r\n\r\n"))
+                self.assertEqual(sum(len(u.asked) for u in fleet.upstreams), 1)
 
         run(scenario())
 
@@ -296,13 +296,13 @@
                 reader = client.caller.reader
                 first_part = await reader.readuntil(event(2))
                 events_read.set()
-                resumed = await wait_for(reader.readuntil(b"0\r\n\r\n"))
+                resumed = await within(reader.readuntil(b"0\r\n\r\n"))
                 self.assertIn(SIGNATURE.encode(), first_part)
                 received = first_part + resumed
                 self.assertEqual([received.count(event(n)) for n in (1, 2, 3, 4)], [1, 1, 1, 1])
                 self.assertNotIn(b"another", received)
                 self.assertEqual(resumed_after, ["2"])
-                self.assertEqual([len(u.requests) for u in fleet.upstreams], [1, 1])
+                self.assertEqual([len(u.asked) for u in fleet.upstreams], [1, 1])
 
         run(scenario())
 
@@ -337,7 +337,7 @@
                 client.write("/stream/x")
                 await client.caller.reader.readuntil(event(1))
                 client.caller.close()
-                self.assertEqual(await wait_for(fleet.upstreams[0].closed_connections.get()), 1)
+                self.assertEqual(await within(fleet.upstreams[0].ended.get()), 1)
 
         run(scenario())
 
@@ -358,7 +358,7 @@
                 await until(lambda: not fleet.ready_instances())
                 self.assertEqual((await fleet.ask("/safe/x")).status, 503)
                 writers[0].write(chunk(event(2)) + b"0\r\n\r\n")
-                await wait_for(client.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
-                self.assertEqual(len(fleet.upstreams[0].requests), 1)
+                await within(client.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
+                self.assertEqual(len(fleet.upstreams[0].asked), 1)
 
         run(scenario())
--- a/tests/dataplane/test_long_configurations.py
+++ b/tests/dataplane/test_long_configurations.py
@@ -11,9 +11,9 @@
 from madderwind.configuration.reading import Document
 from madderwind.dataplane import subscriber_links
 from madderwind.distribution.reading_ahead import (
-    OFFLOAD_THRESHOLD_BYTES,
+    LONG_CONFIGURATION_BYTES,
     ConfigurationMessage,
-    apply_message,
+    document_after,
 )
 from tests.dataplane.fleet import Fleet, document, served, until
 
@@ -28,11 +28,11 @@
         def read_slowly(base: Document | None, message: ConfigurationMessage) -> Document:
             reading_started.set()
             may_finish.wait(MAX_WAIT_S)
-            return apply_message(base, message)
+            return document_after(base, message)
 
         async with Fleet(served(), document=document(1)) as fleet:
-            with patch.object(subscriber_links, "apply_message", read_slowly):
-                await fleet.control.publish(document(2, notes=["x" * OFFLOAD_THRESHOLD_BYTES]))
+            with patch.object(subscriber_links, "document_after", read_slowly):
+                await fleet.control.publish(document(2, notes=["x" * LONG_CONFIGURATION_BYTES]))
                 await until(reading_started.is_set)
                 self.assertEqual(200, (await fleet.ask()).status)
                 self.assertEqual(1, fleet.plane.subscriber.version)
@@ -42,7 +42,7 @@
 
     async def test_unusable_configuration_leaves_the_previous_one_in_force(self) -> None:
         async with Fleet(served(), document=document(1)) as fleet:
-            await fleet.control.publish(document(2, routes="x" * OFFLOAD_THRESHOLD_BYTES))
+            await fleet.control.publish(document(2, routes="x" * LONG_CONFIGURATION_BYTES))
             await until(lambda: any(event == "configuration_unusable" for event, _ in fleet.log))
             self.assertEqual(200, (await fleet.ask()).status)
 
@@ -54,15 +54,15 @@
 
         def read_and_note_thread(base: Document | None, message: ConfigurationMessage) -> Document:
             readers.add(threading.current_thread())
-            return apply_message(base, message)
+            return document_after(base, message)
 
         async with Fleet(served(), document=document(1)) as fleet:
-            with patch.object(subscriber_links, "apply_message", read_and_note_thread):
-                await fleet.control.publish(document(2, notes=["x" * OFFLOAD_THRESHOLD_BYTES]))
+            with patch.object(subscriber_links, "document_after", read_and_note_thread):
+                await fleet.control.publish(document(2, notes=["x" * LONG_CONFIGURATION_BYTES]))
                 await until(lambda: fleet.plane.subscriber.version == 2)
                 self.assertNotIn(threading.main_thread(), readers)
                 with patch.object(asyncio, "to_thread", call_on_loop):
-                    await fleet.control.publish(document(3, notes=["x" * OFFLOAD_THRESHOLD_BYTES]))
+                    await fleet.control.publish(document(3, notes=["x" * LONG_CONFIGURATION_BYTES]))
                     await until(lambda: fleet.plane.subscriber.version == 3)
                 self.assertIn(threading.main_thread(), readers)
 
--- a/tests/dataplane/test_misdirected.py
+++ b/tests/dataplane/test_misdirected.py
@@ -31,9 +31,9 @@
                     response = await fleet.ask(path)
                     self.assertEqual((response.status, response.header("X-Upstream-Signature")), (503, None))
                     self.assertTrue(0 < float(response.header("Retry-After") or 0) < 1)
-                    self.assertLessEqual(sum(len(upstream.requests) for upstream in fleet.upstreams), 2)
+                    self.assertLessEqual(sum(len(upstream.asked) for upstream in fleet.upstreams), 2)
                     for upstream in fleet.upstreams:
-                        upstream.requests.clear()
+                        upstream.asked.clear()
                 self.assertEqual(fleet.ready_instances(), ready_after)
 
         run(scenario())
@@ -61,7 +61,7 @@
         async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 self.assertEqual((await fleet.ask(Expect_Version="7", Priority="0")).status, 200)
-                received = fleet.upstreams[0].requests[0]
+                received = fleet.upstreams[0].asked[0]
                 self.assertEqual(
                     (received.header("Expect-Version"), received.header("Priority")), (None, "1")
                 )
--- a/tests/dataplane/test_planned_work.py
+++ b/tests/dataplane/test_planned_work.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from madderwind.dataplane.retrying import Retries
-from madderwind.dataplane.service import DRAIN_ACCEPT_S, DataPlane, Phase
+from madderwind.dataplane.service import STILL_ACCEPTING_S, DataPlane, Phase
 from madderwind.dataplane.upstream_pool import UpstreamPool
 from madderwind.messages.distribution import ConfigurationApplied
 from madderwind.testing.fault_tests.wire import chunk
@@ -28,10 +28,10 @@
     stream_head,
     until,
 )
-from tests.standins import run, wait_for
+from tests.standins import run, within
 
 PlannedWork = Callable[[Fleet], Awaitable[None]]
-# Shorter than DRAIN_ACCEPT_S, for which a process with enough time still accepts connections.
+# Shorter than STILL_ACCEPTING_S, for which a process with enough time still accepts connections.
 GRACE_S = 1.2
 LAST_CHUNK = b"0\r\n\r\n"
 STREAMING_REQUEST_LINES = ("POST /stream/", "POST /resumable/")
@@ -111,7 +111,7 @@
                     clients, ("/safe/x", "/unsafe/x", "/stream/x", "/resumable/x"), strict=True
                 ):
                     client.write(path)
-                await until(lambda: len(fleet.upstreams[0].requests) == len(clients))
+                await until(lambda: len(fleet.upstreams[0].asked) == len(clients))
                 await work(fleet)
                 blocked.released.set()
                 for client in clients[:2]:
@@ -120,10 +120,10 @@
                         (response.status, response.header("X-Upstream-Signature")), (200, SIGNATURE)
                     )
                 for client in clients[2:]:
-                    stream = await wait_for(client.caller.reader.readuntil(LAST_CHUNK))
+                    stream = await within(client.caller.reader.readuntil(LAST_CHUNK))
                     body = stream.partition(b"\r\n\r\n")[2]
                     self.assertEqual(event(1) + event(2), decode_chunks(body))
-                self.assertEqual(len(fleet.upstreams[0].requests), len(clients))
+                self.assertEqual(len(fleet.upstreams[0].asked), len(clients))
 
         run(scenario())
 
@@ -160,7 +160,7 @@
                 leaving, staying = fleet.upstreams
                 for _ in range(4):  # opens connections to both upstreams
                     self.assertEqual((await fleet.ask()).status, 200)
-                leaving.requests.clear()
+                leaving.asked.clear()
                 await fleet.control.register(record(leaving, "i-0", "gone", 3))
                 await until(lambda: fleet.ready_instances() == ("i-1",))
                 for late_record in (
@@ -173,7 +173,7 @@
                 await until(lambda: "i-2" in fleet.ready_instances())
                 for _ in range(12):
                     self.assertEqual((await fleet.ask()).status, 200)
-                self.assertEqual((leaving.requests, set(fleet.ready_instances())), ([], {"i-1", "i-2"}))
+                self.assertEqual((leaving.asked, set(fleet.ready_instances())), ([], {"i-1", "i-2"}))
 
         run(scenario())
 
@@ -191,11 +191,11 @@
                 with mock.patch.object(UpstreamPool, "exchange", delayed_exchange):
                     client = await fleet.client()
                     client.write("/unsafe/x")
-                    await wait_for(exchange_started.wait())
+                    await within(exchange_started.wait())
                     await upstream_state_change("gone")(fleet)
                     may_connect.set()
                     response = await client.read()
-                self.assertEqual((response.status, fleet.upstreams[0].requests), (503, []))
+                self.assertEqual((response.status, fleet.upstreams[0].asked), (503, []))
                 self.assertIsNotNone(response.header("Retry-After"))
 
         run(scenario())
@@ -209,16 +209,16 @@
             blocked = BlockedUpstream()
             bounds = {"grace_s": GRACE_S, "retry_slack": 50, "quota_slack": 0}
             async with Fleet(blocked, document=document(), bounds=bounds) as fleet:
-                fleet.plane._drain_accept_s = DRAIN_ACCEPT_S
+                fleet.plane._still_accepting_s = STILL_ACCEPTING_S
                 loop = asyncio.get_running_loop()
                 client = await fleet.client()
                 client.write("/safe/x")
-                await until(lambda: len(fleet.upstreams[0].requests) == 1)
+                await until(lambda: len(fleet.upstreams[0].asked) == 1)
                 started_s = loop.time()
                 shutdown = loop.create_task(fleet.plane.drain())
                 loop.call_at(started_s + GRACE_S / 2, blocked.released.set)
                 self.assertEqual((await client.read()).status, 200)
-                await wait_for(shutdown)
+                await within(shutdown)
                 self.assertLess(loop.time() - started_s, GRACE_S)
 
         run(scenario())
@@ -234,7 +234,7 @@
                     await until(lambda: wait.called)
                     await fleet.plane.drain()
                     response = await client.read()
-                self.assertEqual((response.status, len(fleet.upstreams[0].requests)), (503, 1))
+                self.assertEqual((response.status, len(fleet.upstreams[0].asked)), (503, 1))
 
         run(scenario())
 
@@ -248,9 +248,9 @@
             async with Fleet(blocked, document=document()) as fleet:
                 client: Client = await fleet.client()
                 client.write("/safe/x")
-                await until(lambda: len(fleet.upstreams[0].requests) == 1)
+                await until(lambda: len(fleet.upstreams[0].asked) == 1)
                 self.assertEqual(await fleet.readiness_status(), 200)
-                fleet.plane._drain_accept_s = 0.05
+                fleet.plane._still_accepting_s = 0.05
                 shutdown = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await asyncio.sleep(0)
                 self.assertEqual(await fleet.readiness_status(), 503)
@@ -264,7 +264,7 @@
                 self.assertEqual(await fleet.readiness_status(), 503)
                 blocked.released.set()
                 self.assertEqual((await client.read()).status, 200)
-                await wait_for(shutdown)
+                await within(shutdown)
                 with self.assertRaises(ConnectionError):
                     await fleet.readiness_status()
 
--- a/tests/dataplane/test_process.py
+++ b/tests/dataplane/test_process.py
@@ -30,7 +30,7 @@
     until,
 )
 from tests.examples import HOST
-from tests.standins import Caller, Upstream, run, wait_for
+from tests.standins import Caller, Upstream, run, within
 
 ROOT = Path(__file__).parents[2]
 
@@ -43,7 +43,7 @@
                 self.assertEqual((await fleet.ask("/safe/x", X_Key="k-unknown")).status, 401)
                 self.assertEqual((await fleet.ask("/safe/x", body=b"x" * 100_001)).status, 413)
                 self.assertEqual((await fleet.ask("/safe/x", X_Long="x" * 17_000)).status, 431)
-                self.assertEqual(fleet.upstreams[0].requests, [])
+                self.assertEqual(fleet.upstreams[0].asked, [])
 
         run(scenario())
 
@@ -55,7 +55,7 @@
                     response = await fleet.ask("/unsafe/x", X_Key="k-thrifty")
                     statuses.append(response.status)
                 self.assertIsNotNone(response.header("Retry-After"))
-                self.assertEqual(len(fleet.upstreams[0].requests), len(statuses) - 1)
+                self.assertEqual(len(fleet.upstreams[0].asked), len(statuses) - 1)
                 used = [m for m in fleet.control.received if isinstance(m, UsageReport) and m.used]
                 if not used:
                     await until(
@@ -117,7 +117,7 @@
                 self.assertEqual((await idle.ask()).status, 200)
                 streaming.write("/stream/x")
                 await streaming.caller.reader.readuntil(event(1))
-                fleet.plane._drain_accept_s = 0.3
+                fleet.plane._still_accepting_s = 0.3
                 shutdown = asyncio.get_running_loop().create_task(fleet.plane.drain())
                 await until(lambda: not fleet.plane.is_ready)
                 self.assertEqual(await fleet.readiness_status(), 503)
@@ -126,9 +126,9 @@
                     self.assertEqual((response.status, response.header("Connection")), (200, "close"))
                     self.assertTrue(await client.caller.at_end())
                 writers[0].write(chunk(event(2)) + b"0\r\n\r\n")
-                await wait_for(streaming.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
-                await wait_for(shutdown)
-                await wait_for(fleet.plane.wait_until_ended())
+                await within(streaming.caller.reader.readuntil(event(2) + b"\r\n0\r\n\r\n"))
+                await within(shutdown)
+                await within(fleet.plane.wait_until_ended())
                 self.assertIn(Goodbye(), fleet.control.received)
 
         run(scenario())
@@ -194,7 +194,7 @@
                         "POST /safe/x", b"hi", Host="shop.example", X_Key="k-acme", X_Request_Id="r-1"
                     )
                     self.assertEqual((await caller.read()).status, 200)
-                    self.assertEqual(await wait_for(process.wait()), 0)
+                    self.assertEqual(await within(process.wait()), 0)
                 finally:
                     if process.returncode is None:
                         process.kill()
@@ -207,7 +207,7 @@
     async def next_event(self, output: asyncio.StreamReader, name: str) -> dict[str, int]:
         """Return the next line of the log with this event."""
         while True:
-            log_line = msgspec.json.decode(await wait_for(output.readline()))
+            log_line = msgspec.json.decode(await within(output.readline()))
             if log_line["event"] == name:
                 return dict(log_line)
 
--- a/tests/dataplane/test_sends.py
+++ b/tests/dataplane/test_sends.py
@@ -23,7 +23,7 @@
     stream_head,
     until,
 )
-from tests.standins import Behaviour, reset_connection, run
+from tests.standins import Behaviour, resets, run
 
 MAX_ATTEMPTS = (1, 2, 3)
 GENERATION_HEADERS = {
@@ -50,13 +50,7 @@
     writer.transport.abort()
 
 
-FAILURES: tuple[Behaviour, ...] = (
-    reset_connection,
-    refuses(),
-    refuses(429),
-    misdirects,
-    answers_another_request,
-)
+FAILURES: tuple[Behaviour, ...] = (resets, refuses(), refuses(429), misdirects, answers_another_request)
 ROUTES = ("safe", "unsafe", "stream", "resumable")
 
 
@@ -73,12 +67,12 @@
                 async with Fleet(*behaviours, document=with_max_attempts(max_attempts)) as fleet:
                     with mock.patch.multiple(retrying, TRANSIENT_BASE_MS=1.0, FULL_BASE_MS=1.0):
                         for path in ROUTES:
-                            before = sum(len(upstream.requests) for upstream in fleet.upstreams)
+                            before = sum(len(upstream.asked) for upstream in fleet.upstreams)
                             client = await fleet.client()
                             client.write(f"/{path}/x", X_Deadline_Ms="400")
                             await client.caller.reader.read(1)
                             await until(lambda: not fleet.plane._listener.open_requests)  # noqa: B023
-                            sent = sum(len(upstream.requests) for upstream in fleet.upstreams) - before
+                            sent = sum(len(upstream.asked) for upstream in fleet.upstreams) - before
                             self.assertLessEqual(sent, max_attempts, (path, behaviours))
 
         run(scenario())
@@ -97,7 +91,7 @@
                     await upstream.__aexit__()
                 for path in ROUTES[:2]:
                     self.assertEqual((await fleet.ask(f"/{path}/x")).status, 503)
-                self.assertLessEqual(len(fleet.upstreams[2].requests), 2)
+                self.assertLessEqual(len(fleet.upstreams[2].asked), 2)
 
         run(scenario())
 
@@ -106,7 +100,7 @@
             return 0.0
 
         with mock.patch.object(Retries, "wait_ms", retry_at_once), self.assertRaises(AssertionError):
-            self.assert_bounded((reset_connection,) * 5)
+            self.assert_bounded((resets,) * 5)
 
 
 class WhatTheClientSays(unittest.TestCase):
@@ -120,7 +114,7 @@
                     client.write(f"/{path}/x", "POST", b"hi", **GENERATION_HEADERS)
                     await client.caller.reader.read(1)
                     await until(lambda: not fleet.plane._listener.open_requests)
-                received = [message for upstream in fleet.upstreams for message in upstream.requests]
+                received = [message for upstream in fleet.upstreams for message in upstream.asked]
                 self.assertGreater(len(received), len(ROUTES))  # some requests were retried
                 self.assertIn("1", [message.header("Last-Event-Id") for message in received])
                 for message in received:
@@ -133,7 +127,7 @@
         async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 await fleet.ask("/unsafe/x")
-                (message,) = fleet.upstreams[0].requests
+                (message,) = fleet.upstreams[0].asked
                 self.assertEqual([message.header(name) for name in GENERATION_HEADERS], [None] * 3)
 
         run(scenario())
--- a/tests/dataplane/test_serving.py
+++ b/tests/dataplane/test_serving.py
@@ -38,7 +38,7 @@
                     "/unsafe/a%20b/?x=1&y", body=b"\x00raw", X_Tenant_Id="other", X_Mine="m", Priority="0"
                 )
                 await client.read()
-                (received,) = fleet.upstreams[0].requests
+                (received,) = fleet.upstreams[0].asked
                 self.assertEqual(received.start, "POST /unsafe/a%20b/?x=1&y HTTP/1.1")
                 self.assertEqual(received.body, b"\x00raw")
                 self.assertEqual(received.header("Host"), CLIENT_HOST)
@@ -58,7 +58,7 @@
         async def scenario() -> None:
             async with Fleet(served(), document=document()) as fleet:
                 await fleet.ask("/quick/x", X_Deadline_Ms="4000")
-                (received,) = fleet.upstreams[0].requests
+                (received,) = fleet.upstreams[0].asked
                 self.assertLessEqual(int(received.header("X-Deadline-Ms") or 0), 120)
 
         run(scenario())
@@ -70,7 +70,7 @@
                 client.write("/unsafe/x", body=b"", Transfer_Encoding="chunked")
                 client.caller.writer.write(chunk(b"one ") + chunk(b"two") + b"0\r\n\r\n")
                 self.assertEqual((await client.read()).status, 200)
-                self.assertEqual(fleet.upstreams[0].requests[0].body, b"one two")
+                self.assertEqual(fleet.upstreams[0].asked[0].body, b"one two")
 
         run(scenario())
 
--- a/tests/dataplane/test_silent_upstreams.py
+++ b/tests/dataplane/test_silent_upstreams.py
@@ -12,7 +12,7 @@
 from madderwind.testing.fault_tests.wire import chunk
 from madderwind.transport.connector import ConnectionOptions
 from tests.dataplane.fleet import SIGNATURE, Client, Fleet, Message, Writer, document, event, stream_head
-from tests.standins import Behaviour, run, wait_for
+from tests.standins import Behaviour, run, within
 
 # Replaces every idle timeout; far shorter than in production.
 IDLE_TIMEOUT_S = 0.03
@@ -57,9 +57,9 @@
                 client.write(path)
                 await self.assert_no_connection_ends(fleet)
                 may_continue.set()
-                await wait_for(client.caller.reader.readuntil(after))
-                self.assertEqual(fleet.upstreams[0].closed_connections.qsize(), 0)
-                self.assertEqual(len(fleet.upstreams[0].requests), 1)
+                await within(client.caller.reader.readuntil(after))
+                self.assertEqual(fleet.upstreams[0].ended.qsize(), 0)
+                self.assertEqual(len(fleet.upstreams[0].asked), 1)
 
         with (
             mock.patch.object(upstream_pool, "HEAD_STALL_S", IDLE_TIMEOUT_S),
@@ -71,7 +71,7 @@
         """Check that no connection ends for longer than any timeout but that of the request itself."""
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(PAUSE_S):
-                await fleet.upstreams[0].closed_connections.get()
+                await fleet.upstreams[0].ended.get()
 
     def test_during_a_stream(self) -> None:
         for path in ("/stream/x", "/resumable/x"):
@@ -84,7 +84,7 @@
 
     def test_timeout_that_ends_a_response_is_detected(self) -> None:
         def with_timeout(**options: Any) -> ConnectionOptions:
-            return ConnectionOptions(**options)._replace(streaming_stall_s=IDLE_TIMEOUT_S)
+            return ConnectionOptions(**options)._replace(passing_stall_s=IDLE_TIMEOUT_S)
 
         with (
             mock.patch.object(upstream_pool, "ConnectionOptions", with_timeout),
--- a/tests/dataplane/test_time_limits.py
+++ b/tests/dataplane/test_time_limits.py
@@ -26,7 +26,7 @@
     stream_head,
 )
 from tests.dataplane.forwarder import run_on_virtual_clock
-from tests.standins import Behaviour, Upstream, never_respond, reset_connection, run, wait_for
+from tests.standins import Behaviour, Upstream, resets, run, silent, within
 
 MS_PER_S = 1000.0
 TIMEOUT_MS = 150
@@ -105,7 +105,7 @@
         run(scenario())
 
     def test_deadline_of_a_retry_is_that_of_the_first_attempt(self) -> None:
-        for first in (refuses(), reset_connection):
+        for first in (refuses(), resets):
             self.assert_retry_ends_with_the_first(first)
 
     def assert_computed_when_written(self) -> None:
@@ -185,7 +185,7 @@
         response = b""
         while not response.startswith(b"HTTP/1.1 50") or b"\r\n\r\n" not in response:
             try:
-                part = await wait_for(client.caller.reader.read(65536))
+                part = await within(client.caller.reader.read(65536))
             except ConnectionError:
                 break
             if not part:
@@ -210,7 +210,7 @@
 
     def test_request_without_a_response_ends(self) -> None:
         for path in ("/safe/x", "/unsafe/x", "/stream/x", "/resumable/x"):
-            self.assert_ends(never_respond, path, b"504")
+            self.assert_ends(silent, path, b"504")
 
     def test_stream_without_an_event_ends(self) -> None:
         for path in ("/stream/x", "/resumable/x"):
@@ -226,7 +226,7 @@
 
     def test_request_to_an_upstream_that_does_not_read_ends(self) -> None:
         async def scenario() -> None:
-            async with Fleet(never_respond, document=short_timeout_document()) as fleet:
+            async with Fleet(silent, document=short_timeout_document()) as fleet:
                 client = await fleet.client()
                 started_ms = now_ms()
                 client.write("/unsafe/x", body=b"x" * LONGER_THAN_BUFFERS_BYTES)
@@ -245,7 +245,7 @@
                 self.assertEqual((await client.read()).status, 408)
                 self.assertLess(now_ms() - started_ms, TIMEOUT_MS + SLACK_MS)
                 self.assertTrue(await client.caller.at_end())
-                self.assertEqual(fleet.upstreams[0].requests, [])
+                self.assertEqual(fleet.upstreams[0].asked, [])
 
         run(scenario())
 
--- a/tests/dataplane/test_unsure_refusals.py
+++ b/tests/dataplane/test_unsure_refusals.py
@@ -53,7 +53,7 @@
             async with Fleet(served(), document=document()) as fleet:
                 with mock.patch.object(ControlPlane, "version", 9):
                     fleet.control.document = None  # announces a version without a configuration to fetch
-                    await until(lambda: not fleet.plane.admission.has_current_configuration)
+                    await until(lambda: not fleet.plane.admission.knows_newest)
                     self.assert_retryable(await send_all(fleet))
 
         run(scenario())
--- a/tests/distribution/test_cut_off_sources.py
+++ b/tests/distribution/test_cut_off_sources.py
@@ -8,7 +8,7 @@
 
 from madderwind.distribution.link import MAX_CLOCK_INTERVAL_MS, ControlPlaneLink
 from madderwind.distribution.remote_clock import RemoteClock
-from madderwind.distribution.subscriber import FRESHNESS_LIMIT_MS
+from madderwind.distribution.subscriber import CURRENT_MS
 from madderwind.distribution.subscriber_events import LinkClosed, LinkOpened, Send, TimePassed
 from madderwind.messages.distribution import (
     ClockReading,
@@ -80,7 +80,7 @@
         for cut_ms in range(0, int(CUT_OFF_MS), int(INTERVAL_MS)):
             for address in SEEDS:
                 self.publish_freshness(address, 5, age_ms=50.0 + cut_ms)
-            self.assertEqual(50.0 + cut_ms < FRESHNESS_LIMIT_MS, self.is_current, cut_ms)
+            self.assertEqual(50.0 + cut_ms < CURRENT_MS, self.is_current, cut_ms)
             self.handle(TimePassed(), INTERVAL_MS)
 
     def test_delayed_freshness_is_stale_on_arrival(self) -> None:
@@ -97,7 +97,7 @@
             self.handle(TimePassed(), INTERVAL_MS)
             for address in SEEDS:
                 self.publish_freshness(address, 5, delay_ms=delay_ms)
-            self.assertEqual(50.0 + delay_ms < FRESHNESS_LIMIT_MS, self.is_current, delay_ms)
+            self.assertEqual(50.0 + delay_ms < CURRENT_MS, self.is_current, delay_ms)
 
     def test_freshness_read_after_a_pause_of_the_process_is_stale(self) -> None:
         self.now_ms += CUT_OFF_MS
@@ -141,7 +141,7 @@
 
     def test_named_primary_replaces_cut_off_primary_once_its_freshness_is_stale(self) -> None:
         self.receive(THIRD, ControlPlanes(SEEDS, SECOND))
-        self.handle(TimePassed(), FRESHNESS_LIMIT_MS)
+        self.handle(TimePassed(), CURRENT_MS)
         self.assertEqual(SECOND, self.subscriber.primary)
 
 
@@ -216,22 +216,22 @@
 
     def test_delayed_reading_is_bounded_by_its_request(self) -> None:
         clock = RemoteClock()
-        self.assertIsNone(clock.earliest_send_ms(10.0, 5.0))
+        self.assertIsNone(clock.sent_after_ms(10.0, 5.0))
         clock.handle_reading(now_ms=900.0, requested_ms=100.0, clock_ms=5_000.0)
-        self.assertAlmostEqual(100.0, clock.earliest_send_ms(900.0, 5_000.0) or 0.0)
-        self.assertAlmostEqual(350.0, clock.earliest_send_ms(900.0, 5_250.0) or 0.0)
+        self.assertAlmostEqual(100.0, clock.sent_after_ms(900.0, 5_000.0) or 0.0)
+        self.assertAlmostEqual(350.0, clock.sent_after_ms(900.0, 5_250.0) or 0.0)
 
     def test_tighter_bound_is_kept_after_a_slower_round_trip(self) -> None:
         clock = RemoteClock()
         clock.handle_reading(now_ms=110.0, requested_ms=100.0, clock_ms=5_005.0)
         clock.handle_reading(now_ms=1_600.0, requested_ms=1_100.0, clock_ms=6_500.0)
-        self.assertAlmostEqual(1_595.0, clock.earliest_send_ms(1_600.0, 6_500.0) or 0.0, delta=2.0)
+        self.assertAlmostEqual(1_595.0, clock.sent_after_ms(1_600.0, 6_500.0) or 0.0, delta=2.0)
 
 
 class MutantTest(unittest.TestCase):
     """Each test fails without the mechanism that it covers."""
 
-    def assert_detected(self, test_case: CutOffTestCase) -> None:
+    def assert_caught(self, test_case: CutOffTestCase) -> None:
         result = unittest.TestResult()
         test_case.run(result)
         self.assertEqual((1, 1, []), (result.testsRun, len(result.failures), result.errors))
@@ -242,7 +242,7 @@
 
         name = "test_named_primary_replaces_cut_off_primary_once_its_freshness_is_stale"
         with patch.object(ControlPlaneLink, "age_ms", published_age_ms):
-            self.assert_detected(PrimaryTest(name))
+            self.assert_caught(PrimaryTest(name))
 
     def test_freshness_counted_from_its_arrival_is_detected(self) -> None:
         names = (
@@ -250,9 +250,9 @@
             "test_increasingly_delayed_freshness_is_stale_without_a_timeout",
             "test_freshness_read_after_a_pause_of_the_process_is_stale",
         )
-        with patch.object(RemoteClock, "earliest_send_ms", lambda clock, now_ms, clock_ms: now_ms):
+        with patch.object(RemoteClock, "sent_after_ms", lambda clock, now_ms, clock_ms: now_ms):
             for name in names:
-                self.assert_detected(CurrentVersionTest(name))
+                self.assert_caught(CurrentVersionTest(name))
 
 
 if __name__ == "__main__":
--- a/tests/distribution/test_exchange.py
+++ b/tests/distribution/test_exchange.py
@@ -23,7 +23,7 @@
             self.exchange.join(name)
 
     def peer_usage(self, participant: str) -> dict[str, float]:
-        owed = self.exchange.take_update(participant)
+        owed = self.exchange.owed(participant)
         return owed.used if owed is not None else {}
 
     def test_each_participant_is_sent_the_usage_of_its_peers_once(self) -> None:
@@ -32,7 +32,7 @@
         self.assertEqual(self.peer_usage("a"), {"t": 5.0, "u": 1.0})
         self.assertEqual(self.peer_usage("b"), {"t": 10.0})
         self.assertEqual(self.peer_usage("c"), {"t": 15.0, "u": 1.0})
-        self.assertIsNone(self.exchange.take_update("c"))
+        self.assertIsNone(self.exchange.owed("c"))
 
     def test_duplicate_report_counts_once(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {}))
@@ -42,7 +42,7 @@
     def test_new_participant_is_not_sent_earlier_usage(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {"t": 3.0}))
         self.exchange.join("d")
-        self.assertEqual(self.exchange.take_update("d"), PeerUsage({}, {"t": 3.0}))
+        self.assertEqual(self.exchange.owed("d"), PeerUsage({}, {"t": 3.0}))
 
     def test_returning_participant_is_sent_the_usage_it_missed(self) -> None:
         self.exchange.suspend("b")
@@ -53,18 +53,18 @@
     def test_usage_of_a_removed_participant_is_still_sent(self) -> None:
         self.exchange.report("a", UsageReport(1, {"t": 10.0}, {"t": 4.0}))
         self.exchange.remove("a")
-        self.assertEqual(self.exchange.take_update("b"), PeerUsage({"t": 10.0}, {}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({"t": 10.0}, {}))
 
     def test_demand_rates_are_sent_when_they_change(self) -> None:
         self.exchange.report("a", UsageReport(1, {}, {"t": 100.0}))
-        self.assertEqual(self.exchange.take_update("b"), PeerUsage({}, {"t": 100.0}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {"t": 100.0}))
         self.exchange.report("a", UsageReport(2, {}, {"t": 101.0}))
-        self.assertIsNone(self.exchange.take_update("b"))
+        self.assertIsNone(self.exchange.owed("b"))
         self.exchange.report("a", UsageReport(3, {}, {"t": 150.0}))
-        self.assertEqual(self.exchange.take_update("b"), PeerUsage({}, {"t": 150.0}))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {"t": 150.0}))
         self.exchange.suspend("a")
-        self.assertEqual(self.exchange.take_update("b"), PeerUsage({}, {}))
-        self.assertIsNone(self.exchange.take_update("a"))
+        self.assertEqual(self.exchange.owed("b"), PeerUsage({}, {}))
+        self.assertIsNone(self.exchange.owed("a"))
 
 
 class LoadExchangeTest(unittest.TestCase):
@@ -77,21 +77,21 @@
         self.exchange.join("c")
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
         self.exchange.report("b", LoadReport({"i": (10.0, 2.0, 50.0), "j": (0.0, 1.0, 5.0)}))
-        self.assertEqual(self.exchange.take_update("c"), PeerLoad({"i": (110, 3, 550), "j": (0, 1, 5)}))
-        self.assertEqual(self.exchange.take_update("a"), PeerLoad({"i": (10, 2, 50), "j": (0, 1, 5)}))
-        self.assertIsNone(self.exchange.take_update("c"))
+        self.assertEqual(self.exchange.owed("c"), PeerLoad({"i": (110, 3, 550), "j": (0, 1, 5)}))
+        self.assertEqual(self.exchange.owed("a"), PeerLoad({"i": (10, 2, 50), "j": (0, 1, 5)}))
+        self.assertIsNone(self.exchange.owed("c"))
 
     def test_suspended_participant_has_no_load(self) -> None:
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
-        self.assertIsNotNone(self.exchange.take_update("b"))
+        self.assertIsNotNone(self.exchange.owed("b"))
         self.exchange.suspend("a")
-        self.assertEqual(self.exchange.take_update("b"), PeerLoad({}))
+        self.assertEqual(self.exchange.owed("b"), PeerLoad({}))
 
     def test_returning_participant_is_sent_the_complete_sum(self) -> None:
         self.exchange.report("a", LoadReport({"i": (100.0, 1.0, 500.0)}))
-        self.exchange.take_update("b")
+        self.exchange.owed("b")
         self.exchange.join("b")
-        self.assertEqual(self.exchange.take_update("b"), PeerLoad({"i": (100, 1, 500)}))
+        self.assertEqual(self.exchange.owed("b"), PeerLoad({"i": (100, 1, 500)}))
 
 
 def prompt(name: str) -> DispatchedPrompt:
@@ -108,16 +108,16 @@
         self.exchange.report("a", DispatchReport((prompt("1"), prompt("2"))))
         self.exchange.report("b", DispatchReport((prompt("3"),)))
         self.assertEqual(
-            self.exchange.take_update(0.0, "c"), PeerDispatches((prompt("1"), prompt("2"), prompt("3")))
+            self.exchange.owed(0.0, "c"), PeerDispatches((prompt("1"), prompt("2"), prompt("3")))
         )
-        self.assertEqual(self.exchange.take_update(0.0, "a"), PeerDispatches((prompt("3"),)))
+        self.assertEqual(self.exchange.owed(0.0, "a"), PeerDispatches((prompt("3"),)))
         self.exchange.report("c", DispatchReport((prompt("4"),)))
-        self.assertEqual(self.exchange.take_update(0.0, "a"), PeerDispatches((prompt("4"),)))
-        self.assertIsNone(self.exchange.take_update(0.0, "c"))
+        self.assertEqual(self.exchange.owed(0.0, "a"), PeerDispatches((prompt("4"),)))
+        self.assertIsNone(self.exchange.owed(0.0, "c"))
 
     def test_empty_messages_are_sent_at_a_long_interval(self) -> None:
         sent_times_ms = [
-            time_ms for time_ms in range(0, 2_000, 25) if self.exchange.take_update(float(time_ms), "a")
+            time_ms for time_ms in range(0, 2_000, 25) if self.exchange.owed(float(time_ms), "a")
         ]
         self.assertEqual(sent_times_ms, [0, 400, 800, 1_200, 1_600])
 
@@ -125,19 +125,19 @@
         self.exchange.report("a", DispatchReport((prompt("1"),)))
         self.exchange.join("d")
         self.exchange.report("a", DispatchReport((prompt("2"),)))
-        self.assertEqual(self.exchange.take_update(0.0, "d"), PeerDispatches((prompt("2"),)))
+        self.assertEqual(self.exchange.owed(0.0, "d"), PeerDispatches((prompt("2"),)))
 
     def test_retained_reports_are_bounded(self) -> None:
         for _ in range(10_000):
             self.exchange.report("a", DispatchReport((prompt("1"),)))
-        dispatches = self.exchange.take_update(0.0, "b")
+        dispatches = self.exchange.owed(0.0, "b")
         assert dispatches is not None
         self.assertLessEqual(len(dispatches.prompts), 2_000)
 
     def test_report_of_a_removed_participant_is_ignored(self) -> None:
         self.exchange.remove("a")
         self.exchange.report("a", DispatchReport((prompt("1"),)))
-        self.assertEqual(self.exchange.take_update(0.0, "b"), PeerDispatches(()))
+        self.assertEqual(self.exchange.owed(0.0, "b"), PeerDispatches(()))
 
 
 if __name__ == "__main__":
--- a/tests/distribution/test_publisher.py
+++ b/tests/distribution/test_publisher.py
@@ -167,7 +167,7 @@
 
     def test_command_does_not_wait_for_a_lagging_data_plane_until_it_acknowledges(self) -> None:
         self.subscribe(1, "front-1")
-        self.assertEqual(self.publisher.mark_lagging(5), 1)
+        self.assertEqual(self.publisher.stop_waiting_for(5), 1)
         self.assertTrue(self.publisher.is_applied_by_all(9))
         self.publisher.receive(1.0, 1, ConfigurationApplied(5))
         self.assertFalse(self.publisher.is_applied_by_all(9))
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -7,12 +7,7 @@
 import unittest
 from typing import Any
 
-from madderwind.distribution.subscriber import (
-    FETCH_TIMEOUT_MS,
-    FRESHNESS_LIMIT_MS,
-    LINK_TIMEOUT_MS,
-    Subscriber,
-)
+from madderwind.distribution.subscriber import CURRENT_MS, FETCH_TIMEOUT_MS, LINK_TIMEOUT_MS, Subscriber
 from madderwind.distribution.subscriber_events import (
     Action,
     ApplyConfiguration,
@@ -275,8 +270,8 @@
     def test_current_ends_once_the_lease_is_too_old(self) -> None:
         self.receive_freshness(FIRST, 5, age_ms=100.0)
         self.receive(FIRST, ConfigurationSnapshot(5, configuration_body(5)))
-        self.assertTrue(self.subscriber.is_current(self.now_ms + FRESHNESS_LIMIT_MS - 101.0))
-        self.assertFalse(self.subscriber.is_current(self.now_ms + FRESHNESS_LIMIT_MS - 100.0))
+        self.assertTrue(self.subscriber.is_current(self.now_ms + CURRENT_MS - 101.0))
+        self.assertFalse(self.subscriber.is_current(self.now_ms + CURRENT_MS - 100.0))
 
     def test_current_requires_an_open_link(self) -> None:
         self.receive_freshness(FIRST, 5)
@@ -290,7 +285,7 @@
         self.receive_freshness(FIRST, 5)
         self.assertTrue(self.subscriber.is_connected(self.now_ms))
         self.assertEqual(self.subscriber.data_planes, 6)
-        self.assertFalse(self.subscriber.is_connected(self.now_ms + FRESHNESS_LIMIT_MS))
+        self.assertFalse(self.subscriber.is_connected(self.now_ms + CURRENT_MS))
 
     def test_isolated_some_time_after_startup_without_control_planes(self) -> None:
         for address in SEEDS:
--- a/tests/explore/test_mutants.py
+++ b/tests/explore/test_mutants.py
@@ -123,7 +123,7 @@
 
 
 class MutantsAreDetected(unittest.TestCase):
-    def assert_detected(self, *plans: Plan, leaves: int = 0) -> None:
+    def assert_found(self, *plans: Plan, leaves: int = 0) -> None:
         """Check that one of the explorations raises a violation."""
         for plan in plans:
             try:
@@ -134,35 +134,35 @@
 
     def test_promises_that_are_not_recorded(self) -> None:
         with patch.object(ReplicaStore, "record_witness", lambda store: None):
-            self.assert_detected(Plan(scenarios.two_candidates, Allowance(times=2), 4, 0))
+            self.assert_found(Plan(scenarios.two_candidates, Allowance(times=2), 4, 0))
 
     def test_promises_sent_before_they_are_on_disk(self) -> None:
         with patch.object(ReplicaStore, "send_once_synced", send_immediately):
-            self.assert_detected(Plan(scenarios.two_candidates, Allowance(times=2), 4, 0))
+            self.assert_found(Plan(scenarios.two_candidates, Allowance(times=2), 4, 0))
 
     def test_a_proposal_accepted_below_a_promise(self) -> None:
         with patch.object(ViewRegister, "accept", accept_regardless_of_promises):
-            self.assert_detected(Plan(scenarios.three_candidates, Allowance(times=4), 10, 0))
+            self.assert_found(Plan(scenarios.three_candidates, Allowance(times=4), 10, 0))
 
     def test_a_promise_below_an_earlier_promise(self) -> None:
         with patch.object(ViewRegister, "promise", promise_regardless_of_promises):
-            self.assert_detected(Plan(scenarios.two_candidates, Allowance(times=2), 4, 0))
+            self.assert_found(Plan(scenarios.two_candidates, Allowance(times=2), 4, 0))
 
     def test_a_proposal_that_ignores_an_accepted_view(self) -> None:
         with patch.object(Proposer, "handle_promise", handle_promise_without_accepted_view):
-            self.assert_detected(Plan(scenarios.two_candidates, Allowance(times=4), 10, 0))
+            self.assert_found(Plan(scenarios.two_candidates, Allowance(times=4), 10, 0))
 
     def test_promises_retained_beyond_their_epoch(self) -> None:
         with patch.object(ViewRegister, "adopt", adopt_and_keep_promises):
-            self.assert_detected(Plan(scenarios.takeover, Allowance(commands=1), 1, 0), leaves=10)
+            self.assert_found(Plan(scenarios.takeover, Allowance(commands=1), 1, 0), leaves=10)
 
     def test_a_view_decided_by_a_minority(self) -> None:
         with patch.object(View, "majority", half_of_the_members):
-            self.assert_detected(Plan(scenarios.three_candidates, Allowance(times=1), 2, 0))
+            self.assert_found(Plan(scenarios.three_candidates, Allowance(times=1), 2, 0))
 
     def test_a_view_considered_decided_after_one_broadcast(self) -> None:
         with patch.object(DecisionLearner, "handle_broadcast", handle_any_broadcast):
-            self.assert_detected(Plan(scenarios.swap_and_candidate, Allowance(times=1), 2, 0))
+            self.assert_found(Plan(scenarios.swap_and_candidate, Allowance(times=1), 2, 0))
 
     def test_a_swap_announced_only_by_the_proposer(self) -> None:
         recovery_test = test_explored.SecondDiskLost(
@@ -176,47 +176,47 @@
 
     def test_a_wiped_machine_that_keeps_its_name(self) -> None:
         with patch.object(Node, "replica_rng", rng_by_address):
-            self.assert_detected(Plan(scenarios.three_candidates, Allowance(faults=1, wipes=1), 2, 0))
+            self.assert_found(Plan(scenarios.three_candidates, Allowance(faults=1, wipes=1), 2, 0))
 
     def test_a_proposal_number_used_by_two_process_incarnations(self) -> None:
         with patch.object(Node, "replica_rng", rng_by_disk):
-            self.assert_detected(Plan(scenarios.two_candidates, Allowance(times=3, faults=2), 3, 0))
+            self.assert_found(Plan(scenarios.two_candidates, Allowance(times=3, faults=2), 3, 0))
 
     def test_a_primary_before_its_view_is_on_disk(self) -> None:
         with patch.object(RoleMachine, "promote_if_due", promote_before_view_is_on_disk):
-            self.assert_detected(Plan(scenarios.takeover, Allowance(faults=1), 1, 0))
+            self.assert_found(Plan(scenarios.takeover, Allowance(faults=1), 1, 0))
 
     def test_an_in_sync_set_below_the_required_size(self) -> None:
-        with patch.object(MembershipRules, "min_in_sync", PropertyMock(return_value=1)):
-            self.assert_detected(Plan(scenarios.lagging_candidate, Allowance(times=3), 5, 0))
+        with patch.object(MembershipRules, "smallest_in_sync", PropertyMock(return_value=1)):
+            self.assert_found(Plan(scenarios.lagging_candidate, Allowance(times=3), 5, 0))
 
     def test_a_candidate_that_is_not_in_sync(self) -> None:
         with patch.object(ReplicaStore, "is_in_sync", PropertyMock(return_value=True)):
-            self.assert_detected(Plan(scenarios.lagging_candidate, Allowance(times=3), 7, 0))
+            self.assert_found(Plan(scenarios.lagging_candidate, Allowance(times=3), 7, 0))
 
     def test_commits_that_do_not_wait_for_joining_replicas(self) -> None:
         with patch.object(ViewPlanner, "wanted_view", wanted_view_without_joining):
-            self.assert_detected(Plan(scenarios.takeover, Allowance(commands=1), 3, 0))
+            self.assert_found(Plan(scenarios.takeover, Allowance(commands=1), 3, 0))
 
     def test_commits_that_wait_for_no_replica(self) -> None:
         with patch.object(Primary, "_synced_by", synced_index_of_primary):
-            self.assert_detected(Plan(scenarios.stable, Allowance(commands=1), 1, 0))
+            self.assert_found(Plan(scenarios.stable, Allowance(commands=1), 1, 0))
 
     def test_entries_acknowledged_before_they_are_on_disk(self) -> None:
         with patch.object(ReplicaStore, "synced_index", property(last_index)):
-            self.assert_detected(Plan(scenarios.cut_off, Allowance(commands=1, faults=1), 3, 0))
+            self.assert_found(Plan(scenarios.cut_off, Allowance(commands=1, faults=1), 3, 0))
 
     def test_installing_a_snapshot_older_than_the_log(self) -> None:
         with patch.object(Follower, "handle_snapshot", install_any_snapshot):
-            self.assert_detected(Plan(scenarios.learner, Allowance(), 1, 0, has_late_copies=True))
+            self.assert_found(Plan(scenarios.learner, Allowance(), 1, 0, has_late_copies=True))
 
     def test_a_read_without_a_quorum_round(self) -> None:
         with patch.object(Primary, "read", answer_read_without_quorum_round):
-            self.assert_detected(Plan(scenarios.cut_off, Allowance(reads=1), 1, 0))
+            self.assert_found(Plan(scenarios.cut_off, Allowance(reads=1), 1, 0))
 
     def test_a_refusal_without_a_quorum_round(self) -> None:
         with patch.object(Primary, "_round_from_now", return_value=0):
-            self.assert_detected(Plan(scenarios.cut_off, Allowance(commands=1), 1, 0))
+            self.assert_found(Plan(scenarios.cut_off, Allowance(commands=1), 1, 0))
 
 
 if __name__ == "__main__":
--- a/tests/fleet/faults.py
+++ b/tests/fleet/faults.py
@@ -64,7 +64,7 @@
         self._fleet.network.heal()
         for machine in self._fleet.machines.values():
             self._repair_disk(machine)
-            machine.resume()
+            machine.thaw()
             if machine.is_stopping:
                 machine.kill()
             machine.start()
@@ -158,7 +158,7 @@
         if not self._may_lose_disk(machine):
             return
         if self._rng.random() < 0.5:
-            machine.shut_down()
+            machine.leave()
         machine.remove()
         del self._fleet.machines[machine.address]
         self._faulty_until.pop(machine.address, None)
@@ -170,13 +170,13 @@
 
     def _freeze(self) -> None:
         machine = self._random_machine()
-        machine.pause()
-        self._record_fault(machine, self._schedule_within(100.0, 4_000.0, machine.resume), "frozen")
+        machine.freeze()
+        self._record_fault(machine, self._schedule_within(100.0, 4_000.0, machine.thaw), "frozen")
 
     def _leave(self) -> None:
         machine = self._random_machine()
         if machine.is_running:
-            machine.shut_down()
+            machine.leave()
             self._record_fault(machine, self._schedule_within(350.0, 1_500.0, machine.start), "leaves")
 
     def _heal_links(self) -> None:
--- a/tests/fleet/machine.py
+++ b/tests/fleet/machine.py
@@ -156,11 +156,11 @@
         self.wipe()
         self._is_removed = True
 
-    def pause(self) -> None:
+    def freeze(self) -> None:
         """Suspend the process; its events are queued."""
         self._is_frozen = True
 
-    def resume(self) -> None:
+    def thaw(self) -> None:
         """Resume the process and handle the queued events."""
         if not self._is_frozen:
             return
@@ -172,14 +172,14 @@
         """Send the process a time event now."""
         self._event(TimePassed())
 
-    def request_shutdown(self) -> None:
+    def ask_to_leave(self) -> None:
         """SIGTERM: request a handover; the caller decides when the process ends."""
         self.is_stopping = True
         self._event(ShutdownRequested())
 
-    def shut_down(self) -> None:
+    def leave(self) -> None:
         """SIGTERM: request a handover; the process ends after a short delay."""
-        self.request_shutdown()
+        self.ask_to_leave()
         incarnation = self.incarnation
         self.clock.after(300.0, lambda: self.kill() if incarnation == self.incarnation else None)
 
@@ -265,8 +265,8 @@
             self._freeze_while_busy(busy_ms, self.incarnation)
 
     def _freeze_while_busy(self, busy_ms: float, incarnation: int) -> None:
-        self.pause()
-        self.clock.after(busy_ms, lambda: self.resume() if incarnation == self.incarnation else None)
+        self.freeze()
+        self.clock.after(busy_ms, lambda: self.thaw() if incarnation == self.incarnation else None)
 
     def _prepare(self, action: Prepare, incarnation: int) -> None:
         def end() -> None:
--- a/tests/limits/quota_fleet.py
+++ b/tests/limits/quota_fleet.py
@@ -68,7 +68,7 @@
     """Runs one tenant's requests through all data planes and records the admissions."""
 
     def __init__(
-        self, data_planes: int, seed: int, *, is_first_start: bool = True, tenant: Tenant = TENANT
+        self, data_planes: int, seed: int, *, is_founding: bool = True, tenant: Tenant = TENANT
     ) -> None:
         self.tenant = tenant
         self.arrivals: list[Arrival] = []
@@ -84,7 +84,7 @@
         self.late_retry_ms: float | None = None
         self._data_plane_count = data_planes
         self._data_planes = [
-            DataPlane(number, self._new_quota(is_first_start), self._rng.uniform(0.4, 1.6))
+            DataPlane(number, self._new_quota(is_founding), self._rng.uniform(0.4, 1.6))
             for number in range(data_planes)
         ]
         for data_plane in self._data_planes:
@@ -172,8 +172,8 @@
     def _after(self, delay_ms: float, event: Callable[[], object]) -> None:
         self._at(self._now_ms + delay_ms, event)
 
-    def _new_quota(self, is_first_start: bool) -> TenantQuota:
-        quota = TenantQuota(BOUNDS, random.Random(self._rng.random()), is_first_start=is_first_start)
+    def _new_quota(self, is_founding: bool) -> TenantQuota:
+        quota = TenantQuota(BOUNDS, random.Random(self._rng.random()), is_founding=is_founding)
         quota.set_data_planes(self._now_ms, self._data_plane_count, True)
         quota.configure(self._now_ms, [self.tenant])
         return quota
@@ -218,7 +218,7 @@
                 self._send_peer_usage(data_plane)
 
     def _send_peer_usage(self, data_plane: DataPlane) -> None:
-        peer_usage = self._exchange.take_update(data_plane.participant)
+        peer_usage = self._exchange.owed(data_plane.participant)
         if peer_usage is None:
             return
         quota = data_plane.quota
@@ -236,7 +236,7 @@
     def _start(self, data_plane: DataPlane) -> None:
         data_plane.incarnation += 1
         data_plane.sequence = 0
-        data_plane.quota = self._new_quota(is_first_start=False)
+        data_plane.quota = self._new_quota(is_founding=False)
         data_plane.is_running = True
         self._exchange.join(data_plane.participant)
 
--- a/tests/limits/test_quota.py
+++ b/tests/limits/test_quota.py
@@ -15,8 +15,8 @@
 LIMITED = Tenant(name="blue", rate_per_s=10.0, burst=20.0)
 
 
-def make_quota(*tenants: Tenant, bounds: Bounds = BOUNDS, is_first_start: bool = True) -> TenantQuota:
-    quota = TenantQuota(bounds, random.Random(5), is_first_start=is_first_start)
+def make_quota(*tenants: Tenant, bounds: Bounds = BOUNDS, is_founding: bool = True) -> TenantQuota:
+    quota = TenantQuota(bounds, random.Random(5), is_founding=is_founding)
     quota.set_data_planes(0.0, 3, True)
     quota.configure(0.0, tenants or (LIMITED,))
     return quota
@@ -165,7 +165,7 @@
         self.assertEqual(admitted(make_quota(), 0.0, 1, amount=24.0), 1)
 
     def test_a_process_without_history_starts_with_a_low_level(self) -> None:
-        quota = make_quota(is_first_start=False)
+        quota = make_quota(is_founding=False)
         self.assertLess(admitted(quota, 0.0, 200), 20)
 
 
@@ -190,7 +190,7 @@
         self.assertLess(admitted(quota, 1.0, 200), 10)
 
     def test_a_tenant_added_to_a_running_process_starts_with_a_full_bucket(self) -> None:
-        quota = make_quota(is_first_start=False)
+        quota = make_quota(is_founding=False)
         quota.configure(0.0, [LIMITED, Tenant(name="green", rate_per_s=10.0, burst=20.0)])
         self.assertGreaterEqual(admitted(quota, 0.0, 100, name="green"), 20)
 
--- a/tests/limits/test_quota_fleet.py
+++ b/tests/limits/test_quota_fleet.py
@@ -19,9 +19,9 @@
 
 class FleetCase(unittest.TestCase):
     def run_scenario(
-        self, data_planes: int, scenario: Scenario, until_s: float, *, is_first_start: bool = True
+        self, data_planes: int, scenario: Scenario, until_s: float, *, is_founding: bool = True
     ) -> list[QuotaFleet]:
-        fleets = [QuotaFleet(data_planes, seed, is_first_start=is_first_start) for seed in SEEDS]
+        fleets = [QuotaFleet(data_planes, seed, is_founding=is_founding) for seed in SEEDS]
         for fleet in fleets:
             scenario(fleet)
             fleet.run(until_s)
@@ -42,11 +42,11 @@
         scenario: Scenario,
         fleets: tuple[int, ...] = FLEETS,
         *,
-        is_first_start: bool = True,
+        is_founding: bool = True,
     ) -> None:
         """Assert that on average over the runs less than this fraction of the demand is refused."""
         for data_planes in fleets:
-            completed = self.run_scenario(data_planes, scenario, 26.0, is_first_start=is_first_start)
+            completed = self.run_scenario(data_planes, scenario, 26.0, is_founding=is_founding)
             refused = sum(fleet.refused_part() for fleet in completed) / len(completed)
             with self.subTest(data_planes=data_planes):
                 self.assertLess(refused, max_refused_part)
@@ -66,7 +66,7 @@
         self.assert_refused_below(0.02, normal_demand)
 
     def test_requests_are_rarely_refused_after_a_start_without_history(self) -> None:
-        self.assert_refused_below(0.04, normal_demand, is_first_start=False)
+        self.assert_refused_below(0.04, normal_demand, is_founding=False)
 
     def test_requests_are_rarely_refused_after_many_restarts_at_once(self) -> None:
         self.assert_refused_below(0.04, lambda fleet: fleet.restart(12.0, 0.6, 2.0))
--- a/tests/placement/test_ablation.py
+++ b/tests/placement/test_ablation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from madderwind.placement.ablation import ALL_ENABLED, Ablation, ablation_without
+from madderwind.placement.ablation import ALL_ENABLED, Ablation, without
 from madderwind.testing.engine_emulator.experiment import Experiment, Release
 from madderwind.testing.engine_emulator.fleet import Fleet
 from madderwind.testing.engine_emulator.workload import Kind, SharedPart, Tokens
@@ -57,7 +57,7 @@
 
 def test_an_unknown_mechanism_is_an_error() -> None:
     with pytest.raises(ValueError, match="unknown mechanism 'luck', expected one of prefix_homes"):
-        ablation_without("luck")
+        without("luck")
 
 
 def test_all_mechanisms_are_enabled_by_default() -> None:
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -25,12 +25,12 @@
     placement.configure(SERVICE, 64, 500_000, 4)
     placement.set_data_planes(fleet)
     for instance in UPSTREAMS:
-        placement.set_location(0.0, instance, "zone")
+        placement.locate(0.0, instance, "zone")
     return placement
 
 
 def selected_upstream(placement: Placement, prefix: str, now_ms: float = 0.0, shared: int = 6_000) -> str:
-    selection = placement.select_upstream(now_ms, generation(prefix, "own", shared), UPSTREAMS, NO_UPSTREAMS)
+    selection = placement.choose(now_ms, generation(prefix, "own", shared), UPSTREAMS, NO_UPSTREAMS)
     assert selection is not None
     return selection.instance
 
@@ -48,23 +48,21 @@
         first_placement, second_placement = make_placement(1), make_placement(2)
         unavailable = selected_upstream(first_placement, "p")
         remaining = [instance for instance in UPSTREAMS if instance != unavailable]
-        first = first_placement.select_upstream(0.0, generation("p", "own"), remaining, NO_UPSTREAMS)
-        second = second_placement.select_upstream(
-            0.0, generation("p", "own"), UPSTREAMS, frozenset({unavailable})
-        )
+        first = first_placement.choose(0.0, generation("p", "own"), remaining, NO_UPSTREAMS)
+        second = second_placement.choose(0.0, generation("p", "own"), UPSTREAMS, frozenset({unavailable}))
         assert first is not None and second is not None
         self.assertEqual(first.instance, second.instance)
         self.assertNotEqual(first.instance, unavailable)
 
     def test_no_selection_without_candidates(self) -> None:
         placement = make_placement()
-        self.assertIsNone(placement.select_upstream(0.0, generation("p", "own"), [], NO_UPSTREAMS))
-        self.assertIsNone(placement.select_upstream(0.0, generation("p", "own"), ["a"], frozenset({"a"})))
+        self.assertIsNone(placement.choose(0.0, generation("p", "own"), [], NO_UPSTREAMS))
+        self.assertIsNone(placement.choose(0.0, generation("p", "own"), ["a"], frozenset({"a"})))
 
     def test_requests_without_prompt_parts_are_spread_over_all_upstreams(self) -> None:
         bare = Generation(SERVICE, (), 500, 20, 1, 500.0, 5_000.0)
         placement = make_placement()
-        selections = {placement.select_upstream(0.0, bare, UPSTREAMS, NO_UPSTREAMS) for _ in range(200)}
+        selections = {placement.choose(0.0, bare, UPSTREAMS, NO_UPSTREAMS) for _ in range(200)}
         self.assertEqual(len({selection.instance for selection in selections if selection}), len(UPSTREAMS))
 
 
@@ -73,9 +71,7 @@
         placement = make_placement()
         home = selected_upstream(placement, "p")
         for number in range(3):
-            placement.record_sent(
-                0.0, f"long-{number}", generation(f"q{number}", f"x{number}", 0, 40_000), home
-            )
+            placement.sent(0.0, f"long-{number}", generation(f"q{number}", f"x{number}", 0, 40_000), home)
         self.assertNotEqual(selected_upstream(placement, "p", 1.0), home)
 
     def test_peer_load_at_the_home_counts(self) -> None:
@@ -95,18 +91,18 @@
     def test_the_home_is_selected_again_after_its_load_ends(self) -> None:
         placement = make_placement()
         home = selected_upstream(placement, "p")
-        placement.record_sent(0.0, "long", generation("q", "x", 0, 60_000), home)
+        placement.sent(0.0, "long", generation("q", "x", 0, 60_000), home)
         self.assertNotEqual(selected_upstream(placement, "p", 1.0), home)
-        placement.record_event(1_500.0, "long", first=True)
-        placement.record_end(1_600.0, "long", served=True)
+        placement.event(1_500.0, "long", first=True)
+        placement.ended(1_600.0, "long", served=True)
         self.assertEqual(selected_upstream(placement, "p", 1_601.0), home)
 
     def test_an_upstream_that_fails_immediately_is_not_taken_for_idle(self) -> None:
         placement = make_placement()
         home = selected_upstream(placement, "p")
         for number in range(4):
-            placement.record_sent(float(number), f"k{number}", generation("p", f"x{number}"), home)
-            placement.record_end(float(number), f"k{number}", served=False)
+            placement.sent(float(number), f"k{number}", generation("p", f"x{number}"), home)
+            placement.ended(float(number), f"k{number}", served=False)
         self.assertNotEqual(selected_upstream(placement, "p", 5.0), home)
 
 
@@ -119,7 +115,7 @@
 
     def dispatch_to_home(self, tokens: int) -> None:
         """One balancer sends a long prompt to the home and reports it to the other."""
-        self.first_placement.record_sent(0.0, "long", generation("q", "x", 0, tokens), self.home)
+        self.first_placement.sent(0.0, "long", generation("q", "x", 0, tokens), self.home)
         self.second_placement.handle_peer_dispatches(1.0, self.first_placement.drain_dispatches())
 
     def test_a_peer_dispatch_counts_before_the_next_load_report(self) -> None:
@@ -144,14 +140,14 @@
         placement = make_placement(fleet=2)
         home = selected_upstream(placement, "p", shared=2_000)
         away = next(instance for instance in UPSTREAMS if instance != home)
-        placement.record_sent(0.0, "k", generation("p", "x", 2_000), away)
-        placement.record_end(1.0, "k", served=True)
-        placement.record_sent(1.0, "short", generation("none", "z", 0, 3_000), away)
+        placement.sent(0.0, "k", generation("p", "x", 2_000), away)
+        placement.ended(1.0, "k", served=True)
+        placement.sent(1.0, "short", generation("none", "z", 0, 3_000), away)
         placement.handle_peer_dispatches(1.0, ())
         self.assertEqual(selected_upstream(placement, "p", 1.0, 2_000), home)
         for number in range(60):
-            placement.record_sent(2.0, f"{number}", generation(f"q{number}", f"y{number}"), home)
-            placement.record_end(3.0, f"{number}", served=True)
+            placement.sent(2.0, f"{number}", generation(f"q{number}", f"y{number}"), home)
+            placement.ended(3.0, f"{number}", served=True)
         placement.handle_peer_dispatches(4.0, ())
         self.assertEqual(selected_upstream(placement, "p", 4.0, 2_000), away)
 
@@ -159,16 +155,16 @@
         placement = make_placement(fleet=2)
         added_upstreams = [f"n-{number}" for number in range(6)]
         for instance in added_upstreams:
-            placement.set_location(60_000.0, instance, "zone")
+            placement.locate(60_000.0, instance, "zone")
         placement.handle_peer_dispatches(60_000.0, ())
-        selection = placement.select_upstream(60_000.0, generation("p", "own"), added_upstreams, NO_UPSTREAMS)
+        selection = placement.choose(60_000.0, generation("p", "own"), added_upstreams, NO_UPSTREAMS)
         assert selection is not None
         away = next(instance for instance in added_upstreams if instance != selection.instance)
-        placement.record_sent(60_000.0, "k", generation("p", "x"), away)
-        placement.record_event(60_300.0, "k", first=True)
-        placement.record_end(60_400.0, "k", served=True)
+        placement.sent(60_000.0, "k", generation("p", "x"), away)
+        placement.event(60_300.0, "k", first=True)
+        placement.ended(60_400.0, "k", served=True)
         placement.handle_peer_dispatches(60_401.0, ())
-        selection = placement.select_upstream(60_401.0, generation("p", "own"), added_upstreams, NO_UPSTREAMS)
+        selection = placement.choose(60_401.0, generation("p", "own"), added_upstreams, NO_UPSTREAMS)
         assert selection is not None
         self.assertEqual(selection.instance, away)
 
@@ -178,12 +174,12 @@
         upstreams = [f"i-{number}" for number in range(30)]
         placement = make_placement(fleet=2)
         for instance in upstreams:
-            placement.set_location(0.0, instance, "zone")
+            placement.locate(0.0, instance, "zone")
         for idle in upstreams[::7]:
             placement.handle_peer_dispatches(0.0, ())
             load = {instance: (80_000.0, 2.0, 80_000.0) for instance in upstreams if instance != idle}
             placement.handle_peer_load(0.0, load)
-            selection = placement.select_upstream(1.0, generation("p", "own"), upstreams, NO_UPSTREAMS)
+            selection = placement.choose(1.0, generation("p", "own"), upstreams, NO_UPSTREAMS)
             assert selection is not None
             self.assertEqual(selection.instance, idle)
 
@@ -217,10 +213,10 @@
         first_placement, second_placement = make_placement(1, fleet=2), make_placement(2, fleet=2)
         home = selected_upstream(first_placement, "p")
         second_placement.handle_peer_dispatches(0.0, ())
-        without_cache = second_placement.select_upstream(0.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
-        first_placement.record_sent(0.0, "k", generation("p", "x"), home)
+        without_cache = second_placement.choose(0.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        first_placement.sent(0.0, "k", generation("p", "x"), home)
         second_placement.handle_peer_dispatches(100.0, first_placement.drain_dispatches())
-        with_cache = second_placement.select_upstream(100.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        with_cache = second_placement.choose(100.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
         assert without_cache is not None and with_cache is not None
         self.assertEqual(with_cache.instance, home)
         self.assertLess(with_cache.predicted_first_ms, without_cache.predicted_first_ms)
@@ -229,7 +225,7 @@
         first_placement, second_placement = make_placement(1, fleet=2), make_placement(2, fleet=2)
         home = selected_upstream(first_placement, "p", shared=12_000)
         holder = next(instance for instance in UPSTREAMS if instance != home)
-        first_placement.record_sent(0.0, "k", generation("p", "x"), holder)
+        first_placement.sent(0.0, "k", generation("p", "x"), holder)
         second_placement.handle_peer_dispatches(100.0, first_placement.drain_dispatches())
         second_placement.handle_peer_load(0.0, {home: (40_000.0, 2.0, 50_000.0)})
         self.assertEqual(selected_upstream(second_placement, "p", 100.0, shared=12_000), holder)
@@ -237,15 +233,15 @@
     def test_dispatches_are_reported_once_and_the_unreported_ones_are_bounded(self) -> None:
         placement = make_placement()
         for number in range(5_000):
-            placement.record_sent(0.0, f"k{number}", generation("p", "x"), "i-0")
+            placement.sent(0.0, f"k{number}", generation("p", "x"), "i-0")
         self.assertLessEqual(len(placement.drain_dispatches()), 1_000)
         self.assertEqual(placement.drain_dispatches(), ())
 
     def test_without_dispatch_reports_a_home_is_assumed_to_cache_its_prefixes(self) -> None:
         placement = make_placement(fleet=2)
         placement.handle_peer_dispatches(0.0, ())
-        known = placement.select_upstream(1_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
-        without_reports = placement.select_upstream(60_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        known = placement.choose(1_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
+        without_reports = placement.choose(60_000.0, generation("p", "own"), UPSTREAMS, NO_UPSTREAMS)
         assert known is not None and without_reports is not None
         self.assertLess(without_reports.predicted_first_ms, known.predicted_first_ms)
 
@@ -255,15 +251,15 @@
         placement = make_placement()
         sent = (("short", 500), ("middle", 8_000), ("long", 40_000))
         for key, tokens in sent:
-            placement.record_sent(0.0, key, generation("none", key, 0, tokens), "i-0")
+            placement.sent(0.0, key, generation("none", key, 0, tokens), "i-0")
         urgencies = [placement.urgency(key, rank) for key, _ in sent for rank in range(3)]
         self.assertEqual(urgencies, sorted(set(urgencies)))
         self.assertTrue(all(0 <= urgency <= 9 for urgency in urgencies))
 
     def test_cached_parts_shorten_a_prefill(self) -> None:
         placement = make_placement()
-        placement.record_sent(0.0, "cold", generation("p", "x", 20_000, 500), "i-0")
-        placement.record_sent(1.0, "warm", generation("p", "y", 20_000, 500), "i-0")
+        placement.sent(0.0, "cold", generation("p", "x", 20_000, 500), "i-0")
+        placement.sent(1.0, "warm", generation("p", "y", 20_000, 500), "i-0")
         self.assertLess(placement.urgency("warm", 1), placement.urgency("cold", 1))
 
     def test_a_rank_above_the_maximum_is_treated_as_the_last(self) -> None:
@@ -274,18 +270,18 @@
 class OwnLoad(unittest.TestCase):
     def test_load_rises_with_dispatches_and_ends_with_the_request(self) -> None:
         placement = make_placement()
-        placement.record_sent(0.0, "k", generation("p", "x"), "i-0")
+        placement.sent(0.0, "k", generation("p", "x"), "i-0")
         self.assertEqual(placement.load()["i-0"][1:], (1.0, 14_100.0))
         self.assertGreaterEqual(placement.load()["i-0"][0], 2_000.0)
-        placement.record_event(300.0, "k", first=True)
+        placement.event(300.0, "k", first=True)
         self.assertEqual(placement.load()["i-0"], (0.0, 1.0, 14_100.0))
-        placement.record_end(900.0, "k", served=True)
+        placement.ended(900.0, "k", served=True)
         self.assertEqual(placement.load(), {})
 
     def test_events_of_unknown_requests_are_ignored(self) -> None:
         placement = make_placement()
-        placement.record_event(0.0, "unknown", first=True)
-        placement.record_end(0.0, "unknown", served=False)
+        placement.event(0.0, "unknown", first=True)
+        placement.ended(0.0, "unknown", served=False)
         self.assertEqual(placement.load(), {})
 
 
@@ -295,9 +291,9 @@
         home = selected_upstream(placement, "p")
         placement.handle_peer_dispatches(0.0, ())
         placement.handle_peer_load(0.0, {home: (10_000.0, 1.0, 10_000.0)})
-        placement.record_sent(0.0, "first", generation("p", "x"), home)
-        placement.record_sent(10.0, "second", generation("p", "y"), home)
-        placement.record_event(400.0, "second", first=True)
+        placement.sent(0.0, "first", generation("p", "x"), home)
+        placement.sent(10.0, "second", generation("p", "y"), home)
+        placement.event(400.0, "second", first=True)
         record = placement.attempt_record("second")
         assert record is not None
         self.assertEqual((record.instance, record.reason), (home, PlacementReason.HOME))
@@ -310,13 +306,13 @@
         home = selected_upstream(placement, "p")
         away = next(instance for instance in UPSTREAMS if instance != home)
         for key in ("spill", "holder"):
-            placement.record_sent(0.0, key, generation("p", key), away)
+            placement.sent(0.0, key, generation("p", key), away)
         records = [placement.attempt_record(key) for key in ("spill", "holder")]
         reasons = [record.reason for record in records if record is not None]
         self.assertEqual(reasons, [PlacementReason.SPILL, PlacementReason.CACHED])
 
     def test_is_none_for_an_ended_attempt(self) -> None:
         placement = make_placement()
-        placement.record_sent(0.0, "k", generation("p", "x"), "i-0")
-        placement.record_end(1.0, "k", served=True)
+        placement.sent(0.0, "k", generation("p", "x"), "i-0")
+        placement.ended(1.0, "k", served=True)
         self.assertIsNone(placement.attempt_record("k"))
--- a/tests/registry/test_checkpoint.py
+++ b/tests/registry/test_checkpoint.py
@@ -85,7 +85,7 @@
     def test_saved_records_are_not_written_again(self) -> None:
         writer = CheckpointWriter(RegistryCheckpoint(InMemoryDisk()), lambda records: None)
         self.assertTrue(writer.offer([upstream("i-1")]))
-        writer._save_requested.clear()  # as the writer thread does after a write
+        writer._wanted.clear()  # as the writer thread does after a write
         self.assertFalse(writer.offer([upstream("i-1", sequence=9)]))
         self.assertTrue(writer.offer([upstream("i-1", "draining")]))
 
@@ -93,7 +93,7 @@
         writer = CheckpointWriter(RegistryCheckpoint(InMemoryDisk()), lambda records: None)
         self.assertTrue(writer.offer([upstream("i-1")]))
         self.assertFalse(writer.offer([upstream("i-2")]))
-        writer._save_requested.clear()
+        writer._wanted.clear()
         self.assertTrue(writer.offer([upstream("i-2")]))
 
     def test_failed_write_is_retried(self) -> None:
@@ -103,7 +103,7 @@
         writer = CheckpointWriter(RegistryCheckpoint(disk), saved.append)
         writer.offer([upstream("i-1")])
         writer._save()
-        writer._save_requested.clear()
+        writer._wanted.clear()
         self.assertEqual(saved, [])
         self.assertTrue(writer.offer([upstream("i-1")]))
         disk.is_full = False
--- a/tests/registry/test_known_upstreams.py
+++ b/tests/registry/test_known_upstreams.py
@@ -25,16 +25,16 @@
 
     def test_published_upstream_accepts_requests(self) -> None:
         self.assertEqual(self.upstreams.merge(0.0, [record()]), ("i-1",))
-        self.assertTrue(self.upstreams.accepts_new_requests("i-1"))
+        self.assertTrue(self.upstreams.takes_new("i-1"))
         self.assertEqual(self.upstreams.address("i-1"), "10.0.0.1:80")
         self.assertEqual([known.instance for known in self.upstreams.upstreams_of_service("s")], ["i-1"])
-        self.assertFalse(self.upstreams.accepts_new_requests("i-2"))
+        self.assertFalse(self.upstreams.takes_new("i-2"))
 
     def test_draining_is_not_undone_by_a_later_ready_record(self) -> None:
         self.upstreams.merge(0.0, [record()])
         self.assertEqual(self.upstreams.merge(1.0, [record("draining", 2)]), ("i-1",))
         self.upstreams.merge(2.0, [record("ready", 3)])
-        self.assertFalse(self.upstreams.accepts_new_requests("i-1"))
+        self.assertFalse(self.upstreams.takes_new("i-1"))
         self.assertEqual(self.upstreams.address("i-1"), "10.0.0.1:80")
 
     def test_deregistered_upstream_is_removed_for_good(self) -> None:
@@ -47,14 +47,14 @@
     def test_merge_of_an_empty_registry_removes_nothing(self) -> None:
         self.upstreams.merge(0.0, [record()])
         self.upstreams.merge(99_000.0, [])
-        self.assertTrue(self.upstreams.accepts_new_requests("i-1"))
+        self.assertTrue(self.upstreams.takes_new("i-1"))
 
     def test_timeout_is_a_hint_that_a_response_clears(self) -> None:
         self.upstreams.merge(0.0, [record()])
         self.upstreams.merge(5000.0, [record(heartbeat_age_ms=4000.0)])
         self.assertTrue(self.upstreams.is_timed_out("i-1"))
-        self.assertTrue(self.upstreams.accepts_new_requests("i-1"))
-        self.upstreams.clear_timeout("i-1")
+        self.assertTrue(self.upstreams.takes_new("i-1"))
+        self.upstreams.mark_answered("i-1")
         self.assertFalse(self.upstreams.is_timed_out("i-1"))
 
     def test_upstream_that_changes_service_is_found_under_the_new_one(self) -> None:
@@ -65,7 +65,7 @@
 
     def test_upstream_in_an_unknown_state_accepts_no_requests(self) -> None:
         self.upstreams.merge(0.0, [record("warming")])
-        self.assertFalse(self.upstreams.accepts_new_requests("i-1"))
+        self.assertFalse(self.upstreams.takes_new("i-1"))
 
 
 if __name__ == "__main__":
@@ -82,7 +82,7 @@
         self.upstreams.merge(9_000.0, [record(instance="new")])
         self.assertTrue(self.upstreams.is_superseded("old"))
         self.assertFalse(self.upstreams.is_superseded("new"))
-        self.assertTrue(self.upstreams.accepts_new_requests("old"))
+        self.assertTrue(self.upstreams.takes_new("old"))
 
     def test_heartbeat_ages_show_the_newer_instance_after_a_restart(self) -> None:
         restarted = KnownUpstreams(1000.0)
--- a/tests/registry/test_late_heartbeats.py
+++ b/tests/registry/test_late_heartbeats.py
@@ -55,7 +55,7 @@
         return {record.state for each in self.registries for record in each.snapshot(self.now_ms)}
 
     def takes_new(self) -> bool:
-        return self.data_plane.accepts_new_requests(INSTANCE)
+        return self.data_plane.takes_new(INSTANCE)
 
     def _publish(self, number: int, record: UpstreamRecord | None) -> None:
         if record is None:
@@ -138,7 +138,7 @@
         """A peer's liveness report may arrive first if the message with the new description was lost."""
         first, second, _ = self.control_planes.registries
         first.handle_heartbeat(10.0, INSTANCE, read_heartbeat(INSTANCE, body(7, address="10.0.0.7:80")))
-        second.merge_liveness(11.0, first.collect_liveness_reports(11.0))
+        second.merge_liveness(11.0, first.take_liveness(11.0))
         second.merge(12.0, first.snapshot(12.0))
         self.assertEqual(second.snapshot(12.0)[0].address, "10.0.0.7:80")
 
@@ -146,14 +146,14 @@
 class MutantsAreDetected(unittest.TestCase):
     def test_registry_that_reverts_states_is_detected(self) -> None:
         with (
-            mock.patch("madderwind.registry.registry.later_state", lambda first, second: second),
+            mock.patch("madderwind.registry.registry.furthest", lambda first, second: second),
             self.assertRaises(AssertionError),
         ):
             LateHeartbeats("test_draining_is_not_undone").debug()
 
     def test_data_plane_that_reverts_states_is_detected(self) -> None:
         with (
-            mock.patch("madderwind.registry.known_upstreams.later_state", lambda first, second: second),
+            mock.patch("madderwind.registry.known_upstreams.furthest", lambda first, second: second),
             self.assertRaises(AssertionError),
         ):
             LateHeartbeats(RESTARTED_CONTROL_PLANE_TEST).debug()
--- a/tests/registry/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -137,16 +137,14 @@
         local.merge(0.0, [record])
         for second in range(1, 9):
             handle_heartbeat(peer, second * 1000.0, 1 + second)
-            self.assertTrue(
-                local.merge_liveness(second * 1000.0, peer.collect_liveness_reports(second * 1000.0))
-            )
+            self.assertTrue(local.merge_liveness(second * 1000.0, peer.take_liveness(second * 1000.0)))
             self.assertEqual(local.tick(second * 1000.0, True), ())
-        self.assertEqual(peer.collect_liveness_reports(9000.0), ())
+        self.assertEqual(peer.take_liveness(9000.0), ())
 
     def test_report_with_an_unknown_instance_is_incomplete(self) -> None:
         local, peer = Registry(HEARTBEAT_MS), Registry(HEARTBEAT_MS)
         handle_heartbeat(peer, 0.0, 1)
-        self.assertFalse(local.merge_liveness(1.0, peer.collect_liveness_reports(1.0)))
+        self.assertFalse(local.merge_liveness(1.0, peer.take_liveness(1.0)))
 
     def test_stall_of_this_process_causes_no_timeout(self) -> None:
         registry = Registry(HEARTBEAT_MS)
--- a/tests/replication/loss_at_each_event.py
+++ b/tests/replication/loss_at_each_event.py
@@ -173,7 +173,7 @@
             self.fleet.run(200.0)
             return lost
         if self._cause is ReplacementCause.PLANNED:
-            lost.request_shutdown()
+            lost.ask_to_leave()
             self.fleet.run(100.0)
         lost.remove()
         del self.fleet.machines[lost.address]
--- a/tests/replication/story.py
+++ b/tests/replication/story.py
@@ -9,11 +9,11 @@
 from tests.fleet.machine import Machine
 
 # Bounds of the time to an acknowledgement: without faults, and after the loss of one machine.
-MAX_ACKNOWLEDGEMENT_MS = 100.0
+CALM_ACKNOWLEDGEMENT_MS = 100.0
 FAILOVER_MS = 1_500.0
 
 
-class FleetTestCase(unittest.TestCase):
+class FleetStory(unittest.TestCase):
     """Base class: a bootstrapped fleet that has committed its first command, at version 3."""
 
     machines = 3
@@ -36,13 +36,13 @@
         """Return the running machines other than the primary."""
         return [machine for machine in self.fleet.running() if machine is not self.primary]
 
-    def assert_committed(self, results: list[CommandResult]) -> None:
+    def assert_taken(self, results: list[CommandResult]) -> None:
         self.assertEqual([CommandOutcome.COMMITTED], [result.outcome for result in results])
 
-    def assert_outcome_unknown(self, results: list[CommandResult]) -> None:
+    def assert_unclear(self, results: list[CommandResult]) -> None:
         self.assertEqual([CommandOutcome.UNKNOWN], [result.outcome for result in results])
 
-    def assert_all_follow_primary(self, version: int) -> None:
+    def assert_all_follow(self, version: int) -> None:
         """Assert that all running machines know the primary and `version`, and all members are in sync."""
         for machine in self.fleet.running():
             status = machine.status()
--- a/tests/replication/test_core_quota.py
+++ b/tests/replication/test_core_quota.py
@@ -29,12 +29,12 @@
             fleet.clock.after(fleet.rng.uniform(0.0, period_ms), lambda m=machine: self._stop(m))  # type: ignore[misc]
 
     def _stop(self, machine: Machine) -> None:
-        machine.pause()
+        machine.freeze()
         self._fleet.clock.after(self._stop_ms, lambda: self._resume(machine))
         self._fleet.clock.after(self._period_ms, lambda: self._stop(machine))
 
     def _resume(self, machine: Machine) -> None:
-        machine.resume()
+        machine.thaw()
         machine.tick()  # its timer became due during the stop
 
 
--- a/tests/replication/test_decisions.py
+++ b/tests/replication/test_decisions.py
@@ -18,7 +18,7 @@
 from madderwind.replication.decision_learner import DecisionLearner
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
-from tests.replication.story import FleetTestCase
+from tests.replication.story import FleetStory
 
 ANN, BOB, CAT = (Member(name, f"{name}:1", f"{name}:2", "zone") for name in ("ann", "bob", "cat"))
 BASE = View(1, "ann", ("ann", "bob", "cat"), (ANN, BOB, CAT))
@@ -57,7 +57,7 @@
             self.assertFalse(learner.handle_broadcast(known_base, broadcast(sender, view=BASE)))
 
 
-class InterceptedFleetTestCase(FleetTestCase):
+class InterceptedFleetTestCase(FleetStory):
     """Base class that intercepts each message before it is sent and may drop it."""
 
     def setUp(self) -> None:
@@ -141,7 +141,7 @@
         self.assertLess(self.longest_election_ms((200.0, 200.0)), 2_500.0)
 
 
-class MissingSuccessorTests(FleetTestCase):
+class MissingSuccessorTests(FleetStory):
     def test_given_a_full_disk_while_another_is_lost_then_the_primary_keeps_its_role(self) -> None:
         primary = self.primary
         self.backups()[0].kill()
--- a/tests/replication/test_disks_of_all.py
+++ b/tests/replication/test_disks_of_all.py
@@ -11,7 +11,7 @@
 from tests.fleet.fleet import Fleet
 from tests.fleet.machine import Machine
 from tests.fleet.register import command
-from tests.replication.story import FAILOVER_MS, FleetTestCase
+from tests.replication.story import FAILOVER_MS, FleetStory
 
 # Maximum time until the fleet serves again after disk space or power is back; far less than the `recovery_s`
 # of any deployment.
@@ -19,7 +19,7 @@
 STEP_MS = 1.0
 
 
-class FullDisks(FleetTestCase):
+class FullDisks(FleetStory):
     def fill_disks(self, *machines: Machine) -> None:
         for machine in machines:
             machine.disk.is_full = True
@@ -40,7 +40,7 @@
     def assert_serves_again(self, version: int) -> None:
         self.assertLess(self.fleet.submit_and_commit(3, version, most_ms=RECOVERY_MS), RECOVERY_MS)
         self.fleet.run(3_000.0)
-        self.assert_all_follow_primary(version)
+        self.assert_all_follow(version)
 
     def test_given_one_full_disk_at_a_time_then_commands_are_committed_by_the_other_machines(self) -> None:
         version = 3
@@ -51,7 +51,7 @@
             self.free_disks()
             self.fleet.run(3_000.0)
             version += 1
-            self.assert_all_follow_primary(version)
+            self.assert_all_follow(version)
 
     def test_given_all_disks_full_then_no_command_is_acknowledged_until_space_is_free(self) -> None:
         self.fill_disks(*self.fleet.machines.values())
@@ -192,7 +192,7 @@
             self.assert_recovered(self.version + 2, self.version + 2)
 
 
-class MutantsAreDetected(unittest.TestCase):
+class MutantsAreFound(unittest.TestCase):
     def test_an_append_without_a_sync(self) -> None:
         def append_without_sync(disk: MemoryDisk, name: str, data: bytes) -> None:
             disk._write(disk._files[name], data)
--- a/tests/replication/test_failover.py
+++ b/tests/replication/test_failover.py
@@ -6,17 +6,17 @@
 
 from tests.fleet.machine import Machine
 from tests.fleet.register import change_of
-from tests.replication.story import FAILOVER_MS, FleetTestCase
+from tests.replication.story import FAILOVER_MS, FleetStory
 
 
-class ProcessCrashTests(FleetTestCase):
+class ProcessesEnd(FleetStory):
     def test_given_the_primary_killed_then_another_takes_over(self) -> None:
         old = self.primary
         old.kill()
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         old.start()
         self.fleet.run(1_500.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_a_backup_killed_then_commands_wait_only_for_its_timeout(self) -> None:
         self.backups()[0].kill()
@@ -34,7 +34,7 @@
             self.fleet.submit_and_commit(version, version + 2)
             old.start()
             self.fleet.run(3_000.0)
-            self.assert_all_follow_primary(version + 2)
+            self.assert_all_follow(version + 2)
 
     def test_given_all_machines_killed_then_nothing_is_lost_after_their_restart(self) -> None:
         for machine in self.fleet.machines.values():
@@ -44,7 +44,7 @@
             machine.start()
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(1_500.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_a_power_loss_of_all_machines_during_a_command_then_a_retry_commits_it(self) -> None:
         for version in range(3, 23, 2):
@@ -57,30 +57,30 @@
                 machine.start()
             self.fleet.submit_and_commit(version, version + 2)
             self.fleet.run(2_000.0)
-            self.assert_all_follow_primary(version + 2)
+            self.assert_all_follow(version + 2)
 
     def test_given_the_primary_requested_to_stop_then_another_takes_over_before_it_exits(self) -> None:
         old = self.primary
-        old.shut_down()
+        old.leave()
         self.fleet.run(100.0)
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_backup_requested_to_stop_then_commands_do_not_wait_for_it(self) -> None:
-        self.backups()[0].shut_down()
+        self.backups()[0].leave()
         self.fleet.run(50.0)
         self.assertLess(self.fleet.submit_and_commit(3, 5), 200.0)
 
     def test_given_a_rolling_restart_then_each_command_commits(self) -> None:
         version = 3
         for machine in list(self.fleet.machines.values()):
-            machine.shut_down()
+            machine.leave()
             self.fleet.run(500.0)
             machine.start()
             self.assertLess(self.fleet.submit_and_commit(version, version + 1), FAILOVER_MS)
             version += 1
             self.fleet.run(2_500.0)
-        self.assert_all_follow_primary(version)
+        self.assert_all_follow(version)
 
     def test_given_a_command_that_a_primary_sent_and_did_not_write_when_it_is_back_then_another_one_holds(
         self,
@@ -101,33 +101,33 @@
         self.assertEqual((1, 1), (len(versions), len(names)))
 
 
-class ProcessFreezeTests(FleetTestCase):
+class ProcessFreezeTests(FleetStory):
     def test_given_the_primary_frozen_then_another_takes_over_and_it_follows_after_it_resumes(self) -> None:
         old = self.primary
-        old.pause()
+        old.freeze()
         waiting = self.fleet.submit(old, 3, 4, "queued")
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(2_000.0)
-        old.resume()
+        old.thaw()
         self.assertIsNone(self.fleet.read(old))
         self.fleet.run(1_500.0)
-        self.assert_outcome_unknown(waiting)
-        self.assert_all_follow_primary(5)
+        self.assert_unclear(waiting)
+        self.assert_all_follow(5)
 
     def test_given_the_primary_frozen_after_it_sent_a_command_when_it_resumes_then_it_reports_the_commit(
         self,
     ) -> None:
         old = self.primary
         results = self.fleet.submit(old, 3, 5, "frozen")
-        old.pause()
+        old.freeze()
         self.fleet.run(2_000.0)
         # The backups had received the entry, so the new primary committed it.
         self.assertEqual(5, self.primary.register.version)
         self.fleet.submit_and_commit(5, 8, "later")
-        old.resume()
+        old.thaw()
         self.fleet.run(1_500.0)
-        self.assert_committed(results)
-        self.assert_all_follow_primary(8)
+        self.assert_taken(results)
+        self.assert_all_follow(8)
 
     def test_given_the_primary_frozen_before_it_sent_a_command_when_it_resumes_then_it_acknowledges_nothing(
         self,
@@ -135,37 +135,37 @@
         old = self.primary
         self.fleet.network.isolate(old.address)
         results = self.fleet.submit(old, 3, 5, "frozen")
-        old.pause()
+        old.freeze()
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
         self.fleet.submit_and_commit(3, 8, "later")
-        old.resume()
+        old.thaw()
         self.fleet.run(1_500.0)
-        self.assert_outcome_unknown(results)
-        self.assert_all_follow_primary(8)
+        self.assert_unclear(results)
+        self.assert_all_follow(8)
 
     def test_given_a_backup_that_resumes_then_it_does_not_take_over(self) -> None:
         primary, backup = self.primary, self.backups()[0]
-        backup.pause()
+        backup.freeze()
         self.fleet.run(3_000.0)
-        backup.resume()
+        backup.thaw()
         self.fleet.run(2_500.0)
         self.assertIs(primary, self.primary)
-        self.assert_all_follow_primary(3)
+        self.assert_all_follow(3)
 
     def test_given_a_short_freeze_then_the_primary_keeps_its_role(self) -> None:
         primary = self.primary
         epoch = primary.replica.view.epoch if primary.replica and primary.replica.view else 0
-        primary.pause()
+        primary.freeze()
         self.fleet.run(350.0)
-        primary.resume()
+        primary.thaw()
         self.fleet.run(2_000.0)
         status = self.primary.status()
         assert status is not None
         self.assertEqual((primary, epoch), (self.primary, status.epoch))
 
 
-class NetworkPartitionTests(FleetTestCase):
+class LinksAreCut(FleetStory):
     def assert_stays_primary(self, primary: Machine) -> None:
         self.fleet.run(4_000.0)
         self.assertIs(primary, self.primary)
@@ -173,7 +173,7 @@
         self.fleet.network.heal()
         self.fleet.run(2_500.0)
         self.assertIs(primary, self.primary)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_a_backup_that_receives_nothing_from_the_primary_then_it_does_not_replace_it(self) -> None:
         primary = self.primary
@@ -232,13 +232,13 @@
             self.fleet.network.isolate(machine.address)
         results = self.fleet.submit(self.primary, 3, 5)
         self.fleet.run(5_000.0)
-        self.assert_outcome_unknown(results)
+        self.assert_unclear(results)
         self.assertIsNone(self.fleet.primary())
         self.fleet.network.heal()
         self.assertLess(self.fleet.submit_and_commit(3, 5), 2_000.0)
 
 
-class DiskFaultTests(FleetTestCase):
+class DiskFaultTests(FleetStory):
     def test_given_a_stalled_disk_at_the_primary_then_it_transfers_leadership_and_the_command_commits(
         self,
     ) -> None:
@@ -248,14 +248,14 @@
         self.assertIsNot(old, self.primary)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
         self.fleet.run(9_000.0)
-        self.assert_all_follow_primary(6)
+        self.assert_all_follow(6)
 
     def test_given_a_stalled_disk_at_a_backup_then_commands_continue_without_it(self) -> None:
         self.backups()[0].stalled_until_ms = self.fleet.clock.now_ms + 6_000.0
         self.assertLess(self.fleet.submit_and_commit(3, 5), 1_000.0)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 100.0)
         self.fleet.run(9_000.0)
-        self.assert_all_follow_primary(6)
+        self.assert_all_follow(6)
 
     def test_given_a_full_disk_at_the_primary_then_it_transfers_leadership_at_once(self) -> None:
         old = self.primary
@@ -264,7 +264,7 @@
         self.assertIsNot(old, self.primary)
         old.disk.is_full = False
         self.fleet.run(3_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_a_full_disk_at_a_backup_then_it_leaves_the_in_sync_set_and_rejoins(self) -> None:
         backup = self.backups()[0]
@@ -273,7 +273,7 @@
         self.assertNotIn(backup.address, self.fleet.in_sync())
         backup.disk.is_full = False
         self.fleet.run(3_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_slow_disks_on_all_machines_then_commands_still_commit(self) -> None:
         for machine in self.fleet.running():
@@ -287,13 +287,13 @@
             machine.disk.fails_syncs = True
         results = self.fleet.submit(self.primary, 3, 5)
         self.fleet.run(5_000.0)
-        self.assert_outcome_unknown(results)
+        self.assert_unclear(results)
         for machine in self.fleet.running():
             machine.disk.fails_syncs = False
         self.fleet.submit_and_commit(3, 5)
 
 
-class FiveMachineTests(FleetTestCase):
+class FiveMachineTests(FleetStory):
     """Five machines that tolerate the loss of two."""
 
     machines = 5
@@ -315,7 +315,7 @@
             machine.start()
         self.assertLess(self.fleet.submit_and_commit(5, 6), FAILOVER_MS)
         self.fleet.run(2_000.0)
-        self.assert_all_follow_primary(6)
+        self.assert_all_follow(6)
 
     def test_given_an_isolated_minority_then_the_majority_continues_and_the_minority_rejoins(self) -> None:
         minority = [self.primary, self.backups()[0]]
@@ -326,7 +326,7 @@
         self.fleet.submit_and_commit(3, 5)
         self.fleet.network.heal()
         self.fleet.run(4_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_freshness.py
+++ b/tests/replication/test_freshness.py
@@ -12,13 +12,13 @@
 from madderwind.replication.role_machine import Role
 from tests.fleet.freshness import Confirmations, FreshnessWatch
 from tests.fleet.machine import Machine
-from tests.replication.story import FleetTestCase
+from tests.replication.story import FleetStory
 
 MAX_FRESH_AGE_MS = 600.0
 PARTITION_MS = 20_000.0
 
 
-class FreshnessTestCase(FleetTestCase):
+class FreshnessTestCase(FleetStory):
     """Base class: a fleet at version 3, whose reported freshness is checked against the commits."""
 
     def setUp(self) -> None:
@@ -92,16 +92,16 @@
 class DelayedMessageTests(FreshnessTestCase):
     def test_given_a_frozen_backup_when_it_resumes_then_queued_messages_count_as_old(self) -> None:
         frozen = self.backups()[0]
-        frozen.pause()
+        frozen.freeze()
         self.fleet.run(300.0)
         self.fleet.network.isolate(frozen.address)
         self.commit_command(3, 5)
         self.fleet.run(PARTITION_MS)
-        frozen.resume()
+        frozen.thaw()
         self.fleet.run(500.0)
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
         self.assertLess(self.age_ms(frozen), 300.0)
 
     def test_given_a_partition_that_delays_messages_when_it_heals_then_they_count_as_old(self) -> None:
@@ -120,7 +120,7 @@
         self.fleet.run(heals_ms - self.fleet.clock.now_ms)
         self.fleet.network.heal()
         self.fleet.run(2_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_slow_links_then_the_freshness_age_stays_bounded(self) -> None:
         self.fleet.network.least_delay_ms = self.fleet.network.most_delay_ms = 40.0
--- a/tests/replication/test_large_states.py
+++ b/tests/replication/test_large_states.py
@@ -228,8 +228,8 @@
     return True
 
 
-class MutantsAreDetected(unittest.TestCase):
-    def assert_detected(self, name: str) -> None:
+class MutantsAreFound(unittest.TestCase):
+    def assert_found(self, name: str) -> None:
         result = unittest.TestResult()
         ReturningMember(name).run(result)
         self.assertEqual(1, result.testsRun)
@@ -237,11 +237,11 @@
 
     def test_a_snapshot_resent_regardless_of_its_progress(self) -> None:
         with patch.object(Peer, "is_resend_due", resend_regardless_of_progress):
-            self.assert_detected("test_given_a_slow_link_and_frequent_commands_then_one_snapshot_is_enough")
+            self.assert_found("test_given_a_slow_link_and_frequent_commands_then_one_snapshot_is_enough")
 
     def test_a_log_that_is_not_retained_for_replicas_catching_up(self) -> None:
         with patch.object(LogShipping, "needed_after", return_value=None):
-            self.assert_detected("test_given_a_slow_link_and_frequent_commands_then_one_snapshot_is_enough")
+            self.assert_found("test_given_a_slow_link_and_frequent_commands_then_one_snapshot_is_enough")
 
     def test_a_snapshot_older_than_its_index(self) -> None:
         def stale_snapshot(register: LargeRegister) -> bytes:
@@ -249,7 +249,7 @@
 
         original = LargeRegister.snapshot
         with patch.object(LargeRegister, "snapshot", stale_snapshot):
-            self.assert_detected(
+            self.assert_found(
                 "test_given_three_commands_a_second_when_its_disk_was_lost_then_it_catches_up_quickly"
             )
 
--- a/tests/replication/test_leaving_with_a_large_state.py
+++ b/tests/replication/test_leaving_with_a_large_state.py
@@ -41,7 +41,7 @@
             )
             stopped.wipe()
             scenario.process_commands(DOWNTIME_MS)
-            leaving.request_shutdown()
+            leaving.ask_to_leave()
             scenario.process_commands(DOWNTIME_MS)
             self.assertTrue(self.is_needed(leaving))
             stopped.start()
@@ -74,7 +74,7 @@
         self.assertEqual(scenario.version, scenario.fleet.read_committed().version)
 
     def test_leaving_without_a_second_replica_is_detected(self) -> None:
-        with patch.object(MembershipRules, "min_in_sync", 1), self.assertRaises(AssertionError):
+        with patch.object(MembershipRules, "smallest_in_sync", 1), self.assertRaises(AssertionError):
             self.run_leave(LINKS_BYTES_PER_MS[0])
 
 
--- a/tests/replication/test_loss_mutants.py
+++ b/tests/replication/test_loss_mutants.py
@@ -65,7 +65,7 @@
             )
 
     def test_in_sync_set_of_one_is_detected(self) -> None:
-        with patch.object(MembershipRules, "min_in_sync", 1):
+        with patch.object(MembershipRules, "smallest_in_sync", 1):
             self.assert_detected_by(
                 test_second_losses.MemberShutdownTests(
                     "test_given_two_backups_that_stop_at_once_then_one_stays_in_sync"
@@ -116,7 +116,7 @@
             )
 
     def test_role_given_up_without_a_successor_is_detected(self) -> None:
-        with patch.object(Primary, "can_be_succeeded", return_value=True):
+        with patch.object(Primary, "can_be_followed", return_value=True):
             self.assert_detected_by(
                 test_decisions.MissingSuccessorTests(
                     "test_given_a_full_disk_while_another_is_lost_then_the_primary_keeps_its_role"
--- a/tests/replication/test_lost_disks.py
+++ b/tests/replication/test_lost_disks.py
@@ -4,10 +4,10 @@
 
 import unittest
 
-from tests.replication.story import FAILOVER_MS, FleetTestCase
+from tests.replication.story import FAILOVER_MS, FleetStory
 
 
-class DiskLossTests(FleetTestCase):
+class DisksAreLost(FleetStory):
     def test_given_a_wiped_backup_then_it_returns_as_another_incarnation_and_is_in_sync(self) -> None:
         backup = self.backups()[0]
         assert backup.replica is not None
@@ -18,7 +18,7 @@
         self.fleet.run(1_500.0)
         assert backup.replica is not None
         self.assertNotEqual(before, backup.replica.incarnation)
-        self.assert_all_follow_primary(3)
+        self.assert_all_follow(3)
 
     def test_given_a_wiped_primary_then_another_takes_over_as_soon_as_it_restarts(self) -> None:
         old = self.primary
@@ -27,7 +27,7 @@
         old.start()
         self.assertLess(self.fleet.submit_and_commit(3, 5), 500.0)
         self.fleet.run(1_500.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_each_machine_wiped_in_turn_while_the_others_lose_power_then_nothing_is_lost(self) -> None:
         for address in ("m1", "m2", "m3"):
@@ -43,7 +43,7 @@
                     machine.start()
                 self.assertLess(self.fleet.submit_and_commit(version + 1, version + 2), FAILOVER_MS)
                 self.fleet.run(4_000.0)
-                self.assert_all_follow_primary(version + 2)
+                self.assert_all_follow(version + 2)
 
     def test_given_a_wiped_machine_when_another_is_away_then_its_vote_does_not_count(self) -> None:
         primary, (wiped, other) = self.primary, self.backups()
@@ -75,7 +75,7 @@
         self.assertLess(self.fleet.submit_and_commit(5, 6), 2_000.0)
 
 
-class MessageLossTests(FleetTestCase):
+class MessageLossTests(FleetStory):
     def test_given_a_learner_that_missed_the_first_entries_while_commands_continue_then_it_catches_up(
         self,
     ) -> None:
@@ -87,21 +87,21 @@
         for version in range(4, 104):
             results = self.fleet.submit(primary, version, version + 1)
             self.fleet.run(30.0)
-            self.assert_committed(results)
+            self.assert_taken(results)
             if version == 24:
                 self.fleet.network.heal()
         self.fleet.run(20.0)
-        self.assert_all_follow_primary(104)
+        self.assert_all_follow(104)
 
 
-class MachineReplacementTests(FleetTestCase):
+class MachineReplacementTests(FleetStory):
     def test_given_a_removed_machine_then_its_successor_becomes_a_member(self) -> None:
         for number, is_planned in enumerate((False, True, False, True)):
             with self.subTest(number=number, is_planned=is_planned):
                 version = self.primary.register.version
                 removed = next(iter(self.fleet.machines.values()))
                 if is_planned:
-                    removed.shut_down()
+                    removed.leave()
                     self.fleet.run(350.0)
                 removed.remove()
                 del self.fleet.machines[removed.address]
@@ -114,7 +114,7 @@
                 assert status is not None
                 self.assertIn(successor.address, status.members)
                 self.assertEqual(3, len(status.members))
-                self.assert_all_follow_primary(version + 1)
+                self.assert_all_follow(version + 1)
 
     def test_given_all_machines_replaced_in_turn_then_no_acknowledged_command_is_lost(self) -> None:
         for number, address in enumerate(("m1", "m2", "m3")):
--- a/tests/replication/test_preparation.py
+++ b/tests/replication/test_preparation.py
@@ -16,7 +16,7 @@
 from madderwind.replication.submitted_commands import MAX_SUBMITTED_COMMANDS, SubmittedCommands
 from tests.fleet.machine import Machine
 from tests.fleet.register import Register, command
-from tests.replication.story import FleetTestCase
+from tests.replication.story import FleetStory
 
 # A configuration of 14,000 routes, and the CPU time of one core to parse it.
 LONG_BYTES = 3_900_000
@@ -80,7 +80,7 @@
         self._parsed[:] = [command]
 
 
-class LongCommandScenario(FleetTestCase):
+class LongCommandScenario(FleetStory):
     """Machines with a share of a core, which is busy while a long command is parsed."""
 
     def setUp(self) -> None:
@@ -103,7 +103,7 @@
         """Submit a long command and wait for its acknowledgement; return the time that it took."""
         results = self.submit_long()
         elapsed_ms = self.fleet.run_until(lambda: bool(results), 6_000.0)
-        self.assert_committed(results)
+        self.assert_taken(results)
         self.version += 1
         return elapsed_ms
 
@@ -119,7 +119,7 @@
             self.commit_long()
         self.fleet.run(2_000.0)
         self.assertEqual(0, self.count(VIEW_CHANGED, ROLE_CHANGED, EVENT_LOOP_STALLED))
-        self.assert_all_follow_primary(self.version)
+        self.assert_all_follow(self.version)
 
     def test_parsing_within_an_event_is_detected(self) -> None:
         with patch.object(ParsingRegister, "preparation", lambda *_: None), self.assertRaises(AssertionError):
@@ -131,16 +131,16 @@
         long = self.submit_long()
         short = self.fleet.submit(self.primary, 3, 9, "another")
         self.fleet.run(PARSING_MS / CORE_SHARE + 100.0)
-        self.assert_committed(long)
+        self.assert_taken(long)
         self.assertEqual([CommandOutcome.STALE_BASE], [result.outcome for result in short])
 
     def test_when_the_primary_leaves_then_its_outcome_is_unknown_and_it_is_not_committed(self) -> None:
         primary = self.primary
         results = self.submit_long()
         self.fleet.run(100.0)
-        primary.shut_down()
+        primary.leave()
         self.fleet.run(2_000.0)
-        self.assert_outcome_unknown(results)
+        self.assert_unclear(results)
         self.fleet.stabilize()
         self.assertEqual(3, self.fleet.read_committed().version)
 
@@ -148,14 +148,14 @@
         with patch.object(Machine, "preparation_ms", 10_000.0):
             results = self.submit_long()
             self.fleet.run(ANSWER_TIMEOUT_MS + LONG_BYTES / 2_048 + 100.0)
-        self.assert_outcome_unknown(results)
+        self.assert_unclear(results)
         self.fleet.run(12_000.0)
         self.assertEqual(3, self.fleet.read_committed().version)
 
     def test_when_two_commands_have_the_same_base_version_then_the_first_one_is_committed(self) -> None:
         first, second = self.submit_long(name="one"), self.submit_long(name="another")
         self.fleet.run(2 * PARSING_MS / CORE_SHARE + 200.0)
-        self.assert_committed(first)
+        self.assert_taken(first)
         self.assertEqual([CommandOutcome.STALE_BASE], [result.outcome for result in second])
 
     def test_when_all_processes_are_killed_after_its_acknowledgement_then_it_is_retained(self) -> None:
@@ -188,7 +188,7 @@
         self.assertIn(self.backup.address, self.fleet.in_sync())
         self.commit_long()
         self.fleet.run(8_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_when_another_machine_crashes_then_no_command_is_lost(self) -> None:
         others = [machine for machine in self.fleet.running() if machine is not self.backup]
--- a/tests/replication/test_rewrites.py
+++ b/tests/replication/test_rewrites.py
@@ -65,8 +65,8 @@
     return [record for record in original_records(store) if not isinstance(record, EntryRecord)]
 
 
-class MutantsAreDetected(unittest.TestCase):
-    def assert_detected(self) -> None:
+class MutantsAreFound(unittest.TestCase):
+    def assert_found(self) -> None:
         name = "test_given_kills_and_power_losses_of_all_machines_then_all_commands_are_retained"
         result = unittest.TestResult()
         FrequentRewrites(name).run(result)
@@ -75,11 +75,11 @@
 
     def test_a_snapshot_older_than_the_log(self) -> None:
         with patch.object(ReplicaStore, "all_records", records_with_a_stale_snapshot):
-            self.assert_detected()
+            self.assert_found()
 
     def test_a_rewrite_without_the_entries_after_the_snapshot(self) -> None:
         with patch.object(ReplicaStore, "all_records", records_without_uncommitted_entries):
-            self.assert_detected()
+            self.assert_found()
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_second_losses.py
+++ b/tests/replication/test_second_losses.py
@@ -6,7 +6,7 @@
 
 from madderwind.replication.status import ReplicaStatus
 from tests.fleet.machine import Machine
-from tests.replication.story import FAILOVER_MS, FleetTestCase
+from tests.replication.story import FAILOVER_MS, FleetStory
 
 SUCCESSOR_START_DELAY_MS = 667.0
 
@@ -17,7 +17,7 @@
     return status
 
 
-class LossAfterReplacementTests(FleetTestCase):
+class LossAfterReplacementTests(FleetStory):
     def remove(self, machine: Machine) -> None:
         """Remove a machine permanently, without a shutdown request."""
         machine.remove()
@@ -38,14 +38,14 @@
         self.fleet.add("second").start()
         self.assertLess(self.fleet.submit_and_commit(3, 5), FAILOVER_MS)
         self.fleet.run(1_000.0)
-        self.assert_all_follow_primary(5)
+        self.assert_all_follow(5)
 
     def test_given_a_replaced_primary_then_its_successor_is_a_member_within_half_a_second(self) -> None:
         self.remove(self.primary)
         self.fleet.run(SUCCESSOR_START_DELAY_MS)
         self.fleet.add("successor").start()
         self.fleet.run(500.0)
-        self.assert_all_follow_primary(3)
+        self.assert_all_follow(3)
         self.assertIn("successor", status_of(self.primary).members)
 
     def test_given_a_lost_backup_then_a_lost_primary_then_the_timeout_of_the_backup_does_not_restart(
@@ -60,16 +60,16 @@
         self.fleet.run(20.0)
         old.start()
         self.fleet.run(400.0)
-        self.assert_all_follow_primary(3)
+        self.assert_all_follow(3)
         self.assertIn("successor", status_of(self.primary).members)
 
 
-class MemberShutdownTests(FleetTestCase):
+class MemberShutdownTests(FleetStory):
     """A member that is requested to stop stays until enough other replicas hold its log."""
 
     def stop_when_not_needed(self, machine: Machine, timeout_ms: float) -> float:
         """Request a machine to stop, remove it once it is not needed, and return how long that took."""
-        machine.request_shutdown()
+        machine.ask_to_leave()
         waited_ms = self.fleet.run_until(lambda: not status_of(machine).is_needed, timeout_ms)
         machine.remove()
         del self.fleet.machines[machine.address]
@@ -90,7 +90,7 @@
         away, stopping = self.backups()
         away.wipe()
         self.fleet.submit_and_commit(3, 5)
-        stopping.request_shutdown()
+        stopping.ask_to_leave()
         self.fleet.run(2_000.0)
         self.assertTrue(status_of(stopping).is_needed)
         self.assertLess(self.fleet.submit_and_commit(5, 6), 200.0)
@@ -106,8 +106,8 @@
 
     def test_given_two_backups_that_stop_at_once_then_one_stays_in_sync(self) -> None:
         first_backup, second_backup = self.backups()
-        first_backup.request_shutdown()
-        second_backup.request_shutdown()
+        first_backup.ask_to_leave()
+        second_backup.ask_to_leave()
         self.fleet.run(1_000.0)
         needed = [machine for machine in (first_backup, second_backup) if status_of(machine).is_needed]
         self.assertEqual(1, len(needed))
--- a/tests/replication/test_times.py
+++ b/tests/replication/test_times.py
@@ -7,7 +7,7 @@
 from msgspec import structs
 
 from madderwind.replication.times import ReplicationTimes
-from tests.replication.story import FleetTestCase
+from tests.replication.story import FleetStory
 
 
 class TimeConstraintTests(unittest.TestCase):
@@ -34,7 +34,7 @@
                 self.assertNotEqual((), times.violated_constraints())
 
 
-class PausedProcessTests(FleetTestCase):
+class PausedProcessTests(FleetStory):
     """Processes that are paused for up to 350 ms, for example while they read a large configuration."""
 
     stall_ms = 350.0
@@ -44,9 +44,9 @@
         for machine in list(self.fleet.machines.values()):
             for offset_ms in range(0, 60, 10):
                 self.fleet.run(500.0 + offset_ms)
-                machine.pause()
+                machine.freeze()
                 self.fleet.run(self.stall_ms)
-                machine.resume()
+                machine.thaw()
         self.fleet.run(500.0)
         after = self.primary.status()
         assert before is not None and after is not None
--- a/tests/replication/test_witness.py
+++ b/tests/replication/test_witness.py
@@ -164,7 +164,7 @@
         self.assertNotIn(Promise, message_types(self.witness.prepare(ANN, 5)))
 
 
-class PromiseDurabilityTests(unittest.TestCase):
+class PromisesOutlastRestarts(unittest.TestCase):
     def setUp(self) -> None:
         self.witness = SingleWitness()
 
--- a/tests/replication/time_to_full_set.py
+++ b/tests/replication/time_to_full_set.py
@@ -202,8 +202,8 @@
             primary.kill()
             self._repair_after(rng.uniform(300.0, 1_500.0), primary.start)
         else:
-            primary.pause()
-            self._repair_after(rng.uniform(300.0, 1_500.0), primary.resume)
+            primary.freeze()
+            self._repair_after(rng.uniform(300.0, 1_500.0), primary.thaw)
         self.fleet.run(rng.uniform(0.0, 1_000.0))
 
     def _begin_snapshot(self) -> None:
@@ -240,7 +240,7 @@
             self._repair_after(delay_ms, machine.start)
             return
         if self.loss is Loss.REPLACED_AS_PLANNED:
-            machine.shut_down()
+            machine.leave()
             self.fleet.run(self._rng.uniform(300.0, 1_000.0))
         machine.remove()
         del self.fleet.machines[machine.address]
--- a/tests/standalone/evacuation/test_evacuation.py
+++ b/tests/standalone/evacuation/test_evacuation.py
@@ -51,9 +51,9 @@
     evacuation = messages.Evacuation(7, 0, 3, 9, 1, 2, False, 100, (1, 2, 3))
     assert messages.read_evacuation(evacuation.order, messages.write_evacuation(evacuation)) == evacuation
     balancer = make_balancer(0)
-    balancer.on_view(0.0, 1, noise)
-    balancer.on_view(0.0, 1, data[:-1] + noise)
-    assert not balancer.on_evacuation(0.0, (3, 5), noise)
+    balancer.heard_view(0.0, 1, noise)
+    balancer.heard_view(0.0, 1, data[:-1] + noise)
+    assert not balancer.heard_evacuation(0.0, (3, 5), noise)
 
 
 def make_balancer(me: int, **settings: object) -> evacuation.ZoneEvacuation:
@@ -133,12 +133,12 @@
     observations = Observations()
     observations.listed({n: Place(n + 1, "ab"[n % 2], 1.0, 0.0) for n in range(4)})
     for number in range(400):
-        observations.attempt_started(0.0, number % 4, (number, 0))
-        observations.attempt_ended(100.0, (number, 0), Outcome.OK, 100.0)
+        observations.began(0.0, number % 4, (number, 0))
+        observations.ended(100.0, (number, 0), Outcome.OK, 100.0)
     assert observations.slow_threshold_ms(100.0, 1) == pytest.approx(400.0)
     for number in range(0, 40, 2):  # zone a is slow now, which raises the threshold for zone b
-        observations.attempt_started(200.0, number % 4, (number, 0))
-        observations.attempt_ended(1200.0, (number, 0), Outcome.OK, 1000.0)
+        observations.began(200.0, number % 4, (number, 0))
+        observations.ended(1200.0, (number, 0), Outcome.OK, 1000.0)
     assert observations.slow_threshold_ms(1200.0, 1) > 3000
 
 
@@ -146,7 +146,7 @@
     balancer: evacuation.ZoneEvacuation, now: float, witnesses: tuple[int, ...], area: str = "b"
 ) -> list[actions.Action]:
     evacuation = messages.Evacuation(zone_mark(area), 0, 1, 1, 0, witnesses=witnesses)
-    return balancer.on_evacuation(now, evacuation.order, messages.write_evacuation(evacuation))
+    return balancer.heard_evacuation(now, evacuation.order, messages.write_evacuation(evacuation))
 
 
 def test_an_evacuation_needs_witnesses_and_never_includes_the_last_zone() -> None:
@@ -169,10 +169,10 @@
     balancer = make_balancer(1, alone_after_s=5)
     receive_evacuation(balancer, 0.0, (1, 2, 3))
     step = messages.Evacuation(zone_mark("b"), 0, 1, 2, 2, witnesses=(1, 2, 3))
-    balancer.on_evacuation(100.0, step.order, messages.write_evacuation(step))
+    balancer.heard_evacuation(100.0, step.order, messages.write_evacuation(step))
     withheld_at_step = balancer.withheld
     assert len(withheld_at_step) < 4
-    balancer.on_message(100.0)
+    balancer.heard_message(100.0)
     balancer.tick(200.0)
     balancer.tick(100.0 + state.LEASE_MS + 100.0)
     assert balancer.withheld == {1, 3, 5, 7}, "a balancer that receives no renewal falls back to step 0"
@@ -185,15 +185,15 @@
     balancer = make_balancer(0)
     for scope, episode, step in ((0, 1, messages.FULL_STEP), (zone_mark("a"), 1, 1), (0, 2, 1)):
         evacuation = messages.Evacuation(zone_mark("b"), scope, episode, 1, step)
-        balancer.on_evacuation(0.0, evacuation.order, messages.write_evacuation(evacuation))
+        balancer.heard_evacuation(0.0, evacuation.order, messages.write_evacuation(evacuation))
     assert balancer.left() == [("b", 1), ("b", 1)]
     balancer.tick(100.0)
     data = messages.write_view(
         150.0, "a", 9.0, {"b": ZoneObservation(frozenset({2, 4, 6}), frozenset())}, frozenset()
     )
     for other in (2, 4):
-        balancer.on_message(150.0)
-        balancer.on_view(150.0, other, data)
+        balancer.heard_message(150.0)
+        balancer.heard_view(150.0, other, data)
     balancer.tick(200.0)
     assert balancer.left() == [("b", 0)]
 
--- a/tests/standalone/handover/test_message.py
+++ b/tests/standalone/handover/test_message.py
@@ -60,12 +60,12 @@
     """Bans, ended upstreams, listed ids and an announced drain hold in the next process."""
     old, new = Directory((), ()), Directory((), ())
     members = [examples.member("s-1", 5000), examples.member("s-2", 5001), examples.member("s-3", 5002)]
-    old.apply(read_listing(json.dumps(examples.listing(*members, revision=41)).encode()))
+    old.take(read_listing(json.dumps(examples.listing(*members, revision=41)).encode()))
     change = examples.listing(examples.member("s-2", 5001, "Terminating"), revision=43, complete=False)
-    old.apply(read_listing(json.dumps(change).encode()))
+    old.take(read_listing(json.dumps(change).encode()))
     old.suspend("s-1")
-    new.restore_state(old.memory())
-    event = new.apply(old.listing(), cached=True)
+    new.recall(old.memory())
+    event = new.take(old.listing(), cached=True)
     states = {new.name(entry.upstream): entry.state for entry in event.entries}
     assert states == {
         "s-1": UpstreamState.SUSPENDED,
@@ -73,5 +73,5 @@
         "s-3": UpstreamState.READY,
     }
     outdated = examples.listing(examples.member("s-2", 5001), revision=42, complete=False)
-    (entry,) = new.apply(read_listing(json.dumps(outdated).encode())).entries
+    (entry,) = new.take(read_listing(json.dumps(outdated).encode())).entries
     assert entry.state is UpstreamState.DRAINING
--- a/tests/standalone/policy/test_fleet.py
+++ b/tests/standalone/policy/test_fleet.py
@@ -180,7 +180,7 @@
 
 def subset_of(driver: BalancerDriver) -> set[int]:
     fleet = driver.balancer._fleet
-    return {u.entry.upstream for u in fleet.preference_order[: fleet.subset_size]}
+    return {u.entry.upstream for u in fleet.order[: fleet.subset_size]}
 
 
 @pytest.mark.parametrize("ratings", [(1.0, 1.0, 1.0), (4.0, 3.0, 1.5)])
--- a/tests/standalone/policy/test_pick.py
+++ b/tests/standalone/policy/test_pick.py
@@ -220,8 +220,8 @@
     considered = []
     for upstreams in (40, 400):
         (driver, *_) = balancers_of([entry(n) for n in range(upstreams)], 10 * upstreams, tier=1)
-        order = CountingOrder(driver.balancer._fleet.preference_order)
-        driver.balancer._fleet.preference_order = order
+        order = CountingOrder(driver.balancer._fleet.order)
+        driver.balancer._fleet.order = order
         for _ in range(50):
             driver.serve(elapsed_ms=0.5)
         considered.append(order.considered)
--- a/tests/standalone/policy/test_retuned.py
+++ b/tests/standalone/policy/test_retuned.py
@@ -54,11 +54,7 @@
         driver.end_attempt(request, Outcome.ERROR, sends(actions)[0].upstream)
         driver.wait(50)
     balancer = driver.balancer
-    before = (balancer._quota.tokens, balancer.skipped(driver.now), balancer._admission.limit_per_upstream)
+    before = (balancer._quota.tokens, balancer.skipped(driver.now), balancer._admission.room)
     assert before[0] < 500 and before[1] > 0
     driver.event(new_settings(max_attempts=3, copies=2))
-    assert (
-        balancer._quota.tokens,
-        balancer.skipped(driver.now),
-        balancer._admission.limit_per_upstream,
-    ) == before
+    assert (balancer._quota.tokens, balancer.skipped(driver.now), balancer._admission.room) == before
--- a/tests/standalone/policy/test_room.py
+++ b/tests/standalone/policy/test_room.py
@@ -34,7 +34,7 @@
             for end, request, upstream in [o for o in open_attempts if o[0] <= driver.now]:
                 open_attempts.remove((end, request, upstream))
                 driver.end_attempt(request, Outcome.OK, upstream, elapsed_ms=200.0)
-                driver.balancer._admission.limit_per_upstream = 6.0  # its growth is not under test
+                driver.balancer._admission.room = 6.0  # its growth is not under test
                 open_ms += 200.0
             if next_arrival <= driver.now:
                 next_arrival += rng.expovariate(balancer_rate_per_s / 1000.0)
@@ -65,10 +65,10 @@
     driver = BalancerDriver([entry(n) for n in range(4)])
     for _ in range(200):
         driver.serve(elapsed_ms=100.0)
-    normal_limit = driver.balancer._admission.limit_per_upstream
+    normal_limit = driver.balancer._admission.room
     for _ in range(60):
         driver.serve(elapsed_ms=900.0)
-    overload_limit = driver.balancer._admission.limit_per_upstream
+    overload_limit = driver.balancer._admission.room
     assert 0 < overload_limit < normal_limit
     for _ in range(300):
         driver.serve(elapsed_ms=900.0)
@@ -79,9 +79,9 @@
     driver = BalancerDriver([entry(n) for n in range(4)])
     for _ in range(200):
         driver.serve(elapsed_ms=100.0)
-    before = driver.balancer._admission.limit_per_upstream
+    before = driver.balancer._admission.room
     driver.serve(elapsed_ms=900.0)
-    assert driver.balancer._admission.limit_per_upstream >= 0.8 * before
+    assert driver.balancer._admission.room >= 0.8 * before
 
 
 def test_a_few_slow_upstreams_hardly_shrink_the_limit() -> None:
@@ -89,11 +89,11 @@
     driver = BalancerDriver([entry(n) for n in range(4)])
     for _ in range(200):
         driver.serve(elapsed_ms=100.0)
-    before = driver.balancer._admission.limit_per_upstream
+    before = driver.balancer._admission.room
     for _ in range(40):
         for elapsed_ms in (100.0, 100.0, 2000.0, 100.0):
             driver.serve(elapsed_ms=elapsed_ms)
-    assert driver.balancer._admission.limit_per_upstream >= 0.9 * before
+    assert driver.balancer._admission.room >= 0.9 * before
 
 
 def test_the_total_limit_falls_with_lost_upstreams() -> None:
--- a/tests/standalone/policy/test_traffic.py
+++ b/tests/standalone/policy/test_traffic.py
@@ -37,14 +37,14 @@
 def test_the_part_of_a_balancer_is_its_part_of_the_traffic() -> None:
     """On recife-dispatch (big-2), equal parts refused 12% without overload, at the few busy callers."""
     busy, average = (balancer_with_peers(own_rate, 10.0).balancer._traffic for own_rate in (90.0, 10.0))
-    assert busy.traffic_share(11_000.0) == pytest.approx(0.5, abs=0.05)
-    assert average.traffic_share(11_000.0) == pytest.approx(0.1, abs=0.02)
+    assert busy.part(11_000.0) == pytest.approx(0.5, abs=0.05)
+    assert average.part(11_000.0) == pytest.approx(0.1, abs=0.02)
 
 
 def test_without_messages_all_parts_are_equal() -> None:
     driver = balancer_with_peers(50.0, 10.0, may_tell=False)
-    driver.balancer._traffic._peer_rates.clear()
-    assert driver.balancer._traffic.traffic_share(driver.now) == 1 / BALANCERS
+    driver.balancer._traffic._heard.clear()
+    assert driver.balancer._traffic.part(driver.now) == 1 / BALANCERS
     assert not sent_messages(driver.wait(20_000))
 
 
@@ -54,14 +54,14 @@
         driver.serve(elapsed_ms=1.0)
         driver.wait(99.0)
     driver.event(api.PeerSpoke(1, rate_message(10.0)))
-    assert driver.balancer._traffic.traffic_share(driver.now) == pytest.approx(1 / 3, abs=0.05)
+    assert driver.balancer._traffic.part(driver.now) == pytest.approx(1 / 3, abs=0.05)
     driver.event(api.PeerSpoke(2, rate_message(10.0)))
     for _ in range(100):
         driver.serve(elapsed_ms=1.0)
         driver.wait(99.0)
     driver.event(api.PeerSpoke(2, rate_message(10.0)))
     driver.wait(300)  # rates are summed four times per second
-    assert driver.balancer._traffic.traffic_share(driver.now) == pytest.approx(1 / 2, abs=0.05)
+    assert driver.balancer._traffic.part(driver.now) == pytest.approx(1 / 2, abs=0.05)
 
 
 @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
 def test_invalid_messages_are_ignored(peer: int, message: bytes) -> None:
     driver = BalancerDriver([entry(1)], copies=BALANCERS, may_tell=True)
     driver.event(api.PeerSpoke(peer, message))
-    assert not driver.balancer._traffic._peer_rates
+    assert not driver.balancer._traffic._heard
 
 
 def test_a_busy_balancer_sends_its_rate_each_second_and_an_idle_one_rarely() -> None:
@@ -207,7 +207,7 @@
             return super().values()
 
     driver = BalancerDriver([entry(1)], copies=200, may_tell=True)
-    heard = driver.balancer._traffic._peer_rates = CountingRates()
+    heard = driver.balancer._traffic._heard = CountingRates()
     for second in range(3):
         for peer in range(1, 200):
             driver.event(api.PeerSpoke(peer, rate_message(10.0)))
--- a/tests/standalone/policy/test_uneven.py
+++ b/tests/standalone/policy/test_uneven.py
@@ -82,7 +82,7 @@
         for peer, rate in enumerate(rates):
             if peer != me:
                 driver.event(api.PeerSpoke(peer, rate_message(rate)))
-        parts.append(driver.balancer._traffic.traffic_share(driver.now))
+        parts.append(driver.balancer._traffic.part(driver.now))
     assert sum(parts) == pytest.approx(1.0, abs=0.1)
 
 
--- a/tests/standalone/program/harness.py
+++ b/tests/standalone/program/harness.py
@@ -10,7 +10,7 @@
 from madderwind.standalone.program.log import JsonLog
 from madderwind.standalone.program.service import Service
 from tests import examples
-from tests.standins import Agent, Upstream, wait_for
+from tests.standins import Agent, Upstream, within
 
 
 class KeptLog(JsonLog):
@@ -33,7 +33,7 @@
     reader, writer = await asyncio.open_connection(examples.HOST, port)
     try:
         writer.write(raw)
-        received: bytes = await wait_for(reader.read())
+        received: bytes = await within(reader.read())
         return received.decode()
     finally:
         writer.close()
@@ -58,7 +58,7 @@
             examples.configuration(examples.listing(*members), self.agent.port, **self._settings)
         )
         self.service, self.task = self.new()
-        await wait_for(self.service.ready.wait())
+        await within(self.service.ready.wait())
         return self
 
     def new(self) -> tuple[Service, asyncio.Task[None]]:
@@ -72,7 +72,7 @@
         old = self.service
         self._old_tasks.append(self.task)
         self.service, self.task = self.new()
-        await wait_for(self.service.ready.wait())
+        await within(self.service.ready.wait())
         return old
 
     @property
--- a/tests/standalone/program/test_admin.py
+++ b/tests/standalone/program/test_admin.py
@@ -23,18 +23,18 @@
     Upstream,
     Writer,
     answer,
-    never_respond,
-    reset_connection,
-    respond_with,
+    resets,
     run,
+    says,
+    silent,
     tell,
-    wait_for,
+    within,
 )
 
 
 def test_status_and_invalid_commands(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer()))) as running:
+        async with Running(tmp_path, Upstream(says(answer()))) as running:
             port = running.service.admin_port
             assert await call(port, b"STATUS\n") == "ACK ready\n"
             assert await call(port, b"STATUS\r\nand more\n") == "ACK ready\n"
@@ -49,7 +49,7 @@
             reader, writer = await asyncio.open_connection(examples.HOST, port)
             writer.write(b"STAT")
             writer.write_eof()  # closes in the middle of a command
-            assert await wait_for(reader.read()) == b""
+            assert await within(reader.read()) == b""
             running.service.end()
             assert await call(port, b"STATUS\n") == "NAK not ready\n"
 
@@ -58,7 +58,7 @@
 
 def test_the_command_line_sends_operator_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer()))) as running:
+        async with Running(tmp_path, Upstream(says(answer()))) as running:
             address = f"{examples.HOST}:{running.service.admin_port}"
             for words, code, expected in (
                 (["STATUS"], 0, "ACK ready"),
@@ -78,19 +78,19 @@
     """Served, failed, refused and open requests; attempts count once written, with or without a body."""
 
     async def test() -> None:
-        upstream = Upstream(respond_with(answer(200, b"yes")))
+        upstream = Upstream(says(answer(200, b"yes")))
         async with Running(tmp_path, upstream, MaxAttempts=1) as running:
             caller = await Caller.connect(running.port)
-            assert (await caller.request()).status == 200
-            assert (await caller.request("POST /charge", b"x" * 5000)).status == 200
-            upstream.behave = reset_connection
-            assert (await caller.request("POST /charge", b"x")).status == 502
-            upstream.behave = respond_with(answer(503, X_Never_Ran="1"))
-            assert (await caller.request()).status == 503
-            upstream.behave = never_respond
+            assert (await caller.ask()).status == 200
+            assert (await caller.ask("POST /charge", b"x" * 5000)).status == 200
+            upstream.behave = resets
+            assert (await caller.ask("POST /charge", b"x")).status == 502
+            upstream.behave = says(answer(503, X_Never_Ran="1"))
+            assert (await caller.ask()).status == 503
+            upstream.behave = silent
             caller.write()
             for _ in range(5):
-                await wait_for(upstream.arrivals.get())
+                await within(upstream.arrivals.get())
             metrics = (await running.call("METRICS")).splitlines()
             assert 'svc_handled_total{category="lookup",outcome="passed"} 1' in metrics
             assert 'svc_handled_total{category="lookup",outcome="dropped"} 1' in metrics
@@ -100,7 +100,7 @@
             assert await running.figure("in_progress") == 1
             assert await running.figure("upstream_tries_total") == 5
             caller.close()
-            await wait_for(running.settled())
+            await within(running.settled())
             assert await running.figure("in_progress") == 0
 
     run(test())
@@ -142,13 +142,13 @@
             checks = 0
             while not all(task.done() for task in callers):
                 taken_count = sum(
-                    e.received_ms is not None for e in copy.open.values() if isinstance(e, Exchange)
+                    e.taken_ms is not None for e in copy.open.values() if isinstance(e, Exchange)
                 )
                 assert copy.tally.in_progress == taken_count
                 checks += 1
                 await asyncio.sleep(0)
-            await wait_for(asyncio.gather(*callers))
-            await wait_for(running.settled())
+            await within(asyncio.gather(*callers))
+            await within(running.settled())
             metrics = (await running.call("METRICS")).splitlines()
             logged: Counter[str] = Counter()
             for line in running.log.named("answered"):
@@ -168,7 +168,7 @@
     """Guards against clients that hold hundreds of admin connections open without sending a command."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer()))) as running:
+        async with Running(tmp_path, Upstream(says(answer()))) as running:
             port = running.service.admin_port
             with contextlib.ExitStack() as open_connections:
                 for _ in range(3 * MOST_CALLS):
@@ -177,14 +177,14 @@
                     )
                 assert await call(port, b"STATUS\n") == "ACK ready\n"
                 caller = await Caller.connect(running.port)
-                assert (await caller.request()).status == 200
+                assert (await caller.ask()).status == 200
 
     run(test())
 
 
 def test_the_admin_address_answers_without_free_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer()))) as running:
+        async with Running(tmp_path, Upstream(says(answer()))) as running:
             connection = socket.socket()
             before = resource.getrlimit(resource.RLIMIT_NOFILE)
             highest = connection.fileno()
@@ -194,9 +194,9 @@
                 with pytest.raises(OSError, match="Too many open files"):
                     socket.socket()
                 loop = asyncio.get_running_loop()
-                await wait_for(loop.sock_connect(connection, (examples.HOST, running.service.admin_port)))
-                await wait_for(loop.sock_sendall(connection, b"STATUS\n"))
-                assert await wait_for(loop.sock_recv(connection, 100)) == b"ACK ready\n"
+                await within(loop.sock_connect(connection, (examples.HOST, running.service.admin_port)))
+                await within(loop.sock_sendall(connection, b"STATUS\n"))
+                assert await within(loop.sock_recv(connection, 100)) == b"ACK ready\n"
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, before)
                 connection.close()
@@ -208,12 +208,12 @@
     """Answers are due within 1 s under any load; here forty callers send requests back to back."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer()))) as running:
+        async with Running(tmp_path, Upstream(says(answer()))) as running:
 
             async def ask_repeatedly() -> None:
                 caller = await Caller.connect(running.port)
                 while True:
-                    await caller.request(wait_ms=30_000)
+                    await caller.ask(wait_ms=30_000)
 
             callers = [asyncio.create_task(ask_repeatedly()) for _ in range(40)]
             loop = asyncio.get_running_loop()
@@ -235,12 +235,9 @@
     """A suspension survives listings, removal and return of the upstream, and repeats; RESTORE ends it."""
 
     async def test() -> None:
-        first, second = (
-            Upstream(respond_with(answer(200, b"first"))),
-            Upstream(respond_with(answer(200, b"second"))),
-        )
+        first, second = Upstream(says(answer(200, b"first"))), Upstream(says(answer(200, b"second")))
         async with Running(tmp_path, first, second) as running:
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             caller = await Caller.connect(running.port)
             assert (await running.call("SUSPEND s-0")).startswith("ACK")
             assert (await running.call("SUSPEND s-0")).startswith("ACK")
@@ -257,13 +254,13 @@
                 while directory.revision != revision:
                     await asyncio.sleep(0.001)
                 for _ in range(5):
-                    assert (await caller.request()).body == b"second"
+                    assert (await caller.ask()).body == b"second"
             assert (await running.call("SUSPEND s-1")).startswith("ACK")
-            refused = await caller.request()
+            refused = await caller.ask()
             assert refused.status == 503 and refused.header("Retry-After")
-            assert not first.requests
+            assert not first.asked
             assert (await running.call("RESTORE s-0")).startswith("ACK")
-            assert (await caller.request()).body == b"first"
+            assert (await caller.ask()).body == b"first"
             assert directory.suspended == {"s-1"}
 
     run(test())
@@ -273,7 +270,7 @@
     """The suspension arrives while the attempt connects, so the attempt is not written."""
 
     async def test() -> None:
-        upstream = Upstream(respond_with(answer(200, b"late")))
+        upstream = Upstream(says(answer(200, b"late")))
         async with Running(tmp_path, upstream, MaxAttempts=1) as running:
             caller = await Caller.connect(running.port)
             caller.write()
@@ -281,6 +278,6 @@
                 await asyncio.sleep(0)
             running.service.copy.suspend("s-0")
             assert (await caller.read()).status == 503
-            assert not upstream.requests
+            assert not upstream.asked
 
     run(test())
--- a/tests/standalone/program/test_crossing.py
+++ b/tests/standalone/program/test_crossing.py
@@ -18,18 +18,7 @@
 from madderwind.transport.unread import has_unread
 from tests import examples
 from tests.standalone.program.harness import Running
-from tests.standins import (
-    Agent,
-    Caller,
-    Message,
-    Upstream,
-    Writer,
-    answer,
-    reset,
-    respond_with,
-    run,
-    wait_for,
-)
+from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, reset, run, says, within
 
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 YES, NEVER_RAN = answer(200, b"yes"), answer(503, X_Never_Ran="1")
@@ -61,7 +50,7 @@
     """For first attempts and retries: the caller disconnects while the upstream connection is established."""
 
     async def test() -> None:
-        upstream = Upstream(respond_with(NEVER_RAN))
+        upstream = Upstream(says(NEVER_RAN))
         async with Running(tmp_path, upstream) as running:
             caller = connected(running.port)
             crossed = asyncio.Event()
@@ -82,9 +71,9 @@
 
             run_before_first_byte(monkeypatch, running, number, leave)
             caller.sendall(lookup("X-Trace-Id: 1"))
-            await wait_for(crossed.wait())
-            await wait_for(running.settled())
-            assert len(upstream.requests) == number
+            await within(crossed.wait())
+            await within(running.settled())
+            assert len(upstream.asked) == number
             assert running.log.named("client_left")
             assert not running.broken
             caller.close()
@@ -98,14 +87,14 @@
     """The first attempt hangs; the caller disconnects while the second copy's connection is established."""
 
     async def test() -> None:
-        upstreams = Upstream(respond_with(YES)), Upstream(respond_with(YES))
+        upstreams = Upstream(says(YES)), Upstream(says(YES))
         async with Running(tmp_path, *upstreams) as running:
             usual = await Caller.connect(running.port)
             for _ in range(12):  # the module learns the usual response time
-                assert (await usual.request()).status == 200
+                assert (await usual.ask()).status == 200
             for upstream in upstreams:
                 upstream.behave = send_nothing
-            before = sum(len(upstream.requests) for upstream in upstreams)
+            before = sum(len(upstream.asked) for upstream in upstreams)
             caller, crossed = connected(running.port), asyncio.Event()
 
             async def leave() -> None:
@@ -114,9 +103,9 @@
 
             run_before_first_byte(monkeypatch, running, 1, leave)
             caller.sendall(lookup("X-Trace-Id: 1"))
-            await wait_for(crossed.wait())
-            await wait_for(running.settled())
-            assert sum(len(upstream.requests) for upstream in upstreams) == before + 1
+            await within(crossed.wait())
+            await within(running.settled())
+            assert sum(len(upstream.asked) for upstream in upstreams) == before + 1
             assert not running.broken
 
     run(test())
@@ -150,9 +139,9 @@
 
             run_before_first_byte(monkeypatch, running, 1, wait)
             caller = await Caller.connect(running.port)
-            got = await caller.request("POST /checkout", b"1", Idempotency_Key=KEY, wait_ms=3000)
+            got = await caller.ask("POST /checkout", b"1", Idempotency_Key=KEY, wait_ms=3000)
             assert got.status in (502, 503)
-            asked = sum(len(upstream.requests) for upstream in upstreams)
+            asked = sum(len(upstream.asked) for upstream in upstreams)
             assert asked == 1 if late else asked >= 2
             assert not running.broken
 
@@ -177,7 +166,7 @@
     """Read until the other side closes; a reset raises an error."""
     loop, received = asyncio.get_running_loop(), b""
     caller.setblocking(False)
-    while part := await wait_for(loop.sock_recv(caller, 65536)):
+    while part := await within(loop.sock_recv(caller, 65536)):
         received += part
     return received
 
@@ -207,7 +196,7 @@
                 await asyncio.sleep(0)
             received = await read_to_end(caller)
             assert received.endswith(b"\r\n\r\n" + body)
-            assert len(upstream.requests) == 1  # the second followed one with "Connection: close"
+            assert len(upstream.asked) == 1  # the second followed one with "Connection: close"
             caller.close()
             while running.service._listener._web.connections:
                 await asyncio.sleep(0)
@@ -223,7 +212,7 @@
     elsewhere."""
 
     async def test() -> None:
-        upstream = Upstream(respond_with(YES))
+        upstream = Upstream(says(YES))
         async with Running(tmp_path, upstream) as running:
             caller = connected(running.port)
             caller.sendall(lookup("X-Trace-Id: 1"))
@@ -241,7 +230,7 @@
             running.service._listener.close_idle()
             received = await read_to_end(caller)
             assert received.count(b"HTTP/1.1 200") == 1
-            assert len(upstream.requests) == 1
+            assert len(upstream.asked) == 1
             caller.close()
             while running.service._listener._web.connections:
                 await asyncio.sleep(0)
@@ -255,7 +244,7 @@
     """The connection is closed after the linger time, and at once when descriptors run out."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(YES))) as running:
+        async with Running(tmp_path, Upstream(says(YES))) as running:
             web = running.service._listener._web
             for linger_s, short in ((0.05, False), (1000.0, True)):
                 monkeypatch.setattr(lingering_close, "LINGER_S", linger_s)
@@ -293,10 +282,10 @@
                 caller.close()
                 closed.append(port)
 
-        agent, upstream = Agent(), Upstream(respond_with(YES))
+        agent, upstream = Agent(), Upstream(says(YES))
         async with agent, upstream:
             normal, agent.behave = agent.behave, send_nothing
-            async with Upstream(respond_with(YES)) as free:
+            async with Upstream(says(YES)) as free:
                 port = free.port
             path = tmp_path / "config.json"
             known = examples.listing(*(examples.member(f"s-{n}", upstream.port) for n in range(4)))
@@ -328,11 +317,11 @@
                 for turn in range(3):  # by then they hold every descriptor that they can get
                     while len(closed) < max_descriptors * (turn + 1) // 2:
                         await asyncio.sleep(0.01)
-                    caller = await wait_for(Caller.connect(port))
-                    assert (await caller.request(wait_ms=8000)).status == 200
+                    caller = await within(Caller.connect(port))
+                    assert (await caller.ask(wait_ms=8000)).status == 200
                     caller.close()
                 agent.behave = normal
-                await wait_for(agent.watches.get())
+                await within(agent.watches.get())
                 assert "no_descriptor_to_accept_with" not in lines
             finally:
                 for task in (*idle_callers, log_reader):
