--- a/tests/standalone/program/test_discovery.py
+++ b/tests/standalone/program/test_discovery.py
@@ -29,13 +29,13 @@
     Upstream,
     Writer,
     answer,
-    never_respond,
-    reset_connection,
-    respond_with,
+    resets,
     run,
+    says,
+    silent,
     tell,
     tell_bytes,
-    wait_for,
+    within,
 )
 
 LISTING_LINE = json.dumps(examples.listing(revision=7)).encode() + b"\n"
@@ -76,9 +76,9 @@
 
     def log(self, *_: object, **__: object) -> None: ...
 
-    def deliver_event(self, _: object) -> None: ...
+    def happened(self, _: object) -> None: ...
 
-    def apply_listing(self, _: object) -> None: ...
+    def listed(self, _: object) -> None: ...
 
 
 async def wait_until(holds: Callable[[], bool]) -> None:
@@ -90,14 +90,14 @@
 
 def test_a_moved_upstream_gets_requests_at_its_new_address(tmp_path: Path) -> None:
     async def test() -> None:
-        old = Upstream(respond_with(answer(200, b"old")))
-        async with Running(tmp_path, old) as running, Upstream(respond_with(answer(200, b"new"))) as new:
-            watch = await wait_for(running.agent.watches.get())
+        old = Upstream(says(answer(200, b"old")))
+        async with Running(tmp_path, old) as running, Upstream(says(answer(200, b"new"))) as new:
+            watch = await within(running.agent.watches.get())
             caller = await Caller.connect(running.port)
-            assert (await caller.request()).body == b"old"
+            assert (await caller.ask()).body == b"old"
             tell(watch, examples.listing(examples.member("s-0", new.port), revision=42, complete=False))
             await wait_until(lambda: running.service.copy.directory.revision == 42)
-            assert (await caller.request()).body == b"new"
+            assert (await caller.ask()).body == b"new"
 
     run(test())
 
@@ -107,9 +107,9 @@
     """Guards against sends after the drain grace period. None: a complete list lacks the upstream."""
 
     async def test() -> None:
-        upstreams = [Upstream(respond_with(answer(200))) for _ in range(2)]
+        upstreams = [Upstream(says(answer(200))) for _ in range(2)]
         async with Running(tmp_path, *upstreams) as running:
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             kept = examples.member("s-1", upstreams[1].port)
             if removal is None:
                 tell(watch, examples.listing(kept, revision=42))
@@ -120,9 +120,9 @@
             assert not running.service.copy.directory.takes_new(0)
             caller = await Caller.connect(running.port)
             for _ in range(8):
-                assert (await caller.request()).status == 200
-            assert not upstreams[0].requests
-            assert len(upstreams[1].requests) == 8
+                assert (await caller.ask()).status == 200
+            assert not upstreams[0].asked
+            assert len(upstreams[1].asked) == 8
 
     run(test())
 
@@ -133,9 +133,9 @@
     """Guards against a request sent to an upstream that was reported as draining while it connected."""
 
     async def test() -> None:
-        upstream = Upstream(respond_with(answer(200)))
+        upstream = Upstream(says(answer(200)))
         async with Running(tmp_path, upstream) as running:
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             connector = running.service._upstreams._connector
             connect = connector.connect
 
@@ -147,9 +147,9 @@
                 return connection
 
             monkeypatch.setattr(connector, "connect", delayed_connect)
-            response = await (await Caller.connect(running.port)).request("POST /charge", b"1", wait_ms=300)
+            response = await (await Caller.connect(running.port)).ask("POST /charge", b"1", wait_ms=300)
             assert response.status == 503
-            assert not upstream.requests
+            assert not upstream.asked
             assert running.log.named("answered")[0]["attempts"][0][1] == "not_sent"
 
     run(test())
@@ -157,25 +157,23 @@
 
 def test_a_broken_watch_resumes_from_the_known_revision(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond)) as running:
-            watch = await wait_for(running.agent.watches.get())
+        async with Running(tmp_path, Upstream(silent)) as running:
+            watch = await within(running.agent.watches.get())
             tell(watch, examples.listing(revision=77, complete=False))
             await wait_until(lambda: running.service.copy.directory.revision == 77)
             watch.transport.abort()
-            await wait_for(running.agent.watches.get())
-            assert [m.start for m in running.agent.requests][1:] == [
-                "GET /v1/servers?watch=1&from=77 HTTP/1.1"
-            ]
+            await within(running.agent.watches.get())
+            assert [m.start for m in running.agent.asked][1:] == ["GET /v1/servers?watch=1&from=77 HTTP/1.1"]
 
     run(test())
 
 
 def test_a_broken_watch_reopens_at_once_where_changes_are_pushed(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(never_respond)
+        upstream = Upstream(silent)
         async with Running(tmp_path, upstream) as running:
             for revision in range(50, 54):
-                watch = await wait_for(running.agent.watches.get())
+                watch = await within(running.agent.watches.get())
                 draining = examples.member("s-0", upstream.port, phase="Terminating")
                 tell(watch, examples.listing(draining, revision=revision, complete=False))
                 await wait_until(lambda: running.service.copy.directory.revision >= revision)  # noqa: B023
@@ -192,17 +190,17 @@
     monkeypatch.setattr(discovery, "TOLD_S", 10_000.0)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond), discovery="on_request") as running:
+        async with Running(tmp_path, Upstream(silent), discovery="on_request") as running:
             copy = running.service.copy
-            assert not running.agent.requests
+            assert not running.agent.asked
             copy.watch_asked_for.set()  # as the policy does, after a random delay
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             await wait_until(lambda: copy._balancer._subscription.following)
             watch.transport.abort()
             await wait_until(lambda: not copy._balancer._subscription.following)
-            assert len(running.agent.requests) == 1
+            assert len(running.agent.asked) == 1
             copy.watch_asked_for.set()
-            await wait_for(running.agent.watches.get())
+            await within(running.agent.watches.get())
 
     run(test())
 
@@ -212,12 +210,12 @@
 ) -> None:
     """Guards against the delays of the policy, up to twenty seconds, during which drains would be missed."""
     monkeypatch.setattr(discovery, "MOST_UNASKED", 0.003)
-    monkeypatch.setattr(Balancer, "_subscribe_after", lambda *_: None)
+    monkeypatch.setattr(Balancer, "_ask_after", lambda *_: None)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond), discovery="on_request") as running:
+        async with Running(tmp_path, Upstream(silent), discovery="on_request") as running:
             for _ in range(3):
-                (await wait_for(running.agent.watches.get())).transport.abort()
+                (await within(running.agent.watches.get())).transport.abort()
 
     run(test())
 
@@ -329,9 +327,9 @@
     monkeypatch.setattr(discovery, "SILENCE_S", 0.05)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond)) as running:
-            await wait_for(running.agent.watches.get())
-            await wait_for(running.agent.watches.get())
+        async with Running(tmp_path, Upstream(silent)) as running:
+            await within(running.agent.watches.get())
+            await within(running.agent.watches.get())
             assert {line["reason"] for line in running.log.named("watch_ended")} == {"silent"}
 
     run(test())
@@ -345,8 +343,8 @@
     monkeypatch.setattr(discovery, "SILENCE_S", 1000.0)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond)) as running:
-            watch = await wait_for(running.agent.watches.get())
+        async with Running(tmp_path, Upstream(silent)) as running:
+            watch = await within(running.agent.watches.get())
             previous_behaviour = running.agent.behave
 
             async def answer_partially(message: Message, writer: Writer) -> None:
@@ -359,8 +357,8 @@
 
             running.agent.behave = answer_nothing
             watch.transport.abort()
-            await wait_for(running.agent.watches.get())
-            assert len(running.agent.requests) == 4
+            await within(running.agent.watches.get())
+            assert len(running.agent.asked) == 4
 
     run(test())
 
@@ -369,8 +367,8 @@
     """A line with thousands of entries arrives in many chunks; unreadable lines are skipped."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200)))) as running:
-            watch = await wait_for(running.agent.watches.get())
+        async with Running(tmp_path, Upstream(says(answer(200)))) as running:
+            watch = await within(running.agent.watches.get())
             tell_bytes(watch, b"{nonsense\n\n\r\n")
             many_members = [examples.member(f"s-{n}", 1000 + n % 50000) for n in range(5000)]
             line = json.dumps(examples.listing(*many_members, revision=50, complete=False)).encode() + b"\n"
@@ -389,12 +387,12 @@
     monkeypatch.setattr(discovery, "RETRY_S", 0.0)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond)) as running:
-            watch = await wait_for(running.agent.watches.get())
-            running.agent.behave = reset_connection
+        async with Running(tmp_path, Upstream(silent)) as running:
+            watch = await within(running.agent.watches.get())
+            running.agent.behave = resets
             watch.transport.abort()
-            asked_before = len(running.agent.requests)
-            await wait_until(lambda: len(running.agent.requests) > asked_before + 5)
+            asked_before = len(running.agent.asked)
+            await wait_until(lambda: len(running.agent.asked) > asked_before + 5)
             assert 1 <= len(running.log.named("watch_ended")) <= 2
 
     run(test())
@@ -411,10 +409,10 @@
     monkeypatch.setattr(Agent, "_watch", lambda self, m, w: answer_nothing(m, w))
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200)))) as running:
+        async with Running(tmp_path, Upstream(says(answer(200)))) as running:
             assert running.log.named("no_word_from_discovery")
             caller = await Caller.connect(running.port)
-            assert (await caller.request()).status == 200
+            assert (await caller.ask()).status == 200
             caller.writer.write(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await caller.read()).status == 200
 
@@ -425,16 +423,16 @@
     """Guards against a SIGHUP that ends the process, and against one that leaves the old watch open."""
 
     async def test() -> None:
-        upstream = Upstream(respond_with(answer(200)))
+        upstream = Upstream(says(answer(200)))
         new = Agent()
         async with Running(tmp_path, upstream) as running, new:
-            await wait_for(running.agent.watches.get())
+            await within(running.agent.watches.get())
             path = tmp_path / "config.json"
             old_port, new_port = running.agent.port, new.port
             path.write_text(path.read_text().replace(f":{old_port}", f":{new_port}"))
             os.kill(os.getpid(), signal.SIGHUP)
-            watch = await wait_for(new.watches.get())
-            assert await wait_for(running.agent.closed_connections.get())  # the old watch is closed
+            watch = await within(new.watches.get())
+            assert await within(running.agent.ended.get())  # the old watch is closed
             draining = examples.member("s-0", upstream.port, phase="Terminating")
             tell(watch, examples.listing(draining, revision=90, complete=False))
             await wait_until(lambda: running.service.copy.directory.revision == 90)
@@ -454,12 +452,12 @@
 
     async def test() -> None:
         new = Agent()
-        async with Running(tmp_path, Upstream(never_respond), discovery="on_request") as running, new:
+        async with Running(tmp_path, Upstream(silent), discovery="on_request") as running, new:
             monkeypatch.setattr(Balancer, "handle", lambda *_: [])  # the policy requests no watch
             path = tmp_path / "config.json"
             path.write_text(path.read_text().replace(f":{running.agent.port}", f":{new.port}"))
             running.service.reload()
-            await wait_for(new.watches.get())
+            await within(new.watches.get())
 
     run(test())
 
@@ -469,13 +467,13 @@
 
     async def test() -> None:
         new = Agent()
-        async with Running(tmp_path, Upstream(never_respond)) as running, new:
+        async with Running(tmp_path, Upstream(silent)) as running, new:
             path = tmp_path / "config.json"
             early_service = Service(read_configuration(str(path)), running.log)
             path.write_text(path.read_text().replace(f":{running.agent.port}", f":{new.port}"))
             early_service.reload()
             task = asyncio.create_task(early_service.run())
-            await wait_for(new.watches.get())
+            await within(new.watches.get())
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
@@ -484,7 +482,7 @@
 
 def test_an_unreadable_configuration_changes_nothing_and_other_fields_need_a_restart(tmp_path: Path) -> None:
     async def test() -> None:
-        upstream = Upstream(respond_with(answer(200)))
+        upstream = Upstream(says(answer(200)))
         async with Running(tmp_path, upstream) as running:
             path = tmp_path / "config.json"
             valid_text = path.read_text()
@@ -496,8 +494,8 @@
             running.service.reload()
             restart_fields = [e["needs_restart"] for e in running.log.named("configuration_read")]
             assert restart_fields == [["name", "limits"]] * 2
-            assert (await (await Caller.connect(running.port)).request()).status == 200
-            assert len(running.agent.requests) == 1  # the watch stayed open
+            assert (await (await Caller.connect(running.port)).ask()).status == 200
+            assert len(running.agent.asked) == 1  # the watch stayed open
 
     run(test())
 
@@ -507,9 +505,9 @@
     """It does not make a draining upstream ready, and the watch resumes from the known revision."""
 
     async def test() -> None:
-        upstreams = Upstream(respond_with(answer(200, b"0"))), Upstream(respond_with(answer(200, b"1")))
+        upstreams = Upstream(says(answer(200, b"0"))), Upstream(says(answer(200, b"1")))
         async with Running(tmp_path, *upstreams) as running:
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             draining = examples.member("s-0", upstreams[0].port, "Terminating")
             tell(watch, examples.listing(draining, revision=50, complete=False))
             await wait_until(lambda: running.service.copy.directory.revision == 50)
@@ -524,11 +522,11 @@
                 tell_bytes(watch, line[:-40])
             await watch.drain()
             watch.close()
-            second_watch = await wait_for(running.agent.watches.get())
-            assert running.agent.requests[-1].start.split(" ")[1].endswith("from=50")
+            second_watch = await within(running.agent.watches.get())
+            assert running.agent.asked[-1].start.split(" ")[1].endswith("from=50")
             caller = await Caller.connect(running.port)
             for _ in range(5):
-                assert (await caller.request()).body == b"1"
+                assert (await caller.ask()).body == b"1"
             tell(second_watch, examples.listing(*members, revision=60))  # the same list, complete
             await wait_until(lambda: running.service.copy.directory.revision == 60)
             assert running.service.copy.directory.takes_new(0)
--- a/tests/standalone/program/test_end.py
+++ b/tests/standalone/program/test_end.py
@@ -16,18 +16,7 @@
 from madderwind.standalone.program import service
 from tests import examples
 from tests.standalone.program.harness import Running
-from tests.standins import (
-    Agent,
-    Caller,
-    Message,
-    Upstream,
-    Writer,
-    answer,
-    never_respond,
-    respond_with,
-    run,
-    wait_for,
-)
+from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, run, says, silent, within
 
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
@@ -48,19 +37,19 @@
             idle.writer.write(HEALTH)
             assert (await idle.read()).status == 200
             busy.write()
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             running.service.end()
             idle.writer.write(HEALTH)
             assert (await idle.read()).status == 500  # not ready, so that no new callers come
             new = await Caller.connect(running.port)
             new.write()
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             go.set()
             for caller in (busy, new):
                 got = await caller.read()
                 assert (got.status, got.body) == (200, b"late")
                 assert await caller.at_end()
-            await wait_for(running.task)
+            await within(running.task)
             assert not running.broken
 
     run(test())
@@ -71,14 +60,14 @@
     monkeypatch.setattr(service, "TAKE_ON_S", 0.0)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond)) as running:
+        async with Running(tmp_path, Upstream(silent)) as running:
             fresh, used = await Caller.connect(running.port), await Caller.connect(running.port)
             used.writer.write(HEALTH)
             assert (await used.read()).status == 200
             running.service.end()
             assert await fresh.at_end()
             assert await used.at_end()
-            await wait_for(running.task)
+            await within(running.task)
 
     run(test())
 
@@ -91,19 +80,19 @@
     monkeypatch.setattr(service, "MOST_DEADLINE_S", 60.0)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200, b"on")))) as running:
+        async with Running(tmp_path, Upstream(says(answer(200, b"on")))) as running:
             caller = await Caller.connect(running.port)
-            assert (await caller.request()).status == 200
+            assert (await caller.ask()).status == 200
             running.service.end()
             while running.service._listener.listening is not None:
                 await asyncio.sleep(0)
             with pytest.raises(ConnectionRefusedError):
                 await Caller.connect(running.port)
             for _ in range(3):
-                got = await caller.request()
+                got = await caller.ask()
                 assert (got.status, got.header("Connection")) == (200, None)
             caller.close()
-            await wait_for(running.task)  # without connections it ends at once
+            await within(running.task)  # without connections it ends at once
 
     run(test())
 
@@ -120,7 +109,7 @@
             if signalled.is_set():
                 last_s = min(last_s, loop.time() + 0.4)
             try:
-                got = await connection.request("POST /charge", b"1")
+                got = await connection.ask("POST /charge", b"1")
             except (asyncio.IncompleteReadError, ConnectionError):
                 assert not fresh, "a request on a new connection was lost"  # else it raced with a close
                 got = None
@@ -146,7 +135,7 @@
             running.service.end()
             signalled.set()
             assert min(await asyncio.gather(*callers)) > 2
-            await wait_for(running.task)
+            await within(running.task)
             assert not running.broken
 
     run(test())
@@ -163,14 +152,14 @@
         monkeypatch.setattr(service, name, value)
 
     async def test() -> None:
-        upstream = Upstream(never_respond)
+        upstream = Upstream(silent)
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
             caller.write("POST /charge", b"1", wait_ms=60_000)
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             running.service.end()
             assert (await caller.read()).status == 504
-            await wait_for(running.task)
+            await within(running.task)
             assert running.log.named("answered_at_the_end") == [{"count": 1}]
             assert not running.broken
 
@@ -204,11 +193,11 @@
             early, task = running.new()
             early.end()
             early.reload()
-            await wait_for(task)
+            await within(task)
 
             caller = await Caller.connect(running.port)
             caller.write("POST /charge", b"1")
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             running.service.end()
             while running.service._listener._acceptor.listening is not None:
                 await asyncio.sleep(0)
@@ -217,7 +206,7 @@
             go.set()
             assert (await caller.read()).body == b"done"
             caller.close()
-            await wait_for(running.task)
+            await within(running.task)
             assert len(running.log.named("ended")) == 2
             assert not running.broken
 
@@ -281,8 +270,8 @@
 @pytest.mark.parametrize("optimised", [[], ["-O"]])
 def test_the_program_serves_logs_json_and_ends_on_sigterm(tmp_path: Path, optimised: list[str]) -> None:
     async def test() -> None:
-        async with Agent() as agent, Upstream(respond_with(answer(200, b"served"))) as upstream:
-            with_port = Upstream(never_respond)
+        async with Agent() as agent, Upstream(says(answer(200, b"served"))) as upstream:
+            with_port = Upstream(silent)
             async with with_port:
                 port = with_port.port  # free again once this stand-in is closed
             raw = examples.configuration(examples.listing(examples.member("s-1", upstream.port)), agent.port)
@@ -298,12 +287,12 @@
             events = []
             try:
                 while "ready" not in events:
-                    events.append(json.loads(await wait_for(process.stdout.readline()))["event"])
+                    events.append(json.loads(await within(process.stdout.readline()))["event"])
                 caller = await Caller.connect(port)
-                assert (await caller.request()).body == b"served"
+                assert (await caller.ask()).body == b"served"
                 process.send_signal(signal.SIGTERM)
-                rest = (await wait_for(process.stdout.read())).splitlines()
-                assert await wait_for(process.wait()) == 0
+                rest = (await within(process.stdout.read())).splitlines()
+                assert await within(process.wait()) == 0
             finally:
                 if process.returncode is None:
                     process.kill()
--- a/tests/standalone/program/test_fleet.py
+++ b/tests/standalone/program/test_fleet.py
@@ -16,7 +16,7 @@
 from madderwind.standalone.routing.peers import HEAD, MARK, Peers
 from tests import examples
 from tests.standalone.program.harness import KeptLog, Running
-from tests.standins import Caller, Upstream, answer, respond_with, run, wait_for
+from tests.standins import Caller, Upstream, answer, run, says, within
 
 EXAMPLE = Path(__file__).parents[3] / "deploy" / "example-beside-a-client.json"
 
@@ -87,7 +87,7 @@
 
 def test_gossip_metrics_are_present_only_with_a_fleet(tmp_path: Path) -> None:
     async def run_service() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer()))) as running:
+        async with Running(tmp_path, Upstream(says(answer()))) as running:
             assert "svc_words" not in await running.call("METRICS")
             copy = running.service.copy
             address = (examples.HOST, 0)
@@ -96,7 +96,7 @@
                 0,
                 copy.heard,
                 copy.log,
-                copy.log_rate_limited,
+                copy.log_sparingly,
                 copy.clock,
                 FleetSettings(),
                 1,
@@ -112,7 +112,7 @@
             copy.peers.close()
             assert copy.peers.closed
             caller = await Caller.connect(running.port)
-            assert (await wait_for(caller.request())).status == 200
+            assert (await within(caller.ask())).status == 200
             caller.close()
 
     run(run_service())
--- a/tests/standalone/program/test_log.py
+++ b/tests/standalone/program/test_log.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from madderwind.eventlog import Invariants, RateLimitedEventLog
+from madderwind.eventlog import Invariants, Sparing
 from madderwind.standalone.policy.api import Outcome
 from madderwind.standalone.program import log as program_log
 from madderwind.standalone.program.log import JsonLog
@@ -94,9 +94,9 @@
 def test_broken_invariants_are_counted_and_logged_and_fail_debug_builds() -> None:
     events: list[tuple[str, dict[str, object]]] = []
     invariants = Invariants(lambda event, /, **fields: events.append((event, fields)))
-    assert invariants.check(True, "fine")
+    assert invariants.must(True, "fine")
     with pytest.raises(AssertionError):
-        invariants.check(False, "one_final_answer", trace_id="t")
+        invariants.must(False, "one_final_answer", trace_id="t")
     assert invariants.broken == {"one_final_answer": 1}
     assert events == [("invariant_broken", {"name": "one_final_answer", "times": 1, "trace_id": "t"})]
 
@@ -104,9 +104,7 @@
 def test_events_caused_by_clients_are_limited_to_one_line_a_second() -> None:
     """Guards against a client that floods the log with bad requests."""
     now_ms, events = [0.0], []
-    sparing = RateLimitedEventLog(
-        lambda event, /, **fields: events.append((event, fields)), lambda: now_ms[0]
-    )
+    sparing = Sparing(lambda event, /, **fields: events.append((event, fields)), lambda: now_ms[0])
     for now_ms[0] in (0.0, 1.0, 999.0, 1000.0, 1001.0):
         sparing("bad_request", status=400)
     assert events == [("bad_request", {"status": 400, "unsaid_before": n}) for n in (0, 2)]
@@ -121,7 +119,7 @@
         if path.parent.name != "dataplane" and path.name != "settings_watch.py"
     ]
     code = "".join(path.read_text() for path in paths)
-    events = set(re.findall(r"\b_?(?:log|say)(?:_rate_limited)?\(\s*\"([a-z_]+)\"", code)) | set(
+    events = set(re.findall(r"\b_?(?:log|say)(?:_sparingly)?\(\s*\"([a-z_]+)\"", code)) | set(
         re.findall(r"self\(\"([a-z_]+)\"", code)
     )
     documented = set(
--- a/tests/standalone/program/test_long.py
+++ b/tests/standalone/program/test_long.py
@@ -12,19 +12,9 @@
 from madderwind.standalone.policy.api import Outcome
 from madderwind.standalone.routing import exchange as routing
 from madderwind.transport import bodies
-from madderwind.transport.bodies import MAX_BUFFERED_BODY_BYTES, STREAM_BUFFER_BYTES
+from madderwind.transport.bodies import HELD_BODY, PASSING
 from tests.standalone.program.harness import Running
-from tests.standins import (
-    Caller,
-    Message,
-    Upstream,
-    Writer,
-    answer,
-    reset_connection,
-    respond_with,
-    run,
-    wait_for,
-)
+from tests.standins import Caller, Message, Upstream, Writer, answer, resets, run, says, within
 
 LONG = bytes(range(250)) * 20_000  # 5 MB
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -53,13 +43,11 @@
 
 def budgets_are_full(running: Running) -> bool:
     budgets = running.service.copy.budgets
-    return all(budget.available == budget.size for budget in (budgets.buffered, budgets.streamed))
+    return all(budget.left == budget.size for budget in (budgets.holding, budgets.passing))
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-@pytest.mark.parametrize(
-    "size", [70_000, MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES + 200_000, 5_000_000]
-)
+@pytest.mark.parametrize("size", [70_000, HELD_BODY, HELD_BODY + 200_000, 5_000_000])
 def test_long_bodies_arrive_whole(tmp_path: Path, chunked: bool, size: int) -> None:
     async def test() -> None:
         upstream = Upstream(answer_with_digest)
@@ -70,8 +58,8 @@
                 got = await caller.read()
                 assert (got.status, got.body) == (200, digest(LONG[:size]))
             assert upstream.connections == 1
-            streamed = chunked and size >= MAX_BUFFERED_BODY_BYTES  # a fully buffered body has a known length
-            assert upstream.requests[0].header("Transfer-Encoding" if streamed else "Content-Length")
+            streamed = chunked and size >= HELD_BODY  # a body that is held whole has a known length
+            assert upstream.asked[0].header("Transfer-Encoding" if streamed else "Content-Length")
             assert await running.figure("upstream_tries_total") == 2
             assert await running.figure('handled_total{category="charge",outcome="passed"}') == 2
             assert await running.figure("in_progress") == 0
@@ -99,10 +87,10 @@
         async with Running(tmp_path, Upstream(send_long_answer)) as running:
             caller = await Caller.connect(running.port)
             for _ in range(2):
-                got = await caller.request()
+                got = await caller.ask()
                 assert got.status == 200 and got.body == LONG
                 assert (got.header("Content-Length") is not None) == (form == "length")
-            await wait_for(running.settled())
+            await within(running.settled())
             assert budgets_are_full(running) and not running.broken
             assert await running.figure('handled_total{category="lookup",outcome="passed"}') == 2
 
@@ -115,12 +103,12 @@
             len(LONG),
             LONG,
         )
-        async with Running(tmp_path, Upstream(respond_with(said))) as running:
+        async with Running(tmp_path, Upstream(says(said))) as running:
             caller = await Caller.connect(running.port)
             caller.writer.write(
                 b"GET /lookup HTTP/1.0\r\nX-Trace-Id: 1\r\nX-Customer: acme\r\nX-Expires-In-Ms: 3000\r\n\r\n"
             )
-            raw = await wait_for(caller.reader.read())
+            raw = await within(caller.reader.read())
             assert raw.partition(b"\r\n\r\n")[2] == LONG
 
     run(test())
@@ -143,8 +131,8 @@
             caller.write()
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await caller.read()
-            await wait_for(running.settled())
-            assert sum(len(upstream.requests) for upstream in upstreams) == 1
+            await within(running.settled())
+            assert sum(len(upstream.asked) for upstream in upstreams) == 1
             assert await running.figure('handled_total{category="lookup",outcome="bad_gateway"}') == 1
             assert budgets_are_full(running) and not running.broken
 
@@ -165,9 +153,9 @@
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
             caller.write()
-            await wait_for(caller.reader.readexactly(1_000_000))
+            await within(caller.reader.readexactly(1_000_000))
             caller.writer.transport.abort()
-            assert await wait_for(upstream.closed_connections.get()) == 1
+            assert await within(upstream.ended.get()) == 1
             caller = await Caller.connect(running.port)
             caller.write("POST /charge", Content_Length=str(len(LONG)))
             caller.writer.write(LONG[:3_000_000])
@@ -177,9 +165,9 @@
             ):
                 await asyncio.sleep(0.001)
             caller.writer.transport.abort()
-            assert await wait_for(upstream.closed_connections.get()) == 2
-            await wait_for(running.settled())
-            assert len(upstream.requests) == 1
+            assert await within(upstream.ended.get()) == 2
+            await within(running.settled())
+            assert len(upstream.asked) == 1
             assert await running.figure("in_progress") == 0
             while not budgets_are_full(running):
                 await asyncio.sleep(0.001)
@@ -196,7 +184,7 @@
             await reader.readexactly(100_000)
             writer.transport.abort()
 
-        upstream = Upstream(respond_with(b""))
+        upstream = Upstream(says(b""))
         async with Running(tmp_path, upstream) as running:
             upstream._server.close()
             server = await asyncio.start_server(abort_mid_body, upstream.address[0], upstream.port)
@@ -218,7 +206,7 @@
     """A body that is held whole can be retried at another upstream, given an idempotency key."""
 
     async def test() -> None:
-        upstreams = Upstream(reset_connection), Upstream(answer_with_digest)
+        upstreams = Upstream(resets), Upstream(answer_with_digest)
         async with Running(tmp_path, *upstreams) as running:
             for _ in range(6):
                 caller = await Caller.connect(running.port)
@@ -226,7 +214,7 @@
                 caller.write("POST /checkout", body, wait_ms=9000, **KEY)
                 assert (await caller.read()).body == digest(body)
                 caller.close()
-            assert upstreams[0].requests and not running.broken
+            assert upstreams[0].asked and not running.broken
 
     run(test())
 
@@ -238,21 +226,21 @@
         upstream = Upstream(answer_with_digest)
         async with Running(tmp_path, upstream) as running:
             budgets = running.service.copy.budgets
-            for budget in (budgets.buffered, budgets.streamed):
-                budget.resize(2 * STREAM_BUFFER_BYTES)
+            for budget in (budgets.holding, budgets.passing):
+                budget.resize(2 * PASSING)
             lowest_left: list[int] = []
 
             async def sends() -> int:
                 caller = await Caller.connect(running.port)
                 await upload(caller, LONG[:2_000_000], wait_ms=20_000)
-                lowest_left.append(budgets.streamed.available)
+                lowest_left.append(budgets.passing.left)
                 return (await caller.read()).status
 
             crowd = [asyncio.create_task(sends()) for _ in range(8)]
             await asyncio.sleep(0)
             caller = await Caller.connect(running.port)
-            assert (await caller.request("POST /charge", b"short")).status == 200
-            assert await wait_for(asyncio.gather(*crowd)) == [200] * 8
+            assert (await caller.ask("POST /charge", b"short")).status == 200
+            assert await within(asyncio.gather(*crowd)) == [200] * 8
             assert min(lowest_left) >= 0 and budgets_are_full(running) and not running.broken
 
     run(test())
@@ -263,15 +251,15 @@
     deadlock."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200, LONG)))) as running:
-            running.service.copy.budgets.streamed.resize(STREAM_BUFFER_BYTES)
+        async with Running(tmp_path, Upstream(says(answer(200, LONG)))) as running:
+            running.service.copy.budgets.passing.resize(PASSING)
 
             async def upload_and_read() -> bytes:
                 caller = await Caller.connect(running.port)
                 await upload(caller, LONG[:2_000_000], wait_ms=1500)
                 return (await caller.read()).body
 
-            bodies_back = await wait_for(asyncio.gather(upload_and_read(), upload_and_read()))
+            bodies_back = await within(asyncio.gather(upload_and_read(), upload_and_read()))
             assert bodies_back == [LONG, LONG]
             assert budgets_are_full(running) and not running.broken
 
@@ -280,7 +268,7 @@
 
 def test_stalled_callers_time_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A body that keeps the minimum rate is waited for, a stalled one is not."""
-    monkeypatch.setattr(routing, "FIRST_BYTES_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(routing, "READ_S", 0.2)
     monkeypatch.setattr(bodies, "SLOWEST_BYTES_PER_S", 1000)
 
     async def test() -> None:
@@ -324,8 +312,8 @@
                 await asyncio.sleep(0)
             got = await caller.read()
             assert (got.status, got.body) == (200, b"abcde")
-            assert upstream.requests[0].body == b"wxyz"
-            assert upstream.requests[0].start == "POST /charge/7?a=b HTTP/1.1"
+            assert upstream.asked[0].body == b"wxyz"
+            assert upstream.asked[0].start == "POST /charge/7?a=b HTTP/1.1"
             assert not running.broken
 
     run(test())
@@ -372,7 +360,7 @@
                 await asyncio.sleep(0.001)
             go.set()
             assert (await caller.read()).body == LONG
-            await wait_for(running.task)
+            await within(running.task)
             assert not running.broken
 
     run(test())
--- a/tests/standalone/program/test_move.py
+++ b/tests/standalone/program/test_move.py
@@ -17,7 +17,7 @@
 from tests.standalone.program.harness import Running
 from tests.standalone.program.test_reload import rewrite
 from tests.standalone.routing.test_peers import free_ports
-from tests.standins import Caller, Upstream, answer, respond_with, run, tell, wait_for
+from tests.standins import Caller, Upstream, answer, run, says, tell, within
 
 OK_ANSWER = answer(200, b"yes")
 NEVER_RAN_ANSWER = answer(503, b"", X_Never_Ran="1")
@@ -92,27 +92,27 @@
 
     async def test() -> None:
         failing, starting, healthy = (
-            Upstream(respond_with(NEVER_RAN_ANSWER)),
-            Upstream(respond_with(OK_ANSWER)),
-            Upstream(respond_with(OK_ANSWER)),
+            Upstream(says(NEVER_RAN_ANSWER)),
+            Upstream(says(OK_ANSWER)),
+            Upstream(says(OK_ANSWER)),
         )
         async with Running(tmp_path, failing, starting, healthy) as running:
             started_ms = time.time() * 1000 - 2000
             members = [examples.member(f"s-{n}", u.port) for n, u in enumerate((failing, starting, healthy))]
             members[1]["up_since_ms"] = started_ms
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             tell(watch, examples.listing(*members, revision=42))
             fleet = running.service.copy._balancer._fleet.upstreams
             while fleet[1].started_ms < started_ms:
                 await asyncio.sleep(0.001)
             caller = await Caller.connect(running.port)
             while fleet[0].failures < 3:
-                assert (await caller.request()).status in (200, 503)
+                assert (await caller.ask()).status in (200, 503)
                 fleet[0].ejected_until_ms = min(fleet[0].ejected_until_ms, time.time() * 1000)
             fleet[0].ejected_until_ms = time.time() * 1000 + 60_000
             fleet[2].slowness = 7.0
-            running.service.copy._balancer._admission.limit_per_upstream = 3.5
-            failing_requests = len(failing.requests)
+            running.service.copy._balancer._admission.room = 3.5
+            failing_requests = len(failing.asked)
 
             ports = free_ports(3)
             write_moved_configuration(tmp_path, peers_of(ports))
@@ -129,17 +129,17 @@
             )
             assert upstreams_after[marks[1]].started_ms == upstreams_before[marks[1]].started_ms >= started_ms
             assert upstreams_after[marks[2]].slowness == 1.0
-            assert balancer._admission.limit_per_upstream == 8.0
+            assert balancer._admission.room == 8.0
             assert balancer._quota.tokens == old_service.copy._balancer._quota.tokens <= 250
 
             old_service.end()
             second_caller = await Caller.connect(running.port)
             # Unsafe requests are not hedged; on a slow machine a hedge would have one upstream less.
             for _ in range(30):
-                assert (await second_caller.request("POST /charge", b"1")).status == 200
-            assert len(failing.requests) == failing_requests
-            await wait_for(task)
-            assert (await second_caller.request()).status == 200
+                assert (await second_caller.ask("POST /charge", b"1")).status == 200
+            assert len(failing.asked) == failing_requests
+            await within(task)
+            assert (await second_caller.ask()).status == 200
             assert not running.broken
 
     run(test())
@@ -147,17 +147,13 @@
 
 def test_an_upgrade_in_the_same_layout_keeps_the_learned_state(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(
-            tmp_path, Upstream(respond_with(OK_ANSWER)), Upstream(respond_with(OK_ANSWER))
-        ) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER)), Upstream(says(OK_ANSWER))) as running:
             balancer = running.service.copy._balancer
-            balancer._fleet.upstreams[1].slowness, balancer._admission.limit_per_upstream = 3.0, 5.5
+            balancer._fleet.upstreams[1].slowness, balancer._admission.room = 3.0, 5.5
             await running.upgrade()
             assert running.log.named("taken_over")[-1]["same_shape"] is True
             balancer = running.service.copy._balancer
-            assert (
-                balancer._fleet.upstreams[1].slowness == 3.0 and balancer._admission.limit_per_upstream == 5.5
-            )
+            assert balancer._fleet.upstreams[1].slowness == 3.0 and balancer._admission.room == 5.5
 
     run(test())
 
@@ -174,7 +170,7 @@
 
 def test_a_copy_sends_its_rate_and_uses_the_received_rates(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(OK_ANSWER))) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
             ports = free_ports(3)
             write_moved_configuration(tmp_path, peers_of(ports))
             loop = asyncio.get_running_loop()
@@ -182,16 +178,16 @@
             old_service = await running.upgrade()
             assert old_service.copy.peers is None
             caller = await Caller.connect(running.port)
-            assert (await caller.request()).status == 200
-            message = await wait_for(peer.received.get())
+            assert (await caller.ask()).status == 200
+            message = await within(peer.received.get())
             while message[HEAD.size :] == b"\0\0\0":  # sent before the first request
-                message = await wait_for(peer.received.get())
+                message = await within(peer.received.get())
             assert message[: HEAD.size] == HEAD.pack(MARK, 0) and len(message) == HEAD.size + 3
             traffic = running.service.copy._balancer._traffic
             transport.sendto(HEAD.pack(MARK, 2) + (100_000).to_bytes(3, "little"), (examples.HOST, ports[0]))
-            while not traffic._peer_rates:
+            while not traffic._heard:
                 await asyncio.sleep(0.001)
-            assert traffic._peer_rates[2][0] == 1000.0 and traffic.traffic_share(time.time() * 1000) < 0.05
+            assert traffic._heard[2][0] == 1000.0 and traffic.part(time.time() * 1000) < 0.05
             new = await running.upgrade()  # both processes are one copy, and only the successor sends
             assert new.copy.peers is not None
             while not new.copy.peers.closed:
@@ -205,7 +201,7 @@
 
 def test_without_configured_peers_nothing_is_sent(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(OK_ANSWER)), MayTell=True) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER)), MayTell=True) as running:
             assert running.log.named("no_peers_named") == [{}]
             assert not running.service.copy.settings.may_tell
 
@@ -220,7 +216,7 @@
     marks_by_order = []
     for order in (members, members[::-1]):
         directory = Directory((), ())
-        event = directory.apply(read_listing(json.dumps(examples.listing(*order)).encode()))
+        event = directory.take(read_listing(json.dumps(examples.listing(*order)).encode()))
         marks_by_order.append({directory.name(e.upstream): e.mark for e in event.entries})
         assert isinstance(event.entries[0], api.UpstreamEntry)
     assert marks_by_order[0] == marks_by_order[1] and len(set(marks_by_order[0].values())) == 4
--- a/tests/standalone/program/test_reload.py
+++ b/tests/standalone/program/test_reload.py
@@ -14,7 +14,7 @@
 from madderwind.standalone.routing.exchange import Exchange
 from tests import examples
 from tests.standalone.program.harness import Running
-from tests.standins import Caller, Message, Upstream, Writer, answer, respond_with, run, wait_for
+from tests.standins import Caller, Message, Upstream, Writer, answer, run, says, within
 
 
 def rewrite(folder: Path, **changes: Any) -> dict[str, Any]:
@@ -73,7 +73,7 @@
     """All settings in force stay, including the address of discovery, which the invalid file changes."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200, b"yes")))) as running:
+        async with Running(tmp_path, Upstream(says(answer(200, b"yes")))) as running:
             copy, path = running.service.copy, tmp_path / "config.json"
             host_before = copy.host
             path.write_text(path.read_text().replace(f":{running.agent.port}", ":1"))
@@ -84,7 +84,7 @@
             assert await running.figure("load_errors_total") == 1
             assert await running.figure("loads_total") == 0
             assert len(running.log.named("configuration_unreadable")) == 1
-            assert (await (await Caller.connect(running.port)).request()).status == 200
+            assert (await (await Caller.connect(running.port)).ask()).status == 200
 
     run(test())
 
@@ -124,21 +124,19 @@
         async with Running(tmp_path, upstream) as running:
             caller, waiting_caller = await Caller.connect(running.port), await Caller.connect(running.port)
             waiting_caller.write("GET /lookup/slow")
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             rewrite(tmp_path, Profiles=[profile("quote", "non_idempotent"), profile("charge")])
             running.service.reload()
             copy = running.service.copy
             assert copy.host.class_names == ("lookup", "charge", "checkout", "quote")
-            assert (await caller.request("POST /quote", b"x")).status == 200
-            assert (await caller.request("GET /charge")).status == 200  # with its new definition
-            assert (
-                await caller.request("GET /lookup")
-            ).status == 200  # from a tier that has not reloaded yet
+            assert (await caller.ask("POST /quote", b"x")).status == 200
+            assert (await caller.ask("GET /charge")).status == 200  # with its new definition
+            assert (await caller.ask("GET /lookup")).status == 200  # from a tier that has not reloaded yet
             copy._served_until_ms["lookup"] = 0.0
-            assert (await caller.request("GET /lookup")).status == 400
+            assert (await caller.ask("GET /lookup")).status == 400
             (exchange,) = copy.open.values()
             assert isinstance(exchange, Exchange)
-            assert (exchange.category, exchange.request_class.effect) == ("lookup", Effect.SAFE)
+            assert (exchange.category, exchange.klass.effect) == ("lookup", Effect.SAFE)
             release.set()
             assert (await waiting_caller.read()).status == 200
             metrics = await running.call("METRICS")
@@ -154,13 +152,13 @@
     """Valid and invalid files in turn, with two reloads at once, while callers send requests."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200, b"yes")))) as running:
+        async with Running(tmp_path, Upstream(says(answer(200, b"yes")))) as running:
             statuses: list[int] = []
 
             async def ask_repeatedly() -> None:
                 caller = await Caller.connect(running.port)
                 for _ in range(60):
-                    statuses.append((await caller.request(wait_ms=30_000)).status)
+                    statuses.append((await caller.ask(wait_ms=30_000)).status)
 
             callers = [asyncio.create_task(ask_repeatedly()) for _ in range(5)]
             valid_text = (tmp_path / "config.json").read_text()
@@ -174,7 +172,7 @@
                 (tmp_path / "config.json").write_text(valid_text)
                 running.service.reload()
                 await asyncio.sleep(0)
-            await wait_for(asyncio.gather(*callers))
+            await within(asyncio.gather(*callers))
             assert statuses == [200] * 300
             assert not running.broken
 
@@ -193,7 +191,7 @@
     """
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(answer(200, b"yes")))) as running:
+        async with Running(tmp_path, Upstream(says(answer(200, b"yes")))) as running:
             copy = running.service.copy
             tenant_numbers: list[int] = []
             handle = copy._balancer.handle
@@ -209,7 +207,7 @@
             async def ask_as(name: str) -> int:
                 """The number of the tenant; -1 if the request is rejected."""
                 nonlocal caller
-                response = await caller.request(X_Customer=name)
+                response = await caller.ask(X_Customer=name)
                 if response.status == 400:
                     caller = await Caller.connect(running.port)
                     return -1
@@ -248,13 +246,13 @@
         async with Running(tmp_path, upstream, MaxAttempts=1) as running:
             caller = await Caller.connect(running.port)
             caller.write(wait_ms=20_000)
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             rewrite(tmp_path, Ceilings__MaxAttempts=4)
             running.service.reload()
             release.set()
             assert (await caller.read()).status == 503
-            assert len(upstream.requests) == 1
-            assert (await caller.request(wait_ms=20_000)).status == 503
-            assert len(upstream.requests) > 2  # later requests may be retried
+            assert len(upstream.asked) == 1
+            assert (await caller.ask(wait_ms=20_000)).status == 503
+            assert len(upstream.asked) > 2  # later requests may be retried
 
     run(test())
--- a/tests/standalone/program/test_upgrade.py
+++ b/tests/standalone/program/test_upgrade.py
@@ -17,7 +17,7 @@
 from madderwind.standalone.program import service
 from tests import examples
 from tests.standalone.program.harness import Running, call
-from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, respond_with, run, tell, wait_for
+from tests.standins import Agent, Caller, Message, Upstream, Writer, answer, run, says, tell, within
 
 OK_ANSWER = answer(200, b"yes")
 
@@ -41,7 +41,7 @@
         while not self._stopped.is_set():
             closed = True
             try:
-                response = await caller.request("POST /charge", b"x" * 200, wait_ms=30_000)
+                response = await caller.ask("POST /charge", b"x" * 200, wait_ms=30_000)
                 self.statuses[response.status] += 1
                 closed = response.header("Connection") == "close"
             except (ConnectionError, asyncio.IncompleteReadError):
@@ -58,7 +58,7 @@
 
     async def end(self) -> None:
         self._stopped.set()
-        await wait_for(asyncio.gather(*self._tasks))
+        await within(asyncio.gather(*self._tasks))
 
 
 def test_ten_upgrades_under_load_lose_and_repeat_no_request(tmp_path: Path) -> None:
@@ -73,13 +73,13 @@
         async with Running(tmp_path, Upstream(count_executions), Upstream(count_executions)) as running:
             load = Load(running.port)
             for _ in range(10):
-                await wait_for(load.wait_for_answers(20))
+                await within(load.wait_for_answers(20))
                 task = running.task
                 old_service = await running.upgrade()
                 assert (await running.call("STATUS")) == "ACK ready\n"
                 old_service.end()
-                await wait_for(task)
-            await wait_for(load.wait_for_answers(20))
+                await within(task)
+            await within(load.wait_for_answers(20))
             await load.end()
             assert set(load.statuses) == {200} and not load.broken
             assert set(executions.values()) == {1} and len(executions) == load.statuses.total()
@@ -92,33 +92,33 @@
     """After connecting, within the message, before it serves, and after it has started to serve."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(OK_ANSWER))) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
             loop = asyncio.get_running_loop()
             load = Load(running.port)
             for step in range(4):
                 with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as successor:
                     successor.setblocking(False)
-                    await wait_for(loop.sock_connect(successor, str(socket_path(tmp_path))))
+                    await within(loop.sock_connect(successor, str(socket_path(tmp_path))))
                     if step:
-                        assert len(await wait_for(loop.sock_recv(successor, HEAD.size))) == HEAD.size
+                        assert len(await within(loop.sock_recv(successor, HEAD.size))) == HEAD.size
                     if step > 1:
-                        assert await wait_for(loop.sock_recv(successor, 65536))
+                        assert await within(loop.sock_recv(successor, 65536))
                     if step > 2:
                         await loop.sock_sendall(successor, b'{"serving":true}\n')
                         while not running.log.named("successor_serves"):
                             await asyncio.sleep(0.001)
                 while len(running.log.named("successor_lost")) <= step:
                     await asyncio.sleep(0.001)
-                await wait_for(load.wait_for_answers(20))
+                await within(load.wait_for_answers(20))
                 new_caller = await Caller.connect(running.port)  # the old process accepts connections again
-                assert (await new_caller.request()).status == 200
+                assert (await new_caller.ask()).status == 200
                 new_caller.close()
             await load.end()
             assert set(load.statuses) == {200} and not load.broken
             old_service = await running.upgrade()  # a further successor can take over
             assert running.log.named("taken_over")
             old_service.end()
-            assert (await (await Caller.connect(running.port)).request()).status == 200
+            assert (await (await Caller.connect(running.port)).ask()).status == 200
 
     run(test())
 
@@ -131,10 +131,10 @@
         with socket.create_server((examples.HOST, 0)) as listening:
             offer = Offer(socket_path(tmp_path), lambda: (listening, raw), lambda _: None)
             assert offer.open() == ""
-            async with Running(tmp_path, Upstream(respond_with(OK_ANSWER))) as running:
+            async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
                 assert len(running.log.named("handover_unreadable")) == 1
                 assert running.port == listening.getsockname()[1]
-                assert (await (await Caller.connect(running.port)).request()).status == 200
+                assert (await (await Caller.connect(running.port)).ask()).status == 200
             offer.close()
 
     run(test())
@@ -150,8 +150,8 @@
                 leftover.bind(str(socket_path(tmp_path)))
                 if listens:
                     leftover.listen()
-                async with Running(tmp_path, Upstream(respond_with(OK_ANSWER))) as running:
-                    assert (await (await Caller.connect(running.port)).request()).status == 200
+                async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
+                    assert (await (await Caller.connect(running.port)).ask()).status == 200
 
     run(test())
 
@@ -160,7 +160,7 @@
     """While one process takes over, another gets no handover; what it then lacks is its own failure."""
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(OK_ANSWER))) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
             loop = asyncio.get_running_loop()
             with (
                 socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as first,
@@ -168,19 +168,19 @@
             ):
                 for successor in (first, second):
                     successor.setblocking(False)
-                    await wait_for(loop.sock_connect(successor, str(socket_path(tmp_path))))
-                assert await wait_for(loop.sock_recv(first, HEAD.size))
-                assert await wait_for(loop.sock_recv(second, HEAD.size)) == b""
-                assert (await (await Caller.connect(running.port)).request()).status == 200
+                    await within(loop.sock_connect(successor, str(socket_path(tmp_path))))
+                assert await within(loop.sock_recv(first, HEAD.size))
+                assert await within(loop.sock_recv(second, HEAD.size)) == b""
+                assert (await (await Caller.connect(running.port)).ask()).status == 200
 
     run(test())
 
 
 def test_suspensions_and_drains_apply_in_both_processes_and_after(tmp_path: Path) -> None:
     async def test() -> None:
-        upstreams = [Upstream(respond_with(answer(200, b"%d" % n))) for n in range(4)]
+        upstreams = [Upstream(says(answer(200, b"%d" % n))) for n in range(4)]
         async with Running(tmp_path, *upstreams) as running:
-            watch = await wait_for(running.agent.watches.get())
+            watch = await within(running.agent.watches.get())
             drains = examples.member("s-3", upstreams[3].port, "Terminating")
             tell(watch, examples.listing(drains, revision=50, complete=False))
             while running.service.copy.directory.revision != 50:
@@ -196,11 +196,11 @@
             assert (await running.call("SUSPEND s-2")).startswith("ACK")
             caller = await Caller.connect(running.port)
             for _ in range(10):
-                assert (await caller.request()).body == b"0"
-            assert not upstreams[1].requests and not upstreams[3].requests
+                assert (await caller.ask()).body == b"0"
+            assert not upstreams[1].asked and not upstreams[3].asked
             old_service.end()
             running.service.end()
-            await wait_for(running.task)  # without a successor
+            await within(running.task)  # without a successor
             await running.upgrade()  # starts from the saved file
             assert running.service.copy.directory.suspended == {"s-1", "s-2"}
 
@@ -209,7 +209,7 @@
 
 def test_limits_are_divided_and_the_quota_is_not_doubled(tmp_path: Path) -> None:
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(OK_ANSWER)), sockets=400) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER)), sockets=400) as running:
             connections_alone, old_task = running.service._upstreams._connector.most, running.task
             old_service = await running.upgrade()
             new_service = running.service
@@ -219,7 +219,7 @@
             assert [s._listener._web.most for s in (old_service, new_service)] == [connections_alone // 2] * 2
             assert [s.copy._balancer._quota.tokens for s in (old_service, new_service)] == [250.0, 250.0]
             old_service.end()
-            await wait_for(old_task)
+            await within(old_task)
             while new_service._upstreams._connector.most != connections_alone:
                 await asyncio.sleep(0.001)
 
@@ -232,7 +232,7 @@
 
     async def test() -> None:
         async with (
-            Upstream(respond_with(OK_ANSWER)) as upstream,
+            Upstream(says(OK_ANSWER)) as upstream,
             Agent() as agent,
             contextlib.AsyncExitStack() as cleanup,
         ):
@@ -259,23 +259,23 @@
                             return process
                     await asyncio.sleep(0.02)
 
-            old_process = await wait_for(start(admin_ports[0]))
+            old_process = await within(start(admin_ports[0]))
             load = Load(listen, callers=2)
-            await wait_for(load.wait_for_answers(5))
+            await within(load.wait_for_answers(5))
             if kill_first:
-                killed = await wait_for(start(admin_ports[1]))
+                killed = await within(start(admin_ports[1]))
                 killed.kill()
-                await wait_for(killed.wait())
-                await wait_for(load.wait_for_answers(5))
+                await within(killed.wait())
+                await within(load.wait_for_answers(5))
                 load.broken = 0  # callers retry requests of the killed process
-            new_process = await wait_for(start(admin_ports[2]))
+            new_process = await within(start(admin_ports[2]))
             old_process.send_signal(signal.SIGTERM)
-            assert await wait_for(old_process.wait()) == 0
-            await wait_for(load.wait_for_answers(5))
+            assert await within(old_process.wait()) == 0
+            await within(load.wait_for_answers(5))
             await load.end()
             assert set(load.statuses) == {200} and not load.broken
             new_process.terminate()
-            assert await wait_for(new_process.wait()) == 0
+            assert await within(new_process.wait()) == 0
 
     run(test())
 
@@ -295,10 +295,10 @@
     monkeypatch.setattr(service, "TAKE_ON_S", 0.0)
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(respond_with(OK_ANSWER))) as running:
+        async with Running(tmp_path, Upstream(says(OK_ANSWER))) as running:
             caller = await Caller.connect(running.port)
             running.service.end()
-            assert (await caller.request()).status == 200
-            await wait_for(running.task)
+            assert (await caller.ask()).status == 200
+            await within(running.task)
 
     run(test())
--- a/tests/standalone/protocol/test_requests.py
+++ b/tests/standalone/protocol/test_requests.py
@@ -6,8 +6,8 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from madderwind.standalone.protocol.requests import (
+    Asked,
     BadRequest,
-    ParsedRequest,
     RequestReader,
     headers_onward,
     origin_form,
@@ -32,7 +32,7 @@
     return CIMultiDictProxy(CIMultiDict({k: v for k, v in values.items() if v is not None}))
 
 
-def read(method: str = "POST", target: str = "/checkout", **changes: str | None) -> ParsedRequest:
+def read(method: str = "POST", target: str = "/checkout", **changes: str | None) -> Asked:
     reader = RequestReader(read_host_settings(examples.SETTINGS))
     return reader.read(method, target, headers(**changes))
 
--- a/tests/standalone/routing/test_actions.py
+++ b/tests/standalone/routing/test_actions.py
@@ -13,7 +13,7 @@
 from madderwind.standalone.policy.balancer import Balancer
 from madderwind.standalone.routing import copy as routing
 from tests.standalone.program.harness import Running
-from tests.standins import Behaviour, Caller, Upstream, answer, never_respond, respond_with, run, wait_for
+from tests.standins import Behaviour, Caller, Upstream, answer, run, says, silent, within
 
 ASK = api.TimerFired(0)  # the patched module answers this event with the actions under test
 
@@ -38,26 +38,26 @@
 @pytest.mark.parametrize(
     ("behave", "outcome", "report"),
     [
-        (respond_with(answer(200, b"TEXT inflight=7, queue=2")), Outcome.OK, (7.0, 2.0)),
-        (respond_with(answer(200, b"what")), Outcome.OK, ()),
-        (respond_with(answer(503, b"TEXT inflight=9, queue=9")), Outcome.ERROR, (9.0, 9.0)),
-        (never_respond, Outcome.TIMEOUT, ()),
+        (says(answer(200, b"TEXT inflight=7, queue=2")), Outcome.OK, (7.0, 2.0)),
+        (says(answer(200, b"what")), Outcome.OK, ()),
+        (says(answer(503, b"TEXT inflight=9, queue=9")), Outcome.ERROR, (9.0, 9.0)),
+        (silent, Outcome.TIMEOUT, ()),
     ],
 )
 def test_a_probe_reports_its_result(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, behave: Behaviour, outcome: Outcome, report: Any
 ) -> None:
-    monkeypatch.setattr(routing, "PROBE_TIMEOUT_MS", 300.0 if behave is not never_respond else 30.0)
+    monkeypatch.setattr(routing, "PROBE_TIMEOUT_MS", 300.0 if behave is not silent else 30.0)
     module = PatchedModule(monkeypatch, api.Probe(0))
 
     async def test() -> None:
         upstream = Upstream(behave)
         async with Running(tmp_path, upstream) as running:
-            running.service.copy.deliver_event(ASK)
-            ended = await wait_for(module.probes.get())
+            running.service.copy.happened(ASK)
+            ended = await within(module.probes.get())
             assert (ended.outcome, ended.upstream, ended.report) == (outcome, 0, report)
             assert ended.elapsed_ms > 0
-            assert [m.start for m in upstream.requests] == ["GET /load HTTP/1.1"]
+            assert [m.start for m in upstream.asked] == ["GET /load HTTP/1.1"]
 
     run(test())
 
@@ -71,13 +71,13 @@
     )
 
     async def test() -> None:
-        upstream = Upstream(respond_with(answer(200)))
+        upstream = Upstream(says(answer(200)))
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
-            assert (await caller.request()).status == 200
-            running.service.copy.deliver_event(ASK)
-            assert await wait_for(upstream.closed_connections.get()) == 1
-            assert (await caller.request()).status == 200
+            assert (await caller.ask()).status == 200
+            running.service.copy.happened(ASK)
+            assert await within(upstream.ended.get()) == 1
+            assert (await caller.ask()).status == 200
             assert running.log.named("module_says") == [{"text": "hello"}]
             assert running.log.named("action_not_carried_out") == [{"action": "TellPeers"}]
 
@@ -88,15 +88,15 @@
     """Cancelling an attempt closes its connection, and the module is told that it was cancelled."""
 
     async def test() -> None:
-        upstream = Upstream(never_respond)
+        upstream = Upstream(silent)
         async with Running(tmp_path, upstream) as running:
             caller = await Caller.connect(running.port)
             caller.write("POST /charge", b"1")
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             (number,) = running.service.copy.open
             PatchedModule(monkeypatch, api.Cancel(number, 0))
-            running.service.copy.deliver_event(ASK)
-            assert await wait_for(upstream.closed_connections.get()) == 1
+            running.service.copy.happened(ASK)
+            assert await within(upstream.ended.get()) == 1
             assert (await caller.read()).status == 502
             assert running.log.named("answered")[0]["attempts"][0][1] == "cancelled"
             assert not running.broken
@@ -110,8 +110,8 @@
     PatchedModule(monkeypatch, api.Fail(4711))
 
     async def test() -> None:
-        async with Running(tmp_path, Upstream(never_respond)) as running:
-            running.service.copy.deliver_event(ASK)
+        async with Running(tmp_path, Upstream(silent)) as running:
+            running.service.copy.happened(ASK)
             assert running.broken == {"acts_for_open_requests": 1}
 
     run(test())
--- a/tests/standalone/routing/test_directory.py
+++ b/tests/standalone/routing/test_directory.py
@@ -17,7 +17,7 @@
 ) -> list[int]:
     text = json.dumps(examples.listing(*members, complete=complete, revision=revision))
     listing = read_listing(text.encode())
-    return [entry.upstream for entry in directory.apply(listing).entries]
+    return [entry.upstream for entry in directory.take(listing).entries]
 
 
 def table_sizes(directory: Directory) -> list[int]:
@@ -125,7 +125,7 @@
     # restarted while suspended, whether the list shows that yet or not
     assert event.entries[0].started_ms == 1000.0
     listing = read_listing(json.dumps(examples.listing(examples.member("s-1", 5000), revision=45)).encode())
-    assert directory.apply(listing).entries[0].started_ms == 1000.0
+    assert directory.take(listing).entries[0].started_ms == 1000.0
 
 
 def test_a_suspension_holds_for_an_upstream_not_listed_now() -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -31,7 +31,7 @@
 Behaviour = Callable[[Message, Writer], Awaitable[None]]
 
 
-def respond_with(*answers: bytes) -> Behaviour:
+def says(*answers: bytes) -> Behaviour:
     """Send these answers in turn, and the last one to every later request."""
     remaining_answers = list(answers)
 
@@ -41,11 +41,11 @@
     return behave
 
 
-async def never_respond(_: Message, __: Writer) -> None:
+async def silent(_: Message, __: Writer) -> None:
     """Read the request and send no answer."""
 
 
-async def reset_connection(_: Message, writer: Writer) -> None:
+async def resets(_: Message, writer: Writer) -> None:
     writer.transport.abort()
 
 
@@ -54,11 +54,9 @@
 
     def __init__(self, behave: Behaviour) -> None:
         self.behave = behave
-        self.requests: list[Message] = []
+        self.asked: list[Message] = []
         self.connections = 0
-        self.closed_connections: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # numbers of connections that the peer closed
+        self.ended: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections that the peer closed
         self.arrivals: asyncio.Queue[Message] = asyncio.Queue()
         self._writers: set[Writer] = set()
 
@@ -86,11 +84,11 @@
         try:
             while True:
                 message = await read_message(reader, number)
-                self.requests.append(message)
+                self.asked.append(message)
                 self.arrivals.put_nowait(message)
                 await self.behave(message, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.closed_connections.put_nowait(number)
+            self.ended.put_nowait(number)
             writer.close()
         finally:
             self._writers.discard(writer)
@@ -149,7 +147,7 @@
         async with asyncio.timeout(WAIT_S):
             return await read_message(self.reader)
 
-    async def request(self, start: str = "GET /lookup", body: bytes = b"", **changes: Any) -> Message:
+    async def ask(self, start: str = "GET /lookup", body: bytes = b"", **changes: Any) -> Message:
         self.write(start, body, **changes)
         return await self.read()
 
@@ -165,7 +163,7 @@
         self.writer.close()
 
 
-async def wait_for(expected: Awaitable[Any]) -> Any:
+async def within(expected: Awaitable[Any]) -> Any:
     """Wait for an expected event, for at most WAIT_S."""
     async with asyncio.timeout(WAIT_S):
         return await expected
--- a/tests/storage/test_crash_points.py
+++ b/tests/storage/test_crash_points.py
@@ -123,16 +123,16 @@
 original_rewrite = RecordFile.rewrite
 
 
-class MutantsAreDetected(unittest.TestCase):
-    def assert_detected(self, target: type, name: str, faulty: Callable[..., object]) -> None:
+class MutantsAreFound(unittest.TestCase):
+    def assert_found(self, target: type, name: str, faulty: Callable[..., object]) -> None:
         with patch.object(target, name, faulty), self.assertRaises(AssertionError):
             check_every_crash()
 
     def test_a_rewrite_without_a_folder_sync(self) -> None:
-        self.assert_detected(FileDisk, "_sync_folder", lambda disk: None)
+        self.assert_found(FileDisk, "_sync_folder", lambda disk: None)
 
     def test_appends_without_a_sync(self) -> None:
-        self.assert_detected(RecordingSystem, "fdatasync", lambda system, descriptor: None)
+        self.assert_found(RecordingSystem, "fdatasync", lambda system, descriptor: None)
 
     def test_a_new_file_without_a_file_sync(self) -> None:
         def sync_folder_only(system: RecordingSystem, descriptor: int) -> None:
@@ -140,10 +140,10 @@
                 original(system, descriptor)
 
         original = RecordingSystem.fsync
-        self.assert_detected(RecordingSystem, "fsync", sync_folder_only)
+        self.assert_found(RecordingSystem, "fsync", sync_folder_only)
 
     def test_an_old_file_removed_before_the_new_one_is_written(self) -> None:
-        self.assert_detected(RecordFile, "rewrite", remove_before_rewrite)
+        self.assert_found(RecordFile, "rewrite", remove_before_rewrite)
 
 
 class NearlyFullDisk(unittest.TestCase):
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -53,7 +53,7 @@
         self.assertEqual(len(self.applied), 1)
 
     def test_read_again_reads_an_unchanged_file(self) -> None:
-        self.watch.reload()
+        self.watch.read_again()
         self.assertEqual(len(self.applied), 1)
 
     def test_an_invalid_or_missing_file_keeps_the_current_settings(self) -> None:
--- a/tests/testing/fault_tests/test_rig.py
+++ b/tests/testing/fault_tests/test_rig.py
@@ -24,7 +24,7 @@
 )
 from madderwind.testing.fault_tests.schedule import arrivals, draw
 from madderwind.testing.simulation.experiment import ExperimentError
-from tests.standins import Upstream, answer, read_message, respond_with, run, wait_for
+from tests.standins import Upstream, answer, read_message, run, says, within
 
 SILENT_LINKS = LinkFault(kind="silent", at_s=(1.0, 5.0), for_s=(1.0, 2.0), times=3, every_s=(1.0, 2.0))
 LOST_MESSAGES = MessageFault(at_s=1, for_s=1, loss=1, links=0.5, senders=Selection(part=0.5))
@@ -92,7 +92,7 @@
     """A relay between a copy and one stand-in upstream."""
     net, lock = take_net(random.Random())
     part = Links(make_plan(Scenario(name="s", question="?", copies=1), 1, net, folder), 0)
-    async with Upstream(respond_with(answer(200, b"yes"))) as stand_in:
+    async with Upstream(says(answer(200, b"yes"))) as stand_in:
         server = await asyncio.start_server(stand_in._serve, *part.plan.upstream(0))
         await part.start()
         yield part, part._links[0, 0], stand_in
@@ -113,19 +113,19 @@
         async with _one_link(tmp_path) as (part, link, stand_in):
             open_connection = await asyncio.open_connection(*part.plan.link(0, 0))
             open_connection[1].write(REQUEST)
-            assert (await wait_for(read_message(open_connection[0]))).body == b"yes"
+            assert (await within(read_message(open_connection[0]))).body == b"yes"
             link.be(kind, 150.0 if kind == "slow" else 0.0)
             loop = asyncio.get_running_loop()
             began_s = loop.time()
             open_connection[1].write(REQUEST)
             if kind in ("", "slow"):
-                assert (await wait_for(read_message(open_connection[0]))).body == b"yes"
+                assert (await within(read_message(open_connection[0]))).body == b"yes"
                 assert (loop.time() - began_s >= 0.3) == (
                     kind == "slow"
                 )  # the delay applies to each direction
             elif kind in ("refuse", "reset"):
                 with pytest.raises(ConnectionResetError):
-                    await wait_for(open_connection[0].readexactly(1))
+                    await within(open_connection[0].readexactly(1))
             else:
                 with pytest.raises(TimeoutError):
                     await asyncio.wait_for(open_connection[0].readexactly(1), 0.3)
@@ -139,10 +139,10 @@
             assert attempts == (1 if kind == "refuse" else 2)
             link.be("", 0.0)
             if kind in ("silent", "vanish"):  # buffered bytes are forwarded
-                assert (await wait_for(read_message(open_connection[0]))).body == b"yes"
-            reader, writer = await wait_for(asyncio.open_connection(*part.plan.link(0, 0)))
+                assert (await within(read_message(open_connection[0]))).body == b"yes"
+            reader, writer = await within(asyncio.open_connection(*part.plan.link(0, 0)))
             writer.write(REQUEST)
-            assert (await wait_for(read_message(reader))).body == b"yes"
+            assert (await within(read_message(reader))).body == b"yes"
             sent = part.seen.sent[-1]
             assert (sent.copy, sent.upstream, sent.number) == (0, 0, 42) and sent.ended_ms >= sent.at_ms
 
@@ -164,7 +164,7 @@
             part.restarts[0] = [link.now_ms]
             link.be("", 0.0)
             with pytest.raises(ConnectionResetError):
-                await wait_for(reader.readexactly(1))
-            assert not stand_in.requests
+                await within(reader.readexactly(1))
+            assert not stand_in.asked
 
     run(play())
--- a/tests/testing/simulation/test_rules.py
+++ b/tests/testing/simulation/test_rules.py
@@ -46,7 +46,7 @@
 
     def answer_twice(self: Balancer, request: records.Request) -> None:
         original(self, request)
-        self._actions.append(api.Fail(request.id))
+        self._out.append(api.Fail(request.id))
 
     monkeypatch.setattr(Balancer, "_answer", answer_twice)
     assert broken_rules() == {1}
@@ -66,19 +66,19 @@
 
 def test_sending_to_a_draining_upstream_violates_rule_3(monkeypatch: pytest.MonkeyPatch) -> None:
     """Disables both checks of upstream readiness: the policy module's and the host's."""
-    listed = Fleet.apply_list
+    listed = Fleet.listed
 
     def list_ready_only(self: Fleet, kind: api.ListKind, entries: Any) -> None:
         listed(self, kind, tuple(e for e in entries if e.state is api.UpstreamState.READY))
 
-    monkeypatch.setattr(Fleet, "apply_list", list_ready_only)
+    monkeypatch.setattr(Fleet, "listed", list_ready_only)
     monkeypatch.setattr(Copy, "_accepts_new_requests", lambda *_: True)
     assert broken_rules() == {3}
 
 
 def test_overloading_a_cold_upstream_violates_rule_4(monkeypatch: pytest.MonkeyPatch) -> None:
     def pick_coldest(self: Picker, _: object, now: float) -> Upstream:
-        return min(self._fleet.preference_order, key=lambda u: u.warmth(now, self._settings))
+        return min(self._fleet.order, key=lambda u: u.warmth(now, self._settings))
 
     monkeypatch.setattr(Picker, "pick", pick_coldest)
     monkeypatch.setattr(Admission, "admits", lambda *_: True)
--- a/tests/transport/test_budget.py
+++ b/tests/transport/test_budget.py
@@ -16,7 +16,7 @@
         budget, completed = Budget(100), list[int]()
 
         async def reserve_in_order(number: int, size_bytes: int) -> None:
-            await budget.acquire(size_bytes)
+            await budget.wait_for(size_bytes)
             completed.append(number)
 
         budget.reserve(90)
@@ -26,15 +26,15 @@
         await asyncio.sleep(0)
         assert not budget.try_reserve(5)  # earlier requests are queued
         budget.reserve(30)  # a short message, beyond the limit
-        assert budget.available == -20
+        assert budget.left == -20
         tasks[0].cancel()
         await asyncio.sleep(0)
-        budget.release(60)
+        budget.give_back(60)
         await asyncio.sleep(0)
-        assert completed == [1] and budget.available == 35
-        budget.release(5)
+        assert completed == [1] and budget.left == 35
+        budget.give_back(5)
         await asyncio.gather(*tasks, return_exceptions=True)
-        assert completed == [1, 2] and budget.available == 0
+        assert completed == [1, 2] and budget.left == 0
 
     run(test())
 
@@ -45,12 +45,12 @@
         budget = Budget(100)
 
         async def hold_briefly(size_bytes: int, is_cancelled: bool) -> None:
-            await budget.acquire(size_bytes)
+            await budget.wait_for(size_bytes)
             try:
-                assert budget.available >= 0
+                assert budget.left >= 0
                 await asyncio.sleep(0)
             finally:
-                budget.release(size_bytes)
+                budget.give_back(size_bytes)
 
         tasks = [
             asyncio.create_task(hold_briefly(size_bytes, is_cancelled))
@@ -61,18 +61,18 @@
             if is_cancelled:
                 task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        assert budget.available == 100
+        assert budget.left == 100
 
     run(test())
 
 
 def test_memory_is_split_between_both_budgets_and_between_processes() -> None:
     budgets = Budgets(192)
-    assert 40 * MIB < budgets.buffered.size + budgets.streamed.size < 140 * MIB
-    before = budgets.streamed.size
-    budgets.streamed.reserve(1000)
+    assert 40 * MIB < budgets.holding.size + budgets.passing.size < 140 * MIB
+    before = budgets.passing.size
+    budgets.passing.reserve(1000)
     budgets.share(2)
-    assert budgets.streamed.available == before // 2 - 1000
+    assert budgets.passing.left == before // 2 - 1000
     budgets.share(1)
-    assert budgets.streamed.available == before - 1000
-    assert Budgets(1).streamed.size == MIB
+    assert budgets.passing.left == before - 1000
+    assert Budgets(1).passing.size == MIB
--- a/tests/transport/test_listening.py
+++ b/tests/transport/test_listening.py
@@ -13,7 +13,7 @@
 from madderwind.transport import listening
 from madderwind.transport.listening import Listener
 from tests.examples import HOST
-from tests.standins import Caller, run, wait_for
+from tests.standins import Caller, run, within
 
 
 def test_accepting_resumes_soon_after_a_descriptor_shortage(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -35,10 +35,10 @@
         port = await listener.start(HOST, 0)
         monkeypatch.setattr(socket.socket, "accept", accept_with_failures)
         caller = await Caller.connect(port)
-        got = await caller.request()
+        got = await caller.ask()
         assert got.body == b"taken"
         assert events == ["no_descriptor_to_accept_with"] * 2
-        assert await wait_for(listener.finish(5.0)) == 0
+        assert await within(listener.finish(5.0)) == 0
         assert await caller.at_end()
         with pytest.raises(ConnectionRefusedError):
             await Caller.connect(port)
@@ -57,7 +57,7 @@
         port = await listener.start(HOST, 0)
         with socket.create_connection((HOST, port)) as pending:
             pending.sendall(b"GET /lookup HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert await wait_for(listener.finish(5.0)) == 0  # it was not accepted before
+            assert await within(listener.finish(5.0)) == 0  # it was not accepted before
             pending.setblocking(False)
             assert pending.recv(1000).startswith(b"HTTP/1.1 200")
 
@@ -75,12 +75,12 @@
         port = await listener.start(HOST, 0)
         fresh, used, requesting = [await Caller.connect(port) for _ in range(3)]
         for caller in (used, requesting):
-            assert (await caller.request()).status == 200
+            assert (await caller.ask()).status == 200
         requesting.write()  # is in the socket buffer at once, unread before the next line
         listener._web.make_room(3)
         assert await used.at_end()
         assert (await requesting.read()).body == b"taken"
-        assert (await fresh.request()).body == b"taken"
+        assert (await fresh.ask()).body == b"taken"
         await listener.finish(5.0)
 
     run(test())
@@ -122,7 +122,7 @@
     async def test() -> None:
         listener = Listener(handler, 10, lambda *_, **__: None)
         caller = await Caller.connect(await listener.start(HOST, 0))
-        assert (await caller.request()).body == b"taken"
+        assert (await caller.ask()).body == b"taken"
         assert await caller.at_end()
         await listener.finish(5.0)
 
@@ -140,10 +140,10 @@
         port = await listener.start(HOST, 0)
         fresh = await Caller.connect(port)
         active = await Caller.connect(port)
-        assert (await active.request()).status == 200
+        assert (await active.ask()).status == 200
         listener._web.make_room(2)
         assert await active.at_end()
-        assert (await fresh.request()).body == b"taken"  # it was too new to count as silent
+        assert (await fresh.ask()).body == b"taken"  # it was too new to count as silent
         silent = await Caller.connect(port)
         while len(listener._web.connections) < 2:
             await asyncio.sleep(0)
--- a/tests/transport/test_upstreams.py
+++ b/tests/transport/test_upstreams.py
@@ -20,18 +20,7 @@
 from madderwind.transport.encoded_request import EncodedRequest, Upload
 from madderwind.transport.upstreams import MAX_BUFFERED_BYTES, READ_BUFFER, Answer, Upstreams
 from tests.examples import HOST
-from tests.standins import (
-    Message,
-    Upstream,
-    Writer,
-    answer,
-    never_respond,
-    reset,
-    reset_connection,
-    respond_with,
-    run,
-    wait_for,
-)
+from tests.standins import Message, Upstream, Writer, answer, reset, resets, run, says, silent, within
 
 DISTANT_S = 1000.0
 
@@ -72,11 +61,11 @@
 
     async def test() -> None:
         body = bytes(range(256)) * 200
-        async with Upstream(respond_with(answer(200, b"done"))) as upstream, Pool() as pool:
+        async with Upstream(says(answer(200, b"done"))) as upstream, Pool() as pool:
             got = await pool.get(upstream, encoded("POST", target, body))
             assert isinstance(got, Answer)
             assert (got.status, got.body) == (200, b"done")
-            (asked,) = upstream.requests
+            (asked,) = upstream.asked
             assert asked.start == f"POST {target} HTTP/1.1"
             assert asked.body == body
             assert asked.header("X-Trace-Id") == "t1"
@@ -87,7 +76,7 @@
 
 def test_an_idle_connection_is_reused() -> None:
     async def test() -> None:
-        async with Upstream(respond_with(answer(200, b"a"))) as upstream, Pool() as pool:
+        async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
             for _ in range(3):
                 assert isinstance(await pool.get(upstream), Answer)
             assert upstream.connections == 1
@@ -99,11 +88,11 @@
     """Guards against aiohttp's own retry, which would send a duplicate that no retry policy decided on."""
 
     async def test() -> None:
-        async with Upstream(respond_with(answer(200, b"a"))) as upstream, Pool() as pool:
+        async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
             assert isinstance(await pool.get(upstream), Answer)
-            upstream.behave = reset_connection
+            upstream.behave = resets
             assert await pool.get(upstream) is Outcome.RESET
-            assert len(upstream.requests) == 2
+            assert len(upstream.asked) == 2
 
     run(test())
 
@@ -127,8 +116,8 @@
 
     async def test() -> None:
         async def reset_on_reuse(message: Message, writer: Writer) -> None:
-            earlier = [m for m in upstream.requests if m.connection == message.connection]
-            await (reset_connection if len(earlier) > 1 else respond_with(answer(200, b"a")))(message, writer)
+            earlier = [m for m in upstream.asked if m.connection == message.connection]
+            await (resets if len(earlier) > 1 else says(answer(200, b"a")))(message, writer)
 
         def unrepeatable() -> EncodedRequest:
             return EncodedRequest("POST", "/charge", CIMultiDict(), b"1", lambda: True, may_repeat=False)
@@ -144,7 +133,7 @@
             assert await pool.get(upstream) is Outcome.RESET  # a repeatable request reused a connection
             assert trust._paused_until_s > asyncio.get_running_loop().time() + 1.0  # the pause has doubled
             monkeypatch.setattr(trust, "_paused_until_s", 0.0)
-            upstream.behave = respond_with(answer(200, b"a"))
+            upstream.behave = says(answer(200, b"a"))
             for _ in range(trust.SUCCESSES_TO_RECOVER + 1):
                 assert isinstance(await pool.get(upstream), Answer)
             connections = upstream.connections
@@ -156,7 +145,7 @@
 
 def test_a_refused_connection_is_a_failed_connect() -> None:
     async def test() -> None:
-        async with Upstream(never_respond) as upstream:
+        async with Upstream(silent) as upstream:
             pass
         async with Pool() as pool:
             assert await pool.get(upstream) is Outcome.CONNECT_FAILED
@@ -195,10 +184,10 @@
     """Guards against reading a late response as the response to the next request."""
 
     async def test() -> None:
-        async with Upstream(never_respond) as upstream, Pool() as pool:
+        async with Upstream(silent) as upstream, Pool() as pool:
             assert await pool.get(upstream, in_s=0.05) is Outcome.TIMEOUT
-            assert await wait_for(upstream.closed_connections.get()) == 1
-            upstream.behave = respond_with(answer(200, b"new"))
+            assert await within(upstream.ended.get()) == 1
+            upstream.behave = says(answer(200, b"new"))
             got = await pool.get(upstream)
             assert isinstance(got, Answer)
             assert got.body == b"new"
@@ -209,13 +198,13 @@
 
 def test_a_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
-        async with Upstream(never_respond) as upstream, Pool() as pool:
+        async with Upstream(silent) as upstream, Pool() as pool:
             task = asyncio.create_task(pool.get(upstream))
-            await wait_for(upstream.arrivals.get())
+            await within(upstream.arrivals.get())
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
-            assert await wait_for(upstream.closed_connections.get()) == 1
+            assert await within(upstream.ended.get()) == 1
 
     run(test())
 
@@ -224,11 +213,11 @@
     """Guards against sending after a drain notice, a deadline or the response came during the connect."""
 
     async def test() -> None:
-        async with Upstream(never_respond) as upstream, Pool() as pool:
+        async with Upstream(silent) as upstream, Pool() as pool:
             sent = encoded(may_write=False)
             assert await pool.get(upstream, sent) is Outcome.NOT_SENT
-            assert await wait_for(upstream.closed_connections.get()) == 1
-            assert not upstream.requests
+            assert await within(upstream.ended.get()) == 1
+            assert not upstream.asked
             assert not sent.write_approved
 
     run(test())
@@ -282,7 +271,7 @@
             sink = RecordingSink()
             sent = request_for(sink)
             task = asyncio.create_task(pool.get(upstream, sent))
-            writer = await wait_for(writers.get())
+            writer = await within(writers.get())
             while not (sink.parts if is_streamed else sent.connection is not None and sent.connection._body):
                 await asyncio.sleep(0)
             assert sent.connection is not None
@@ -293,7 +282,7 @@
                 sent.connection.transport.close()
             else:
                 writer.close()
-            got = await wait_for(task)
+            got = await within(task)
             if ends == "closed there":
                 assert isinstance(got, Answer)
                 assert (got.body, sink.parts) == (
@@ -312,15 +301,15 @@
             answer(302, Location="/elsewhere", Set_Cookie="k=v"),
             answer(200, compressed, Content_Encoding="gzip"),
         )
-        async with Upstream(respond_with(*replies)) as upstream, Pool() as pool:
+        async with Upstream(says(*replies)) as upstream, Pool() as pool:
             got = await pool.get(upstream)
             assert isinstance(got, Answer)
             assert got.status == 302
             got = await pool.get(upstream)
             assert isinstance(got, Answer)
             assert got.body == compressed
-            assert [m.start for m in upstream.requests] == ["GET /lookup HTTP/1.1"] * 2
-            assert upstream.requests[1].header("Cookie") is None
+            assert [m.start for m in upstream.asked] == ["GET /lookup HTTP/1.1"] * 2
+            assert upstream.asked[1].header("Cookie") is None
 
     run(test())
 
@@ -360,7 +349,7 @@
     async def test() -> None:
         body = (bytes(range(250)) * (size // 250 + 1))[:size]
         raw = CHUNKED + chunks(body, 9000) if chunked else answer(200, body)
-        async with Upstream(respond_with(raw)) as upstream, Pool() as pool:
+        async with Upstream(says(raw)) as upstream, Pool() as pool:
             for _ in range(2):
                 sink = RecordingSink()
                 got = await pool.get(upstream, request_for(sink))
@@ -375,7 +364,7 @@
 
 def test_a_slow_reader_applies_backpressure_to_the_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against buffering a response whose reader is slow, and against taking that for a stall."""
-    monkeypatch.setattr(answering, "STREAMING_STALL_S", 0.1)
+    monkeypatch.setattr(answering, "PASSING_STALL_S", 0.1)
 
     async def test() -> None:
         body = b"x" * 12_000_000
@@ -407,7 +396,7 @@
 
 
 def test_a_streamed_response_that_breaks_off_or_stalls(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(answering, "STREAMING_STALL_S", 0.05)
+    monkeypatch.setattr(answering, "PASSING_STALL_S", 0.05)
 
     async def break_off(_: Message, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n" + b"x" * 500_000)
@@ -436,7 +425,7 @@
 
         async def pause_after_head(_: Message, writer: Writer) -> None:
             writer.write(HEAD + b"Content-Length: 900000\r\n\r\n")
-            await wait_for(began.wait())
+            await within(began.wait())
             await asyncio.sleep(0.15)  # three times the stall limit of a short response
             writer.write(b"x" * 900_000)
 
@@ -464,7 +453,7 @@
 
         async def ends(_: Message, writer: Writer) -> None:
             writer.write(HEAD + head + b"x" * 70_000)
-            await wait_for(began.wait())
+            await within(began.wait())
             writer.write(b"x" * 50_000)  # small enough to arrive at once, followed by the close
             writer.close()
 
@@ -483,13 +472,13 @@
             (RecordingSink(accepts=False), 200, False),
             (RecordingSink(), 500, True),
         ):
-            async with Upstream(respond_with(answer(status, b"x" * 900_000))) as upstream, Pool() as pool:
+            async with Upstream(says(answer(status, b"x" * 900_000))) as upstream, Pool() as pool:
                 got = await pool.get(upstream, request_for(sink))
                 assert not sink.parts
                 assert (
                     isinstance(got, Answer) and got.status == 500 if is_wanted else got is Outcome.CANCELLED
                 )
-                assert await wait_for(upstream.closed_connections.get()) == 1
+                assert await within(upstream.ended.get()) == 1
 
     run(test())
 
@@ -519,7 +508,7 @@
     monkeypatch.setattr(transport, "MAX_RESPONSE_BYTES", 200_000)
 
     async def test() -> None:
-        async with Upstream(respond_with(CHUNKED + chunks(b"x" * 300_000, 9000))) as upstream, Pool() as pool:
+        async with Upstream(says(CHUNKED + chunks(b"x" * 300_000, 9000))) as upstream, Pool() as pool:
             assert await pool.get(upstream, request_for(RecordingSink())) is Outcome.ERROR
 
     run(test())
@@ -579,7 +568,7 @@
             sent = encoded("POST", "/charge", body)
             assert await pool.ask(0, address, sent, until_s) is Outcome.CONNECT_FAILED
             cancelled.set()
-            assert await wait_for(read.get()) < len(body)
+            assert await within(read.get()) < len(body)
 
     run(test())
 
@@ -588,7 +577,7 @@
     """Guards against writing to a connection that the upstream may be closing."""
 
     async def test() -> None:
-        async with Upstream(respond_with(answer(200, b"a"))) as upstream, Pool(idle_ms=10_000.0) as pool:
+        async with Upstream(says(answer(200, b"a"))) as upstream, Pool(idle_ms=10_000.0) as pool:
             assert isinstance(await pool.get(upstream), Answer)
             now = time.monotonic()
             monkeypatch.setattr("aiohttp.connector.monotonic", lambda: now + 8.5)
@@ -600,12 +589,12 @@
 
 def test_idle_connections_can_be_closed() -> None:
     async def test() -> None:
-        async with Upstream(respond_with(answer(200, b"a"))) as upstream, Pool() as pool:
+        async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
             assert isinstance(await pool.get(upstream), Answer)
             pool.close_idle(1)
             assert pool._connector._conns
             pool.close_idle(0)
-            assert await wait_for(upstream.closed_connections.get()) == 1
+            assert await within(upstream.ended.get()) == 1
             assert isinstance(await pool.get(upstream), Answer)
 
     run(test())
@@ -615,13 +604,13 @@
     """Guards against sharing connections with the removed upstream, and against closing those of both."""
 
     async def test() -> None:
-        async with Upstream(respond_with(answer(200, b"a"))) as upstream, Pool() as pool:
+        async with Upstream(says(answer(200, b"a"))) as upstream, Pool() as pool:
             for number in (0, 1, 0, 1):
                 assert isinstance(await pool.get(upstream, number=number), Answer)
-            assert [m.connection for m in upstream.requests] == [1, 2, 1, 2]
+            assert [m.connection for m in upstream.asked] == [1, 2, 1, 2]
             pool.close_idle(0)
             assert isinstance(await pool.get(upstream, number=1), Answer)
-            assert upstream.requests[-1].connection == 2
+            assert upstream.asked[-1].connection == 2
 
     run(test())
 
@@ -630,18 +619,14 @@
     """Guards against attempts that use up the descriptors that callers' connections need."""
 
     async def test() -> None:
-        async with (
-            Upstream(never_respond) as busy,
-            Upstream(respond_with(answer(200))) as other,
-            Pool(most=2) as pool,
-        ):
+        async with Upstream(silent) as busy, Upstream(says(answer(200))) as other, Pool(most=2) as pool:
             assert isinstance(await pool.get(other), Answer)  # leaves an idle connection
             pending = [asyncio.create_task(pool.get(busy)) for _ in range(2)]
             for _ in pending:
-                await wait_for(busy.arrivals.get())
-            assert await wait_for(other.closed_connections.get()) == 1  # it was closed to free its descriptor
+                await within(busy.arrivals.get())
+            assert await within(other.ended.get()) == 1  # it was closed to free its descriptor
             assert await pool.get(other) is Outcome.NOT_SENT
-            assert len(other.requests) == 1
+            assert len(other.asked) == 1
             for task in pending:
                 task.cancel()
             await asyncio.gather(*pending, return_exceptions=True)
@@ -661,7 +646,7 @@
         raise OSError(number, "no")
 
     async def test() -> None:
-        async with Upstream(never_respond) as upstream, Pool() as pool:
+        async with Upstream(silent) as upstream, Pool() as pool:
             monkeypatch.setattr("aiohttp.connector.aiohappyeyeballs.start_connection", raise_error)
             assert await pool.get(upstream) is outcome
 
@@ -687,7 +672,7 @@
 
         async with Upstream(behave) as upstream, Pool() as pool:
             for number in range(4):
-                upstream.behave = behave if number % 2 == 0 else respond_with(answer(200, b"second"))
+                upstream.behave = behave if number % 2 == 0 else says(answer(200, b"second"))
                 got = await pool.get(upstream)
                 assert isinstance(got, Answer)
                 assert got.body == (b"made for this one" if number % 2 == 0 else b"second")
@@ -713,7 +698,7 @@
                 writers[-1].write(answer(200, b"a copy"))
                 # read by the event loop before the next request, or still unread when that is sent
                 if number == 1:
-                    assert await wait_for(upstream.closed_connections.get()) == 1
+                    assert await within(upstream.ended.get()) == 1
             assert upstream.connections == 3
 
     run(test())
@@ -747,10 +732,10 @@
     """Guards against waiting for its end until the deadline, and against taking the upstream for dead."""
 
     async def test() -> None:
-        async with Upstream(respond_with(raw)) as upstream, Pool(connect_timeout_ms=200.0) as pool:
+        async with Upstream(says(raw)) as upstream, Pool(connect_timeout_ms=200.0) as pool:
             assert await pool.get(upstream) is Outcome.ERROR
-            assert await wait_for(upstream.closed_connections.get()) == 1
-            upstream.behave = respond_with(VALID_RESPONSE)
+            assert await within(upstream.ended.get()) == 1
+            upstream.behave = says(VALID_RESPONSE)
             assert isinstance(await pool.get(upstream), Answer)
 
     run(test())
@@ -767,7 +752,7 @@
         _, body = await connection.read()
         connection.data_received(b"a" * 50_000)
         read = b""
-        while part := await wait_for(body.readany()):
+        while part := await within(body.readany()):
             read += part
         assert read == b"a" * 100_000
 
