--- a/madderwind/testing/fault_tests/agents.py
+++ b/madderwind/testing/fault_tests/agents.py
@@ -6,7 +6,7 @@
 import json
 from urllib.parse import parse_qs, urlsplit
 
-from madderwind.testing.fault_tests.part import RigProcess, play
+from madderwind.testing.fault_tests.part import RigProcess, run_process
 from madderwind.testing.fault_tests.plan import FIRST_REVISION, copy_of, member
 from madderwind.testing.fault_tests.scenario import ListFault, UpstreamFault
 from madderwind.testing.fault_tests.traces import ListUpdateTrace
@@ -135,4 +135,4 @@
 
 
 if __name__ == "__main__":
-    play(Agents)
+    run_process(Agents)
--- a/madderwind/testing/fault_tests/clients.py
+++ b/madderwind/testing/fault_tests/clients.py
@@ -5,7 +5,7 @@
 import asyncio
 import re
 
-from madderwind.testing.fault_tests.part import RigProcess, play
+from madderwind.testing.fault_tests.part import RigProcess, run_process
 from madderwind.testing.fault_tests.schedule import Arrival, arrivals
 from madderwind.testing.fault_tests.traces import ENDLESS_MS, RequestTrace
 from madderwind.testing.fault_tests.wire import read_message
@@ -170,4 +170,4 @@
 
 
 if __name__ == "__main__":
-    play(Clients)
+    run_process(Clients)
--- a/madderwind/testing/fault_tests/command.py
+++ b/madderwind/testing/fault_tests/command.py
@@ -53,7 +53,7 @@
     """Parse NAME=FOLDER: another checkout of the program, run with the interpreter of this one."""
     name, equals, folder = argument.partition("=")
     if not equals or not name.isidentifier() or not (Path(folder) / "madderwind").is_dir():
-        raise DrillError(f"--beside={argument}: say NAME=FOLDER, a checkout of the program")
+        raise DrillError(f"--beside={argument}: expected NAME=FOLDER, a checkout of the program")
     version_check = subprocess.run(
         [sys.executable, "-m", "madderwind", "version"], cwd=folder, capture_output=True, check=False
     )
--- a/madderwind/testing/fault_tests/conduct.py
+++ b/madderwind/testing/fault_tests/conduct.py
@@ -74,7 +74,7 @@
         self.send_line(b"end")
         code = await self._process.wait()
         if code or not self.seen.exists():
-            raise DrillError(f"the rig's {self._name} ended with {code} before it told what it saw")
+            raise DrillError(f"the rig's {self._name} ended with {code} before it wrote its traces")
         return traces.read(self.seen)
 
     def kill(self) -> None:
@@ -87,7 +87,7 @@
     return Plan(scenario, draw(scenario, seed), net, shards, str(folder.resolve()))
 
 
-async def play(scenario: Scenario, seed: int, program: Program, folder: Path) -> tuple[Plan, Traces]:
+async def run_drill(scenario: Scenario, seed: int, program: Program, folder: Path) -> tuple[Plan, Traces]:
     """Run one drill in an empty folder, which keeps its logs and traces. DrillError: the rig failed."""
     folder.mkdir(parents=True, exist_ok=True)
     try:
@@ -98,7 +98,7 @@
         plan = make_plan(scenario, seed, net, folder)
         (folder / "plan.json").write_bytes(msgspec.json.encode(plan))
         async with _rig(plan) as rig:
-            return plan, await _play(plan, program, rig)
+            return plan, await _run_faults_and_load(plan, program, rig)
 
 
 @contextlib.asynccontextmanager
@@ -122,7 +122,7 @@
             process.kill()
 
 
-async def _play(plan: Plan, program: Program, rig: list[_Process]) -> Traces:
+async def _run_faults_and_load(plan: Plan, program: Program, rig: list[_Process]) -> Traces:
     clock = Clock()
     fleet = Fleet(plan, program, lambda: clock.now_ms)
     fleet.measured |= {process.who: process.pid for process in rig}
@@ -140,7 +140,7 @@
             await clock.until(plan.scenario.for_s * 1000)
             errors = [task.exception() for task in tasks if task.done() and not task.cancelled()]
             for error in filter(None, errors):
-                raise DrillError(f"a fault could not be played: {error!r}") from error
+                raise DrillError(f"a fault could not be applied: {error!r}") from error
             *others, client = rig
             seen = await client.finish()
             await asyncio.sleep(SETTLE_S)
--- a/madderwind/testing/fault_tests/figures.py
+++ b/madderwind/testing/fault_tests/figures.py
@@ -1,4 +1,5 @@
-"""What a drill came to: figures over windows, seconds for pictures, and whether the bounds hold."""
+"""The results of a drill: figures over time windows, counts by second for plots, and whether the bounds
+hold."""
 
 from __future__ import annotations
 
@@ -16,14 +17,15 @@
 from madderwind.testing.simulation.rules import Window
 from madderwind.testing.simulation.upstream import warmth
 
-STEP_MS = 50.0  # what could be done is summed in such steps
-LONGEST_US = 3_600_000_000
+INTEGRATION_STEP_MS = 50.0  # step of the integration of the achievable load
+MAX_LATENCY_US = 3_600_000_000
 SECOND_MS = 1000.0
-NEWS_MS = 5000.0
+EVENT_DEADLINE_MS = 5000.0
 
 
 class Second(msgspec.Struct):
-    """What was meant to be asked in one second, what became of it, and what went where it was bad."""
+    """Requests intended in one second, their outcomes, and the attempts sent to where a fault was active
+    (`dark`)."""
 
     asked: int = 0
     in_time: int = 0
@@ -36,7 +38,7 @@
 
 
 class Missed(msgspec.Struct, frozen=True):
-    """A bound that does not hold."""
+    """A bound that a figure misses."""
 
     name: str
     value: float
@@ -44,8 +46,8 @@
     least: float | None
 
 
-def fate(plan: Plan, asked: RequestTrace) -> str:
-    """What a request came to for its client."""
+def request_outcome(plan: Plan, asked: RequestTrace) -> str:
+    """The outcome of a request for its client."""
     request_class = plan.scenario.load.classes[asked.class_index]
     if asked.how == "answered" and asked.status == 200:
         return "in_time" if asked.ended_ms <= asked.intended_ms + request_class.aim_ms else "late"
@@ -55,26 +57,24 @@
 
 
 class Measured:
-    """A drill's traces, ready for figures."""
+    """Computes the figures of a drill from its traces."""
 
     def __init__(self, plan: Plan, seen: Traces) -> None:
         self._plan, self._seen = plan, seen
         self._scenario = plan.scenario
         self.asked = [a for a in seen.asked if a.how != "crossed" and a.intended_ms >= 0]
-        self._fates = {a.number: fate(plan, a) for a in self.asked}
+        self._outcomes = {a.number: request_outcome(plan, a) for a in self.asked}
         self._lost = lost(plan, seen)
-        self._loads = list(self._cold_loads())
+        self._load_ratios = list(self._warm_up_loads())
 
-    # --- windows ---
-
-    def _turns(self, name: str) -> list[FaultOccurrence]:
+    def _occurrences(self, name: str) -> list[FaultOccurrence]:
         return [t for t in self._plan.schedule.turns if self._scenario.faults[t.fault].name == name]
 
     def window(self, figure: Figure) -> tuple[float, float]:
-        """From when to when it is taken, in milliseconds."""
+        """The begin and end of the figure's window, in milliseconds."""
         begin_ms, end_ms = 0.0, self._scenario.for_s * 1000
         if figure.fault:
-            turns = self._turns(figure.fault)
+            turns = self._occurrences(figure.fault)
             edge_ms = (
                 min(t.begin_ms for t in turns) if figure.after == "begin" else max(t.end_ms for t in turns)
             )
@@ -84,37 +84,36 @@
         until_ms = end_ms if figure.to_s is None else begin_ms + figure.to_s * 1000
         return begin_ms + figure.from_s * 1000, until_ms
 
-    # --- what could be done ---
-
-    def could_ms(self, at_ms: float) -> float:
-        """Requests a millisecond that the upstreams could do, those of them that the copies can reach."""
+    def capacity_per_ms(self, at_ms: float) -> float:
+        """Capacity in requests per millisecond of the upstreams that the copies can reach."""
         model, rules = self._scenario.upstreams, self._scenario.rules
         each = model.cores / model.work_ms
-        parts = dict.fromkeys(self._plan.upstreams(), 1.0)
+        available = dict.fromkeys(self._plan.upstreams(), 1.0)
         for turn in self._plan.schedule.turns:
             fault = self._scenario.faults[turn.fault]
             for upstream in turn.upstreams:
                 if isinstance(fault, LinkFault):
                     cut = fault.kind != "slow" and len(turn.copies) == self._scenario.copies
-                    parts[upstream] *= not (cut and turn.on(at_ms))
+                    available[upstream] *= not (cut and turn.on(at_ms))
                 elif isinstance(fault, UpstreamFault) and fault.kind == "restart" and at_ms >= turn.begin_ms:
-                    up = at_ms >= turn.end_ms
-                    parts[upstream] *= warmth(at_ms - turn.end_ms, rules) if up else 0.0
+                    is_up = at_ms >= turn.end_ms
+                    available[upstream] *= warmth(at_ms - turn.end_ms, rules) if is_up else 0.0
                 elif isinstance(fault, UpstreamFault) and turn.on(at_ms):
                     slow = {"slow": 1 / fault.factor, "err": 1 - fault.rate, "drain": 0.0}
-                    parts[upstream] *= slow.get(fault.kind, 1.0)
-        return each * sum(parts.values())
+                    available[upstream] *= slow.get(fault.kind, 1.0)
+        return each * sum(available.values())
 
     def could(self, begin_ms: float, end_ms: float) -> float:
-        """Requests in a window: no more than what comes, no more than what the upstreams could do."""
-        steps = max(1, round((end_ms - begin_ms) / STEP_MS))
-        room = sum(self.could_ms(begin_ms + (n + 0.5) * STEP_MS) * STEP_MS for n in range(steps))
-        return min(room, sum(begin_ms <= a.intended_ms < end_ms for a in self.asked))
-
-    # --- where it was bad ---
-
-    def _bad(self, turns: list[FaultOccurrence]) -> Iterator[AttemptTrace]:
-        """Attempts on links, or to upstreams, that a fault hit at the time."""
+        """Achievable requests in a window: the lower of the intended load and the upstreams' capacity."""
+        steps = max(1, round((end_ms - begin_ms) / INTEGRATION_STEP_MS))
+        capacity = sum(
+            self.capacity_per_ms(begin_ms + (n + 0.5) * INTEGRATION_STEP_MS) * INTEGRATION_STEP_MS
+            for n in range(steps)
+        )
+        return min(capacity, sum(begin_ms <= a.intended_ms < end_ms for a in self.asked))
+
+    def _attempts_under_fault(self, turns: list[FaultOccurrence]) -> Iterator[AttemptTrace]:
+        """Attempts on links, or to upstreams, that a fault affected at the time."""
         for sent in self._seen.sent:
             for turn in turns:
                 fault = self._scenario.faults[turn.fault]
@@ -126,8 +125,9 @@
                     yield sent
                     break
 
-    def _cold_loads(self) -> Iterator[tuple[float, float]]:
-        """Of each request at a cold upstream: when, and what came in the window over what it could do."""
+    def _warm_up_loads(self) -> Iterator[tuple[float, float]]:
+        """For each request at an upstream in warm-up: its time, and the ratio of load to capacity in its
+        window."""
         model, rules = self._scenario.upstreams, self._scenario.rules
         starts = self._plan.starts_ms()
         windows: dict[tuple[int, float], Window] = {}
@@ -139,47 +139,45 @@
             got = windows.setdefault((ran.upstream, started_ms), Window(rules.fall_ms)).add(ran.at_ms)
             yield ran.at_ms, got / (rules.fall_ms * model.cores * warm / model.work_ms)
 
-    # --- figures ---
-
     def value(self, figure: Figure) -> float:
         begin_ms, end_ms = self.window(figure)
         inside = [a for a in self.asked if begin_ms <= a.intended_ms < end_ms]
-        fates = [self._fates[a.number] for a in inside]
+        outcomes = [self._outcomes[a.number] for a in inside]
 
-        def part(*names: str) -> float:
-            return sum(f in names for f in fates) / max(1, len(fates))
+        def fraction(*names: str) -> float:
+            return sum(f in names for f in outcomes) / max(1, len(outcomes))
 
         figures: dict[str, Callable[[], float]] = {
-            "served": lambda: fates.count("in_time") / max(1.0, self.could(begin_ms, end_ms)),
-            "in_time": lambda: part("in_time"),
-            "late": lambda: part("late"),
-            "refused": lambda: part("refused"),
-            "failed": lambda: part("failed"),
+            "served": lambda: outcomes.count("in_time") / max(1.0, self.could(begin_ms, end_ms)),
+            "in_time": lambda: fraction("in_time"),
+            "late": lambda: fraction("late"),
+            "refused": lambda: fraction("refused"),
+            "failed": lambda: fraction("failed"),
             "lost": lambda: float(sum(begin_ms <= a.intended_ms < end_ms for a in self._lost)),
-            "dark_per_s": lambda: self._most_a_second(figure, begin_ms, end_ms),
+            "dark_per_s": lambda: self._peak_per_s(figure, begin_ms, end_ms),
             "cold_load": lambda: max(
-                (load for at, load in self._loads if begin_ms <= at < end_ms), default=0.0
+                (load for at, load in self._load_ratios if begin_ms <= at < end_ms), default=0.0
             ),
-            "words_per_s": lambda: self._words("sent", begin_ms, end_ms),
-            "word_bytes_per_s": lambda: self._words("size_bytes", begin_ms, end_ms),
+            "words_per_s": lambda: self._messages_per_s("sent", begin_ms, end_ms),
+            "word_bytes_per_s": lambda: self._messages_per_s("size_bytes", begin_ms, end_ms),
             "cpu_ms_per_s": lambda: self._cpu(begin_ms, end_ms),
             "memory_mb": lambda: max((s.memory_mb for s in self._copies(begin_ms, end_ms)), default=0.0),
             "p99_ms": lambda: float(self.histogram(inside).get_value_at_percentile(99)) / 1000,
             "attempts": lambda: self._attempts(inside),
-            "news_ms": lambda: self._news(begin_ms, end_ms)[0],
-            "news_missed": lambda: self._news(begin_ms, end_ms)[1],
+            "news_ms": lambda: self._event_propagation(begin_ms, end_ms)[0],
+            "news_missed": lambda: self._event_propagation(begin_ms, end_ms)[1],
         }
         return round(figures[figure.figure](), 4)
 
-    def _most_a_second(self, figure: Figure, begin_ms: float, end_ms: float) -> float:
+    def _peak_per_s(self, figure: Figure, begin_ms: float, end_ms: float) -> float:
         seconds: dict[int, int] = defaultdict(int)
-        for sent in self._bad(self._turns(figure.fault)):
+        for sent in self._attempts_under_fault(self._occurrences(figure.fault)):
             if begin_ms <= sent.at_ms < end_ms:
                 seconds[int((sent.at_ms - begin_ms) // SECOND_MS)] += 1
         return float(max(seconds.values(), default=0))
 
-    def _words(self, what: str, begin_ms: float, end_ms: float) -> float:
-        """The mean over copies of what one sends a second."""
+    def _messages_per_s(self, what: str, begin_ms: float, end_ms: float) -> float:
+        """The mean per copy and second of this count of sent messages."""
         sums = [
             getattr(w, what)
             for w in self._seen.words
@@ -188,15 +186,16 @@
         seconds = end_ms // SECOND_MS - -(-begin_ms // SECOND_MS)
         return float(sum(sums)) / max(1.0, seconds) / self._scenario.copies
 
-    def _news(self, begin_ms: float, end_ms: float) -> tuple[float, float]:
-        """Of urgent words: the 99th of 100 times until a copy had one, and the part of copies that had it not
-        within `NEWS_MS`. Copies that were killed or stopped are left out, and words too late to judge."""
-        out = {
+    def _event_propagation(self, begin_ms: float, end_ms: float) -> tuple[float, float]:
+        """For event messages: the 99th percentile of the time until a copy received one, and the fraction not
+        received within `EVENT_DEADLINE_MS`. Leaves out killed and paused copies, and events too close to the
+        end of the window."""
+        excluded = {
             life.copy for life in self._seen.lives if life.what in ("kill", "pause") and life.at_ms < end_ms
         }
-        copies = [n for n in self._plan.copies() if n not in out]
-        until_ms = min(end_ms, self._scenario.for_s * 1000 - NEWS_MS)
-        took = HdrHistogram(1, LONGEST_US, 3)
+        copies = [n for n in self._plan.copies() if n not in excluded]
+        until_ms = min(end_ms, self._scenario.for_s * 1000 - EVENT_DEADLINE_MS)
+        delays = HdrHistogram(1, MAX_LATENCY_US, 3)
         asked = missed = 0
         for news in self._seen.news:
             if not begin_ms <= news.at_ms < until_ms:
@@ -205,17 +204,17 @@
                 heard_ms = news.heard_ms.get(copy, float("inf")) - news.at_ms
                 if copy != news.origin:
                     asked += 1
-                    missed += heard_ms > NEWS_MS
-                    if heard_ms <= NEWS_MS:
-                        took.record_value(max(1, int(heard_ms * 1000)))
-        return float(took.get_value_at_percentile(99)) / 1000, missed / max(1, asked)
+                    missed += heard_ms > EVENT_DEADLINE_MS
+                    if heard_ms <= EVENT_DEADLINE_MS:
+                        delays.record_value(max(1, int(heard_ms * 1000)))
+        return float(delays.get_value_at_percentile(99)) / 1000, missed / max(1, asked)
 
     def _copies(self, begin_ms: float, end_ms: float) -> list[Sample]:
         inside = (s for s in self._seen.samples if begin_ms <= s.at_ms <= end_ms + SECOND_MS)
         return [s for s in inside if s.who.startswith("copy-")]
 
     def _cpu(self, begin_ms: float, end_ms: float) -> float:
-        """The mean over copies' processes of what one uses a second."""
+        """The mean CPU time per second of the copies' processes."""
         by_process: dict[str, list[Sample]] = defaultdict(list)
         for sample in self._copies(begin_ms, end_ms):
             by_process[sample.who].append(sample)
@@ -231,23 +230,23 @@
         return sum(s.number in numbers for s in self._seen.sent) / max(1, len(inside))
 
     def histogram(self, asked: list[RequestTrace]) -> HdrHistogram:
-        """Times of what was served, in microseconds from the moment that was meant."""
-        histogram = HdrHistogram(1, LONGEST_US, 3)
+        """Latencies of the served requests, in microseconds from the intended send time."""
+        histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         for a in asked:
-            if self._fates[a.number] in ("in_time", "late"):
+            if self._outcomes[a.number] in ("in_time", "late"):
                 histogram.record_value(max(1, int((a.ended_ms - a.intended_ms) * 1000)))
         return histogram
 
     def lag_ms(self) -> float:
-        """How late the rig's own clients were, at the 99th of 100 requests."""
-        histogram = HdrHistogram(1, LONGEST_US, 3)
+        """The 99th percentile of the delay with which the rig's own clients sent requests."""
+        histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
         for a in self.asked:
             if a.written_ms >= a.intended_ms:
                 histogram.record_value(max(1, int((a.written_ms - a.intended_ms) * 1000)))
         return float(histogram.get_value_at_percentile(99)) / 1000
 
     def all(self) -> tuple[dict[str, float], list[Missed]]:
-        """Every figure of the scenario, and the bounds that do not hold."""
+        """Every figure of the scenario, and the bounds that are missed."""
         values = {figure.name: self.value(figure) for figure in self._scenario.figures}
         missed = [
             Missed(f.name, values[f.name], f.most, f.least)
@@ -263,9 +262,9 @@
         for asked in self.asked:
             second = seconds[min(count - 1, int(asked.intended_ms // 1000))]
             second.asked += 1
-            what = self._fates[asked.number]
+            what = self._outcomes[asked.number]
             setattr(second, what, getattr(second, what) + 1)
-        for sent in self._bad(list(self._plan.schedule.turns)):
+        for sent in self._attempts_under_fault(list(self._plan.schedule.turns)):
             if 0 <= sent.at_ms < count * 1000:
                 seconds[int(sent.at_ms // 1000)].dark += 1
         for words in self._seen.words:
--- a/madderwind/testing/fault_tests/links.py
+++ b/madderwind/testing/fault_tests/links.py
@@ -1,11 +1,11 @@
-"""Relays of connections, as a process: from some copies to all upstreams and to discovery's agents."""
+"""The process of the connection relays: from some copies to all upstreams and to the discovery agents."""
 
 from __future__ import annotations
 
 import asyncio
 import re
 
-from madderwind.testing.fault_tests.part import RigProcess, play
+from madderwind.testing.fault_tests.part import RigProcess, run_process
 from madderwind.testing.fault_tests.plan import DISCOVERY_HOST, Address
 from madderwind.testing.fault_tests.relay import Relay, RelayedConnection
 from madderwind.testing.fault_tests.scenario import LinkFault
@@ -16,17 +16,17 @@
 
 
 class _Connection(RelayedConnection):
-    """One connection of a copy, and the attempt that is under way on it."""
+    """One connection of a copy, and the attempt in flight on it."""
 
     def __init__(self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         super().__init__(link, reader, writer)
         self._link = link
         self._attempt: AttemptTrace | None = None
-        self._taken_ms = link.now_ms
+        self._accepted_ms = link.now_ms
 
     def wrote(self, piece: bytes) -> None:
         if self._attempt is None and (found := TRACE_ID.search(piece)):
-            self._attempt = self._link.saw(int(found[1], 16))
+            self._attempt = self._link.record_attempt(int(found[1], 16))
 
     def answered(self, piece: bytes) -> None:
         if self._attempt is not None:
@@ -39,12 +39,12 @@
             self._attempt = None
 
     def may_connect(self) -> bool:
-        """The process that would have known of this connection may be gone."""
-        return not self._link.restarted_since(self._taken_ms)
+        """Not if the upstream's process was replaced since the connection was accepted."""
+        return not self._link.restarted_since(self._accepted_ms)
 
 
 class Link(Relay):
-    """The way from one copy to one upstream, or to its agent."""
+    """The relay from one copy to one upstream, or to its discovery agent."""
 
     def __init__(self, part: Links, copy: int, upstream: int, target: Address) -> None:
         super().__init__(part.plan.link(copy, upstream), target, part.plan.source(copy))
@@ -57,14 +57,14 @@
     def now_ms(self) -> float:
         return self._part.clock.now_ms
 
-    def saw(self, number: int) -> AttemptTrace:
-        """An attempt's beginning."""
+    def record_attempt(self, number: int) -> AttemptTrace:
+        """Record the start of an attempt."""
         sent = AttemptTrace(self._copy, self._upstream, number, self.now_ms)
         self._part.seen.sent.append(sent)
         return sent
 
     def restarted_since(self, at_ms: float) -> bool:
-        """Whether the upstream's process is another than the one of that time."""
+        """Whether the upstream's process has been replaced since that time."""
         return any(at_ms < back_ms <= self.now_ms for back_ms in self._part.restarts.get(self._upstream, ()))
 
 
@@ -84,11 +84,11 @@
 
     def begin(self) -> None:
         self._turns = self.turns(LinkFault)
-        self.at_edges(self._turns, self._change)
+        self.at_edges(self._turns, self._apply_faults)
 
-    def _change(self) -> None:
-        """Each link as the faults on it make it now; of several the last begun counts."""
-        now_ms = self.clock.now_ms + 0.5  # a timer may be early by a hair
+    def _apply_faults(self) -> None:
+        """Apply the faults that are active now to the links; the latest begun takes effect on a link."""
+        now_ms = self.clock.now_ms + 0.5  # a timer may fire slightly early
         states: dict[tuple[int, int], tuple[str, float]] = {}
         for turn in self._turns:
             fault = self.plan.scenario.faults[turn.fault]
@@ -101,11 +101,11 @@
             link.be(*states.get(ends, ("", 0.0)))
 
     async def finish(self) -> None:
-        """An attempt still open has no end that was seen."""
+        """Mark attempts that are still in flight as having no observed end."""
         for sent in self.seen.sent:
             if sent.ended_ms > self.clock.now_ms:
                 sent.ended_ms = ENDLESS_MS
 
 
 if __name__ == "__main__":
-    play(Links)
+    run_process(Links)
--- a/madderwind/testing/fault_tests/part.py
+++ b/madderwind/testing/fault_tests/part.py
@@ -72,13 +72,13 @@
             self.clock.at(edge_ms, call)
 
 
-def play(kind: type[RigProcess]) -> None:
+def run_process(kind: type[RigProcess]) -> None:
     """The entry point of such a process: `python -m madderwind.testing.fault_tests.KIND PLAN SHARD`."""
     plan = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Plan)
-    asyncio.run(_play(kind(plan, int(sys.argv[2])), Path(sys.argv[1]).parent))
+    asyncio.run(_run_process(kind(plan, int(sys.argv[2])), Path(sys.argv[1]).parent))
 
 
-async def _play(part: RigProcess, folder: Path) -> None:
+async def _run_process(part: RigProcess, folder: Path) -> None:
     loop = asyncio.get_running_loop()
     commands = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(commands), sys.stdin)
--- a/madderwind/testing/fault_tests/records.py
+++ b/madderwind/testing/fault_tests/records.py
@@ -1,4 +1,4 @@
-"""Drills played after one another, and their records: one file a run, whole or not there."""
+"""Runs drills one after another and writes their records: one file per run, written atomically."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from madderwind.testing.fault_tests.conduct import play
+from madderwind.testing.fault_tests.conduct import run_drill
 from madderwind.testing.fault_tests.figures import Measured, Missed, Second
 from madderwind.testing.fault_tests.fleet import Program
 from madderwind.testing.fault_tests.judge import judge
@@ -24,7 +24,7 @@
 
 
 class Mark(msgspec.Struct, frozen=True):
-    """A turn of a fault, for pictures."""
+    """An occurrence of a fault, for plots."""
 
     text: str
     begin_s: float
@@ -32,7 +32,7 @@
 
 
 class DrillRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one drill came to. `schedule` is the digest of what was drawn: the same for the same seed."""
+    """The result of one drill. `schedule` is the digest of the drawn schedule, the same for the same seed."""
 
     scenario: str
     chosen: dict[str, Any]
@@ -45,8 +45,8 @@
     broken: list[Break]
     seconds: list[Second]
     marks: list[Mark]
-    times: str  # of what was served: a histogram of microseconds, as its library writes it
-    lag_p99_ms: float  # of the rig's own clients
+    times: str  # latencies of the served requests: an HdrHistogram in microseconds, in its own encoding
+    lag_p99_ms: float  # sending delay of the rig's own clients
     foreign: int
     took_s: float
 
@@ -88,17 +88,17 @@
 def run(
     scenario: Scenario, seed: int, program: Program, folder: Path, chosen: dict[str, Any] | None = None
 ) -> DrillRecord:
-    """Play one drill and judge it; logs and traces stay in the folder."""
+    """Run one drill and judge it; logs and traces stay in the folder."""
     began_s = time.monotonic()
-    plan, seen = asyncio.run(play(scenario, seed, program, folder))
+    plan, seen = asyncio.run(run_drill(scenario, seed, program, folder))
     return record_of(plan, seen, chosen or {}, program.name, began_s)
 
 
 def run_all(
     scenario: Scenario, programs: Sequence[Program], out: Path, seeds: Sequence[int]
 ) -> Iterator[DrillRecord]:
-    """Every variant, seed and program that has no record yet. Programs are played in turn under one seed, so
-    that what the machine does meanwhile befalls all alike."""
+    """Run every variant, seed and program that has no record yet. The programs run in turn under one seed, so
+    that changing load on the machine affects all of them alike."""
     for number, (chosen, _) in enumerate(variants(scenario)):
         for seed in seeds:
             for program in programs:
@@ -106,9 +106,9 @@
                 path = folder / f"{number:03d}-{seed}.json"
                 if path.exists():
                     continue
-                traced = folder / f"traces-{number:03d}-{seed}"
-                if traced.exists():
-                    shutil.rmtree(traced)  # of a run that was cut short
-                record = run(variant_of(scenario, chosen), seed, program, traced, chosen)
+                trace_folder = folder / f"traces-{number:03d}-{seed}"
+                if trace_folder.exists():
+                    shutil.rmtree(trace_folder)  # of an interrupted run
+                record = run(variant_of(scenario, chosen), seed, program, trace_folder, chosen)
                 write_record(path, record)
                 yield record
--- a/madderwind/testing/fault_tests/relay.py
+++ b/madderwind/testing/fault_tests/relay.py
@@ -1,4 +1,4 @@
-"""A relay of connections that can be made to refuse, reset, keep silent, vanish or be late."""
+"""A TCP relay that can refuse, reset, stall, drop or delay connections."""
 
 from __future__ import annotations
 
@@ -8,44 +8,41 @@
 from contextlib import suppress
 
 Address = tuple[str, int]
-PIECE_BYTES = 1 << 16
-MOST_HELD = 64  # pieces that a connection holds while nothing passes
-RESETTING = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+CHUNK_BYTES = 1 << 16
+MAX_BUFFERED_CHUNKS = 64  # limit on chunks that a connection buffers while nothing is forwarded
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0: close sends a reset
 MS_PER_S = 1000.0
 
 
 class RelayedConnection:
-    """One connection and, once that is up, its way on. Each way is a task; what the connecting side writes is
-    read also while nothing passes, so that it is seen when it is sent and when it is given up."""
+    """An accepted connection and, once established, the connection to the target. Each direction is a task.
+    The client's bytes are read also while nothing is forwarded, so that the times at which the client sends
+    or closes are observed."""
 
     def __init__(self, relay: Relay, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._relay, self._reader, self.writer = relay, reader, writer
-        self._held: asyncio.Queue[bytes] = asyncio.Queue(MOST_HELD)
+        self._buffered: asyncio.Queue[bytes] = asyncio.Queue(MAX_BUFFERED_CHUNKS)
         self._on: asyncio.StreamWriter | None = None
 
-    # --- what others may want to know ---
-
     def wrote(self, piece: bytes) -> None:
-        """The connecting side wrote this."""
+        """Called with bytes that the client wrote."""
 
     def answered(self, piece: bytes) -> None:
-        """The other side's bytes, as they pass back."""
+        """Called with the target's bytes when they are forwarded to the client."""
 
     def ended(self) -> None:
-        """The connecting side has ended, or given up."""
+        """Called when the client has closed or aborted the connection."""
 
     def may_connect(self) -> bool:
-        """Whether the other side is still the one that the connection was meant for."""
+        """Whether the target is still the process that the connection was meant for."""
         return True
 
-    # --- its life ---
-
     async def run(self) -> None:
-        """Pass on until one side ends."""
+        """Forward in both directions until one side ends."""
         try:
-            async with asyncio.TaskGroup() as ways:
-                ways.create_task(self._take())
-                ways.create_task(self._pass_on(ways))
+            async with asyncio.TaskGroup() as directions:
+                directions.create_task(self._read_client())
+                directions.create_task(self._forward(directions))
         except* (OSError, asyncio.IncompleteReadError):
             pass
         finally:
@@ -55,37 +52,37 @@
                     writer.transport.abort()
 
     def reset(self) -> None:
-        """End it as a process that died does."""
+        """Reset the connection, as the death of a process does."""
         reset(self.writer)
 
-    async def _take(self) -> None:
-        """What the connecting side writes, as it comes."""
-        while piece := await self._reader.read(PIECE_BYTES):
+    async def _read_client(self) -> None:
+        """Read the client's bytes as they arrive."""
+        while piece := await self._reader.read(CHUNK_BYTES):
             self.wrote(piece)
             if self._relay.kind == "reset":
                 self.reset()
                 raise ConnectionResetError
-            await self._held.put(piece)
-        self.ended()  # given up, or over
-        await self._held.put(b"")
+            await self._buffered.put(piece)
+        self.ended()  # the client closed or aborted
+        await self._buffered.put(b"")
 
-    async def _pass_on(self, ways: asyncio.TaskGroup) -> None:
-        """What it wrote, on to the other end, once anything passes."""
-        while piece := await self._held.get():
+    async def _forward(self, directions: asyncio.TaskGroup) -> None:
+        """Forward the client's bytes to the target once forwarding is possible."""
+        while piece := await self._buffered.get():
             await self._relay.passes(self)
             if self._on is None:
                 if not self.may_connect():
                     self.reset()
                     raise ConnectionResetError
                 reader, self._on = await self._relay.connect_on()
-                ways.create_task(self._pass_back(reader))
+                directions.create_task(self._forward_answers(reader))
             self._on.write(piece)
         await self._relay.passes(self)
-        raise ConnectionResetError  # the connecting side has ended
+        raise ConnectionResetError  # the client has ended
 
-    async def _pass_back(self, reader: asyncio.StreamReader) -> None:
+    async def _forward_answers(self, reader: asyncio.StreamReader) -> None:
         try:
-            while piece := await reader.read(PIECE_BYTES):
+            while piece := await reader.read(CHUNK_BYTES):
                 await self._relay.passes(self)
                 self.answered(piece)
                 self.writer.write(piece)
@@ -100,20 +97,21 @@
     """Close a connection with a reset."""
     sock = writer.get_extra_info("socket")
     with suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETTING)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
 async def _readable(listening: socket.socket) -> None:
-    """Return once a connection waits. The loop's own accept raises in the loop where it is cancelled late."""
+    """Return once a connection can be accepted. The event loop's own accept raises in the loop if cancelled
+    late."""
     loop = asyncio.get_running_loop()
     ready: asyncio.Future[None] = loop.create_future()
 
-    def tell() -> None:
+    def notify() -> None:
         if not ready.done():
             ready.set_result(None)
 
-    loop.add_reader(listening, tell)
+    loop.add_reader(listening, notify)
     try:
         await ready
     finally:
@@ -122,7 +120,7 @@
 
 
 class Relay:
-    """The way from `address` to `target`. `kind` is what a fault makes of it, empty for none."""
+    """Relays from `address` to `target`. `kind` is the kind of the active fault, empty for none."""
 
     def __init__(self, address: Address, target: Address, source: Address | None = None) -> None:
         self.address, self.target, self.source = address, target, source
@@ -136,27 +134,27 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> RelayedConnection:
-        """The object for a connection that was accepted."""
+        """Create the object for an accepted connection."""
         return RelayedConnection(self, reader, writer)
 
     @property
     def connections(self) -> list[RelayedConnection]:
-        """Those that are open."""
+        """The open connections."""
         return list(self._connections)
 
     async def passes(self, connection: RelayedConnection) -> None:
-        """Return once bytes of this connection may pass."""
+        """Return once bytes of this connection may be forwarded."""
         await self._open.wait()
         if self._late_ms:
             await asyncio.sleep(self._late_ms / MS_PER_S)
             await self._open.wait()
 
     async def connect_on(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection to the target."""
+        """Open a connection to the target."""
         return await asyncio.open_connection(*self.target, local_addr=self.source)
 
     def listen(self) -> None:
-        """Take connections."""
+        """Accept connections."""
         self._socket = socket.socket()
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.setblocking(False)
@@ -165,13 +163,13 @@
         self._accepting = asyncio.create_task(self._accept(self._socket))
 
     def close(self) -> None:
-        """Take no more connections and reset those that are open."""
+        """Stop accepting connections and reset the open ones."""
         self._stop_accepting().close()
         for connection in list(self._connections):
             connection.reset()
 
     async def end(self) -> None:
-        """Close for good, and return once nothing of it is left."""
+        """Close for good, and return once all tasks have ended."""
         self.be("", 0.0)
         self.close()
         tasks = list(self._tasks)
@@ -180,26 +178,26 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def _stop_accepting(self) -> socket.socket:
-        """At once: the socket, which nothing waits on any more."""
+        """Stop accepting at once and return the listening socket, which no task waits on any more."""
         assert self._socket is not None and self._accepting is not None
         self._accepting.cancel()
         asyncio.get_running_loop().remove_reader(self._socket)
         return self._socket
 
     async def _accept(self, listening: socket.socket) -> None:
-        """Take connections until cancelled; one that is gone again already is passed over."""
+        """Accept connections until cancelled; skip one that the client has already closed."""
         while True:
             await _readable(listening)
             with suppress(OSError):
-                taken, _ = listening.accept()
-                taken.setblocking(False)
-                task = asyncio.create_task(self._serve(taken))
+                accepted, _ = listening.accept()
+                accepted.setblocking(False)
+                task = asyncio.create_task(self._serve(accepted))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
-    async def _serve(self, taken: socket.socket) -> None:
+    async def _serve(self, accepted: socket.socket) -> None:
         try:
-            reader, writer = await asyncio.open_connection(sock=taken)
+            reader, writer = await asyncio.open_connection(sock=accepted)
         except OSError:
             return
         connection = self.connection(reader, writer)
@@ -210,14 +208,14 @@
             self._connections.discard(connection)
 
     def be(self, kind: str, late_ms: float) -> None:
-        """Change to what a fault makes of it; no kind is none."""
+        """Apply a fault of this kind; an empty kind ends the fault."""
         if (kind, late_ms) == (self.kind, self._late_ms):
             return
-        before, self.kind, self._late_ms = self.kind, kind, late_ms
-        if before == "refuse":
+        previous, self.kind, self._late_ms = self.kind, kind, late_ms
+        if previous == "refuse":
             self.listen()
-        elif before == "vanish":
-            self._come_up()
+        elif previous == "vanish":
+            self._resume_listening()
         if kind in ("silent", "vanish"):
             self._open.clear()
         else:
@@ -225,25 +223,25 @@
         if kind == "refuse":
             self.close()
         elif kind == "vanish":
-            self._never_come_up()
+            self._fill_listen_queue()
 
-    def _never_come_up(self) -> None:
-        """With its queue full, a listener drops what would connect: that goes unanswered."""
+    def _fill_listen_queue(self) -> None:
+        """Fill the listen queue, so that the kernel drops connection attempts without an answer."""
         self._stop_accepting().listen(0)
         assert self._socket is not None
         self._filler = socket.socket()
         self._filler.setblocking(False)
         self._filler.connect_ex(self._socket.getsockname())
 
-    def _come_up(self) -> None:
+    def _resume_listening(self) -> None:
         assert self._socket is not None and self._filler is not None
         self._filler.close()
-        # Guards against one that got into the queue before it was full: it would pass on what was given up
-        # long ago as if it were sent now.
+        # Resets connections that entered the queue before it was full: their bytes, which the client gave up
+        # long ago, would be forwarded as if sent now.
         with suppress(BlockingIOError):
             while True:
-                taken, _ = self._socket.accept()
-                taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETTING)
-                taken.close()
+                accepted, _ = self._socket.accept()
+                accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+                accepted.close()
         self._socket.listen(128)
         self._accepting = asyncio.create_task(self._accept(self._socket))
--- a/madderwind/testing/fault_tests/report.py
+++ b/madderwind/testing/fault_tests/report.py
@@ -1,4 +1,4 @@
-"""Tables, pictures over time and comparisons of drills' records."""
+"""Tables, plots over time and comparisons of drill records."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from madderwind.testing.fault_tests.figures import LONGEST_US
+from madderwind.testing.fault_tests.figures import MAX_LATENCY_US
 from madderwind.testing.fault_tests.records import DrillRecord
 from madderwind.testing.simulation.experiment import ExperimentError
 from madderwind.testing.simulation.records import read_all
@@ -16,7 +16,8 @@
 
 
 def read_drills(folder: Path) -> list[DrillRecord]:
-    """The records of a folder, or of the programs' folders in it. ExperimentError: none, or unreadable."""
+    """The records of a folder, or of the programs' folders in it. ExperimentError: there is none, or one is
+    unreadable."""
     inner = sorted(
         {path.parent for path in folder.glob("*/*.json") if not path.parent.name.startswith("traces-")}
     )
@@ -28,13 +29,13 @@
 
 
 def groups(records: Sequence[DrillRecord]) -> dict[tuple[str, str], list[DrillRecord]]:
-    """By what was chosen, and by program."""
+    """The records by chosen variant and program."""
     found = grouped(records, lambda record: record.chosen, lambda record: record.program)
     return dict(sorted(found.items(), key=lambda item: item[0]))
 
 
 def table(records: Sequence[DrillRecord]) -> str:
-    """Markdown, a column a group: every figure as its mean and interval over seeds."""
+    """A Markdown table with a column per group: the mean and interval over seeds of every figure."""
     by_group = groups(records)
     lines = [
         f"| {records[0].scenario} | "
@@ -49,29 +50,29 @@
             mean, low, high = interval([r.figures[name] for r in group if name in r.figures])
             missed = sum(any(m.name == name for m in r.missed) for r in group)
             digits = 0 if abs(mean) >= 100 else 1 if abs(mean) >= 10 else 3
-            said = f"{mean:.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
-            cells.append(said + (f", missed in {missed}" if missed else ""))
+            cell = f"{mean:.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
+            cells.append(cell + (f", missed in {missed}" if missed else ""))
         lines.append(f"| {name} | {' | '.join(cells)} |")
     rules = []
     for group in by_group.values():
         numbers = sorted({b.rule for r in group for b in r.broken})
-        said = ", ".join(map(str, numbers))
-        rules.append(f"{said} in {sum(bool(r.broken) for r in group)} runs" if numbers else "none")
+        cell = ", ".join(map(str, numbers))
+        rules.append(f"{cell} in {sum(bool(r.broken) for r in group)} runs" if numbers else "none")
     lines.append(f"| rules broken | {' | '.join(rules)} |")
     lines.append("| p50 / p99 ms | " + " | ".join(_times(group) for group in by_group.values()) + " |")
     return "\n".join(lines) + "\n"
 
 
 def _times(group: Sequence[DrillRecord]) -> str:
-    """Over all of a group's requests that were served."""
-    histogram = HdrHistogram(1, LONGEST_US, 3)
+    """The latency percentiles of all served requests of a group."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for record in group:
         histogram.decode_and_add(record.times.encode())
     return " / ".join(f"{histogram.get_value_at_percentile(p) / 1000:.0f}" for p in (50, 99))
 
 
 def breaks(records: Sequence[DrillRecord], most: int = 3) -> str:
-    """The first breaks and the missed bounds of each run that has any."""
+    """The first rule violations and the missed bounds of each run that has any."""
     lines = []
     for record in records:
         who = f"{record.program}, seed {record.seed}"
@@ -81,14 +82,15 @@
         ]
         lines += [
             f"{who}: {m.name} is {m.value:g}, at {'most' if m.most is not None else 'least'} "
-            f"{m.most if m.most is not None else m.least:g} was asked"
+            f"{m.most if m.most is not None else m.least:g} was required"
             for m in record.missed
         ]
     return "".join(f"{line}\n" for line in lines)
 
 
 def compare(ours: Sequence[DrillRecord], theirs: Sequence[DrillRecord]) -> str:
-    """A line a figure on two sets of drills under the same schedules. ExperimentError: none is in both."""
+    """One line per figure on two sets of drills under the same schedules. ExperimentError: the schedules
+    differ."""
     schedules = [{(str(r.chosen), r.seed): r.schedule for r in records} for records in (ours, theirs)]
     for key in schedules[0].keys() & schedules[1].keys():
         if schedules[0][key] != schedules[1][key]:
@@ -104,7 +106,8 @@
 
 
 def plot(records: Sequence[DrillRecord], path: Path) -> None:
-    """Served, what could be done, and attempts where it was bad, by second, with the faults marked."""
+    """Plot by second the served fraction of the achievable load, and the attempts under a fault; shade the
+    faults."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -121,9 +124,9 @@
         for axes in (served, dark):
             axes.axvspan(mark.begin_s, max(mark.end_s, mark.begin_s + 0.1), color="0.85", zorder=0)
         served.text(mark.begin_s, 1.09, mark.text, fontsize="x-small", rotation=20)
-    served.set(ylabel="served in time, of what could be", ylim=(-0.02, 1.25))
+    served.set(ylabel="served in time, of the achievable load", ylim=(-0.02, 1.25))
     served.set_title(records[0].scenario, loc="right")
-    dark.set(xlabel="second", ylabel="attempts a second\nwhere it is bad")
+    dark.set(xlabel="second", ylabel="attempts per second\nunder a fault")
     served.legend(fontsize="small", loc="lower right")
     figure.tight_layout()
     figure.savefig(path, dpi=110)
--- a/madderwind/testing/fault_tests/schedule.py
+++ b/madderwind/testing/fault_tests/schedule.py
@@ -1,4 +1,5 @@
-"""One seed gives one schedule: which fault begins when, whom it hits, and what comes at which copy."""
+"""Draws the schedule of a seed: the times and targets of faults, and the arrivals of requests at each
+copy."""
 
 from __future__ import annotations
 
@@ -14,17 +15,17 @@
     LoadFault,
     MessageFault,
     Scenario,
-    Which,
+    Selection,
 )
 
 
 class FaultOccurrence(msgspec.Struct, frozen=True):
-    """One coming of a fault, in milliseconds after the drill's begin, with those that it hits.
+    """One occurrence of a fault, in milliseconds after the drill's begin, with its targets.
 
-    `pairs`: of words, who is not heard as he should be by whom.
+    `pairs`: the (sender, receiver) pairs of copies whose messages are affected.
     """
 
-    fault: int  # its place among the scenario's
+    fault: int  # its index among the scenario's faults
     begin_ms: float
     end_ms: float
     copies: tuple[int, ...] = ()
@@ -37,15 +38,15 @@
 
 class Schedule(msgspec.Struct, frozen=True):
     seed: int
-    turns: tuple[FaultOccurrence, ...]  # in order of their begin
+    turns: tuple[FaultOccurrence, ...]  # in order of begin
 
     def digest(self) -> str:
-        """The same for the same schedule, on any machine."""
+        """A hash that is the same for the same schedule on any machine."""
         return hashlib.sha256(msgspec.json.encode(self)).hexdigest()[:16]
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A request that a client means to send."""
+    """A request that a client intends to send."""
 
     number: int
     at_ms: float
@@ -54,7 +55,7 @@
 
 
 def zone_of(number: int, scenario: Scenario) -> int:
-    """Copies and upstreams alike stand in the zones by turns."""
+    """The zone of a copy or upstream; both are assigned round-robin."""
     return number % len(scenario.zones)
 
 
@@ -63,68 +64,71 @@
 
 
 def draw(scenario: Scenario, seed: int) -> Schedule:
-    """The schedule of a seed. Each fault draws from a source of its own: one more leaves the others alone."""
+    """Draw the schedule of a seed. Each fault has its own random source, so that adding one doesn't change
+    others."""
     turns: list[FaultOccurrence] = []
     for number, fault in enumerate(scenario.faults):
         chance = random.Random(f"{seed} fault {number}")
-        at_ms = _drawn_ms(fault.at_s, chance)
+        at_ms = _draw_ms(fault.at_s, chance)
         for _ in range(fault.times):
-            end_ms = at_ms + _drawn_ms(fault.for_s, chance)
-            turns += _turns(scenario, fault, number, at_ms, end_ms, chance)
-            at_ms = end_ms + _drawn_ms(fault.every_s, chance)
+            end_ms = at_ms + _draw_ms(fault.for_s, chance)
+            turns += _occurrences(scenario, fault, number, at_ms, end_ms, chance)
+            at_ms = end_ms + _draw_ms(fault.every_s, chance)
     return Schedule(seed, tuple(sorted(turns, key=lambda turn: (turn.begin_ms, turn.fault))))
 
 
-def _drawn_ms(span: float | tuple[float, ...], chance: random.Random) -> float:
+def _draw_ms(span: float | tuple[float, ...], chance: random.Random) -> float:
     low_s, high_s = span if isinstance(span, tuple) else (span, span)
     return round(chance.uniform(low_s, high_s) * 1000, 3)
 
 
-def _turns(
+def _occurrences(
     scenario: Scenario, fault: AnyFault, number: int, begin_ms: float, end_ms: float, chance: random.Random
 ) -> Iterable[FaultOccurrence]:
     copies, upstreams = range(scenario.copies), range(upstream_count(scenario))
 
-    def chosen(which: Which | None, among: range) -> tuple[int, ...]:
-        return () if which is None else _chosen(scenario, which, among, chance)
+    def select(selection: Selection | None, candidates: range) -> tuple[int, ...]:
+        return () if selection is None else _select(scenario, selection, candidates, chance)
 
     match fault:
         case MessageFault():
-            senders, hearers = chosen(fault.senders, copies), chosen(fault.hearers, copies)
+            senders, hearers = select(fault.senders, copies), select(fault.hearers, copies)
             pairs = {(a, b) for a in senders for b in hearers if a != b}
             pairs |= {(b, a) for a, b in pairs} if fault.both else set()
-            hit = tuple(pair for pair in sorted(pairs) if chance.random() < fault.links)
-            yield FaultOccurrence(number, begin_ms, end_ms, pairs=hit)
+            affected = tuple(pair for pair in sorted(pairs) if chance.random() < fault.links)
+            yield FaultOccurrence(number, begin_ms, end_ms, pairs=affected)
         case CopyFault():
-            hit_copies = chosen(fault.copies, copies)
-            for place, copy in enumerate(hit_copies):
-                later_ms = fault.spread_s * 1000 * place / len(hit_copies)
+            targets = select(fault.copies, copies)
+            for index, copy in enumerate(targets):
+                later_ms = fault.spread_s * 1000 * index / len(targets)
                 yield FaultOccurrence(number, begin_ms + later_ms, end_ms + later_ms, copies=(copy,))
         case _:
             yield FaultOccurrence(
                 number,
                 begin_ms,
                 end_ms,
-                copies=chosen(getattr(fault, "copies", None), copies),
-                upstreams=chosen(getattr(fault, "upstreams", None), upstreams),
+                copies=select(getattr(fault, "copies", None), copies),
+                upstreams=select(getattr(fault, "upstreams", None), upstreams),
             )
 
 
-def _chosen(scenario: Scenario, which: Which, among: range, chance: random.Random) -> tuple[int, ...]:
-    left = [n for n in among if which.zone in (None, scenario.zones[zone_of(n, scenario)])]
-    left = [n for n in left if which.numbers is None or n in which.numbers]
-    if which.part is not None:
-        left = chance.sample(left, round(which.part * len(left)))
-    if which.count is not None:
-        left = chance.sample(left, min(which.count, len(left)))
+def _select(
+    scenario: Scenario, selection: Selection, candidates: range, chance: random.Random
+) -> tuple[int, ...]:
+    left = [n for n in candidates if selection.zone in (None, scenario.zones[zone_of(n, scenario)])]
+    left = [n for n in left if selection.numbers is None or n in selection.numbers]
+    if selection.part is not None:
+        left = chance.sample(left, round(selection.part * len(left)))
+    if selection.count is not None:
+        left = chance.sample(left, min(selection.count, len(left)))
     return tuple(sorted(left))
 
 
 def arrivals(scenario: Scenario, schedule: Schedule) -> list[Arrival]:
-    """All that clients mean to send, in order; drawn whatever becomes of it (an open loop).
+    """All requests that clients intend to send, in order and independent of the answers (an open loop).
 
-    Times before 0 are the warm-up's. A source a copy, so that one copy's requests stay as they are beside
-    others; a load fault thins or thickens what comes while it lasts.
+    Times before 0 belong to the warm-up. Each copy has its own random source, so that its requests don't
+    depend on other copies; a load fault multiplies the arrival rate while it is active.
     """
     weights = [scenario.load.uneven ** (n / max(1, scenario.copies - 1)) for n in range(scenario.copies)]
     loads = [t for t in schedule.turns if isinstance(scenario.faults[t.fault], LoadFault)]
@@ -135,7 +139,7 @@
         base_per_ms = scenario.load.per_s / 1000 * weights[copy] / sum(weights)
         at_ms = -scenario.warm_up_s * 1000
         while True:
-            # In shares of the base load: a wait passes faster while more comes.
+            # The remaining wait in units of the base rate: it passes faster while the rate is higher.
             left = chance.expovariate(1.0)
             while left > 0:
                 factor = 1.0
--- a/madderwind/testing/fault_tests/traces.py
+++ b/madderwind/testing/fault_tests/traces.py
@@ -1,6 +1,6 @@
-"""What clients, upstreams, agents and relays saw: the only evidence that a verdict rests on.
+"""The observations of clients, upstreams, agents and relays, the only evidence for a verdict.
 
-All times are milliseconds after the drill's begin, on the one monotonic clock of the machine.
+All times are milliseconds after the drill's begin, on the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class RequestTrace(msgspec.Struct):
-    """A client's request. `written_ms`: when its last byte went out on a connection that a copy's machine
-    took. `how` it ended: answered; closed (the connection ended first); none (the client stopped waiting);
-    untaken (no copy took a connection); crossed (a kept connection ended with no word: asked once more, under
-    another number)."""
+    """A client's request. `written_ms`: when its last byte was written to an established connection. `how` it
+    ended: answered; closed (the connection ended first); none (the client stopped waiting); untaken (no copy
+    accepted a connection); crossed (a reused connection ended before an answer, and the request was retried
+    under another number)."""
 
     number: int
     copy: int
@@ -27,13 +27,13 @@
     ended_ms: float = ENDLESS_MS
     how: str = "none"
     status: int = 0
-    served_by: int = -1  # the upstream that the answer's body names
-    told: int = -1  # the request that it names
-    extra: int = 0  # bytes that came on after the final answer
+    served_by: int = -1  # the upstream named in the answer's body
+    told: int = -1  # the request number in the answer's body
+    extra: int = 0  # bytes received after the final answer
 
 
 class AttemptTrace(msgspec.Struct):
-    """An attempt as a relay saw it come from a copy. `ended_ms`: its answer passed, or its connection
+    """An attempt of a copy as seen by a relay. `ended_ms`: when its answer was forwarded, or its connection
     ended."""
 
     copy: int
@@ -41,11 +41,11 @@
     number: int
     at_ms: float
     ended_ms: float = ENDLESS_MS
-    turned_away: bool = False  # its answer was the proof that it never ran
+    turned_away: bool = False  # the answer has the header that proves that the request never ran
 
 
 class UpstreamTrace(msgspec.Struct):
-    """A request at an upstream, and how it ended there."""
+    """A request received by an upstream, and its outcome there."""
 
     upstream: int
     number: int
@@ -55,6 +55,8 @@
 
 
 class OverloadTrace(msgspec.Struct):
+    """A crash of an upstream from overload: `got` requests came in a window with a capacity of `can`."""
+
     upstream: int
     at_ms: float
     number: int
@@ -63,7 +65,7 @@
 
 
 class ListUpdateTrace(msgspec.Struct):
-    """A line that discovery's agent wrote to a copy: an upstream's phase."""
+    """An upstream's phase that a discovery agent sent to a copy."""
 
     copy: int
     at_ms: float
@@ -72,7 +74,7 @@
 
 
 class MessageCounts(msgspec.Struct):
-    """Datagrams of one copy in one second, as the relay saw them."""
+    """Datagrams sent by one copy in one second, as counted by the relay."""
 
     copy: int
     second: int
@@ -82,8 +84,8 @@
 
 
 class EventTrace(msgspec.Struct):
-    """An urgent word of a fleet that passes words on: when it first left its teller, and each copy's first
-    datagram with it."""
+    """A gossiped event: when its origin first sent it, and when each copy was first sent a datagram with
+    it."""
 
     origin: int
     version: int
@@ -92,7 +94,7 @@
 
 
 class ProcessEvent(msgspec.Struct):
-    """What became of a copy's process, as its parent saw it."""
+    """A change of a copy's process (start, exit, signal), as recorded by its parent."""
 
     copy: int
     at_ms: float
@@ -101,7 +103,7 @@
 
 
 class Sample(msgspec.Struct):
-    """A process's figures: what it has used since its start, and what it holds."""
+    """The resource usage of a process: CPU time since its start, and resident memory."""
 
     who: str
     at_ms: float
@@ -119,7 +121,7 @@
     news: list[EventTrace] = []
     lives: list[ProcessEvent] = []
     samples: list[Sample] = []
-    foreign: int = 0  # datagrams that came to a relay from nobody of the rig
+    foreign: int = 0  # datagrams that a relay received from outside the rig
 
     def add(self, other: Traces) -> None:
         for name in self.__struct_fields__:
--- a/madderwind/testing/fault_tests/upstreams.py
+++ b/madderwind/testing/fault_tests/upstreams.py
@@ -1,11 +1,11 @@
-"""Stand-in upstreams, as a process: the laboratory's model of one, on sockets."""
+"""The process of the stand-in upstreams: the simulation's upstream model behind sockets."""
 
 from __future__ import annotations
 
 import asyncio
 
 from madderwind.standalone.policy.api import Outcome
-from madderwind.testing.fault_tests.part import RigProcess, play
+from madderwind.testing.fault_tests.part import RigProcess, run_process
 from madderwind.testing.fault_tests.plan import Plan, copy_of
 from madderwind.testing.fault_tests.scenario import UpstreamFault
 from madderwind.testing.fault_tests.schedule import FaultOccurrence, zone_of
@@ -14,12 +14,12 @@
 from madderwind.testing.simulation import experiment as lab
 from madderwind.testing.simulation.upstream import LONG_AGO_MS, Job, Upstream
 
-AGAIN_S = 1.0  # one that was pushed over starts again so soon
+OVERLOAD_RESTART_S = 1.0  # delay until an upstream that crashed from overload restarts
 STATUS = {Outcome.OK: 200, Outcome.ERROR: 500, Outcome.FULL: 503}
 
 
-class _Held(Job):
-    """A request at an upstream, with its way back."""
+class _PendingRequest(Job):
+    """A request at an upstream, with the connection for its answer."""
 
     __slots__ = ("ran", "writer")
 
@@ -40,7 +40,7 @@
 
 
 class UpstreamStandIns(RigProcess):
-    """All of them; `Surroundings` of the model."""
+    """All stand-in upstreams; implements `Surroundings` of the simulation's model."""
 
     def __init__(self, plan: Plan, shard: int) -> None:
         super().__init__(plan, shard)
@@ -94,18 +94,18 @@
                 upstream = self._all[number]
                 if fault.kind == "restart":
                     self.clock.at(turn.begin_ms, upstream.crash)
-                    self.clock.at(turn.end_ms, lambda u=upstream: self._again(u))  # type: ignore[misc]
-        self._steady = [
+                    self.clock.at(turn.end_ms, lambda u=upstream: self._restart(u))  # type: ignore[misc]
+        self._lasting = [
             t for t in turns if getattr(self.plan.scenario.faults[t.fault], "kind", "") != "restart"
         ]
-        self.at_edges(self._steady, self._change)
+        self.at_edges(self._lasting, self._update_faults)
 
-    def _change(self) -> None:
-        """How slow and how wrong each is now."""
+    def _update_faults(self) -> None:
+        """Set the slowdown and error rate of each upstream from the faults that are active now."""
         now_ms = self.clock.now_ms + 0.5
         for upstream in self._all:
             upstream.slow, upstream.error_part = 1.0, 0.0
-        for turn in self._steady:
+        for turn in self._lasting:
             self._apply(turn, now_ms)
 
     def _apply(self, turn: FaultOccurrence, now_ms: float) -> None:
@@ -128,7 +128,7 @@
             while True:
                 self._take(upstream, copy, await read_message(reader), writer)
         except (asyncio.IncompleteReadError, ConnectionError):
-            writer.close()  # what it asked for goes on: it cannot know that nobody waits
+            writer.close()  # its requests keep running: the upstream cannot know that nobody waits for them
         finally:
             self._open[number].discard(writer)
 
@@ -136,29 +136,27 @@
         trace_id = message.header("X-Trace-Id") or "0"
         ran = UpstreamTrace(upstream.number, int(trace_id, 16), copy, self.clock.now_ms)
         self.seen.ran.append(ran)
-        job = _Held(ran, writer)
+        job = _PendingRequest(ran, writer)
         if len(self._open[upstream.number]) > self.plan.scenario.upstreams.connections:
             job.reply(Outcome.FULL)
         else:
             upstream.arrive(job, str(copy), ran.number)
 
-    # --- Surroundings of the model ---
-
     def fell(self, at_ms: float, copy: str, request: int, upstream: int, got: int, can: float) -> None:
         self.seen.fell.append(OverloadTrace(upstream, at_ms, request, got, can))
-        self.clock.after(AGAIN_S * 1000, lambda: self._again(self._all[upstream]))
+        self.clock.after(OVERLOAD_RESTART_S * 1000, lambda: self._restart(self._all[upstream]))
 
     def forget_connections(self, upstream: Upstream) -> None:
-        """Its process died: its connections break and new ones are refused."""
+        """The upstream's process died: its connections are reset and new ones refused."""
         self._servers[upstream.number].close()
         for writer in list(self._open[upstream.number]):
             writer.transport.abort()
 
-    def _again(self, upstream: Upstream) -> None:
+    def _restart(self, upstream: Upstream) -> None:
         if upstream.down:
             upstream.restart()
             asyncio.get_running_loop().create_task(self._listen(upstream))
 
 
 if __name__ == "__main__":
-    play(UpstreamStandIns)
+    run_process(UpstreamStandIns)
--- a/madderwind/testing/fault_tests/wire.py
+++ b/madderwind/testing/fault_tests/wire.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as the rig's clients, upstreams and agents speak it: one message, one connection, no more.
+"""A minimal HTTP/1.1 codec for the rig's clients, upstreams and agents: one message at a time.
 
-The raw bytes are the rig's own on purpose: what a library mends or hides (a second answer, bytes after the
-end) is what a checker has to see.
+The rig handles the raw bytes itself, because a library would correct or hide what the checker has to detect
+(a second answer, bytes after the end).
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Message(msgspec.Struct):
-    """A request or an answer as its bytes came."""
+    """A request or an answer as received."""
 
     start: str
     headers: list[tuple[str, str]]
@@ -28,7 +28,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader, connection: int = 0) -> Message:
-    """One message, whole or in chunks; IncompleteReadError where the connection ended."""
+    """Read one message, chunked or not. Raises IncompleteReadError if the connection ends."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = [(n, v.strip()) for n, _, v in (line.partition(":") for line in head[1:] if line)]
     message = Message(head[0], headers, b"", connection)
@@ -51,5 +51,5 @@
 
 
 def chunk(raw: bytes) -> bytes:
-    """A piece of a chunked answer."""
+    """Encode one chunk of a chunked answer."""
     return b"%x\r\n%s\r\n" % (len(raw), raw)
